--- a/internal/proxy/accounting.go
+++ b/internal/proxy/accounting.go
@@ -14,7 +14,7 @@
 	if objectives == nil {
 		return
 	}
-	set := d.set.Load()
+	set := d.nodeSettings.Load()
 	d.accountsAgent = accounts.NewAgent(accounts.AgentOptions{Node: set.NodeName, Objectives: objectives, Controls: set.SeedIPs(),
 		Ask: d.reportAccounts, Note: d.events.Record})
 	d.accounts = d.accountsAgent.Meter
--- a/internal/proxy/daemon.go
+++ b/internal/proxy/daemon.go
@@ -33,7 +33,7 @@
 // Daemon is the proxy process: the request path, and what keeps it informed.
 type Daemon struct {
 	*Proxy
-	set               atomic.Pointer[settings.Settings]
+	nodeSettings      atomic.Pointer[settings.Settings]
 	path              string
 	subscriber        *distribution.Subscriber
 	reader            config.Reader // used by apply only, one call at a time
@@ -60,7 +60,7 @@
 // NewDaemon builds the process's parts.
 func NewDaemon(set *settings.Settings, path string, events *eventlog.Log) *Daemon {
 	d := &Daemon{path: path, trackerEchoes: map[string]trackerEcho{}, trackerAnswers: map[string]*answerTime{}, source: discovery.NewSource(set.CloudAPI.Address)}
-	d.set.Store(set)
+	d.nodeSettings.Store(set)
 	d.settingsChangedAt.Store(d.settingsModTime()) // what changes from now on is read
 	b := set.Bounds
 	s := &Proxy{events: events, histograms: newHistograms(), began: time.Now(), limiter: admission.New(b.QuotaSlack, set.Trackers(), rand.Uint64())}
@@ -117,7 +117,7 @@
 // coldBoundsOf reckons the bounds on cold upstreams that a configuration asks for.
 func (d *Daemon) coldBoundsOf(cfg *config.Config) map[string]ColdBound {
 	out := map[string]ColdBound{}
-	rules := d.set.Load().Bounds
+	rules := d.nodeSettings.Load().Bounds
 	for name, service := range cfg.Services {
 		if service.WarmupPerS > 0 {
 			most := service.WarmupPerS*max(1, rules.WarmupOverage) + rules.WarmupSlack
@@ -176,7 +176,7 @@
 
 // Add puts the process's actors into its group.
 func (d *Daemon) Add(g *run.Group) error {
-	set := d.set.Load()
+	set := d.nodeSettings.Load()
 	front, err := net.Listen("tcp4", set.ListenAddresses.Frontend)
 	if err != nil {
 		return err
@@ -207,7 +207,7 @@
 // AddHollow puts in what keeps a proxy informed and is said to others, without the
 // path of requests: many such proxies can share one process, to try control's size.
 func (d *Daemon) AddHollow(g *run.Group, group *rungroup.Group) error {
-	set := d.set.Load()
+	set := d.nodeSettings.Load()
 	var err error
 	var seeds []string
 	for _, ip := range set.SeedIPs() {
@@ -289,7 +289,7 @@
 	d.leaving.Store(true)
 	d.events.Record("leaving", "readiness fails from now on")
 	d.subscriber.Announce()
-	set := d.set.Load()
+	set := d.nodeSettings.Load()
 	grace := set.Bounds.Grace.D() - constants.TermReserve
 	d.pool.Leave(began.Add(grace))
 	// Where clients ask a directory, old answers name this proxy for some time.
--- a/internal/proxy/grants.go
+++ b/internal/proxy/grants.go
@@ -29,7 +29,7 @@
 	return out
 }
 
-func (d *Daemon) shard(key string) int { return admission.Shard(key, d.set.Load().Trackers()) }
+func (d *Daemon) shard(key string) int { return admission.Shard(key, d.nodeSettings.Load().Trackers()) }
 
 // askTracker asks a key's tracker for tokens. It waits while an answer is of use to the
 // caller and the tracker's silence is not unusual. Only the latter says something of the
@@ -72,7 +72,7 @@
 // answer.
 func (d *Daemon) ask(to string, asked time.Duration, echo admission.TrackerTime, wants []admission.Want, patience time.Duration) (admission.Grants, error) {
 	answer, err := d.subscriber.Ask(to, admission.GrantRequest{
-		Proxy:   d.set.Load().IPAddress,
+		Proxy:   d.nodeSettings.Load().IPAddress,
 		Wants:   wants,
 		Echo:    echo,
 		Proxies: d.limiter.Proxies(),
--- a/internal/proxy/grants_test.go
+++ b/internal/proxy/grants_test.go
@@ -15,13 +15,13 @@
 // connected.
 func silentTracker(t *testing.T, tracker string) *Daemon {
 	d, _ := daemonAt(t)
-	listener, err := transport.Listen(d.set.Load().PeerInternal(tracker, constants.PortControl))
+	listener, err := transport.Listen(d.nodeSettings.Load().PeerInternal(tracker, constants.PortControl))
 	if err != nil {
 		t.Fatal(err)
 	}
 	t.Cleanup(func() { listener.Close() })
 	go transport.Serve(listener, func(*transport.Conn, any) any { return nil })
-	all := slices.Repeat([]string{tracker}, d.set.Load().Trackers())
+	all := slices.Repeat([]string{tracker}, d.nodeSettings.Load().Trackers())
 	d.trackers.Store(&all)
 	for n := 0; awaitTracker(d, "k", time.Second) < constants.TrackerBusy/2; n++ { // until the connection stands
 		if n > 100 {
--- a/internal/proxy/lists.go
+++ b/internal/proxy/lists.go
@@ -21,7 +21,7 @@
 		d.events.Record("ready", "configuration and upstreams known")
 	}
 	if d.outOfContact(st, now) && now.After(d.selfPollAt) && d.config.Load() != nil {
-		every := selfPollEvery(d.pool.Len(), d.limiter.Proxies(), d.set.Load().CloudAPI.RatePerS)
+		every := selfPollEvery(d.pool.Len(), d.limiter.Proxies(), d.nodeSettings.Load().CloudAPI.RatePerS)
 		first := d.selfPollAt.IsZero()
 		if d.selfPollAt = now.Add(every/2 + rand.N(every)); first && rand.Float64() > float64(constants.SelfPollEvery)/float64(every) {
 			return // most of a large fleet have to wait for their turn from the beginning
--- a/internal/proxy/reload.go
+++ b/internal/proxy/reload.go
@@ -29,7 +29,7 @@
 		d.events.Record("settings_refused", err.Error())
 		return
 	}
-	d.set.Store(set)
+	d.nodeSettings.Store(set)
 	d.subscriber.Add(set.SeedIPs())
 	d.events.Record("settings", "read again")
 }
--- a/internal/proxy/reports.go
+++ b/internal/proxy/reports.go
@@ -14,7 +14,7 @@
 	if !ok {
 		agreed = time.Now()
 	}
-	return usage.Window(agreed.Add(-time.Since(at)), d.set.Load().Bounds.UsageWindow.D())
+	return usage.Window(agreed.Add(-time.Since(at)), d.nodeSettings.Load().Bounds.UsageWindow.D())
 }
 
 // tellLoad says what runs and waits here of the services that are scaled.
@@ -23,7 +23,7 @@
 	if to == nil || *to == "" || cfg == nil {
 		return
 	}
-	set := d.set.Load()
+	set := d.nodeSettings.Load()
 	t := autoscale.Report{Proxy: set.IPAddress, Zone: set.Zone, Running: map[string]int{}}
 	for name, s := range cfg.Services {
 		if s.Scaling != nil {
@@ -48,7 +48,7 @@
 		return
 	}
 	for range 2 { // a new holder's first answer asks for the rest
-		t, some := d.meter.Report(d.set.Load().IPAddress, d.windowAt(time.Now()))
+		t, some := d.meter.Report(d.nodeSettings.Load().IPAddress, d.windowAt(time.Now()))
 		if !some {
 			return
 		}
