--- a/internal/proxy/daemon.go
+++ b/internal/proxy/daemon.go
@@ -34,7 +34,7 @@
 type Daemon struct {
 	*Proxy
 	nodeSettings      atomic.Pointer[settings.Settings]
-	path              string
+	settingsPath      string
 	subscriber        *distribution.Subscriber
 	reader            config.Reader // used by apply only, one call at a time
 	trackers          atomic.Pointer[[]string]
@@ -59,7 +59,7 @@
 
 // NewDaemon builds the process's parts.
 func NewDaemon(set *settings.Settings, path string, events *eventlog.Log) *Daemon {
-	d := &Daemon{path: path, trackerEchoes: map[string]trackerEcho{}, trackerAnswers: map[string]*answerTime{}, source: discovery.NewSource(set.CloudAPI.Address)}
+	d := &Daemon{settingsPath: path, trackerEchoes: map[string]trackerEcho{}, trackerAnswers: map[string]*answerTime{}, source: discovery.NewSource(set.CloudAPI.Address)}
 	d.nodeSettings.Store(set)
 	d.settingsChangedAt.Store(d.settingsModTime()) // what changes from now on is read
 	b := set.Bounds
--- a/internal/proxy/reload.go
+++ b/internal/proxy/reload.go
@@ -8,7 +8,7 @@
 
 // settingsModTime tells one state of the settings file from another; 0 if there is none.
 func (d *Daemon) settingsModTime() int64 {
-	fi, err := os.Stat(d.path)
+	fi, err := os.Stat(d.settingsPath)
 	if err != nil {
 		return 0
 	}
@@ -24,7 +24,7 @@
 
 // Reload reads the settings again; a file that cannot be used changes nothing.
 func (d *Daemon) Reload() {
-	set, err := settings.Load(d.path, "frontend", "readiness")
+	set, err := settings.Load(d.settingsPath, "frontend", "readiness")
 	if err != nil {
 		d.events.Record("settings_refused", err.Error())
 		return
