--- a/internal/proxy/daemon.go
+++ b/internal/proxy/daemon.go
@@ -43,7 +43,7 @@
 	frontend          *frontend
 	source            *discovery.Source
 	selfPollAt        time.Time
-	haveList          atomic.Bool
+	hasUpstreamList   atomic.Bool
 	settingsChangedAt atomic.Int64
 	audit             audit
 	members           *membership.Agent
@@ -148,7 +148,7 @@
 	}
 	if f.List != nil {
 		d.pool.Apply(time.Now(), f.List.Instances)
-		d.haveList.Store(true)
+		d.hasUpstreamList.Store(true)
 		d.events.Count("list_applied", 1)
 	}
 	if f.State > 0 {
--- a/internal/proxy/lists.go
+++ b/internal/proxy/lists.go
@@ -16,7 +16,7 @@
 	d.lag.beat(now)
 	d.subscriber.Step(now, d.ready.Load() && !d.leaving.Load())
 	st := d.subscriber.State(now)
-	if !d.ready.Load() && d.config.Load() != nil && d.haveList.Load() && st.ListAge < constants.UpdateCurrent && st.Current < constants.UpdateCurrent {
+	if !d.ready.Load() && d.config.Load() != nil && d.hasUpstreamList.Load() && st.ListAge < constants.UpdateCurrent && st.Current < constants.UpdateCurrent {
 		d.ready.Store(true)
 		d.events.Record("ready", "configuration and upstreams known")
 	}
@@ -34,7 +34,7 @@
 			}
 			if now := time.Now(); d.outOfContact(d.subscriber.State(now), now) {
 				d.pool.Apply(time.Now(), is)
-				d.haveList.Store(true)
+				d.hasUpstreamList.Store(true)
 				d.events.Count("self_poll", 1)
 			}
 		}()
