--- a/internal/proxy/daemon.go
+++ b/internal/proxy/daemon.go
@@ -42,7 +42,7 @@
 	ready             atomic.Bool
 	frontend          *frontend
 	source            *discovery.Source
-	selfPollAt        time.Time
+	nextSelfPoll      time.Time
 	hasUpstreamList   atomic.Bool
 	settingsChangedAt atomic.Int64
 	audit             audit
--- a/internal/proxy/lists.go
+++ b/internal/proxy/lists.go
@@ -20,10 +20,10 @@
 		d.ready.Store(true)
 		d.events.Record("ready", "configuration and upstreams known")
 	}
-	if d.outOfContact(st, now) && now.After(d.selfPollAt) && d.config.Load() != nil {
+	if d.outOfContact(st, now) && now.After(d.nextSelfPoll) && d.config.Load() != nil {
 		every := selfPollEvery(d.pool.Len(), d.limiter.Proxies(), d.nodeSettings.Load().CloudAPI.RatePerS)
-		first := d.selfPollAt.IsZero()
-		if d.selfPollAt = now.Add(every/2 + rand.N(every)); first && rand.Float64() > float64(constants.SelfPollEvery)/float64(every) {
+		first := d.nextSelfPoll.IsZero()
+		if d.nextSelfPoll = now.Add(every/2 + rand.N(every)); first && rand.Float64() > float64(constants.SelfPollEvery)/float64(every) {
 			return // most of a large fleet have to wait for their turn from the beginning
 		}
 		go func() {
