--- a/internal/proxy/daemon.go
+++ b/internal/proxy/daemon.go
@@ -33,35 +33,35 @@
 // Daemon is the proxy process: the request path, and what keeps it informed.
 type Daemon struct {
 	*Proxy
-	nodeSettings      atomic.Pointer[settings.Settings]
-	settingsPath      string
-	subscriber        *distribution.Subscriber
-	reader            config.Reader // used by apply only, one call at a time
-	trackers          atomic.Pointer[[]string]
-	coldBounds        atomic.Pointer[map[string]ColdBound] // by service, of the configuration in force
-	ready             atomic.Bool
-	frontend          *frontend
-	source            *discovery.Source
-	nextSelfPoll      time.Time
-	hasUpstreamList   atomic.Bool
-	settingsChangedAt atomic.Int64
-	audit             audit
-	members           *membership.Agent
-	trackerEchoesMu   sync.Mutex
-	trackerEchoes     map[string]trackerEcho // by tracker
-	trackerAnswers    map[string]*answerTime // by tracker; under trackerEchoesMu
-	clock             *clock.Clock           // agreed, as control tells
-	usageHolder       atomic.Pointer[string]
-	scalingHolder     atomic.Pointer[string]
-	telling           sync.Mutex      // one word on usage at a time
-	accountsAgent     *accounts.Agent // nil where tenants have no objectives
+	nodeSettings        atomic.Pointer[settings.Settings]
+	settingsPath        string
+	subscriber          *distribution.Subscriber
+	reader              config.Reader // used by apply only, one call at a time
+	trackers            atomic.Pointer[[]string]
+	coldBounds          atomic.Pointer[map[string]ColdBound] // by service, of the configuration in force
+	ready               atomic.Bool
+	frontend            *frontend
+	source              *discovery.Source
+	nextSelfPoll        time.Time
+	hasUpstreamList     atomic.Bool
+	settingsFingerprint atomic.Int64
+	audit               audit
+	members             *membership.Agent
+	trackerEchoesMu     sync.Mutex
+	trackerEchoes       map[string]trackerEcho // by tracker
+	trackerAnswers      map[string]*answerTime // by tracker; under trackerEchoesMu
+	clock               *clock.Clock           // agreed, as control tells
+	usageHolder         atomic.Pointer[string]
+	scalingHolder       atomic.Pointer[string]
+	telling             sync.Mutex      // one word on usage at a time
+	accountsAgent       *accounts.Agent // nil where tenants have no objectives
 }
 
 // NewDaemon builds the process's parts.
 func NewDaemon(set *settings.Settings, path string, events *eventlog.Log) *Daemon {
 	d := &Daemon{settingsPath: path, trackerEchoes: map[string]trackerEcho{}, trackerAnswers: map[string]*answerTime{}, source: discovery.NewSource(set.CloudAPI.Address)}
 	d.nodeSettings.Store(set)
-	d.settingsChangedAt.Store(d.settingsModTime()) // what changes from now on is read
+	d.settingsFingerprint.Store(d.settingsModTime()) // what changes from now on is read
 	b := set.Bounds
 	s := &Proxy{events: events, histograms: newHistograms(), began: time.Now(), limiter: admission.New(b.QuotaSlack, set.Trackers(), rand.Uint64())}
 	s.lag.began = s.began
--- a/internal/proxy/reload.go
+++ b/internal/proxy/reload.go
@@ -17,7 +17,7 @@
 
 // lookAtSettings reloads a settings file that has changed.
 func (d *Daemon) lookAtSettings() {
-	if is := d.settingsModTime(); is != 0 && d.settingsChangedAt.Swap(is) != is {
+	if is := d.settingsModTime(); is != 0 && d.settingsFingerprint.Swap(is) != is {
 		d.Reload()
 	}
 }
