--- a/internal/proxy/daemon.go
+++ b/internal/proxy/daemon.go
@@ -61,7 +61,7 @@
 func NewDaemon(set *settings.Settings, path string, events *eventlog.Log) *Daemon {
 	d := &Daemon{settingsPath: path, trackerEchoes: map[string]trackerEcho{}, trackerAnswers: map[string]*answerTime{}, source: discovery.NewSource(set.CloudAPI.Address)}
 	d.nodeSettings.Store(set)
-	d.settingsFingerprint.Store(d.settingsModTime()) // what changes from now on is read
+	d.settingsFingerprint.Store(d.readSettingsFingerprint()) // what changes from now on is read
 	b := set.Bounds
 	s := &Proxy{events: events, histograms: newHistograms(), began: time.Now(), limiter: admission.New(b.QuotaSlack, set.Trackers(), rand.Uint64())}
 	s.lag.began = s.began
--- a/internal/proxy/reload.go
+++ b/internal/proxy/reload.go
@@ -6,8 +6,8 @@
 	"slateridge/internal/settings"
 )
 
-// settingsModTime tells one state of the settings file from another; 0 if there is none.
-func (d *Daemon) settingsModTime() int64 {
+// readSettingsFingerprint tells one state of the settings file from another; 0 if there is none.
+func (d *Daemon) readSettingsFingerprint() int64 {
 	fi, err := os.Stat(d.settingsPath)
 	if err != nil {
 		return 0
@@ -17,7 +17,7 @@
 
 // lookAtSettings reloads a settings file that has changed.
 func (d *Daemon) lookAtSettings() {
-	if is := d.settingsModTime(); is != 0 && d.settingsFingerprint.Swap(is) != is {
+	if is := d.readSettingsFingerprint(); is != 0 && d.settingsFingerprint.Swap(is) != is {
 		d.Reload()
 	}
 }
