--- a/internal/proxy/daemon.go
+++ b/internal/proxy/daemon.go
@@ -49,7 +49,7 @@
 	members             *membership.Agent
 	trackerEchoesMu     sync.Mutex
 	trackerEchoes       map[string]trackerEcho // by tracker
-	trackerAnswers      map[string]*answerTime // by tracker; under trackerEchoesMu
+	trackerAnswerTimes  map[string]*answerTime // by tracker; under trackerEchoesMu
 	clock               *clock.Clock           // agreed, as control tells
 	usageHolder         atomic.Pointer[string]
 	scalingHolder       atomic.Pointer[string]
@@ -59,7 +59,7 @@
 
 // NewDaemon builds the process's parts.
 func NewDaemon(set *settings.Settings, path string, events *eventlog.Log) *Daemon {
-	d := &Daemon{settingsPath: path, trackerEchoes: map[string]trackerEcho{}, trackerAnswers: map[string]*answerTime{}, source: discovery.NewSource(set.CloudAPI.Address)}
+	d := &Daemon{settingsPath: path, trackerEchoes: map[string]trackerEcho{}, trackerAnswerTimes: map[string]*answerTime{}, source: discovery.NewSource(set.CloudAPI.Address)}
 	d.nodeSettings.Store(set)
 	d.settingsFingerprint.Store(d.readSettingsFingerprint()) // what changes from now on is read
 	b := set.Bounds
--- a/internal/proxy/grants.go
+++ b/internal/proxy/grants.go
@@ -88,10 +88,10 @@
 	}
 	d.trackerEchoesMu.Lock()
 	defer d.trackerEchoesMu.Unlock()
-	if d.trackerAnswers[to] == nil {
-		d.trackerAnswers[to] = &answerTime{}
+	if d.trackerAnswerTimes[to] == nil {
+		d.trackerAnswerTimes[to] = &answerTime{}
 	}
-	d.trackerAnswers[to].learn(time.Now(), (d.now() - asked).Seconds())
+	d.trackerAnswerTimes[to].learn(time.Now(), (d.now() - asked).Seconds())
 	return grants, nil
 }
 
@@ -102,7 +102,7 @@
 	d.trackerEchoesMu.Lock()
 	defer d.trackerEchoesMu.Unlock()
 	usual := unknownWork
-	if answers := d.trackerAnswers[to]; answers != nil {
+	if answers := d.trackerAnswerTimes[to]; answers != nil {
 		usual = answers.work()
 	}
 	return max(constants.TrackerBusy, usual.unusual())
