--- a/internal/proxy/daemon.go
+++ b/internal/proxy/daemon.go
@@ -53,7 +53,7 @@
 	clock               *clock.Clock           // agreed, as control tells
 	usageHolder         atomic.Pointer[string]
 	scalingHolder       atomic.Pointer[string]
-	telling             sync.Mutex      // one word on usage at a time
+	usageReportMu       sync.Mutex      // one word on usage at a time
 	accountsAgent       *accounts.Agent // nil where tenants have no objectives
 }
 
--- a/internal/proxy/reports.go
+++ b/internal/proxy/reports.go
@@ -39,10 +39,10 @@
 // tellUsage brings what has been counted to the duty's holder, until it has heard
 // all.
 func (d *Daemon) tellUsage() {
-	if !d.telling.TryLock() {
+	if !d.usageReportMu.TryLock() {
 		return
 	}
-	defer d.telling.Unlock()
+	defer d.usageReportMu.Unlock()
 	to := d.usageHolder.Load()
 	if to == nil || *to == "" || d.config.Load() == nil {
 		return
