--- a/internal/proxy/daemon.go
+++ b/internal/proxy/daemon.go
@@ -114,8 +114,8 @@
 	return ColdBound{}
 }
 
-// coldBoundsOf reckons the bounds on cold upstreams that a configuration asks for.
-func (d *Daemon) coldBoundsOf(cfg *config.Config) map[string]ColdBound {
+// computeColdBounds reckons the bounds on cold upstreams that a configuration asks for.
+func (d *Daemon) computeColdBounds(cfg *config.Config) map[string]ColdBound {
 	out := map[string]ColdBound{}
 	rules := d.nodeSettings.Load().Bounds
 	for name, service := range cfg.Services {
@@ -139,7 +139,7 @@
 			if old == nil || cfg.Version > old.Version {
 				d.audit.add(old, cfg)
 				d.limiter.SetQuotas(now, admission.Quotas(cfg))
-				bounds := d.coldBoundsOf(cfg)
+				bounds := d.computeColdBounds(cfg)
 				d.coldBounds.Store(&bounds)
 				d.config.Store(cfg)
 				d.events.Record("config", "r"+strconv.FormatUint(cfg.Version, 10)+" in force")
