--- a/internal/proxy/daemon.go
+++ b/internal/proxy/daemon.go
@@ -67,7 +67,7 @@
 	s.lag.began = s.began
 	d.Proxy = s
 	s.retryBudget = NewRetryBudget(0, b.RetryWindow.D(), b.RetryBudgetRatio, b.RetryBudgetSlack)
-	s.pool = NewPool(set.IPAddress, set.Zone, set.Zones, d.connCap, d.cold)
+	s.pool = NewPool(set.IPAddress, set.Zone, set.Zones, d.connCap, d.coldBound)
 	s.askFor = d.askTracker
 	d.clock = clock.New()
 	if set.HasDuty(settings.DutyUsage) {
@@ -106,8 +106,8 @@
 	return max(1, int(constants.ConnShare*float64(cfg.Services[service].MaxConnections))/n)
 }
 
-// cold is what a service's upstreams may be sent while they are cold.
-func (d *Daemon) cold(service string) ColdBound {
+// coldBound is what a service's upstreams may be sent while they are coldBound.
+func (d *Daemon) coldBound(service string) ColdBound {
 	if bounds := d.coldBounds.Load(); bounds != nil {
 		return (*bounds)[service]
 	}
