--- a/internal/proxy/contract_test.go
+++ b/internal/proxy/contract_test.go
@@ -32,7 +32,7 @@
 	d.ready.Store(true)
 	for _, want := range []int{http.StatusOK, http.StatusServiceUnavailable} {
 		w := httptest.NewRecorder()
-		d.readiness(w, httptest.NewRequest("GET", "/api/readiness", nil))
+		d.serveReadiness(w, httptest.NewRequest("GET", "/api/readiness", nil))
 		if w.Code != want {
 			t.Errorf("leaving %v: %d", d.leaving.Load(), w.Code)
 		}
--- a/internal/proxy/daemon.go
+++ b/internal/proxy/daemon.go
@@ -197,7 +197,7 @@
 	}, set.Bounds.ConfigApply.D())
 	g.Add(d.frontend.serve, func(error) { d.frontend.close() })
 	group := rungroup.New(g)
-	group.Serve(rl, http.HandlerFunc(d.readiness))
+	group.Serve(rl, http.HandlerFunc(d.serveReadiness))
 	group.Serve(adm, adminhttp.Handler(d.Report))
 	group.Every(constants.SettingsEvery, d.lookAtSettings)
 	group.Every(constants.RetireEvery, func() { d.frontend.closeIdle(time.Now()) })
@@ -239,7 +239,7 @@
 	return nil
 }
 
-func (d *Daemon) readiness(w http.ResponseWriter, r *http.Request) {
+func (d *Daemon) serveReadiness(w http.ResponseWriter, r *http.Request) {
 	if r.URL.Path != "/api/readiness" {
 		w.WriteHeader(http.StatusNotFound)
 		return
