--- a/internal/proxy/daemon.go
+++ b/internal/proxy/daemon.go
@@ -251,8 +251,8 @@
 	w.WriteHeader(http.StatusServiceUnavailable)
 }
 
-// Version is the configuration in force here, and Upstreams how many are known.
-func (d *Daemon) Version() uint64 {
+// ConfigVersion is the configuration in force here, and Upstreams how many are known.
+func (d *Daemon) ConfigVersion() uint64 {
 	if s := d.config.Load(); s != nil {
 		return s.Version
 	}
