--- a/cmd/scalerun/trial.go
+++ b/cmd/scalerun/trial.go
@@ -160,7 +160,7 @@
 
 // allInformed says whether all hollow proxies have a version, and all upstreams.
 func (s *system) allInformed(version uint64) func() bool {
-	behind := func(d *proxy.Daemon) bool { return d.ConfigVersion() < version || d.Upstreams() < cli.Upstreams }
+	behind := func(d *proxy.Daemon) bool { return d.ConfigVersion() < version || d.UpstreamCount() < cli.Upstreams }
 	return func() bool { return !slices.ContainsFunc(s.hollow, behind) }
 }
 
--- a/internal/proxy/daemon.go
+++ b/internal/proxy/daemon.go
@@ -259,8 +259,8 @@
 	return 0
 }
 
-// Upstreams is how many are known here.
-func (d *Daemon) Upstreams() int { return d.pool.Len() }
+// UpstreamCount is how many are known here.
+func (d *Daemon) UpstreamCount() int { return d.pool.Len() }
 
 // Rehearse takes one made-up request through admission and metering as the path of
 // requests does, and sends it nowhere; false when it was refused.
