--- a/cmd/scalerun/trial.go
+++ b/cmd/scalerun/trial.go
@@ -43,7 +43,7 @@
 	}
 	d := proxy.NewDaemon(set, "", eventlog.New(zerolog.Nop()))
 	d.KeepAccounts(accountObjectives)
-	return d, d.AddHollow(g, group)
+	return d, d.AddBackground(g, group)
 }
 
 // trial runs the whole system once and prints its figures.
--- a/internal/proxy/daemon.go
+++ b/internal/proxy/daemon.go
@@ -201,12 +201,12 @@
 	group.Serve(adm, adminhttp.Handler(d.Report))
 	group.Every(constants.SettingsEvery, d.lookAtSettings)
 	group.Every(constants.RetireEvery, func() { d.frontend.closeIdle(time.Now()) })
-	return d.AddHollow(g, group)
+	return d.AddBackground(g, group)
 }
 
-// AddHollow puts in what keeps a proxy informed and is said to others, without the
+// AddBackground puts in what keeps a proxy informed and is said to others, without the
 // path of requests: many such proxies can share one process, to try control's size.
-func (d *Daemon) AddHollow(g *run.Group, group *rungroup.Group) error {
+func (d *Daemon) AddBackground(g *run.Group, group *rungroup.Group) error {
 	set := d.nodeSettings.Load()
 	var err error
 	var seeds []string
