--- a/cmd/scalerun/trial.go
+++ b/cmd/scalerun/trial.go
@@ -263,7 +263,7 @@
 		case <-time.After(time.Duration(rng.ExpFloat64() / cli.PerProxy * float64(time.Second))):
 		}
 		r.made.Add(1)
-		if !d.Rehearse(fmt.Sprintf("t%06d", zipf.Uint64())) {
+		if !d.SimulateRequest(fmt.Sprintf("t%06d", zipf.Uint64())) {
 			r.refused.Add(1)
 		}
 	}
--- a/internal/proxy/daemon.go
+++ b/internal/proxy/daemon.go
@@ -262,9 +262,9 @@
 // UpstreamCount is how many are known here.
 func (d *Daemon) UpstreamCount() int { return d.pool.Len() }
 
-// Rehearse takes one made-up request through admission and metering as the path of
+// SimulateRequest takes one made-up request through admission and metering as the path of
 // requests does, and sends it nowhere; false when it was refused.
-func (d *Daemon) Rehearse(tenant string) bool {
+func (d *Daemon) SimulateRequest(tenant string) bool {
 	v := d.limiter.Admit(d.now(), tenant, false)
 	if v.Ask {
 		d.askTracker(tenant, time.Now().Add(constants.CallTimeout))
