--- a/internal/proxy/daemon.go
+++ b/internal/proxy/daemon.go
@@ -71,7 +71,7 @@
 	s.askFor = d.askTracker
 	d.clock = clock.New()
 	if set.HasDuty(settings.DutyUsage) {
-		s.meter, s.window = usage.NewMeter(rand.Uint64()), d.windowAt
+		s.meter, s.window = usage.NewMeter(rand.Uint64()), d.usageWindowAt
 	}
 	d.trackers.Store(&[]string{})
 	// Each proxy tries the control machines in an order of its own, so that
@@ -276,7 +276,7 @@
 	d.limiter.Settle(d.now(), tenant, 1)
 	d.accounts.Begin(tenant).Success(time.Millisecond)
 	if d.meter != nil {
-		d.meter.Count(d.windowAt(time.Now()), tenant)
+		d.meter.Count(d.usageWindowAt(time.Now()), tenant)
 	}
 	return true
 }
--- a/internal/proxy/reports.go
+++ b/internal/proxy/reports.go
@@ -8,8 +8,8 @@
 	"slateridge/internal/usage"
 )
 
-// windowAt is the usage window that a moment lies in, by the agreed time.
-func (d *Daemon) windowAt(at time.Time) uint64 {
+// usageWindowAt is the usage window that a moment lies in, by the agreed time.
+func (d *Daemon) usageWindowAt(at time.Time) uint64 {
 	agreed, ok := d.clock.Now(d.now())
 	if !ok {
 		agreed = time.Now()
@@ -48,7 +48,7 @@
 		return
 	}
 	for range 2 { // a new holder's first answer asks for the rest
-		t, some := d.meter.Report(d.nodeSettings.Load().IPAddress, d.windowAt(time.Now()))
+		t, some := d.meter.Report(d.nodeSettings.Load().IPAddress, d.usageWindowAt(time.Now()))
 		if !some {
 			return
 		}
