--- a/internal/proxy/daemon.go
+++ b/internal/proxy/daemon.go
@@ -224,7 +224,7 @@
 	group.Every(constants.StepEvery, d.step)
 	group.Every(constants.GrantEvery, d.renewGrants)
 	if set.HasDuty(settings.DutyScaling) {
-		group.Every(constants.ScaleEvery, d.tellLoad)
+		group.Every(constants.ScaleEvery, d.reportLoad)
 	}
 	if d.meter != nil {
 		every := usage.ReportEvery(set.Bounds.UsageWindow.D(), set.Bounds.UsageTolerance)
--- a/internal/proxy/reports.go
+++ b/internal/proxy/reports.go
@@ -17,8 +17,8 @@
 	return usage.Window(agreed.Add(-time.Since(at)), d.nodeSettings.Load().Bounds.UsageWindow.D())
 }
 
-// tellLoad says what runs and waits here of the services that are scaled.
-func (d *Daemon) tellLoad() {
+// reportLoad says what runs and waits here of the services that are scaled.
+func (d *Daemon) reportLoad() {
 	to, cfg := d.scalingHolder.Load(), d.config.Load()
 	if to == nil || *to == "" || cfg == nil {
 		return
