--- a/internal/proxy/daemon.go
+++ b/internal/proxy/daemon.go
@@ -164,7 +164,7 @@
 	d.clock.Observe(f.From, f.Wall, now)
 	d.scalingHolder.Store(&f.Scaler)
 	if old := d.usageHolder.Swap(&f.Metered); d.meter != nil && (old == nil || *old != f.Metered) {
-		go d.tellUsage() // a successor gathers anew
+		go d.reportUsage() // a successor gathers anew
 	}
 	if f.Coming != nil {
 		d.limiter.Evaluate(now, f.Coming)
@@ -228,7 +228,7 @@
 	}
 	if d.meter != nil {
 		every := usage.ReportEvery(set.Bounds.UsageWindow.D(), set.Bounds.UsageTolerance)
-		group.EveryAfter(usage.Phase(rand.Uint64(), every), every, d.tellUsage)
+		group.EveryAfter(usage.Phase(rand.Uint64(), every), every, d.reportUsage)
 	}
 	if d.accountsAgent != nil {
 		group.EveryAfter(rand.N(accounts.TellEvery), accounts.TellEvery, d.accountsAgent.Tell)
--- a/internal/proxy/reports.go
+++ b/internal/proxy/reports.go
@@ -36,9 +36,9 @@
 	}
 }
 
-// tellUsage brings what has been counted to the duty's holder, until it has heard
+// reportUsage brings what has been counted to the duty's holder, until it has heard
 // all.
-func (d *Daemon) tellUsage() {
+func (d *Daemon) reportUsage() {
 	if !d.usageReportMu.TryLock() {
 		return
 	}
