--- a/internal/proxy/daemon.go
+++ b/internal/proxy/daemon.go
@@ -199,7 +199,7 @@
 	group := rungroup.New(g)
 	group.Serve(rl, http.HandlerFunc(d.serveReadiness))
 	group.Serve(adm, adminhttp.Handler(d.Report))
-	group.Every(constants.SettingsEvery, d.lookAtSettings)
+	group.Every(constants.SettingsEvery, d.reloadIfChanged)
 	group.Every(constants.RetireEvery, func() { d.frontend.closeIdle(time.Now()) })
 	return d.AddBackground(g, group)
 }
--- a/internal/proxy/reload.go
+++ b/internal/proxy/reload.go
@@ -15,8 +15,8 @@
 	return fi.ModTime().UnixNano() ^ fi.Size()
 }
 
-// lookAtSettings reloads a settings file that has changed.
-func (d *Daemon) lookAtSettings() {
+// reloadIfChanged reloads a settings file that has changed.
+func (d *Daemon) reloadIfChanged() {
 	if is := d.readSettingsFingerprint(); is != 0 && d.settingsFingerprint.Swap(is) != is {
 		d.Reload()
 	}
--- a/internal/proxy/settings_test.go
+++ b/internal/proxy/settings_test.go
@@ -47,14 +47,14 @@
 	d := NewDaemon(set, path, eventlog.New(zerolog.Nop()))
 	knows := func(ip string) bool { _, ok := d.subscriber.State(time.Now()).Ends[ip]; return ok }
 	write(at.Add(time.Millisecond), "127.0.0.63:39191") // before it is looked for the first time
-	d.lookAtSettings()
+	d.reloadIfChanged()
 	if !knows("127.0.0.62") || !knows("127.0.0.63") {
 		t.Error("a change in the first second is not seen")
 	}
 	write(at.Add(2 * time.Millisecond))
-	d.lookAtSettings()
+	d.reloadIfChanged()
 	write(at.Add(3*time.Millisecond), "127.0.0.64:39191")
-	d.lookAtSettings()
+	d.reloadIfChanged()
 	if !knows("127.0.0.64") {
 		t.Error("a change after a file that cannot be read is not seen")
 	}
