--- a/internal/proxy/lists.go
+++ b/internal/proxy/lists.go
@@ -21,7 +21,7 @@
 		d.events.Record("ready", "configuration and upstreams known")
 	}
 	if d.outOfContact(st, now) && now.After(d.nextSelfPoll) && d.config.Load() != nil {
-		every := selfPollEvery(d.pool.Len(), d.limiter.Proxies(), d.nodeSettings.Load().CloudAPI.RatePerS)
+		every := selfPollInterval(d.pool.Len(), d.limiter.Proxies(), d.nodeSettings.Load().CloudAPI.RatePerS)
 		first := d.nextSelfPoll.IsZero()
 		if d.nextSelfPoll = now.Add(every/2 + rand.N(every)); first && rand.Float64() > float64(constants.SelfPollEvery)/float64(every) {
 			return // most of a large fleet have to wait for their turn from the beginning
@@ -47,9 +47,9 @@
 	return min(st.Current, now.Sub(d.began)) > constants.SelfPollAfter
 }
 
-// selfPollEvery is how often a proxy out of touch reads the list, so that all of
+// selfPollInterval is how often a proxy out of touch reads the list, so that all of
 // them together leave the platform's rate to whoever reads for everybody.
-func selfPollEvery(upstreams, proxies int, rate float64) time.Duration {
+func selfPollInterval(upstreams, proxies int, rate float64) time.Duration {
 	calls := float64(upstreams/constants.PollPage+1) * float64(max(1, proxies))
 	if rate <= 0 {
 		return constants.SelfPollEvery
--- a/internal/proxy/retrybudget_test.go
+++ b/internal/proxy/retrybudget_test.go
@@ -77,7 +77,7 @@
 // of it together leave most of the platform's rate to whoever reads for all.
 func TestReadingsOfProxiesOutOfTouch(t *testing.T) {
 	for _, c := range []struct{ upstreams, proxies int }{{25, 11}, {809, 300}, {5000, 2000}} {
-		every := selfPollEvery(c.upstreams, c.proxies, 50)
+		every := selfPollInterval(c.upstreams, c.proxies, 50)
 		calls := float64(c.proxies*(c.upstreams/constants.PollPage+1)) / every.Seconds()
 		if calls > 50*constants.SelfPollPart*1.01 || every < constants.SelfPollEvery {
 			t.Errorf("%v: each reads every %v, %.0f calls a second together", c, every, calls)
