--- a/internal/proxy/frontend.go
+++ b/internal/proxy/frontend.go
@@ -28,7 +28,7 @@
 	bound   time.Duration          // idle bound seen last
 	lowered idleBound              // the one before, when that was longer
 	closed  bool
-	ended   chan struct{} // closed when all is over
+	done    chan struct{} // closed when all is over
 	once    sync.Once
 }
 
@@ -41,7 +41,7 @@
 // newFrontend makes a frontend; a configuration is known to clients configApply after it
 // was acknowledged.
 func newFrontend(l net.Listener, h http.Handler, limits func() config.Limits, configApply time.Duration) *frontend {
-	f := &frontend{listener: l, limits: limits, overlap: configApply, conns: map[net.Conn]time.Time{}, ended: make(chan struct{})}
+	f := &frontend{listener: l, limits: limits, overlap: configApply, conns: map[net.Conn]time.Time{}, done: make(chan struct{})}
 	// The bounds on headers and their time are kept by each clientConn.
 	f.server = &http.Server{
 		Handler:                      h,
@@ -92,7 +92,7 @@
 // would end and cut them.
 func (f *frontend) serve() error {
 	f.server.Serve(f)
-	<-f.ended
+	<-f.done
 	return nil
 }
 
@@ -161,7 +161,7 @@
 
 // close ends all at once.
 func (f *frontend) close() {
-	defer f.once.Do(func() { close(f.ended) })
+	defer f.once.Do(func() { close(f.done) })
 	f.stopAccepting()
 	f.server.Close()
 }
