--- a/internal/proxy/frontend.go
+++ b/internal/proxy/frontend.go
@@ -23,13 +23,13 @@
 	limits   func() config.Limits
 	overlap  time.Duration // after a bound was lowered, clients may go by the one before
 
-	mu      sync.Mutex
-	conns   map[net.Conn]time.Time // since when it has rested; zero while a request is under way
-	bound   time.Duration          // idle bound seen last
-	lowered idleBound              // the one before, when that was longer
-	closed  bool
-	done    chan struct{} // closed when all is over
-	once    sync.Once
+	mu        sync.Mutex
+	conns     map[net.Conn]time.Time // since when it has rested; zero while a request is under way
+	bound     time.Duration          // idle bound seen last
+	lowered   idleBound              // the one before, when that was longer
+	closed    bool
+	done      chan struct{} // closed when all is over
+	closeOnce sync.Once
 }
 
 // idleBound is an idle bound that a shorter one has replaced.
@@ -161,7 +161,7 @@
 
 // close ends all at once.
 func (f *frontend) close() {
-	defer f.once.Do(func() { close(f.done) })
+	defer f.closeOnce.Do(func() { close(f.done) })
 	f.stopAccepting()
 	f.server.Close()
 }
