--- a/internal/proxy/frontend.go
+++ b/internal/proxy/frontend.go
@@ -23,13 +23,13 @@
 	limits   func() config.Limits
 	overlap  time.Duration // after a bound was lowered, clients may go by the one before
 
-	mu          sync.Mutex
-	conns       map[net.Conn]time.Time // since when it has rested; zero while a request is under way
-	idleTimeout time.Duration          // idle bound seen last
-	lowered     idleBound              // the one before, when that was longer
-	closed      bool
-	done        chan struct{} // closed when all is over
-	closeOnce   sync.Once
+	mu           sync.Mutex
+	conns        map[net.Conn]time.Time // since when it has rested; zero while a request is under way
+	idleTimeout  time.Duration          // idle bound seen last
+	previousIdle idleBound              // the one before, when that was longer
+	closed       bool
+	done         chan struct{} // closed when all is over
+	closeOnce    sync.Once
 }
 
 // idleBound is an idle bound that a shorter one has replaced.
@@ -120,17 +120,17 @@
 // idleBoundLocked is how long a connection may rest now: for as long as the configuration
 // in force says, or the one before, as long as clients may not know of a lowered bound.
 func (f *frontend) idleBoundLocked(now time.Time) time.Duration {
-	overlaps := now.Sub(f.lowered.replaced) < f.overlap
+	overlaps := now.Sub(f.previousIdle.replaced) < f.overlap
 	current := orDefault(f.limits().IdleTime, constants.IdleTimeout)
 	if current < f.idleTimeout {
-		if !overlaps || f.idleTimeout > f.lowered.bound {
-			f.lowered.bound = f.idleTimeout
+		if !overlaps || f.idleTimeout > f.previousIdle.bound {
+			f.previousIdle.bound = f.idleTimeout
 		}
-		f.lowered.replaced, overlaps = now, f.overlap > 0
+		f.previousIdle.replaced, overlaps = now, f.overlap > 0
 	}
 	f.idleTimeout = current
 	if overlaps {
-		return max(current, f.lowered.bound)
+		return max(current, f.previousIdle.bound)
 	}
 	return current
 }
