--- a/internal/proxy/frontend.go
+++ b/internal/proxy/frontend.go
@@ -34,7 +34,7 @@
 
 // idleBound is an idle bound that a shorter one has replaced.
 type idleBound struct {
-	bound    time.Duration
+	timeout  time.Duration
 	replaced time.Time
 }
 
@@ -123,14 +123,14 @@
 	overlaps := now.Sub(f.previousIdle.replaced) < f.overlap
 	current := orDefault(f.limits().IdleTime, constants.IdleTimeout)
 	if current < f.idleTimeout {
-		if !overlaps || f.idleTimeout > f.previousIdle.bound {
-			f.previousIdle.bound = f.idleTimeout
+		if !overlaps || f.idleTimeout > f.previousIdle.timeout {
+			f.previousIdle.timeout = f.idleTimeout
 		}
 		f.previousIdle.replaced, overlaps = now, f.overlap > 0
 	}
 	f.idleTimeout = current
 	if overlaps {
-		return max(current, f.previousIdle.bound)
+		return max(current, f.previousIdle.timeout)
 	}
 	return current
 }
