--- a/internal/proxy/frontend.go
+++ b/internal/proxy/frontend.go
@@ -34,8 +34,8 @@
 
 // idleBound is an idle bound that a shorter one has replaced.
 type idleBound struct {
-	timeout  time.Duration
-	replaced time.Time
+	timeout    time.Duration
+	replacedAt time.Time
 }
 
 // newFrontend makes a frontend; a configuration is known to clients configApply after it
@@ -120,13 +120,13 @@
 // idleBoundLocked is how long a connection may rest now: for as long as the configuration
 // in force says, or the one before, as long as clients may not know of a lowered bound.
 func (f *frontend) idleBoundLocked(now time.Time) time.Duration {
-	overlaps := now.Sub(f.previousIdle.replaced) < f.overlap
+	overlaps := now.Sub(f.previousIdle.replacedAt) < f.overlap
 	current := orDefault(f.limits().IdleTime, constants.IdleTimeout)
 	if current < f.idleTimeout {
 		if !overlaps || f.idleTimeout > f.previousIdle.timeout {
 			f.previousIdle.timeout = f.idleTimeout
 		}
-		f.previousIdle.replaced, overlaps = now, f.overlap > 0
+		f.previousIdle.replacedAt, overlaps = now, f.overlap > 0
 	}
 	f.idleTimeout = current
 	if overlaps {
