--- a/internal/proxy/frontend.go
+++ b/internal/proxy/frontend.go
@@ -26,14 +26,14 @@
 	mu           sync.Mutex
 	conns        map[net.Conn]time.Time // since when it has rested; zero while a request is under way
 	idleTimeout  time.Duration          // idle bound seen last
-	previousIdle idleBound              // the one before, when that was longer
+	previousIdle replacedTimeout        // the one before, when that was longer
 	closed       bool
 	done         chan struct{} // closed when all is over
 	closeOnce    sync.Once
 }
 
-// idleBound is an idle bound that a shorter one has replaced.
-type idleBound struct {
+// replacedTimeout is an idle bound that a shorter one has replaced.
+type replacedTimeout struct {
 	timeout    time.Duration
 	replacedAt time.Time
 }
