--- a/internal/proxy/frontend.go
+++ b/internal/proxy/frontend.go
@@ -45,7 +45,7 @@
 	// The bounds on headers and their time are kept by each clientConn.
 	f.server = &http.Server{
 		Handler:                      h,
-		ConnState:                    f.track,
+		ConnState:                    f.onConnState,
 		ConnContext:                  clientContext,
 		MaxHeaderBytes:               math.MaxInt32,
 		ErrorLog:                     log.New(io.Discard, "", 0),
@@ -96,8 +96,8 @@
 	return nil
 }
 
-// track follows a connection's state.
-func (f *frontend) track(c net.Conn, state http.ConnState) {
+// onConnState follows a connection's state.
+func (f *frontend) onConnState(c net.Conn, state http.ConnState) {
 	if client, ok := c.(*clientConn); ok {
 		client.expectHeaders(state == http.StateNew || state == http.StateIdle, state == http.StateNew)
 	}
