--- a/internal/proxy/frontend.go
+++ b/internal/proxy/frontend.go
@@ -101,10 +101,10 @@
 	if client, ok := c.(*clientConn); ok {
 		client.expectHeaders(state == http.StateNew || state == http.StateIdle, state == http.StateNew)
 	}
-	f.trackAt(c, state, time.Now())
+	f.setConnState(c, state, time.Now())
 }
 
-func (f *frontend) trackAt(c net.Conn, state http.ConnState, now time.Time) {
+func (f *frontend) setConnState(c net.Conn, state http.ConnState, now time.Time) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	switch state {
--- a/internal/proxy/frontend_test.go
+++ b/internal/proxy/frontend_test.go
@@ -79,7 +79,7 @@
 		ours, theirs := net.Pipe()
 		t.Cleanup(func() { ours.Close(); theirs.Close() })
 		for _, state := range []http.ConnState{http.StateNew, http.StateActive, http.StateIdle} {
-			g.trackAt(ours, state, began.Add(after))
+			g.setConnState(ours, state, began.Add(after))
 		}
 		return ours
 	}
@@ -99,7 +99,7 @@
 	}
 	bound.Store(int64(20 * s))
 	long, busy := open(0), open(0)
-	g.trackAt(busy, http.StateActive, began)
+	g.setConnState(busy, http.StateActive, began)
 	if !isOpen(long, 10*s) {
 		t.Error("closed inside its bound")
 	}
