--- a/internal/proxy/frontend.go
+++ b/internal/proxy/frontend.go
@@ -117,9 +117,9 @@
 	}
 }
 
-// idleBoundLocked is how long a connection may rest now: for as long as the configuration
+// idleTimeoutLocked is how long a connection may rest now: for as long as the configuration
 // in force says, or the one before, as long as clients may not know of a lowered bound.
-func (f *frontend) idleBoundLocked(now time.Time) time.Duration {
+func (f *frontend) idleTimeoutLocked(now time.Time) time.Duration {
 	overlaps := now.Sub(f.previousIdle.replacedAt) < f.overlap
 	current := orDefault(f.limits().IdleTime, constants.IdleTimeout)
 	if current < f.idleTimeout {
@@ -140,7 +140,7 @@
 func (f *frontend) closeIdle(now time.Time) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	bound := f.idleBoundLocked(now)
+	bound := f.idleTimeoutLocked(now)
 	for c, idleSince := range f.conns {
 		if conn, ok := c.(*clientConn); ok && conn.busy() {
 			continue // a request that was sent ahead changes no state of the server's
