--- a/internal/proxy/attempt.go
+++ b/internal/proxy/attempt.go
@@ -77,7 +77,7 @@
 			return &result{outcome: how, notRun: true, err: err}
 		}
 		if !p.allowed(u) {
-			u.keep(conn, false)
+			u.releaseConn(conn, false)
 			return pool.abandon(of)
 		}
 		left := time.Until(p.deadline)
--- a/internal/proxy/conn.go
+++ b/internal/proxy/conn.go
@@ -167,7 +167,7 @@
 	if s, ok := keepAlive(resp.Header); ok {
 		conn.idleFor = max(s-constants.IdleSafety, s/4)
 	}
-	conn.upstream.keep(conn, true)
+	conn.upstream.releaseConn(conn, true)
 }
 
 // drop closes the connection.
--- a/internal/proxy/connections.go
+++ b/internal/proxy/connections.go
@@ -64,10 +64,10 @@
 	u.pool.mu.Unlock()
 }
 
-// keep puts a connection by for the next request: after an exchange, or as it was
+// releaseConn puts a connection by for the next request: after an exchange, or as it was
 // found, when nothing was sent. Its upstream counts the rest from the last exchange. One
 // that was closed for its client's leaving is not kept.
-func (u *Upstream) keep(conn *Conn, exchanged bool) {
+func (u *Upstream) releaseConn(conn *Conn, exchanged bool) {
 	if !conn.cancellation.end() {
 		u.drop(conn)
 		return
