--- a/internal/proxy/attempt.go
+++ b/internal/proxy/attempt.go
@@ -90,11 +90,11 @@
 		head := requestHead(p.request, u.instance.ID, name, left, length)
 		sent, err := conn.send(head, p.bodyStart, p.bodyRest, length < 0, p.deadline.Add(constants.AnswerGrace))
 		if err != nil && !sent && reused {
-			u.drop(conn)
+			u.closeConn(conn)
 			continue // the connection had ended; not a byte went out
 		}
 		if err != nil {
-			u.drop(conn)
+			u.closeConn(conn)
 			how := blame(conn, err)
 			pool.done(of, how)
 			return &result{outcome: how, sentAt: time.Now(), sent: sent, notRun: !sent, err: err}
@@ -113,7 +113,7 @@
 	u, pool := of.upstream, p.proxy.pool
 	resp, err := conn.answer(p.request.Method, attempt)
 	if err != nil {
-		u.drop(conn)
+		u.closeConn(conn)
 		how := blame(conn, err)
 		if ne := net.Error(nil); how == broken && errors.As(err, &ne) && ne.Timeout() {
 			how = silent
@@ -134,7 +134,7 @@
 		return p.firstPiece(of, conn, resp, at)
 	}
 	if resp.StatusCode/100 == 2 && unframed(resp) {
-		u.drop(conn)
+		u.closeConn(conn)
 		pool.done(of, broken)
 		return &result{outcome: broken, sentAt: at, sent: true, err: errUnframed}
 	}
@@ -146,7 +146,7 @@
 	case errors.Is(err, errLong):
 		res.conn = conn
 	default:
-		u.drop(conn)
+		u.closeConn(conn)
 		how := blame(conn, err)
 		pool.done(of, how)
 		return &result{outcome: how, sentAt: at, sent: true, err: err}
--- a/internal/proxy/conn.go
+++ b/internal/proxy/conn.go
@@ -171,4 +171,4 @@
 }
 
 // drop closes the connection.
-func (conn *Conn) drop() { conn.upstream.drop(conn) }
+func (conn *Conn) drop() { conn.upstream.closeConn(conn) }
--- a/internal/proxy/connections.go
+++ b/internal/proxy/connections.go
@@ -31,7 +31,7 @@
 		if !fresh && now.Sub(conn.idleAt) < conn.idleFor && conn.clean() {
 			return conn, true, nil
 		}
-		u.drop(conn)
+		u.closeConn(conn)
 	}
 	if u.conns >= pool.connCap(u.instance.Service) {
 		pool.mu.Unlock()
@@ -55,8 +55,8 @@
 	return newUpstreamConn(u, c), false, nil
 }
 
-// drop closes a connection.
-func (u *Upstream) drop(conn *Conn) {
+// closeConn closes a connection.
+func (u *Upstream) closeConn(conn *Conn) {
 	conn.cancellation.end()
 	conn.netConn.Close()
 	u.pool.mu.Lock()
@@ -69,7 +69,7 @@
 // that was closed for its client's leaving is not kept.
 func (u *Upstream) releaseConn(conn *Conn, exchanged bool) {
 	if !conn.cancellation.end() {
-		u.drop(conn)
+		u.closeConn(conn)
 		return
 	}
 	conn.cancellation = nil
