--- a/internal/proxy/connections.go
+++ b/internal/proxy/connections.go
@@ -86,8 +86,8 @@
 	u.idle = append(u.idle, conn)
 }
 
-// Retire closes connections idle for too long.
-func (pool *Pool) Retire(now time.Time) {
+// CloseExpiredIdle closes connections idle for too long.
+func (pool *Pool) CloseExpiredIdle(now time.Time) {
 	pool.mu.Lock()
 	defer pool.mu.Unlock()
 	for _, u := range pool.upstreams {
--- a/internal/proxy/daemon.go
+++ b/internal/proxy/daemon.go
@@ -234,7 +234,7 @@
 		group.EveryAfter(rand.N(accounts.TellEvery), accounts.TellEvery, d.accountsAgent.Tell)
 		group.Every(accounts.RetryEvery, d.accountsAgent.Retry)
 	}
-	group.Every(constants.RetireEvery, func() { d.pool.Retire(time.Now()) })
+	group.Every(constants.RetireEvery, func() { d.pool.CloseExpiredIdle(time.Now()) })
 	group.Every(membership.TickEvery, d.members.Tick)
 	return nil
 }
--- a/internal/proxy/pool_test.go
+++ b/internal/proxy/pool_test.go
@@ -370,7 +370,7 @@
 							ups[i], ups[j] = ups[j], ups[i] // another service has the address
 						}
 						s.pool.Apply(time.Now(), list())
-						s.pool.Retire(time.Now())
+						s.pool.CloseExpiredIdle(time.Now())
 					}
 				})
 				var wg sync.WaitGroup
