--- a/internal/proxy/attempt.go
+++ b/internal/proxy/attempt.go
@@ -126,7 +126,7 @@
 	}
 	// Without this try's id, on a connection that has carried others, it may be a late
 	// word on one of those: nobody is shown it, and nothing is promised on it.
-	doubt := conn.used > 0 && resp.Header.Get(headerAttemptID) == ""
+	doubt := conn.exchanges > 0 && resp.Header.Get(headerAttemptID) == ""
 	if doubt {
 		resp.Close = true // it is not used again
 	}
--- a/internal/proxy/conn.go
+++ b/internal/proxy/conn.go
@@ -17,13 +17,13 @@
 // at a time, and another only after a whole, well-formed exchange that left
 // nothing over.
 type Conn struct {
-	upstream *Upstream
-	netConn  net.Conn
-	reader   *boundedReader
-	buffered *bufio.Reader
-	used     int
-	idleAt   time.Time
-	idleFor  time.Duration
+	upstream  *Upstream
+	netConn   net.Conn
+	reader    *boundedReader
+	buffered  *bufio.Reader
+	exchanges int
+	idleAt    time.Time
+	idleFor   time.Duration
 
 	cancellation *cancellation // of the request under way; nil where it runs to its end
 }
@@ -159,7 +159,7 @@
 // exhausted ends a whole exchange: the connection is kept when nothing speaks
 // against it.
 func (conn *Conn) exhausted(resp *http.Response) {
-	conn.used++
+	conn.exchanges++
 	if resp.Close || resp.ProtoMajor != 1 || resp.ProtoMinor < 1 || conn.buffered.Buffered() > 0 {
 		conn.drop()
 		return
--- a/internal/proxy/fuzz_test.go
+++ b/internal/proxy/fuzz_test.go
@@ -60,7 +60,7 @@
 		s.pool.byService["svc"] = []*Upstream{u}
 		c := &spoken{r: bytes.NewReader(data)}
 		fl := newUpstreamConn(u, c)
-		fl.used = 1
+		fl.exchanges = 1
 		path := map[bool]string{true: "/flow/", false: "/once/"}[stream]
 		if method != "HEAD" && method != "GET" {
 			method = "POST"
