--- a/internal/proxy/conn.go
+++ b/internal/proxy/conn.go
@@ -17,13 +17,13 @@
 // at a time, and another only after a whole, well-formed exchange that left
 // nothing over.
 type Conn struct {
-	upstream  *Upstream
-	netConn   net.Conn
-	reader    *boundedReader
-	buffered  *bufio.Reader
-	exchanges int
-	idleAt    time.Time
-	idleFor   time.Duration
+	upstream    *Upstream
+	netConn     net.Conn
+	reader      *boundedReader
+	buffered    *bufio.Reader
+	exchanges   int
+	idleAt      time.Time
+	idleTimeout time.Duration
 
 	cancellation *cancellation // of the request under way; nil where it runs to its end
 }
@@ -58,7 +58,7 @@
 
 func newUpstreamConn(of *Upstream, c net.Conn) *Conn {
 	m := &boundedReader{conn: c}
-	return &Conn{upstream: of, netConn: c, reader: m, buffered: bufio.NewReaderSize(m, 4<<10), idleAt: time.Now(), idleFor: constants.IdleDefault}
+	return &Conn{upstream: of, netConn: c, reader: m, buffered: bufio.NewReaderSize(m, 4<<10), idleAt: time.Now(), idleTimeout: constants.IdleDefault}
 }
 
 // clean says whether the connection is open with nothing waiting on it: bytes
@@ -165,7 +165,7 @@
 		return
 	}
 	if s, ok := keepAlive(resp.Header); ok {
-		conn.idleFor = max(s-constants.IdleSafety, s/4)
+		conn.idleTimeout = max(s-constants.IdleSafety, s/4)
 	}
 	conn.upstream.releaseConn(conn, true)
 }
--- a/internal/proxy/connections.go
+++ b/internal/proxy/connections.go
@@ -28,7 +28,7 @@
 		conn := u.idle[len(u.idle)-1]
 		u.idle = u.idle[:len(u.idle)-1]
 		pool.mu.Unlock()
-		if !fresh && now.Sub(conn.idleAt) < conn.idleFor && conn.clean() {
+		if !fresh && now.Sub(conn.idleAt) < conn.idleTimeout && conn.clean() {
 			return conn, true, nil
 		}
 		u.closeConn(conn)
@@ -93,7 +93,7 @@
 	for _, u := range pool.upstreams {
 		kept := u.idle[:0]
 		for _, conn := range u.idle {
-			if now.Sub(conn.idleAt) < conn.idleFor {
+			if now.Sub(conn.idleAt) < conn.idleTimeout {
 				kept = append(kept, conn)
 				continue
 			}
--- a/internal/proxy/proxy_test.go
+++ b/internal/proxy/proxy_test.go
@@ -588,7 +588,7 @@
 	s := newProxy(t, u.instance("i-1"))
 	get(s, "POST", "/once/", "")
 	conn := s.pool.upstreams["i-1"].idle[0]
-	conn.idleAt = conn.idleAt.Add(-conn.idleFor / 2)
+	conn.idleAt = conn.idleAt.Add(-conn.idleTimeout / 2)
 	rested := conn.idleAt
 	of := s.pool.Place(target{service: "svc", homes: anywhere}, nil)
 	r := httptest.NewRequest("POST", "/once/", nil)
