--- a/internal/proxy/conn.go
+++ b/internal/proxy/conn.go
@@ -30,19 +30,19 @@
 
 // boundedReader bounds how much may be read before an answer's headers are whole.
 type boundedReader struct {
-	conn net.Conn
-	left int64
+	conn      net.Conn
+	remaining int64
 }
 
 func (m *boundedReader) Read(b []byte) (int, error) {
-	if m.left <= 0 {
+	if m.remaining <= 0 {
 		return 0, errors.New("answer's headers too long")
 	}
-	if int64(len(b)) > m.left {
-		b = b[:m.left]
+	if int64(len(b)) > m.remaining {
+		b = b[:m.remaining]
 	}
 	n, err := m.conn.Read(b)
-	m.left -= int64(n)
+	m.remaining -= int64(n)
 	return n, err
 }
 
@@ -123,12 +123,12 @@
 // answer reads the answer's headers.
 func (conn *Conn) answer(method, attempt string) (*http.Response, error) {
 	for {
-		conn.reader.left = constants.HeaderBytes
+		conn.reader.remaining = constants.HeaderBytes
 		resp, err := http.ReadResponse(conn.buffered, &http.Request{Method: method})
 		if err != nil {
 			return nil, err
 		}
-		conn.reader.left = unbounded
+		conn.reader.remaining = unbounded
 		switch c := resp.StatusCode; {
 		case c < 100 || c > 599 || c == http.StatusSwitchingProtocols:
 			// Nothing was asked to switch, and other numbers are no statuses: what
