--- a/internal/proxy/conn.go
+++ b/internal/proxy/conn.go
@@ -49,11 +49,11 @@
 const unbounded = int64(1) << 62
 
 var (
-	errStale    = errors.New("connection no longer usable")
-	errForeign  = errors.New("answer belongs to another request")
-	errUnframed = errors.New("answer says neither its length nor its end")
-	errUpload   = errors.New("the client's body broke off")
-	errStatus   = errors.New("no status of an answer")
+	errStale        = errors.New("connection no longer usable")
+	errWrongAttempt = errors.New("answer belongs to another request")
+	errUnframed     = errors.New("answer says neither its length nor its end")
+	errUpload       = errors.New("the client's body broke off")
+	errStatus       = errors.New("no status of an answer")
 )
 
 func newUpstreamConn(of *Upstream, c net.Conn) *Conn {
@@ -139,11 +139,11 @@
 		}
 		got := resp.Header[headerAttemptID]
 		if attempt != "" && len(got) == 0 && resp.StatusCode/100 == 2 {
-			return nil, errForeign
+			return nil, errWrongAttempt
 		}
 		for _, id := range got {
 			if id != attempt { // also where the request has none
-				return nil, errForeign
+				return nil, errWrongAttempt
 			}
 		}
 		return resp, nil
