--- a/internal/proxy/attempt.go
+++ b/internal/proxy/attempt.go
@@ -162,7 +162,7 @@
 	switch {
 	case conn.cancellation.cancelled():
 		return cancelled
-	case errors.Is(err, errUpload):
+	case errors.Is(err, errRequestBody):
 		return unused
 	}
 	return broken
--- a/internal/proxy/conn.go
+++ b/internal/proxy/conn.go
@@ -52,7 +52,7 @@
 	errStale        = errors.New("connection no longer usable")
 	errWrongAttempt = errors.New("answer belongs to another request")
 	errUnframed     = errors.New("answer says neither its length nor its end")
-	errUpload       = errors.New("the client's body broke off")
+	errRequestBody  = errors.New("the client's body broke off")
 	errStatus       = errors.New("no status of an answer")
 )
 
@@ -115,7 +115,7 @@
 			return true, err
 		}
 		if rerr != nil {
-			return true, errors.Join(errUpload, rerr)
+			return true, errors.Join(errRequestBody, rerr)
 		}
 	}
 }
