--- a/internal/proxy/conn.go
+++ b/internal/proxy/conn.go
@@ -49,11 +49,11 @@
 const unbounded = int64(1) << 62
 
 var (
-	errStale        = errors.New("connection no longer usable")
-	errWrongAttempt = errors.New("answer belongs to another request")
-	errUnframed     = errors.New("answer says neither its length nor its end")
-	errRequestBody  = errors.New("the client's body broke off")
-	errStatus       = errors.New("no status of an answer")
+	errStale         = errors.New("connection no longer usable")
+	errWrongAttempt  = errors.New("answer belongs to another request")
+	errUnframed      = errors.New("answer says neither its length nor its end")
+	errRequestBody   = errors.New("the client's body broke off")
+	errInvalidStatus = errors.New("no status of an answer")
 )
 
 func newUpstreamConn(of *Upstream, c net.Conn) *Conn {
@@ -133,7 +133,7 @@
 		case c < 100 || c > 599 || c == http.StatusSwitchingProtocols:
 			// Nothing was asked to switch, and other numbers are no statuses: what
 			// follows on the connection cannot be told either.
-			return nil, errStatus
+			return nil, errInvalidStatus
 		case c < 200:
 			continue
 		}
