--- a/internal/proxy/attempt.go
+++ b/internal/proxy/attempt.go
@@ -49,7 +49,7 @@
 // abandon gives a place back to which nothing is sent any more.
 func (pool *Pool) abandon(of *placement) *result {
 	pool.done(of, unused)
-	return &result{outcome: unused, notRun: true, abandoned: true, err: errStale}
+	return &result{outcome: unused, notRun: true, abandoned: true, err: errNoConnection}
 }
 
 // try offers the request to one upstream and reads its answer.
@@ -70,7 +70,7 @@
 		conn, reused, err = u.connect(ctx, attempt == "", connectBy)
 		if err != nil {
 			how := broken
-			if errors.Is(err, errStale) || !time.Now().Before(connectBy) {
+			if errors.Is(err, errNoConnection) || !time.Now().Before(connectBy) {
 				how = unused // the caller's time ended, which says nothing of the upstream
 			}
 			pool.done(of, how)
--- a/internal/proxy/conn.go
+++ b/internal/proxy/conn.go
@@ -49,7 +49,7 @@
 const unbounded = int64(1) << 62
 
 var (
-	errStale         = errors.New("connection no longer usable")
+	errNoConnection  = errors.New("connection no longer usable")
 	errWrongAttempt  = errors.New("answer belongs to another request")
 	errUnframed      = errors.New("answer says neither its length nor its end")
 	errRequestBody   = errors.New("the client's body broke off")
--- a/internal/proxy/connections.go
+++ b/internal/proxy/connections.go
@@ -35,7 +35,7 @@
 	}
 	if u.conns >= pool.connCap(u.instance.Service) {
 		pool.mu.Unlock()
-		return nil, false, errStale
+		return nil, false, errNoConnection
 	}
 	u.conns++
 	pool.NewConns++
