--- a/internal/proxy/conn.go
+++ b/internal/proxy/conn.go
@@ -61,9 +61,9 @@
 	return &Conn{upstream: of, netConn: c, reader: m, buffered: bufio.NewReaderSize(m, 4<<10), idleAt: time.Now(), idleTimeout: constants.IdleDefault}
 }
 
-// clean says whether the connection is open with nothing waiting on it: bytes
+// reusable says whether the connection is open with nothing waiting on it: bytes
 // that come while no request is out belong to no request.
-func (conn *Conn) clean() bool {
+func (conn *Conn) reusable() bool {
 	if conn.buffered.Buffered() > 0 {
 		return false
 	}
--- a/internal/proxy/connections.go
+++ b/internal/proxy/connections.go
@@ -28,7 +28,7 @@
 		conn := u.idle[len(u.idle)-1]
 		u.idle = u.idle[:len(u.idle)-1]
 		pool.mu.Unlock()
-		if !fresh && now.Sub(conn.idleAt) < conn.idleTimeout && conn.clean() {
+		if !fresh && now.Sub(conn.idleAt) < conn.idleTimeout && conn.reusable() {
 			return conn, true, nil
 		}
 		u.closeConn(conn)
