--- a/internal/proxy/attempt.go
+++ b/internal/proxy/attempt.go
@@ -111,7 +111,7 @@
 // read takes the answer to what was sent over a connection.
 func (p *exchange) read(of *placement, conn *Conn, attempt string, at time.Time) *result {
 	u, pool := of.upstream, p.proxy.pool
-	resp, err := conn.answer(p.request.Method, attempt)
+	resp, err := conn.readResponse(p.request.Method, attempt)
 	if err != nil {
 		u.closeConn(conn)
 		how := blame(conn, err)
--- a/internal/proxy/conn.go
+++ b/internal/proxy/conn.go
@@ -120,8 +120,8 @@
 	}
 }
 
-// answer reads the answer's headers.
-func (conn *Conn) answer(method, attempt string) (*http.Response, error) {
+// readResponse reads the readResponse's headers.
+func (conn *Conn) readResponse(method, attempt string) (*http.Response, error) {
 	for {
 		conn.reader.remaining = constants.HeaderBytes
 		resp, err := http.ReadResponse(conn.buffered, &http.Request{Method: method})
