--- a/internal/proxy/attempt.go
+++ b/internal/proxy/attempt.go
@@ -142,7 +142,7 @@
 	res := &result{outcome: served, sentAt: at, sent: true, resp: resp, body: body, doubtful: doubt}
 	switch {
 	case err == nil:
-		conn.exhausted(resp)
+		conn.finishExchange(resp)
 	case errors.Is(err, errLong):
 		res.conn = conn
 	default:
--- a/internal/proxy/conn.go
+++ b/internal/proxy/conn.go
@@ -156,9 +156,9 @@
 	return resp.ContentLength < 0 && len(resp.TransferEncoding) == 0 && resp.Body != http.NoBody
 }
 
-// exhausted ends a whole exchange: the connection is kept when nothing speaks
+// finishExchange ends a whole exchange: the connection is kept when nothing speaks
 // against it.
-func (conn *Conn) exhausted(resp *http.Response) {
+func (conn *Conn) finishExchange(resp *http.Response) {
 	conn.exchanges++
 	if resp.Close || resp.ProtoMajor != 1 || resp.ProtoMinor < 1 || conn.buffered.Buffered() > 0 {
 		conn.drop()
--- a/internal/proxy/proxy.go
+++ b/internal/proxy/proxy.go
@@ -357,6 +357,6 @@
 		panic(http.ErrAbortHandler)
 	}
 	if res.conn != nil {
-		res.conn.exhausted(res.resp)
+		res.conn.finishExchange(res.resp)
 	}
 }
--- a/internal/proxy/stream.go
+++ b/internal/proxy/stream.go
@@ -64,7 +64,7 @@
 	rc.SetWriteDeadline(time.Time{})
 	switch {
 	case werr == nil && rerr == io.EOF:
-		res.conn.exhausted(res.resp)
+		res.conn.finishExchange(res.resp)
 		s.pool.done(res.stream, served)
 		return
 	case werr != nil || r.Context().Err() != nil: // its leaving closes the upstream's end
