--- a/internal/proxy/conn.go
+++ b/internal/proxy/conn.go
@@ -161,7 +161,7 @@
 func (conn *Conn) finishExchange(resp *http.Response) {
 	conn.exchanges++
 	if resp.Close || resp.ProtoMajor != 1 || resp.ProtoMinor < 1 || conn.buffered.Buffered() > 0 {
-		conn.drop()
+		conn.close()
 		return
 	}
 	if s, ok := keepAlive(resp.Header); ok {
@@ -170,5 +170,5 @@
 	conn.upstream.releaseConn(conn, true)
 }
 
-// drop closes the connection.
-func (conn *Conn) drop() { conn.upstream.closeConn(conn) }
+// close closes the connection.
+func (conn *Conn) close() { conn.upstream.closeConn(conn) }
--- a/internal/proxy/result.go
+++ b/internal/proxy/result.go
@@ -46,7 +46,7 @@
 // release ends the connection of an answer that nobody is to read to its end.
 func (r *result) release() {
 	if r != nil && r.conn != nil {
-		r.conn.drop()
+		r.conn.close()
 	}
 }
 
--- a/internal/proxy/stream.go
+++ b/internal/proxy/stream.go
@@ -17,7 +17,7 @@
 		n, err = resp.Body.Read(buf)
 	}
 	if n == 0 { // an end after the first bytes is met again when more is read
-		conn.drop()
+		conn.close()
 		how := blame(conn, err)
 		p.proxy.pool.done(of, how)
 		return &result{outcome: how, sentAt: at, sent: true, err: err}
@@ -74,6 +74,6 @@
 		s.streamsCut.Add(1)
 		s.pool.done(res.stream, broken)
 	}
-	res.conn.drop()
+	res.conn.close()
 	panic(http.ErrAbortHandler)
 }
