--- a/internal/proxy/attempt.go
+++ b/internal/proxy/attempt.go
@@ -59,7 +59,7 @@
 	ctx, cancel := context.WithDeadline(context.WithoutCancel(p.request.Context()), p.deadline)
 	defer cancel()
 	attempt := p.request.Header.Get(headerAttemptID)
-	var conn *Conn
+	var conn *upstreamConn
 	for again := true; again; {
 		if p.clientLeft() { // before a connection is made for it
 			return pool.abandon(of)
@@ -109,7 +109,7 @@
 }
 
 // read takes the answer to what was sent over a connection.
-func (p *exchange) read(of *placement, conn *Conn, attempt string, at time.Time) *result {
+func (p *exchange) read(of *placement, conn *upstreamConn, attempt string, at time.Time) *result {
 	u, pool := of.upstream, p.proxy.pool
 	resp, err := conn.readResponse(p.request.Method, attempt)
 	if err != nil {
@@ -158,7 +158,7 @@
 
 // blame is how an offer that failed ended. What a client broke by leaving, or by
 // breaking its body off, is no failure of the upstream.
-func blame(conn *Conn, err error) outcome {
+func blame(conn *upstreamConn, err error) outcome {
 	switch {
 	case conn.cancellation.cancelled():
 		return cancelled
--- a/internal/proxy/cancellation.go
+++ b/internal/proxy/cancellation.go
@@ -88,7 +88,7 @@
 // A stream would take its place for long, so it ends at once. A repeatable request is given
 // a grace: most end within it, and their connection serves another. One that may run once
 // is left to finish, since its answer settles what it has cost and whether it has run.
-func (p *exchange) cancelWith(conn *Conn) {
+func (p *exchange) cancelWith(conn *upstreamConn) {
 	ctx := p.request.Context()
 	switch {
 	case p.route.Stream:
--- a/internal/proxy/conn.go
+++ b/internal/proxy/conn.go
@@ -13,10 +13,10 @@
 	"slateridge/internal/constants"
 )
 
-// Conn is one connection to one life of an upstream. It carries one request
+// upstreamConn is one connection to one life of an upstream. It carries one request
 // at a time, and another only after a whole, well-formed exchange that left
 // nothing over.
-type Conn struct {
+type upstreamConn struct {
 	upstream    *Upstream
 	netConn     net.Conn
 	reader      *boundedReader
@@ -56,14 +56,14 @@
 	errInvalidStatus = errors.New("no status of an answer")
 )
 
-func newUpstreamConn(of *Upstream, c net.Conn) *Conn {
+func newUpstreamConn(of *Upstream, c net.Conn) *upstreamConn {
 	m := &boundedReader{conn: c}
-	return &Conn{upstream: of, netConn: c, reader: m, buffered: bufio.NewReaderSize(m, 4<<10), idleAt: time.Now(), idleTimeout: constants.IdleDefault}
+	return &upstreamConn{upstream: of, netConn: c, reader: m, buffered: bufio.NewReaderSize(m, 4<<10), idleAt: time.Now(), idleTimeout: constants.IdleDefault}
 }
 
 // reusable says whether the connection is open with nothing waiting on it: bytes
 // that come while no request is out belong to no request.
-func (conn *Conn) reusable() bool {
+func (conn *upstreamConn) reusable() bool {
 	if conn.buffered.Buffered() > 0 {
 		return false
 	}
@@ -87,7 +87,7 @@
 }
 
 // send writes a request. sent false means that not one byte went out.
-func (conn *Conn) send(head, body []byte, rest io.Reader, chunked bool, until time.Time) (sent bool, err error) {
+func (conn *upstreamConn) send(head, body []byte, rest io.Reader, chunked bool, until time.Time) (sent bool, err error) {
 	conn.netConn.SetDeadline(until)
 	n, err := conn.netConn.Write(append(head, body...))
 	if err != nil {
@@ -121,7 +121,7 @@
 }
 
 // readResponse reads the readResponse's headers.
-func (conn *Conn) readResponse(method, attempt string) (*http.Response, error) {
+func (conn *upstreamConn) readResponse(method, attempt string) (*http.Response, error) {
 	for {
 		conn.reader.remaining = constants.HeaderBytes
 		resp, err := http.ReadResponse(conn.buffered, &http.Request{Method: method})
@@ -158,7 +158,7 @@
 
 // finishExchange ends a whole exchange: the connection is kept when nothing speaks
 // against it.
-func (conn *Conn) finishExchange(resp *http.Response) {
+func (conn *upstreamConn) finishExchange(resp *http.Response) {
 	conn.exchanges++
 	if resp.Close || resp.ProtoMajor != 1 || resp.ProtoMinor < 1 || conn.buffered.Buffered() > 0 {
 		conn.close()
@@ -171,4 +171,4 @@
 }
 
 // close closes the connection.
-func (conn *Conn) close() { conn.upstream.closeConn(conn) }
+func (conn *upstreamConn) close() { conn.upstream.closeConn(conn) }
--- a/internal/proxy/connections.go
+++ b/internal/proxy/connections.go
@@ -17,7 +17,7 @@
 
 // connect gives an idle connection, or a new one that is made by a moment; where nothing
 // but its connection ties the answer to the request, always a new one.
-func (u *Upstream) connect(ctx context.Context, fresh bool, by time.Time) (conn *Conn, reused bool, err error) {
+func (u *Upstream) connect(ctx context.Context, fresh bool, by time.Time) (conn *upstreamConn, reused bool, err error) {
 	pool := u.pool
 	now := time.Now()
 	for {
@@ -56,7 +56,7 @@
 }
 
 // closeConn closes a connection.
-func (u *Upstream) closeConn(conn *Conn) {
+func (u *Upstream) closeConn(conn *upstreamConn) {
 	conn.cancellation.end()
 	conn.netConn.Close()
 	u.pool.mu.Lock()
@@ -67,7 +67,7 @@
 // releaseConn puts a connection by for the next request: after an exchange, or as it was
 // found, when nothing was sent. Its upstream counts the rest from the last exchange. One
 // that was closed for its client's leaving is not kept.
-func (u *Upstream) releaseConn(conn *Conn, exchanged bool) {
+func (u *Upstream) releaseConn(conn *upstreamConn, exchanged bool) {
 	if !conn.cancellation.end() {
 		u.closeConn(conn)
 		return
--- a/internal/proxy/result.go
+++ b/internal/proxy/result.go
@@ -15,8 +15,8 @@
 	abandoned bool      // the request may not be sent any more: deadline, route or key
 	resp      *http.Response
 	body      []byte
-	conn      *Conn      // when the body is longer than what is held
-	stream    *placement // of a stream under way: its place is taken until it ends
+	conn      *upstreamConn // when the body is longer than what is held
+	stream    *placement    // of a stream under way: its place is taken until it ends
 	err       error
 }
 
--- a/internal/proxy/upstream.go
+++ b/internal/proxy/upstream.go
@@ -22,7 +22,7 @@
 	removed      bool
 	draining     bool
 	active       map[*placement]time.Time // requests there, since when
-	idle         []*Conn
+	idle         []*upstreamConn
 	conns        int
 	coldAt       time.Time // last given a place while cold
 	load         float64   // requests running and waiting for each slot, as it last told
