--- a/internal/proxy/clientconn.go
+++ b/internal/proxy/clientconn.go
@@ -20,9 +20,9 @@
 // is in force while they are read.
 type clientConn struct {
 	*net.TCPConn
-	leave  context.CancelFunc // ends the contexts of the connection's requests
-	limits func() config.Limits
-	header headerProgress
+	cancelRequests context.CancelFunc // ends the contexts of the connection's requests
+	limits         func() config.Limits
+	header         headerProgress
 
 	mu       sync.Mutex
 	handling bool        // a request is being handled
@@ -39,7 +39,7 @@
 	if !ok {
 		return ctx
 	}
-	ctx, conn.leave = context.WithCancel(context.WithValue(ctx, clientConnKey{}, conn))
+	ctx, conn.cancelRequests = context.WithCancel(context.WithValue(ctx, clientConnKey{}, conn))
 	return ctx
 }
 
@@ -114,7 +114,7 @@
 		return
 	}
 	if c.hungUp() {
-		c.leave()
+		c.cancelRequests()
 		return
 	}
 	c.scheduleLocked()
