--- a/internal/proxy/clientconn.go
+++ b/internal/proxy/clientconn.go
@@ -24,10 +24,10 @@
 	limits         func() config.Limits
 	header         headerProgress
 
-	mu       sync.Mutex
-	handling bool        // a request is being handled
-	reading  bool        // a read is under way: it notices the end by itself
-	timer    *time.Timer // to the next look; nil before the first
+	mu          sync.Mutex
+	handling    bool        // a request is being handled
+	reading     bool        // a read is under way: it notices the end by itself
+	hangupTimer *time.Timer // to the next look; nil before the first
 }
 
 // clientConnKey is the key of a request's *clientConn in its context.
@@ -96,13 +96,13 @@
 func (c *clientConn) scheduleLocked() {
 	switch {
 	case !c.handling || c.reading:
-		if c.timer != nil {
-			c.timer.Stop()
+		if c.hangupTimer != nil {
+			c.hangupTimer.Stop()
 		}
-	case c.timer == nil:
-		c.timer = time.AfterFunc(constants.HangupLook, c.look)
+	case c.hangupTimer == nil:
+		c.hangupTimer = time.AfterFunc(constants.HangupLook, c.look)
 	default:
-		c.timer.Reset(constants.HangupLook)
+		c.hangupTimer.Reset(constants.HangupLook)
 	}
 }
 
