--- a/internal/proxy/clientconn.go
+++ b/internal/proxy/clientconn.go
@@ -100,14 +100,14 @@
 			c.hangupTimer.Stop()
 		}
 	case c.hangupTimer == nil:
-		c.hangupTimer = time.AfterFunc(constants.HangupLook, c.look)
+		c.hangupTimer = time.AfterFunc(constants.HangupLook, c.checkHangup)
 	default:
 		c.hangupTimer.Reset(constants.HangupLook)
 	}
 }
 
-// look ends the requests of a client that has hung up.
-func (c *clientConn) look() {
+// checkHangup ends the requests of a client that has hung up.
+func (c *clientConn) checkHangup() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if !c.handling || c.reading {
