--- a/internal/proxy/clientconn.go
+++ b/internal/proxy/clientconn.go
@@ -43,8 +43,8 @@
 	return ctx
 }
 
-// clientConnOf is the connection that a request came on, or nil where it isn't known.
-func clientConnOf(r *http.Request) *clientConn {
+// clientConnFrom is the connection that a request came on, or nil where it isn't known.
+func clientConnFrom(r *http.Request) *clientConn {
 	conn, _ := r.Context().Value(clientConnKey{}).(*clientConn)
 	return conn
 }
--- a/internal/proxy/exchange.go
+++ b/internal/proxy/exchange.go
@@ -45,7 +45,7 @@
 	p := &exchange{
 		proxy:       s,
 		request:     r,
-		client:      clientConnOf(r),
+		client:      clientConnFrom(r),
 		arrived:     arrived,
 		deadline:    earlier(callerUntil, arrived.Add(route.Timeout)),
 		callerUntil: callerUntil,
