--- a/internal/proxy/clientconn.go
+++ b/internal/proxy/clientconn.go
@@ -74,8 +74,8 @@
 	c.scheduleLocked()
 }
 
-// handle marks the beginning and the end of a request's handling. On nil it does nothing.
-func (c *clientConn) handle(handling bool) {
+// setHandling marks the beginning and the end of a request's handling. On nil it does nothing.
+func (c *clientConn) setHandling(handling bool) {
 	if c == nil {
 		return
 	}
--- a/internal/proxy/proxy.go
+++ b/internal/proxy/proxy.go
@@ -117,8 +117,8 @@
 		return
 	}
 	p := s.newExchange(r, arrived, cfg, route, tenant)
-	p.client.handle(true)
-	defer p.client.handle(false)
+	p.client.setHandling(true)
+	defer p.client.setHandling(false)
 	if tenant != nil {
 		if p.account = s.accounts.Begin(tenant.Name); p.account != nil {
 			defer p.settleUnanswered()
