--- a/internal/proxy/clientconn.go
+++ b/internal/proxy/clientconn.go
@@ -71,7 +71,7 @@
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.reading = reading
-	c.scheduleLocked()
+	c.scheduleCheckLocked()
 }
 
 // setHandling marks the beginning and the end of a request's handling. On nil it does nothing.
@@ -82,7 +82,7 @@
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.handling = handling
-	c.scheduleLocked()
+	c.scheduleCheckLocked()
 }
 
 // busy says whether a request is being handled.
@@ -92,8 +92,8 @@
 	return c.handling
 }
 
-// scheduleLocked sets the timer to the next look, or stops it where none is needed.
-func (c *clientConn) scheduleLocked() {
+// scheduleCheckLocked sets the timer to the next look, or stops it where none is needed.
+func (c *clientConn) scheduleCheckLocked() {
 	switch {
 	case !c.handling || c.reading:
 		if c.hangupTimer != nil {
@@ -117,7 +117,7 @@
 		c.cancelRequests()
 		return
 	}
-	c.scheduleLocked()
+	c.scheduleCheckLocked()
 }
 
 // hungUp asks the socket whether the client has closed its end, or both, behind whatever it
