--- a/internal/proxy/clientheader.go
+++ b/internal/proxy/clientheader.go
@@ -12,9 +12,9 @@
 // headerProgress is how far the headers of a connection's next request have come. Only the
 // goroutine that serves the connection uses it.
 type headerProgress struct {
-	expected bool      // the next bytes belong to a request's headers
-	bytes    int       // read so far
-	began    time.Time // when they began to come; zero while the connection rests
+	expected  bool      // the next bytes belong to a request's headers
+	bytes     int       // read so far
+	startedAt time.Time // when they began to come; zero while the connection rests
 }
 
 // Headers may exceed their bound by what the server reads ahead: of another request, or of a
@@ -30,7 +30,7 @@
 func (c *clientConn) expectHeaders(expected, isNew bool) {
 	c.header = headerProgress{expected: expected}
 	if isNew {
-		c.header.began = time.Now()
+		c.header.startedAt = time.Now()
 	}
 }
 
@@ -53,16 +53,16 @@
 
 // headersDue is when the headers have to be here; false while the connection rests.
 func (c *clientConn) headersDue() (due time.Time, bounded bool) {
-	if c.header.began.IsZero() {
+	if c.header.startedAt.IsZero() {
 		return time.Time{}, false
 	}
-	return c.header.began.Add(orDefault(c.limits().HeaderTimeout, constants.HeaderTimeout)), true
+	return c.header.startedAt.Add(orDefault(c.limits().HeaderTimeout, constants.HeaderTimeout)), true
 }
 
 // noteHeader counts what was read, and refuses headers that are over their bound.
 func (c *clientConn) noteHeader(n int, err error) (int, error) {
-	if n > 0 && c.header.began.IsZero() {
-		c.header.began = time.Now()
+	if n > 0 && c.header.startedAt.IsZero() {
+		c.header.startedAt = time.Now()
 	}
 	c.header.bytes += n
 	if c.header.bytes <= orDefault(c.limits().HeaderBytes, constants.HeaderBytes)+headerReadAhead {
