--- a/internal/proxy/clientheader.go
+++ b/internal/proxy/clientheader.go
@@ -13,7 +13,7 @@
 // goroutine that serves the connection uses it.
 type headerProgress struct {
 	expected  bool      // the next bytes belong to a request's headers
-	bytes     int       // read so far
+	bytesRead int       // read so far
 	startedAt time.Time // when they began to come; zero while the connection rests
 }
 
@@ -64,8 +64,8 @@
 	if n > 0 && c.header.startedAt.IsZero() {
 		c.header.startedAt = time.Now()
 	}
-	c.header.bytes += n
-	if c.header.bytes <= orDefault(c.limits().HeaderBytes, constants.HeaderBytes)+headerReadAhead {
+	c.header.bytesRead += n
+	if c.header.bytesRead <= orDefault(c.limits().HeaderBytes, constants.HeaderBytes)+headerReadAhead {
 		return n, err
 	}
 	c.refuseHeaders()
