--- a/internal/proxy/clientheader.go
+++ b/internal/proxy/clientheader.go
@@ -47,7 +47,7 @@
 				continue // their time has been raised
 			}
 		}
-		return c.noteHeader(n, err)
+		return c.countHeaderBytes(n, err)
 	}
 }
 
@@ -59,8 +59,8 @@
 	return c.header.startedAt.Add(orDefault(c.limits().HeaderTimeout, constants.HeaderTimeout)), true
 }
 
-// noteHeader counts what was read, and refuses headers that are over their bound.
-func (c *clientConn) noteHeader(n int, err error) (int, error) {
+// countHeaderBytes counts what was read, and refuses headers that are over their bound.
+func (c *clientConn) countHeaderBytes(n int, err error) (int, error) {
 	if n > 0 && c.header.startedAt.IsZero() {
 		c.header.startedAt = time.Now()
 	}
