--- a/internal/proxy/clientheader.go
+++ b/internal/proxy/clientheader.go
@@ -38,12 +38,12 @@
 // meanwhile holds from then on.
 func (c *clientConn) readHeader(b []byte) (int, error) {
 	for {
-		if due, bounded := c.headersDue(); bounded {
+		if due, bounded := c.headerDeadline(); bounded {
 			c.SetReadDeadline(due)
 		}
 		n, err := c.TCPConn.Read(b)
 		if n == 0 && errors.Is(err, os.ErrDeadlineExceeded) {
-			if due, bounded := c.headersDue(); bounded && time.Now().Before(due) {
+			if due, bounded := c.headerDeadline(); bounded && time.Now().Before(due) {
 				continue // their time has been raised
 			}
 		}
@@ -51,8 +51,8 @@
 	}
 }
 
-// headersDue is when the headers have to be here; false while the connection rests.
-func (c *clientConn) headersDue() (due time.Time, bounded bool) {
+// headerDeadline is when the headers have to be here; false while the connection rests.
+func (c *clientConn) headerDeadline() (due time.Time, bounded bool) {
 	if c.header.startedAt.IsZero() {
 		return time.Time{}, false
 	}
