--- a/internal/proxy/clientheader.go
+++ b/internal/proxy/clientheader.go
@@ -68,13 +68,13 @@
 	if c.header.bytesRead <= orDefault(c.limits().HeaderBytes, constants.HeaderBytes)+headerReadAhead {
 		return n, err
 	}
-	c.refuseHeaders()
+	c.rejectHeaders()
 	return 0, io.EOF
 }
 
-// refuseHeaders answers headers that are too large. What the client still sends is read
+// rejectHeaders answers headers that are too large. What the client still sends is read
 // for a while and dropped: closing before would take the answer away from it.
-func (c *clientConn) refuseHeaders() {
+func (c *clientConn) rejectHeaders() {
 	c.SetWriteDeadline(time.Now().Add(constants.RefusalLinger))
 	io.WriteString(c.TCPConn, headersTooLarge)
 	c.CloseWrite()
