--- a/internal/proxy/clientheader.go
+++ b/internal/proxy/clientheader.go
@@ -21,7 +21,7 @@
 // body. Whole headers are measured to the byte when the request is matched.
 const headerReadAhead = 4 << 10 // bytes
 
-const headersTooLarge = "HTTP/1.1 431 Request Header Fields Too Large\r\n" +
+const headersTooLargeResponse = "HTTP/1.1 431 Request Header Fields Too Large\r\n" +
 	"Content-Type: text/plain; charset=utf-8\r\nConnection: close\r\n\r\n" +
 	"431 Request Header Fields Too Large"
 
@@ -76,7 +76,7 @@
 // for a while and dropped: closing before would take the answer away from it.
 func (c *clientConn) rejectHeaders() {
 	c.SetWriteDeadline(time.Now().Add(constants.RefusalLinger))
-	io.WriteString(c.TCPConn, headersTooLarge)
+	io.WriteString(c.TCPConn, headersTooLargeResponse)
 	c.CloseWrite()
 	c.SetReadDeadline(time.Now().Add(constants.RefusalLinger))
 	io.Copy(io.Discard, c.TCPConn)
