--- a/internal/proxy/cancellation.go
+++ b/internal/proxy/cancellation.go
@@ -22,9 +22,9 @@
 	closed bool // the connection was closed here
 }
 
-// cancelAfter has a connection closed so long after a context's end. Without a grace it is
+// newCancellation has a connection closed so long after a context's end. Without a grace it is
 // closed at once.
-func cancelAfter(ctx context.Context, conn net.Conn, grace time.Duration) *cancellation {
+func newCancellation(ctx context.Context, conn net.Conn, grace time.Duration) *cancellation {
 	c := &cancellation{conn: conn}
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -92,8 +92,8 @@
 	ctx := p.request.Context()
 	switch {
 	case p.route.Stream:
-		conn.cancellation = cancelAfter(ctx, conn.netConn, 0)
+		conn.cancellation = newCancellation(ctx, conn.netConn, 0)
 	case p.route.Idempotent:
-		conn.cancellation = cancelAfter(ctx, conn.netConn, constants.CancelGrace)
+		conn.cancellation = newCancellation(ctx, conn.netConn, constants.CancelGrace)
 	}
 }
--- a/internal/proxy/cancellation_test.go
+++ b/internal/proxy/cancellation_test.go
@@ -41,7 +41,7 @@
 			defer theirs.Close()
 			ctx, leave := context.WithCancel(context.Background())
 			defer leave()
-			cancellation := cancelAfter(ctx, ours, c.grace)
+			cancellation := newCancellation(ctx, ours, c.grace)
 			if c.endAfter < 0 {
 				cancellation.end()
 			}
@@ -112,7 +112,7 @@
 	b.ReportAllocs()
 	for b.Loop() {
 		ctx, done := context.WithCancel(connection) // as the HTTP server makes one for each request
-		cancellation := cancelAfter(ctx, ours, constants.CancelGrace)
+		cancellation := newCancellation(ctx, ours, constants.CancelGrace)
 		cancellation.end()
 		done()
 	}
