--- a/internal/proxy/cancellation.go
+++ b/internal/proxy/cancellation.go
@@ -28,12 +28,12 @@
 	c := &cancellation{conn: conn}
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.detach = context.AfterFunc(ctx, func() { c.begin(grace) })
+	c.detach = context.AfterFunc(ctx, func() { c.startGrace(grace) })
 	return c
 }
 
-// begin starts the grace.
-func (c *cancellation) begin(grace time.Duration) {
+// startGrace starts the grace.
+func (c *cancellation) startGrace(grace time.Duration) {
 	if grace <= 0 {
 		c.close()
 		return
