--- a/internal/proxy/cancellation.go
+++ b/internal/proxy/cancellation.go
@@ -56,9 +56,9 @@
 	c.conn.Close()
 }
 
-// end is called when the request on the connection is over; false says that the connection
+// finish is called when the request on the connection is over; false says that the connection
 // was closed before. Nothing is closed after it. A nil cancellation closes nothing.
-func (c *cancellation) end() bool {
+func (c *cancellation) finish() bool {
 	if c == nil {
 		return true
 	}
--- a/internal/proxy/cancellation_test.go
+++ b/internal/proxy/cancellation_test.go
@@ -43,13 +43,13 @@
 			defer leave()
 			cancellation := newCancellation(ctx, ours, c.grace)
 			if c.endAfter < 0 {
-				cancellation.end()
+				cancellation.finish()
 			}
 			if c.leaves {
 				leave()
 			}
 			time.Sleep(max(0, c.endAfter))
-			whole := cancellation.end()
+			whole := cancellation.finish()
 			if whole == c.closes || cancellation.cancelled() != c.closes {
 				t.Errorf("ended whole %v, cancelled %v; want closed %v", whole, cancellation.cancelled(), c.closes)
 			}
@@ -113,7 +113,7 @@
 	for b.Loop() {
 		ctx, done := context.WithCancel(connection) // as the HTTP server makes one for each request
 		cancellation := newCancellation(ctx, ours, constants.CancelGrace)
-		cancellation.end()
+		cancellation.finish()
 		done()
 	}
 }
--- a/internal/proxy/connections.go
+++ b/internal/proxy/connections.go
@@ -57,7 +57,7 @@
 
 // closeConn closes a connection.
 func (u *Upstream) closeConn(conn *upstreamConn) {
-	conn.cancellation.end()
+	conn.cancellation.finish()
 	conn.netConn.Close()
 	u.pool.mu.Lock()
 	u.conns--
@@ -68,7 +68,7 @@
 // found, when nothing was sent. Its upstream counts the rest from the last exchange. One
 // that was closed for its client's leaving is not kept.
 func (u *Upstream) releaseConn(conn *upstreamConn, exchanged bool) {
-	if !conn.cancellation.end() {
+	if !conn.cancellation.finish() {
 		u.closeConn(conn)
 		return
 	}
