--- a/internal/proxy/cancellation.go
+++ b/internal/proxy/cancellation.go
@@ -15,11 +15,11 @@
 type cancellation struct {
 	conn net.Conn
 
-	mu     sync.Mutex
-	detach func() bool // from the context of the client's request
-	timer  *time.Timer // during the grace
-	ended  bool
-	closed bool // the connection was closed here
+	mu       sync.Mutex
+	detach   func() bool // from the context of the client's request
+	timer    *time.Timer // during the grace
+	finished bool
+	closed   bool // the connection was closed here
 }
 
 // newCancellation has a connection closed so long after a context's end. Without a grace it is
@@ -40,7 +40,7 @@
 	}
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if !c.ended {
+	if !c.finished {
 		c.timer = time.AfterFunc(grace, c.close)
 	}
 }
@@ -49,10 +49,10 @@
 func (c *cancellation) close() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if c.ended {
+	if c.finished {
 		return
 	}
-	c.ended, c.closed = true, true
+	c.finished, c.closed = true, true
 	c.conn.Close()
 }
 
@@ -64,8 +64,8 @@
 	}
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if !c.ended {
-		c.ended = true
+	if !c.finished {
+		c.finished = true
 		c.detach()
 		if c.timer != nil {
 			c.timer.Stop()
