--- a/internal/proxy/cancellation.go
+++ b/internal/proxy/cancellation.go
@@ -15,11 +15,11 @@
 type cancellation struct {
 	conn net.Conn
 
-	mu       sync.Mutex
-	detach   func() bool // from the context of the client's request
-	timer    *time.Timer // during the grace
-	finished bool
-	closed   bool // the connection was closed here
+	mu           sync.Mutex
+	stopWatching func() bool // from the context of the client's request
+	timer        *time.Timer // during the grace
+	finished     bool
+	closed       bool // the connection was closed here
 }
 
 // newCancellation has a connection closed so long after a context's end. Without a grace it is
@@ -28,7 +28,7 @@
 	c := &cancellation{conn: conn}
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.detach = context.AfterFunc(ctx, func() { c.startGrace(grace) })
+	c.stopWatching = context.AfterFunc(ctx, func() { c.startGrace(grace) })
 	return c
 }
 
@@ -66,7 +66,7 @@
 	defer c.mu.Unlock()
 	if !c.finished {
 		c.finished = true
-		c.detach()
+		c.stopWatching()
 		if c.timer != nil {
 			c.timer.Stop()
 		}
