--- a/internal/proxy/attempt.go
+++ b/internal/proxy/attempt.go
@@ -86,7 +86,7 @@
 			name = p.tenant.Name
 		}
 		length := p.length
-		p.cancelWith(conn)
+		p.cancelOnDisconnect(conn)
 		head := requestHead(p.request, u.instance.ID, name, left, length)
 		sent, err := conn.send(head, p.bodyStart, p.bodyRest, length < 0, p.deadline.Add(constants.AnswerGrace))
 		if err != nil && !sent && reused {
--- a/internal/proxy/cancellation.go
+++ b/internal/proxy/cancellation.go
@@ -84,11 +84,11 @@
 	return c.closed
 }
 
-// cancelWith ties an upstream connection to the client whose request it is about to carry.
+// cancelOnDisconnect ties an upstream connection to the client whose request it is about to carry.
 // A stream would take its place for long, so it ends at once. A repeatable request is given
 // a grace: most end within it, and their connection serves another. One that may run once
 // is left to finish, since its answer settles what it has cost and whether it has run.
-func (p *exchange) cancelWith(conn *upstreamConn) {
+func (p *exchange) cancelOnDisconnect(conn *upstreamConn) {
 	ctx := p.request.Context()
 	switch {
 	case p.route.Stream:
--- a/internal/proxy/fuzz_test.go
+++ b/internal/proxy/fuzz_test.go
@@ -74,7 +74,7 @@
 		if of == nil {
 			t.Fatal("no room")
 		}
-		p.cancelWith(fl)
+		p.cancelOnDisconnect(fl)
 		res := p.read(of, fl, "id-1", time.Now())
 		p.count(res)
 		w, broken := httptest.NewRecorder(), false
