--- a/internal/proxy/disconnect_test.go
+++ b/internal/proxy/disconnect_test.go
@@ -20,8 +20,8 @@
 
 // What the rule allows after a client has left, and what a loaded test machine may add.
 const (
-	allowedAfterLeaving = 500 * time.Millisecond
-	machineSlack        = 300 * time.Millisecond
+	maxWorkAfterDisconnect = 500 * time.Millisecond
+	machineSlack           = 300 * time.Millisecond
 )
 
 // upstreamRun is one request at a workingUpstream.
@@ -208,7 +208,7 @@
 			awaitEnds(t, u, other)
 			for _, run := range append(u.seen(), other.seen()...) {
 				after := run.ended.Sub(left)
-				if after > allowedAfterLeaving+machineSlack {
+				if after > maxWorkAfterDisconnect+machineSlack {
 					t.Errorf("%s was at work %v after its client had left", run.path, after)
 				}
 				if after < 100*time.Millisecond && !c.early {
@@ -254,7 +254,7 @@
 	}
 	answered := time.Now()
 	awaitEnds(t, slow)
-	if after := slow.seen()[0].ended.Sub(answered); after > allowedAfterLeaving+machineSlack {
+	if after := slow.seen()[0].ended.Sub(answered); after > maxWorkAfterDisconnect+machineSlack {
 		t.Errorf("the first offer was at work %v after the answer", after)
 	}
 }
@@ -467,7 +467,7 @@
 		t.Errorf("%+v: ran %d times", *d, len(runs))
 	}
 	for _, run := range runs {
-		if late := run.began.Sub(d.left); late > allowedAfterLeaving {
+		if late := run.began.Sub(d.left); late > maxWorkAfterDisconnect {
 			t.Errorf("%+v: arrives %v after it left", *d, late)
 		}
 		if d.kind == "once" {
@@ -476,7 +476,7 @@
 			}
 			continue
 		}
-		if late := run.ended.Sub(d.left); late > allowedAfterLeaving+machineSlack {
+		if late := run.ended.Sub(d.left); late > maxWorkAfterDisconnect+machineSlack {
 			t.Errorf("%+v: at work %v after it left", *d, late)
 		}
 	}
@@ -490,7 +490,7 @@
 		if d.work > d.stays+machineSlack {
 			t.Errorf("%+v: what it had sent ahead ran", *d)
 		}
-		if late := run.ended.Sub(d.left); late > allowedAfterLeaving+machineSlack {
+		if late := run.ended.Sub(d.left); late > maxWorkAfterDisconnect+machineSlack {
 			t.Errorf("%+v: what it had sent ahead is at work %v after it left", *d, late)
 		}
 	}
