--- a/internal/proxy/contract_test.go
+++ b/internal/proxy/contract_test.go
@@ -61,7 +61,7 @@
 			s.retryBudget.Request(s.now(), "svc")
 		}
 		w := get(s, "GET", "/safe/x", "", headerBudget, c.budget)
-		if took := time.Since(began); w.Code != http.StatusGatewayTimeout || took < c.held || took > c.held+machineSlack {
+		if took := time.Since(began); w.Code != http.StatusGatewayTimeout || took < c.held || took > c.held+schedulingSlack {
 			t.Errorf("%s: %d after %v", name, w.Code, took)
 		}
 		u.mu.Lock()
--- a/internal/proxy/disconnect_test.go
+++ b/internal/proxy/disconnect_test.go
@@ -21,7 +21,7 @@
 // What the rule allows after a client has left, and what a loaded test machine may add.
 const (
 	maxWorkAfterDisconnect = 500 * time.Millisecond
-	machineSlack           = 300 * time.Millisecond
+	schedulingSlack        = 300 * time.Millisecond
 )
 
 // upstreamRun is one request at a workingUpstream.
@@ -208,7 +208,7 @@
 			awaitEnds(t, u, other)
 			for _, run := range append(u.seen(), other.seen()...) {
 				after := run.ended.Sub(left)
-				if after > maxWorkAfterDisconnect+machineSlack {
+				if after > maxWorkAfterDisconnect+schedulingSlack {
 					t.Errorf("%s was at work %v after its client had left", run.path, after)
 				}
 				if after < 100*time.Millisecond && !c.early {
@@ -254,7 +254,7 @@
 	}
 	answered := time.Now()
 	awaitEnds(t, slow)
-	if after := slow.seen()[0].ended.Sub(answered); after > maxWorkAfterDisconnect+machineSlack {
+	if after := slow.seen()[0].ended.Sub(answered); after > maxWorkAfterDisconnect+schedulingSlack {
 		t.Errorf("the first offer was at work %v after the answer", after)
 	}
 }
@@ -476,7 +476,7 @@
 			}
 			continue
 		}
-		if late := run.ended.Sub(d.left); late > maxWorkAfterDisconnect+machineSlack {
+		if late := run.ended.Sub(d.left); late > maxWorkAfterDisconnect+schedulingSlack {
 			t.Errorf("%+v: at work %v after it left", *d, late)
 		}
 	}
@@ -487,10 +487,10 @@
 func (d *departure) checkAhead(t *testing.T, runs []upstreamRun) {
 	t.Helper()
 	for _, run := range runs {
-		if d.work > d.stays+machineSlack {
+		if d.work > d.stays+schedulingSlack {
 			t.Errorf("%+v: what it had sent ahead ran", *d)
 		}
-		if late := run.ended.Sub(d.left); late > maxWorkAfterDisconnect+machineSlack {
+		if late := run.ended.Sub(d.left); late > maxWorkAfterDisconnect+schedulingSlack {
 			t.Errorf("%+v: what it had sent ahead is at work %v after it left", *d, late)
 		}
 	}
