--- a/internal/proxy/disconnect_test.go
+++ b/internal/proxy/disconnect_test.go
@@ -32,9 +32,9 @@
 	abandoned bool      // its connection was closed while it was at work
 }
 
-// workingUpstream is an upstream stand-in that works for as long as the request's path
+// slowUpstream is an upstream stand-in that works for as long as the request's path
 // says (/safe/300ms), and drops a request whose connection closes.
-type workingUpstream struct {
+type slowUpstream struct {
 	listener net.Listener
 	mu       sync.Mutex
 	runs     []*upstreamRun
@@ -42,13 +42,13 @@
 	last     string // written after it, instead of an answer; "close" closes
 }
 
-func newWorkingUpstream(t *testing.T, first, last string) *workingUpstream {
-	u := &workingUpstream{first: first, last: last}
+func newWorkingUpstream(t *testing.T, first, last string) *slowUpstream {
+	u := &slowUpstream{first: first, last: last}
 	u.listener = upstream(t, func(c net.Conn, r *http.Request, _ string) bool { return u.serve(c, r) })
 	return u
 }
 
-func (u *workingUpstream) serve(c net.Conn, r *http.Request) bool {
+func (u *slowUpstream) serve(c net.Conn, r *http.Request) bool {
 	run := &upstreamRun{id: r.Header.Get(headerAttemptID), path: r.RequestURI, began: time.Now()}
 	u.mu.Lock()
 	u.runs = append(u.runs, run)
@@ -79,12 +79,12 @@
 
 func ok200(r *http.Request) string { return ok(r, "x") }
 
-func (u *workingUpstream) instance(id string, slots int) discovery.Instance {
+func (u *slowUpstream) instance(id string, slots int) discovery.Instance {
 	return discovery.Instance{ID: id, Service: "svc", Address: u.listener.Addr().String(), Zone: "z", Slots: slots}
 }
 
 // seen is a copy of the runs so far.
-func (u *workingUpstream) seen() []upstreamRun {
+func (u *slowUpstream) seen() []upstreamRun {
 	u.mu.Lock()
 	defer u.mu.Unlock()
 	out := make([]upstreamRun, len(u.runs))
@@ -95,7 +95,7 @@
 }
 
 // awaitArrivals waits until so many requests have arrived at some upstreams.
-func awaitArrivals(t *testing.T, n int, upstreams ...*workingUpstream) {
+func awaitArrivals(t *testing.T, n int, upstreams ...*slowUpstream) {
 	t.Helper()
 	for end := time.Now().Add(5 * time.Second); ; time.Sleep(time.Millisecond) {
 		arrived := 0
@@ -112,7 +112,7 @@
 }
 
 // awaitEnds waits until no upstream is at work.
-func awaitEnds(t *testing.T, upstreams ...*workingUpstream) {
+func awaitEnds(t *testing.T, upstreams ...*slowUpstream) {
 	t.Helper()
 	for end := time.Now().Add(8 * time.Second); ; time.Sleep(time.Millisecond) {
 		working := 0
@@ -427,7 +427,7 @@
 // and those that stay are served.
 func TestSeededDepartures(t *testing.T) {
 	for _, seed := range []uint64{1, 2} {
-		var ups []*workingUpstream
+		var ups []*slowUpstream
 		var instances []discovery.Instance
 		for i := range 3 {
 			u := newWorkingUpstream(t, "", "")
