--- a/internal/proxy/cancellation_test.go
+++ b/internal/proxy/cancellation_test.go
@@ -63,7 +63,7 @@
 // Runs end at all moments around the end of the grace: the connections that are put by
 // then serve others whole, those of a cancelled run are closed and counted as such.
 func TestLateCancellationHitsNoOtherRequest(t *testing.T) {
-	u := newWorkingUpstream(t, "", "")
+	u := newSlowUpstream(t, "", "")
 	instance := u.instance("i-1", 40)
 	d, front := daemonAt(t, instance)
 	d.pool.connCap = func(string) int { return 100 }
--- a/internal/proxy/disconnect_test.go
+++ b/internal/proxy/disconnect_test.go
@@ -42,7 +42,7 @@
 	last     string // written after it, instead of an answer; "close" closes
 }
 
-func newWorkingUpstream(t *testing.T, first, last string) *slowUpstream {
+func newSlowUpstream(t *testing.T, first, last string) *slowUpstream {
 	u := &slowUpstream{first: first, last: last}
 	u.listener = upstream(t, func(c net.Conn, r *http.Request, _ string) bool { return u.serve(c, r) })
 	return u
@@ -184,7 +184,7 @@
 		"body not whole": {requests: clientRequest("POST", "/flow/1900ms", "a", 200) + "x", arrivals: 0, early: true},
 	} {
 		t.Run(name, func(t *testing.T) {
-			u, other := newWorkingUpstream(t, c.first, ""), newWorkingUpstream(t, c.first, "")
+			u, other := newSlowUpstream(t, c.first, ""), newSlowUpstream(t, c.first, "")
 			ups := []discovery.Instance{u.instance("i-1", 2)}
 			if c.arrivals == 2 {
 				ups = append(ups, other.instance("i-2", 2))
@@ -239,7 +239,7 @@
 
 // The offer that lost against a second one is given up like a request whose client left.
 func TestLosingOfferIsGivenUp(t *testing.T) {
-	slow, quick := newWorkingUpstream(t, "", ""), newRawUpstream(t, func(_ int, r *http.Request) (string, bool) { return ok(r, "x"), false })
+	slow, quick := newSlowUpstream(t, "", ""), newRawUpstream(t, func(_ int, r *http.Request) (string, bool) { return ok(r, "x"), false })
 	d, front := daemonAt(t, slow.instance("i-1", 2))
 	for range 400 {
 		d.retryBudget.Request(d.now(), "svc")
@@ -261,7 +261,7 @@
 
 // A run that ends soon after its client left gives its connection back.
 func TestRunThatEndsSoonKeepsItsConnection(t *testing.T) {
-	u := newWorkingUpstream(t, "", "")
+	u := newSlowUpstream(t, "", "")
 	d, front := daemonAt(t, u.instance("i-1", 2))
 	for n := 1; n <= 3; n++ {
 		client := connectTo(t, front)
@@ -284,7 +284,7 @@
 // A request that may run once is left to finish: its answer settles what the quota is
 // debited, and its connection serves the next.
 func TestRunOnceIsNotBrokenOff(t *testing.T) {
-	u := newWorkingUpstream(t, "", "")
+	u := newSlowUpstream(t, "", "")
 	d, front := daemonAt(t, u.instance("i-1", 2))
 	client := connectTo(t, front)
 	io.WriteString(client, clientRequest("POST", "/once/900ms", "a", 2)+"hi")
@@ -309,7 +309,7 @@
 // no second offer, and no request that it had sent ahead.
 func TestNothingIsSentForAClientThatLeft(t *testing.T) {
 	t.Run("waiting for room", func(t *testing.T) {
-		u := newWorkingUpstream(t, "", "")
+		u := newSlowUpstream(t, "", "")
 		_, front := daemonAt(t, u.instance("i-1", 1))
 		for range 2 { // its places are taken
 			io.WriteString(connectTo(t, front), clientRequest("POST", "/once/85ms", "busy", 2)+"hi")
@@ -329,7 +329,7 @@
 	})
 	for name, path := range map[string]string{"a further try": "/safe/150ms", "a second offer": "/safe/1900ms"} {
 		t.Run(name, func(t *testing.T) {
-			u, other := newWorkingUpstream(t, "", "close"), newWorkingUpstream(t, "", "")
+			u, other := newSlowUpstream(t, "", "close"), newSlowUpstream(t, "", "")
 			d, front := daemonAt(t, u.instance("i-1", 2))
 			for range 400 {
 				d.retryBudget.Request(d.now(), "svc")
@@ -349,7 +349,7 @@
 		})
 	}
 	t.Run("sent ahead", func(t *testing.T) {
-		u := newWorkingUpstream(t, "", "")
+		u := newSlowUpstream(t, "", "")
 		_, front := daemonAt(t, u.instance("i-1", 2))
 		client := connectTo(t, front)
 		io.WriteString(client, clientRequest("POST", "/once/200ms", "a", 0)+clientRequest("POST", "/once/1ms", "b", 0))
@@ -430,7 +430,7 @@
 		var ups []*slowUpstream
 		var instances []discovery.Instance
 		for i := range 3 {
-			u := newWorkingUpstream(t, "", "")
+			u := newSlowUpstream(t, "", "")
 			ups, instances = append(ups, u), append(instances, u.instance(fmt.Sprint("i-", i), 16))
 		}
 		_, front := daemonAt(t, instances...)
@@ -519,7 +519,7 @@
 
 // A connection whose request was sent ahead of the answer before it is not idle.
 func TestConnectionWithARequestSentAheadIsNotIdle(t *testing.T) {
-	u := newWorkingUpstream(t, "", "")
+	u := newSlowUpstream(t, "", "")
 	d, front := daemonAt(t, u.instance("i-1", 2))
 	client := connectTo(t, front)
 	io.WriteString(client, clientRequest("POST", "/once/1ms", "a", 0)+clientRequest("POST", "/once/300ms", "b", 0))
@@ -541,7 +541,7 @@
 // Requests that were read late, by a process that stood still, don't go on when their
 // clients have left meanwhile.
 func TestRequestsReadLateAreNotSentForClientsThatLeft(t *testing.T) {
-	u := newWorkingUpstream(t, "", "")
+	u := newSlowUpstream(t, "", "")
 	d, _ := daemonAt(t, u.instance("i-1", 20))
 	listener, err := net.Listen("tcp4", "127.0.0.1:0")
 	if err != nil {
@@ -574,7 +574,7 @@
 
 // A dial that takes long ends with a connection for others when the client has left.
 func TestSlowDialSendsNothingForAClientThatLeft(t *testing.T) {
-	u := newWorkingUpstream(t, "", "")
+	u := newSlowUpstream(t, "", "")
 	d, front := daemonAt(t, u.instance("i-1", 2))
 	dialling := make(chan struct{}, 1)
 	d.pool.dialer.Control = func(string, string, syscall.RawConn) error {
@@ -599,7 +599,7 @@
 
 // A cut run teaches that its upstream is slow, though not how slow.
 func TestCutRunShortensNoDelay(t *testing.T) {
-	u := newWorkingUpstream(t, "", "")
+	u := newSlowUpstream(t, "", "")
 	d, front := daemonAt(t, u.instance("i-1", 2))
 	delay := func() float64 {
 		d.pool.mu.Lock()
