--- a/internal/proxy/disconnect_test.go
+++ b/internal/proxy/disconnect_test.go
@@ -35,15 +35,15 @@
 // slowUpstream is an upstream stand-in that works for as long as the request's path
 // says (/safe/300ms), and drops a request whose connection closes.
 type slowUpstream struct {
-	listener net.Listener
-	mu       sync.Mutex
-	runs     []*upstreamRun
-	first    string // written before the work begins
-	last     string // written after it, instead of an answer; "close" closes
+	listener   net.Listener
+	mu         sync.Mutex
+	runs       []*upstreamRun
+	beforeWork string // written before the work begins
+	last       string // written after it, instead of an answer; "close" closes
 }
 
 func newSlowUpstream(t *testing.T, first, last string) *slowUpstream {
-	u := &slowUpstream{first: first, last: last}
+	u := &slowUpstream{beforeWork: first, last: last}
 	u.listener = upstream(t, func(c net.Conn, r *http.Request, _ string) bool { return u.serve(c, r) })
 	return u
 }
@@ -57,7 +57,7 @@
 	if err != nil {
 		work = 0
 	}
-	io.WriteString(c, u.first)
+	io.WriteString(c, u.beforeWork)
 	c.SetReadDeadline(time.Now().Add(work))
 	_, err = c.Read(make([]byte, 1))
 	timeout, ok := err.(net.Error)
