--- a/internal/proxy/disconnect_test.go
+++ b/internal/proxy/disconnect_test.go
@@ -39,11 +39,11 @@
 	mu         sync.Mutex
 	runs       []*upstreamRun
 	beforeWork string // written before the work begins
-	last       string // written after it, instead of an answer; "close" closes
+	afterWork  string // written after it, instead of an answer; "close" closes
 }
 
 func newSlowUpstream(t *testing.T, first, last string) *slowUpstream {
-	u := &slowUpstream{beforeWork: first, last: last}
+	u := &slowUpstream{beforeWork: first, afterWork: last}
 	u.listener = upstream(t, func(c net.Conn, r *http.Request, _ string) bool { return u.serve(c, r) })
 	return u
 }
@@ -65,12 +65,12 @@
 	u.mu.Lock()
 	run.ended, run.abandoned = time.Now(), !finished
 	u.mu.Unlock()
-	if !finished || u.last == "close" {
+	if !finished || u.afterWork == "close" {
 		return false
 	}
 	c.SetReadDeadline(time.Time{})
-	if u.last != "" {
-		io.WriteString(c, u.last)
+	if u.afterWork != "" {
+		io.WriteString(c, u.afterWork)
 		return true
 	}
 	io.WriteString(c, ok200(r))
