--- a/internal/proxy/cancellation_test.go
+++ b/internal/proxy/cancellation_test.go
@@ -68,7 +68,7 @@
 	d, front := daemonAt(t, instance)
 	d.pool.connCap = func(string) int { return 100 }
 	for range 3 {
-		before := len(u.seen())
+		before := len(u.recordedRuns())
 		var clients []net.Conn
 		for i := range 40 {
 			client := connectTo(t, front)
--- a/internal/proxy/disconnect_test.go
+++ b/internal/proxy/disconnect_test.go
@@ -83,8 +83,8 @@
 	return discovery.Instance{ID: id, Service: "svc", Address: u.listener.Addr().String(), Zone: "z", Slots: slots}
 }
 
-// seen is a copy of the runs so far.
-func (u *slowUpstream) seen() []upstreamRun {
+// recordedRuns is a copy of the runs so far.
+func (u *slowUpstream) recordedRuns() []upstreamRun {
 	u.mu.Lock()
 	defer u.mu.Unlock()
 	out := make([]upstreamRun, len(u.runs))
@@ -100,7 +100,7 @@
 	for end := time.Now().Add(5 * time.Second); ; time.Sleep(time.Millisecond) {
 		arrived := 0
 		for _, u := range upstreams {
-			arrived += len(u.seen())
+			arrived += len(u.recordedRuns())
 		}
 		if arrived >= n {
 			return
@@ -117,7 +117,7 @@
 	for end := time.Now().Add(8 * time.Second); ; time.Sleep(time.Millisecond) {
 		working := 0
 		for _, u := range upstreams {
-			for _, run := range u.seen() {
+			for _, run := range u.recordedRuns() {
 				if run.ended.IsZero() {
 					working++
 				}
@@ -206,7 +206,7 @@
 			}
 			left := time.Now()
 			awaitEnds(t, u, other)
-			for _, run := range append(u.seen(), other.seen()...) {
+			for _, run := range append(u.recordedRuns(), other.recordedRuns()...) {
 				after := run.ended.Sub(left)
 				if after > maxWorkAfterDisconnect+schedulingSlack {
 					t.Errorf("%s was at work %v after its client had left", run.path, after)
@@ -254,7 +254,7 @@
 	}
 	answered := time.Now()
 	awaitEnds(t, slow)
-	if after := slow.seen()[0].ended.Sub(answered); after > maxWorkAfterDisconnect+schedulingSlack {
+	if after := slow.recordedRuns()[0].ended.Sub(answered); after > maxWorkAfterDisconnect+schedulingSlack {
 		t.Errorf("the first offer was at work %v after the answer", after)
 	}
 }
@@ -272,7 +272,7 @@
 		for d.pool.Busy("svc") > 0 {
 			time.Sleep(time.Millisecond)
 		}
-		if runs := u.seen(); runs[n-1].abandoned {
+		if runs := u.recordedRuns(); runs[n-1].abandoned {
 			t.Error("a run of 60 ms was cut off")
 		}
 	}
@@ -291,7 +291,7 @@
 	awaitArrivals(t, 1, u)
 	client.Close()
 	awaitEnds(t, u)
-	if runs := u.seen(); runs[0].abandoned {
+	if runs := u.recordedRuns(); runs[0].abandoned {
 		t.Error("it was cut off")
 	}
 	for d.pool.Busy("svc") > 0 {
@@ -300,7 +300,7 @@
 	if status, _, err := fetch(front, "POST", "/once/1ms"); status != http.StatusOK || err != nil {
 		t.Fatal(status, err)
 	}
-	if runs, conns := len(u.seen()), d.pool.counters().newConns; runs != 2 || conns != 1 {
+	if runs, conns := len(u.recordedRuns()), d.pool.counters().newConns; runs != 2 || conns != 1 {
 		t.Errorf("%d runs over %d connections, want 2 over 1", runs, conns)
 	}
 }
@@ -321,7 +321,7 @@
 		client.Close()
 		left := time.Now()
 		time.Sleep(300 * time.Millisecond)
-		for _, run := range u.seen() {
+		for _, run := range u.recordedRuns() {
 			if run.began.After(left.Add(20 * time.Millisecond)) { // its end has been read by then
 				t.Errorf("%s of %s arrives %v after its client had left", run.path, run.id, run.began.Sub(left))
 			}
@@ -343,8 +343,8 @@
 			time.Sleep(300 * time.Millisecond)
 			d.retryBudget.mu.Lock()
 			defer d.retryBudget.mu.Unlock()
-			if len(other.seen()) > 0 || d.retryBudget.Spent > 0 {
-				t.Errorf("%d went to another upstream, %d taken from the retry budget", len(other.seen()), d.retryBudget.Spent)
+			if len(other.recordedRuns()) > 0 || d.retryBudget.Spent > 0 {
+				t.Errorf("%d went to another upstream, %d taken from the retry budget", len(other.recordedRuns()), d.retryBudget.Spent)
 			}
 		})
 	}
@@ -357,7 +357,7 @@
 		client.Close()
 		awaitEnds(t, u)
 		time.Sleep(200 * time.Millisecond)
-		if n := len(u.seen()); n != 1 {
+		if n := len(u.recordedRuns()); n != 1 {
 			t.Errorf("%d requests arrived, want the first alone", n)
 		}
 	})
@@ -443,7 +443,7 @@
 		awaitEnds(t, ups...)
 		runs := map[string][]upstreamRun{}
 		for _, u := range ups {
-			for _, run := range u.seen() {
+			for _, run := range u.recordedRuns() {
 				runs[run.id] = append(runs[run.id], run)
 			}
 		}
@@ -565,7 +565,7 @@
 	for end := time.Now().Add(3 * time.Second); d.open.Load() > 0 && time.Now().Before(end); {
 		time.Sleep(time.Millisecond)
 	}
-	for _, run := range u.seen() {
+	for _, run := range u.recordedRuns() {
 		if run.id != "stays" {
 			t.Errorf("%s of %s was sent on", run.path, run.id)
 		}
@@ -589,7 +589,7 @@
 	for end := time.Now().Add(3 * time.Second); d.open.Load() > 0 && time.Now().Before(end); {
 		time.Sleep(time.Millisecond)
 	}
-	if n := len(u.seen()); n != 0 {
+	if n := len(u.recordedRuns()); n != 0 {
 		t.Errorf("%d requests arrived", n)
 	}
 	if open, idle := connsOpen(d.Proxy); open != 1 || idle != 1 {
