--- a/internal/proxy/cancellation_test.go
+++ b/internal/proxy/cancellation_test.go
@@ -92,7 +92,7 @@
 			})
 		}
 		wg.Wait()
-		awaitEnds(t, u)
+		awaitRunsEnded(t, u)
 	}
 	for d.pool.Busy("svc") > 0 {
 		time.Sleep(time.Millisecond)
--- a/internal/proxy/disconnect_test.go
+++ b/internal/proxy/disconnect_test.go
@@ -111,8 +111,8 @@
 	}
 }
 
-// awaitEnds waits until no upstream is at work.
-func awaitEnds(t *testing.T, upstreams ...*slowUpstream) {
+// awaitRunsEnded waits until no upstream is at work.
+func awaitRunsEnded(t *testing.T, upstreams ...*slowUpstream) {
 	t.Helper()
 	for end := time.Now().Add(8 * time.Second); ; time.Sleep(time.Millisecond) {
 		working := 0
@@ -205,7 +205,7 @@
 				client.Close()
 			}
 			left := time.Now()
-			awaitEnds(t, u, other)
+			awaitRunsEnded(t, u, other)
 			for _, run := range append(u.recordedRuns(), other.recordedRuns()...) {
 				after := run.ended.Sub(left)
 				if after > maxWorkAfterDisconnect+schedulingSlack {
@@ -253,7 +253,7 @@
 		t.Fatal(resp, err)
 	}
 	answered := time.Now()
-	awaitEnds(t, slow)
+	awaitRunsEnded(t, slow)
 	if after := slow.recordedRuns()[0].ended.Sub(answered); after > maxWorkAfterDisconnect+schedulingSlack {
 		t.Errorf("the first offer was at work %v after the answer", after)
 	}
@@ -268,7 +268,7 @@
 		io.WriteString(client, clientRequest("GET", "/safe/60ms", "a", 0))
 		awaitArrivals(t, n, u)
 		client.Close()
-		awaitEnds(t, u)
+		awaitRunsEnded(t, u)
 		for d.pool.Busy("svc") > 0 {
 			time.Sleep(time.Millisecond)
 		}
@@ -290,7 +290,7 @@
 	io.WriteString(client, clientRequest("POST", "/once/900ms", "a", 2)+"hi")
 	awaitArrivals(t, 1, u)
 	client.Close()
-	awaitEnds(t, u)
+	awaitRunsEnded(t, u)
 	if runs := u.recordedRuns(); runs[0].abandoned {
 		t.Error("it was cut off")
 	}
@@ -339,7 +339,7 @@
 			awaitArrivals(t, 1, u)
 			d.inForce(fmt.Sprintf(testConfig, 1), 1, []discovery.Instance{u.instance("i-1", 2), other.instance("i-2", 2)})
 			client.Close()
-			awaitEnds(t, u)
+			awaitRunsEnded(t, u)
 			time.Sleep(300 * time.Millisecond)
 			d.retryBudget.mu.Lock()
 			defer d.retryBudget.mu.Unlock()
@@ -355,7 +355,7 @@
 		io.WriteString(client, clientRequest("POST", "/once/200ms", "a", 0)+clientRequest("POST", "/once/1ms", "b", 0))
 		awaitArrivals(t, 1, u)
 		client.Close()
-		awaitEnds(t, u)
+		awaitRunsEnded(t, u)
 		time.Sleep(200 * time.Millisecond)
 		if n := len(u.recordedRuns()); n != 1 {
 			t.Errorf("%d requests arrived, want the first alone", n)
@@ -440,7 +440,7 @@
 			wg.Go(func() { c.play(front) })
 		}
 		wg.Wait()
-		awaitEnds(t, ups...)
+		awaitRunsEnded(t, ups...)
 		runs := map[string][]upstreamRun{}
 		for _, u := range ups {
 			for _, run := range u.recordedRuns() {
@@ -614,7 +614,7 @@
 		if n > 0 {
 			client.Close()
 		}
-		awaitEnds(t, u)
+		awaitRunsEnded(t, u)
 		for d.pool.Busy("svc") > 0 {
 			time.Sleep(time.Millisecond)
 		}
