--- a/internal/proxy/cancellation_test.go
+++ b/internal/proxy/cancellation_test.go
@@ -71,7 +71,7 @@
 		before := len(u.recordedRuns())
 		var clients []net.Conn
 		for i := range 40 {
-			client := connectTo(t, front)
+			client := dialFrontend(t, front)
 			work := constants.CancelGrace + time.Duration(i-20)*time.Millisecond/2
 			io.WriteString(client, clientRequest("GET", "/safe/"+work.String(), fmt.Sprint("c", i), 0))
 			clients = append(clients, client)
--- a/internal/proxy/contract_test.go
+++ b/internal/proxy/contract_test.go
@@ -136,7 +136,7 @@
 		return []string{"", "HTTP/1.1 200 OK\r\nContent-Le", ok(r, "x")}[n%3], n%3 < 2
 	})
 	_, front := daemonAt(t, u.instance("i-1"))
-	client := connectTo(t, front)
+	client := dialFrontend(t, front)
 	answers := bufio.NewReader(client)
 	for n := range 9 {
 		io.WriteString(client, clientRequest("POST", "/once/x", fmt.Sprint("a", n), 0))
--- a/internal/proxy/disconnect_test.go
+++ b/internal/proxy/disconnect_test.go
@@ -138,7 +138,7 @@
 		method, path, id, bodyLength)
 }
 
-func connectTo(t *testing.T, front string) net.Conn {
+func dialFrontend(t *testing.T, front string) net.Conn {
 	t.Helper()
 	c, err := net.Dial("tcp4", front)
 	if err != nil {
@@ -193,7 +193,7 @@
 			for range 400 { // budget for the second offer
 				d.retryBudget.Request(d.now(), "svc")
 			}
-			client := connectTo(t, front)
+			client := dialFrontend(t, front)
 			io.WriteString(client, c.requests)
 			awaitArrivals(t, c.arrivals, u, other)
 			if c.first != "" { // it begins to be passed on
@@ -244,7 +244,7 @@
 	for range 400 {
 		d.retryBudget.Request(d.now(), "svc")
 	}
-	client := connectTo(t, front)
+	client := dialFrontend(t, front)
 	io.WriteString(client, clientRequest("GET", "/safe/1900ms", "a", 0))
 	awaitArrivals(t, 1, slow)
 	d.inForce(fmt.Sprintf(testConfig, 1), 1, []discovery.Instance{slow.instance("i-1", 2), quick.instance("i-2")})
@@ -264,7 +264,7 @@
 	u := newSlowUpstream(t, "", "")
 	d, front := daemonAt(t, u.instance("i-1", 2))
 	for n := 1; n <= 3; n++ {
-		client := connectTo(t, front)
+		client := dialFrontend(t, front)
 		io.WriteString(client, clientRequest("GET", "/safe/60ms", "a", 0))
 		awaitArrivals(t, n, u)
 		client.Close()
@@ -286,7 +286,7 @@
 func TestRunOnceIsNotBrokenOff(t *testing.T) {
 	u := newSlowUpstream(t, "", "")
 	d, front := daemonAt(t, u.instance("i-1", 2))
-	client := connectTo(t, front)
+	client := dialFrontend(t, front)
 	io.WriteString(client, clientRequest("POST", "/once/900ms", "a", 2)+"hi")
 	awaitArrivals(t, 1, u)
 	client.Close()
@@ -312,10 +312,10 @@
 		u := newSlowUpstream(t, "", "")
 		_, front := daemonAt(t, u.instance("i-1", 1))
 		for range 2 { // its places are taken
-			io.WriteString(connectTo(t, front), clientRequest("POST", "/once/85ms", "busy", 2)+"hi")
+			io.WriteString(dialFrontend(t, front), clientRequest("POST", "/once/85ms", "busy", 2)+"hi")
 		}
 		awaitArrivals(t, 2, u)
-		client := connectTo(t, front)
+		client := dialFrontend(t, front)
 		io.WriteString(client, clientRequest("POST", "/once/1ms", "a", 2)+"hi")
 		time.Sleep(20 * time.Millisecond)
 		client.Close()
@@ -334,7 +334,7 @@
 			for range 400 {
 				d.retryBudget.Request(d.now(), "svc")
 			}
-			client := connectTo(t, front)
+			client := dialFrontend(t, front)
 			io.WriteString(client, clientRequest("GET", path, "a", 0))
 			awaitArrivals(t, 1, u)
 			d.inForce(fmt.Sprintf(testConfig, 1), 1, []discovery.Instance{u.instance("i-1", 2), other.instance("i-2", 2)})
@@ -351,7 +351,7 @@
 	t.Run("sent ahead", func(t *testing.T) {
 		u := newSlowUpstream(t, "", "")
 		_, front := daemonAt(t, u.instance("i-1", 2))
-		client := connectTo(t, front)
+		client := dialFrontend(t, front)
 		io.WriteString(client, clientRequest("POST", "/once/200ms", "a", 0)+clientRequest("POST", "/once/1ms", "b", 0))
 		awaitArrivals(t, 1, u)
 		client.Close()
@@ -502,7 +502,7 @@
 	whole := strings.Repeat("x", 32<<20)
 	u := newRawUpstream(t, func(_ int, r *http.Request) (string, bool) { return ok(r, whole), false })
 	d, front := daemonAt(t, u.instance("i-1"))
-	client := connectTo(t, front)
+	client := dialFrontend(t, front)
 	client.(*net.TCPConn).SetReadBuffer(4 << 10)
 	io.WriteString(client, strings.Replace(clientRequest("GET", "/safe/x", "a", 0), "9000", "300", 1))
 	for end := time.Now().Add(5 * time.Second); u.count() == 0; time.Sleep(time.Millisecond) {
@@ -521,7 +521,7 @@
 func TestConnectionWithARequestSentAheadIsNotIdle(t *testing.T) {
 	u := newSlowUpstream(t, "", "")
 	d, front := daemonAt(t, u.instance("i-1", 2))
-	client := connectTo(t, front)
+	client := dialFrontend(t, front)
 	io.WriteString(client, clientRequest("POST", "/once/1ms", "a", 0)+clientRequest("POST", "/once/300ms", "b", 0))
 	awaitArrivals(t, 2, u)
 	d.frontend.closeIdle(time.Now().Add(time.Hour))
@@ -551,11 +551,11 @@
 	late := newFrontend(listener, d.Proxy, func() config.Limits { return config.Limits{} }, time.Second)
 	t.Cleanup(late.close)
 	for i := range 30 {
-		client := connectTo(t, listener.Addr().String())
+		client := dialFrontend(t, listener.Addr().String())
 		io.WriteString(client, clientRequest([]string{"GET", "POST"}[i%2], []string{"/safe/1ms", "/once/1ms", "/flow/1ms"}[i%3], fmt.Sprint("c", i), 0))
 		client.Close()
 	}
-	stays := connectTo(t, listener.Addr().String())
+	stays := dialFrontend(t, listener.Addr().String())
 	io.WriteString(stays, clientRequest("GET", "/safe/1ms", "stays", 0))
 	time.Sleep(constants.LagLong + 50*time.Millisecond)
 	go late.serve()
@@ -582,7 +582,7 @@
 		time.Sleep(120 * time.Millisecond)
 		return nil
 	}
-	client := connectTo(t, front)
+	client := dialFrontend(t, front)
 	io.WriteString(client, clientRequest("POST", "/once/1ms", "a", 0))
 	<-dialling
 	client.Close()
@@ -608,7 +608,7 @@
 	}
 	for n, path := range []string{"/safe/400ms", "/safe/1900ms"} {
 		before := delay()
-		client := connectTo(t, front)
+		client := dialFrontend(t, front)
 		io.WriteString(client, clientRequest("GET", path, "a", 0))
 		awaitArrivals(t, n+1, u)
 		if n > 0 {
--- a/internal/proxy/hold_test.go
+++ b/internal/proxy/hold_test.go
@@ -22,7 +22,7 @@
 			u := newRawUpstream(t, func(_ int, r *http.Request) (string, bool) { return ok(r, "x"), false })
 			srv := httptest.NewServer(newProxy(t, u.instance("i-1")))
 			defer srv.Close()
-			conn := connectTo(t, srv.Listener.Addr().String())
+			conn := dialFrontend(t, srv.Listener.Addr().String())
 			conn.SetDeadline(time.Now().Add(3 * time.Second))
 			began := time.Now()
 			fmt.Fprintf(conn, "POST /once/ HTTP/1.1\r\nHost: h.example\r\nX-Slateridge-Attempt-Id: id-1\r\nX-Slateridge-Time-Budget-Ms: 300\r\nX-Api-Key: k1\r\nContent-Length: %d\r\n\r\n%s",
@@ -50,7 +50,7 @@
 			})
 			srv := httptest.NewServer(newProxy(t, u.instance("i-1")))
 			defer srv.Close()
-			conn := connectTo(t, srv.Listener.Addr().String())
+			conn := dialFrontend(t, srv.Listener.Addr().String())
 			conn.SetDeadline(time.Now().Add(10 * time.Second))
 			br := bufio.NewReader(conn)
 			for n := range 2 {
