--- a/internal/proxy/disconnect_test.go
+++ b/internal/proxy/disconnect_test.go
@@ -363,8 +363,8 @@
 	})
 }
 
-// departure is a client of the seeded run below and what it does.
-type departure struct {
+// disconnectingClient is a client of the seeded run below and what it does.
+type disconnectingClient struct {
 	id, kind    string
 	work, stays time.Duration // stays 0: until its answer
 	reset       bool
@@ -375,11 +375,11 @@
 }
 
 // drawDepartures draws clients by seed.
-func drawDepartures(seed uint64, n int) []*departure {
+func drawDepartures(seed uint64, n int) []*disconnectingClient {
 	lot := rand.New(rand.NewPCG(seed, 7))
-	out := make([]*departure, n)
+	out := make([]*disconnectingClient, n)
 	for i := range out {
-		d := &departure{id: fmt.Sprint("c", i), kind: []string{"safe", "safe", "once", "flow"}[lot.IntN(4)]}
+		d := &disconnectingClient{id: fmt.Sprint("c", i), kind: []string{"safe", "safe", "once", "flow"}[lot.IntN(4)]}
 		d.work = time.Duration(20+lot.IntN(1500)) * time.Millisecond
 		if lot.IntN(3) > 0 {
 			d.stays = time.Duration(1+lot.IntN(400)) * time.Millisecond
@@ -390,7 +390,7 @@
 	return out
 }
 
-func (d *departure) play(front string) {
+func (d *disconnectingClient) play(front string) {
 	c, err := net.Dial("tcp4", front)
 	if err != nil {
 		d.err = err
@@ -455,7 +455,7 @@
 }
 
 // check holds a client's runs against the rules.
-func (d *departure) check(t *testing.T, runs []upstreamRun) {
+func (d *disconnectingClient) check(t *testing.T, runs []upstreamRun) {
 	t.Helper()
 	if d.stays == 0 {
 		if d.err != nil || d.status != http.StatusOK {
@@ -484,7 +484,7 @@
 
 // checkAhead holds what a client sent ahead against the rules: it goes on only where the
 // request before it had been answered.
-func (d *departure) checkAhead(t *testing.T, runs []upstreamRun) {
+func (d *disconnectingClient) checkAhead(t *testing.T, runs []upstreamRun) {
 	t.Helper()
 	for _, run := range runs {
 		if d.work > d.stays+schedulingSlack {
