--- a/internal/proxy/disconnect_test.go
+++ b/internal/proxy/disconnect_test.go
@@ -374,8 +374,8 @@
 	err         error
 }
 
-// drawDepartures draws clients by seed.
-func drawDepartures(seed uint64, n int) []*disconnectingClient {
+// generateClients draws clients by seed.
+func generateClients(seed uint64, n int) []*disconnectingClient {
 	lot := rand.New(rand.NewPCG(seed, 7))
 	out := make([]*disconnectingClient, n)
 	for i := range out {
@@ -434,7 +434,7 @@
 			ups, instances = append(ups, u), append(instances, u.instance(fmt.Sprint("i-", i), 16))
 		}
 		_, front := daemonAt(t, instances...)
-		clients := drawDepartures(seed, 60)
+		clients := generateClients(seed, 60)
 		var wg sync.WaitGroup
 		for _, c := range clients {
 			wg.Go(func() { c.play(front) })
