--- a/internal/proxy/disconnect_test.go
+++ b/internal/proxy/disconnect_test.go
@@ -365,13 +365,13 @@
 
 // disconnectingClient is a client of the seeded run below and what it does.
 type disconnectingClient struct {
-	id, kind    string
-	work, stays time.Duration // stays 0: until its answer
-	reset       bool
-	ahead       bool // it sends another request before it leaves
-	left        time.Time
-	status      int
-	err         error
+	id, kind              string
+	work, disconnectAfter time.Duration // stays 0: until its answer
+	reset                 bool
+	ahead                 bool // it sends another request before it leaves
+	left                  time.Time
+	status                int
+	err                   error
 }
 
 // generateClients draws clients by seed.
@@ -382,7 +382,7 @@
 		d := &disconnectingClient{id: fmt.Sprint("c", i), kind: []string{"safe", "safe", "once", "flow"}[lot.IntN(4)]}
 		d.work = time.Duration(20+lot.IntN(1500)) * time.Millisecond
 		if lot.IntN(3) > 0 {
-			d.stays = time.Duration(1+lot.IntN(400)) * time.Millisecond
+			d.disconnectAfter = time.Duration(1+lot.IntN(400)) * time.Millisecond
 		}
 		d.reset, d.ahead = lot.IntN(3) == 0, lot.IntN(4) == 0
 		out[i] = d
@@ -399,7 +399,7 @@
 	defer c.Close()
 	c.SetDeadline(time.Now().Add(10 * time.Second))
 	io.WriteString(c, clientRequest("POST", fmt.Sprintf("/%s/%s", d.kind, d.work), d.id, 2)+"hi")
-	if d.stays == 0 {
+	if d.disconnectAfter == 0 {
 		resp, err := http.ReadResponse(bufio.NewReader(c), nil)
 		if err != nil {
 			d.err = err
@@ -409,7 +409,7 @@
 		d.status = resp.StatusCode
 		return
 	}
-	time.Sleep(d.stays)
+	time.Sleep(d.disconnectAfter)
 	if d.ahead {
 		io.WriteString(c, clientRequest("GET", "/safe/900ms", d.id+"-ahead", 0))
 		time.Sleep(5 * time.Millisecond)
@@ -457,7 +457,7 @@
 // check holds a client's runs against the rules.
 func (d *disconnectingClient) check(t *testing.T, runs []upstreamRun) {
 	t.Helper()
-	if d.stays == 0 {
+	if d.disconnectAfter == 0 {
 		if d.err != nil || d.status != http.StatusOK {
 			t.Errorf("%+v: not served", *d)
 		}
@@ -487,7 +487,7 @@
 func (d *disconnectingClient) checkAhead(t *testing.T, runs []upstreamRun) {
 	t.Helper()
 	for _, run := range runs {
-		if d.work > d.stays+schedulingSlack {
+		if d.work > d.disconnectAfter+schedulingSlack {
 			t.Errorf("%+v: what it had sent ahead ran", *d)
 		}
 		if late := run.ended.Sub(d.left); late > maxWorkAfterDisconnect+schedulingSlack {
