--- a/internal/proxy/disconnect_test.go
+++ b/internal/proxy/disconnect_test.go
@@ -368,7 +368,7 @@
 	id, kind              string
 	work, disconnectAfter time.Duration // stays 0: until its answer
 	reset                 bool
-	ahead                 bool // it sends another request before it leaves
+	pipelines             bool // it sends another request before it leaves
 	left                  time.Time
 	status                int
 	err                   error
@@ -384,7 +384,7 @@
 		if lot.IntN(3) > 0 {
 			d.disconnectAfter = time.Duration(1+lot.IntN(400)) * time.Millisecond
 		}
-		d.reset, d.ahead = lot.IntN(3) == 0, lot.IntN(4) == 0
+		d.reset, d.pipelines = lot.IntN(3) == 0, lot.IntN(4) == 0
 		out[i] = d
 	}
 	return out
@@ -410,7 +410,7 @@
 		return
 	}
 	time.Sleep(d.disconnectAfter)
-	if d.ahead {
+	if d.pipelines {
 		io.WriteString(c, clientRequest("GET", "/safe/900ms", d.id+"-ahead", 0))
 		time.Sleep(5 * time.Millisecond)
 	}
