--- a/internal/proxy/disconnect_test.go
+++ b/internal/proxy/disconnect_test.go
@@ -369,7 +369,7 @@
 	work, disconnectAfter time.Duration // stays 0: until its answer
 	reset                 bool
 	pipelines             bool // it sends another request before it leaves
-	left                  time.Time
+	disconnectedAt        time.Time
 	status                int
 	err                   error
 }
@@ -418,7 +418,7 @@
 		c.(*net.TCPConn).SetLinger(0)
 	}
 	c.Close()
-	d.left = time.Now()
+	d.disconnectedAt = time.Now()
 }
 
 // Clients of all kinds, drawn by seed, leave at any moment and in any manner, before
@@ -467,7 +467,7 @@
 		t.Errorf("%+v: ran %d times", *d, len(runs))
 	}
 	for _, run := range runs {
-		if late := run.began.Sub(d.left); late > maxWorkAfterDisconnect {
+		if late := run.began.Sub(d.disconnectedAt); late > maxWorkAfterDisconnect {
 			t.Errorf("%+v: arrives %v after it left", *d, late)
 		}
 		if d.kind == "once" {
@@ -476,7 +476,7 @@
 			}
 			continue
 		}
-		if late := run.ended.Sub(d.left); late > maxWorkAfterDisconnect+schedulingSlack {
+		if late := run.ended.Sub(d.disconnectedAt); late > maxWorkAfterDisconnect+schedulingSlack {
 			t.Errorf("%+v: at work %v after it left", *d, late)
 		}
 	}
@@ -490,7 +490,7 @@
 		if d.work > d.disconnectAfter+schedulingSlack {
 			t.Errorf("%+v: what it had sent ahead ran", *d)
 		}
-		if late := run.ended.Sub(d.left); late > maxWorkAfterDisconnect+schedulingSlack {
+		if late := run.ended.Sub(d.disconnectedAt); late > maxWorkAfterDisconnect+schedulingSlack {
 			t.Errorf("%+v: what it had sent ahead is at work %v after it left", *d, late)
 		}
 	}
