--- a/internal/proxy/disconnect_test.go
+++ b/internal/proxy/disconnect_test.go
@@ -390,7 +390,7 @@
 	return out
 }
 
-func (d *disconnectingClient) play(front string) {
+func (d *disconnectingClient) run(front string) {
 	c, err := net.Dial("tcp4", front)
 	if err != nil {
 		d.err = err
@@ -437,7 +437,7 @@
 		clients := generateClients(seed, 60)
 		var wg sync.WaitGroup
 		for _, c := range clients {
-			wg.Go(func() { c.play(front) })
+			wg.Go(func() { c.run(front) })
 		}
 		wg.Wait()
 		awaitRunsEnded(t, ups...)
