--- a/internal/proxy/disconnect_test.go
+++ b/internal/proxy/disconnect_test.go
@@ -448,14 +448,14 @@
 			}
 		}
 		for _, c := range clients {
-			c.check(t, runs[c.id])
+			c.checkRuns(t, runs[c.id])
 			c.checkAhead(t, runs[c.id+"-ahead"])
 		}
 	}
 }
 
-// check holds a client's runs against the rules.
-func (d *disconnectingClient) check(t *testing.T, runs []upstreamRun) {
+// checkRuns holds a client's runs against the rules.
+func (d *disconnectingClient) checkRuns(t *testing.T, runs []upstreamRun) {
 	t.Helper()
 	if d.disconnectAfter == 0 {
 		if d.err != nil || d.status != http.StatusOK {
