--- a/internal/proxy/disconnect_test.go
+++ b/internal/proxy/disconnect_test.go
@@ -449,7 +449,7 @@
 		}
 		for _, c := range clients {
 			c.checkRuns(t, runs[c.id])
-			c.checkAhead(t, runs[c.id+"-ahead"])
+			c.checkPipelinedRuns(t, runs[c.id+"-ahead"])
 		}
 	}
 }
@@ -482,9 +482,9 @@
 	}
 }
 
-// checkAhead holds what a client sent ahead against the rules: it goes on only where the
+// checkPipelinedRuns holds what a client sent ahead against the rules: it goes on only where the
 // request before it had been answered.
-func (d *disconnectingClient) checkAhead(t *testing.T, runs []upstreamRun) {
+func (d *disconnectingClient) checkPipelinedRuns(t *testing.T, runs []upstreamRun) {
 	t.Helper()
 	for _, run := range runs {
 		if d.work > d.disconnectAfter+schedulingSlack {
