--- a/internal/proxy/clientheader_test.go
+++ b/internal/proxy/clientheader_test.go
@@ -15,8 +15,8 @@
 	"slateridge/internal/config"
 )
 
-// keptClient is a client with one connection to a frontend whose bounds a test changes.
-type keptClient struct {
+// persistentClient is a client with one connection to a frontend whose bounds a test changes.
+type persistentClient struct {
 	t    *testing.T
 	conn net.Conn
 	read *bufio.Reader
@@ -24,7 +24,7 @@
 
 // boundedFrontend serves with the bounds that limits holds, also put into the configuration
 // that requests are matched to.
-func boundedFrontend(t *testing.T) (limits *atomic.Pointer[config.Limits], connect func() *keptClient) {
+func boundedFrontend(t *testing.T) (limits *atomic.Pointer[config.Limits], connect func() *persistentClient) {
 	u := newRawUpstream(t, func(_ int, r *http.Request) (string, bool) { return ok(r, "x"), false })
 	s := newProxy(t, u.instance("i-1"))
 	limits = &atomic.Pointer[config.Limits]{}
@@ -41,13 +41,13 @@
 	}), func() config.Limits { return *limits.Load() }, time.Second)
 	go g.serve()
 	t.Cleanup(g.close)
-	return limits, func() *keptClient {
+	return limits, func() *persistentClient {
 		conn, err := net.Dial("tcp4", l.Addr().String())
 		if err != nil {
 			t.Fatal(err)
 		}
 		t.Cleanup(func() { conn.Close() })
-		return &keptClient{t, conn, bufio.NewReader(conn)}
+		return &persistentClient{t, conn, bufio.NewReader(conn)}
 	}
 }
 
@@ -55,7 +55,7 @@
 	return "GET /open/ HTTP/1.1\r\nHost: h.example\r\nX-Slateridge-Attempt-Id: id-1\r\nX-Filler: " + strings.Repeat("f", bytes) + "\r\n\r\n"
 }
 
-func (c *keptClient) status() int {
+func (c *persistentClient) status() int {
 	c.t.Helper()
 	c.conn.SetReadDeadline(time.Now().Add(5 * time.Second))
 	resp, err := http.ReadResponse(c.read, nil)
@@ -67,7 +67,7 @@
 	return resp.StatusCode
 }
 
-func (c *keptClient) request(bytes int) int {
+func (c *persistentClient) request(bytes int) int {
 	c.t.Helper()
 	io.WriteString(c.conn, headerOf(bytes))
 	return c.status()
@@ -79,7 +79,7 @@
 	limits, connect := boundedFrontend(t)
 	limits.Store(&config.Limits{HeaderBytes: 8 << 10})
 	raised, over, far := connect(), connect(), connect()
-	for _, c := range []*keptClient{raised, over, far} {
+	for _, c := range []*persistentClient{raised, over, far} {
 		if code := c.request(4 << 10); code != http.StatusOK {
 			t.Fatalf("inside the first bound: %d", code)
 		}
@@ -158,7 +158,7 @@
 func TestHeaderTimeReachesOpenConnections(t *testing.T) {
 	limits, connect := boundedFrontend(t)
 	limits.Store(&config.Limits{HeaderTimeout: 200 * time.Millisecond})
-	slow := func(c *keptClient, pause time.Duration) error {
+	slow := func(c *persistentClient, pause time.Duration) error {
 		half := headerOf(100)
 		io.WriteString(c.conn, half[:30])
 		time.Sleep(pause)
