--- a/internal/proxy/clientheader_test.go
+++ b/internal/proxy/clientheader_test.go
@@ -17,9 +17,9 @@
 
 // persistentClient is a client with one connection to a frontend whose bounds a test changes.
 type persistentClient struct {
-	t    *testing.T
-	conn net.Conn
-	read *bufio.Reader
+	t      *testing.T
+	conn   net.Conn
+	reader *bufio.Reader
 }
 
 // boundedFrontend serves with the bounds that limits holds, also put into the configuration
@@ -58,7 +58,7 @@
 func (c *persistentClient) status() int {
 	c.t.Helper()
 	c.conn.SetReadDeadline(time.Now().Add(5 * time.Second))
-	resp, err := http.ReadResponse(c.read, nil)
+	resp, err := http.ReadResponse(c.reader, nil)
 	if err != nil {
 		c.t.Fatalf("no answer: %v", err)
 	}
@@ -164,7 +164,7 @@
 		time.Sleep(pause)
 		io.WriteString(c.conn, half[30:])
 		c.conn.SetReadDeadline(time.Now().Add(5 * time.Second))
-		resp, err := http.ReadResponse(c.read, nil)
+		resp, err := http.ReadResponse(c.reader, nil)
 		if err == nil && resp.StatusCode != http.StatusOK {
 			err = fmt.Errorf("status %d", resp.StatusCode)
 		}
@@ -194,7 +194,7 @@
 	fresh := connect()
 	began := time.Now()
 	fresh.conn.SetReadDeadline(time.Now().Add(5 * time.Second))
-	if _, err := fresh.read.ReadByte(); err == nil || time.Since(began) > 2*time.Second {
+	if _, err := fresh.reader.ReadByte(); err == nil || time.Since(began) > 2*time.Second {
 		t.Errorf("a new connection without a request ended after %v with %v, want soon after 200 ms", time.Since(began), err)
 	}
 }
