--- a/internal/proxy/clientheader_test.go
+++ b/internal/proxy/clientheader_test.go
@@ -22,9 +22,9 @@
 	reader *bufio.Reader
 }
 
-// boundedFrontend serves with the bounds that limits holds, also put into the configuration
+// newLimitedFrontend serves with the bounds that limits holds, also put into the configuration
 // that requests are matched to.
-func boundedFrontend(t *testing.T) (limits *atomic.Pointer[config.Limits], connect func() *persistentClient) {
+func newLimitedFrontend(t *testing.T) (limits *atomic.Pointer[config.Limits], connect func() *persistentClient) {
 	u := newRawUpstream(t, func(_ int, r *http.Request) (string, bool) { return ok(r, "x"), false })
 	s := newProxy(t, u.instance("i-1"))
 	limits = &atomic.Pointer[config.Limits]{}
@@ -76,7 +76,7 @@
 // A changed bound on headers holds for connections that are open, raised or lowered, and
 // what exceeds it gets 431 whole, however much of it comes.
 func TestHeaderBoundReachesOpenConnections(t *testing.T) {
-	limits, connect := boundedFrontend(t)
+	limits, connect := newLimitedFrontend(t)
 	limits.Store(&config.Limits{HeaderBytes: 8 << 10})
 	raised, over, far := connect(), connect(), connect()
 	for _, c := range []*persistentClient{raised, over, far} {
@@ -107,7 +107,7 @@
 // above what they send.
 func TestHeaderBoundChangesUnderSteadyTraffic(t *testing.T) {
 	const clients, requests = 8, 60
-	limits, connect := boundedFrontend(t)
+	limits, connect := newLimitedFrontend(t)
 	limits.Store(&config.Limits{HeaderBytes: 8 << 10, HeaderTimeout: time.Second})
 	var group sync.WaitGroup
 	done := make(chan struct{})
@@ -136,7 +136,7 @@
 // Requests sent ahead on a connection are each judged by themselves.
 func TestHeaderBoundOfPipelinedRequests(t *testing.T) {
 	const ahead = 12
-	limits, connect := boundedFrontend(t)
+	limits, connect := newLimitedFrontend(t)
 	limits.Store(&config.Limits{HeaderBytes: 8 << 10})
 	c := connect()
 	go io.WriteString(c.conn, strings.Repeat(headerOf(3<<10), ahead)+headerOf(64<<10))
@@ -156,7 +156,7 @@
 // The time that headers may take follows the configuration, also while they come; a
 // connection that only rests is not bound by it.
 func TestHeaderTimeReachesOpenConnections(t *testing.T) {
-	limits, connect := boundedFrontend(t)
+	limits, connect := newLimitedFrontend(t)
 	limits.Store(&config.Limits{HeaderTimeout: 200 * time.Millisecond})
 	slow := func(c *persistentClient, pause time.Duration) error {
 		half := headerOf(100)
