--- a/internal/proxy/clientheader_test.go
+++ b/internal/proxy/clientheader_test.go
@@ -51,7 +51,7 @@
 	}
 }
 
-func headerOf(bytes int) string {
+func requestWithFiller(bytes int) string {
 	return "GET /open/ HTTP/1.1\r\nHost: h.example\r\nX-Slateridge-Attempt-Id: id-1\r\nX-Filler: " + strings.Repeat("f", bytes) + "\r\n\r\n"
 }
 
@@ -69,7 +69,7 @@
 
 func (c *persistentClient) request(bytes int) int {
 	c.t.Helper()
-	io.WriteString(c.conn, headerOf(bytes))
+	io.WriteString(c.conn, requestWithFiller(bytes))
 	return c.status()
 }
 
@@ -97,7 +97,7 @@
 	if code := over.request(9 << 10); code != http.StatusRequestHeaderFieldsTooLarge {
 		t.Errorf("a little over the lowered bound: %d", code)
 	}
-	go io.WriteString(far.conn, headerOf(4<<20))
+	go io.WriteString(far.conn, requestWithFiller(4<<20))
 	if code := far.status(); code != http.StatusRequestHeaderFieldsTooLarge {
 		t.Errorf("far over the lowered bound: %d", code)
 	}
@@ -139,7 +139,7 @@
 	limits, connect := newLimitedFrontend(t)
 	limits.Store(&config.Limits{HeaderBytes: 8 << 10})
 	c := connect()
-	go io.WriteString(c.conn, strings.Repeat(headerOf(3<<10), ahead)+headerOf(64<<10))
+	go io.WriteString(c.conn, strings.Repeat(requestWithFiller(3<<10), ahead)+requestWithFiller(64<<10))
 	for n := range ahead {
 		if n == ahead/2 {
 			limits.Store(&config.Limits{HeaderBytes: 4 << 10})
@@ -159,7 +159,7 @@
 	limits, connect := newLimitedFrontend(t)
 	limits.Store(&config.Limits{HeaderTimeout: 200 * time.Millisecond})
 	slow := func(c *persistentClient, pause time.Duration) error {
-		half := headerOf(100)
+		half := requestWithFiller(100)
 		io.WriteString(c.conn, half[:30])
 		time.Sleep(pause)
 		io.WriteString(c.conn, half[30:])
