--- a/internal/proxy/frontend_test.go
+++ b/internal/proxy/frontend_test.go
@@ -14,9 +14,9 @@
 	"slateridge/internal/constants"
 )
 
-// restingClient opens a connection to a frontend whose idle bound is read from idle, and
+// newIdleClient opens a connection to a frontend whose idle bound is read from idle, and
 // returns a function that sends one request over it.
-func restingClient(t *testing.T, idle *atomic.Int64) (*frontend, func() error) {
+func newIdleClient(t *testing.T, idle *atomic.Int64) (*frontend, func() error) {
 	u := newRawUpstream(t, func(_ int, r *http.Request) (string, bool) { return ok(r, "x"), false })
 	s := newProxy(t, u.instance("i-1"))
 	l, err := net.Listen("tcp4", "127.0.0.1:0")
@@ -57,7 +57,7 @@
 func TestRaisedIdleBoundReachesOpenConnections(t *testing.T) {
 	var idle atomic.Int64
 	idle.Store(int64(300 * time.Millisecond))
-	_, request := restingClient(t, &idle)
+	_, request := newIdleClient(t, &idle)
 	if err := request(); err != nil {
 		t.Fatal(err)
 	}
