--- a/internal/proxy/dial_test.go
+++ b/internal/proxy/dial_test.go
@@ -11,8 +11,8 @@
 	"slateridge/internal/discovery"
 )
 
-// silentAddress is an address at which connections are neither taken nor refused.
-func silentAddress(t *testing.T) string {
+// unresponsiveAddress is an address at which connections are neither taken nor refused.
+func unresponsiveAddress(t *testing.T) string {
 	t.Helper()
 	fd, err := unix.Socket(unix.AF_INET, unix.SOCK_STREAM, 0)
 	if err != nil {
@@ -43,7 +43,7 @@
 func TestConnectingLeavesTimeForAnother(t *testing.T) {
 	const usual, budget = 20 * time.Millisecond, 200 * time.Millisecond
 	free := newRawUpstream(t, func(_ int, r *http.Request) (string, bool) { return ok(r, "x"), false })
-	dark := discovery.Instance{ID: "i-dark", Service: "svc", Address: silentAddress(t), Zone: "z", Slots: 2}
+	dark := discovery.Instance{ID: "i-dark", Service: "svc", Address: unresponsiveAddress(t), Zone: "z", Slots: 2}
 	for _, path := range []string{"/a/", "/once/"} {
 		s := timedProxy(t, usual, dark, free.instance("i-free"))
 		s.pool.mu.Lock()
