--- a/internal/proxy/cancellation_test.go
+++ b/internal/proxy/cancellation_test.go
@@ -13,8 +13,8 @@
 	"slateridge/internal/constants"
 )
 
-// closedAfter waits for a connection's other end to be closed.
-func closedAfter(c net.Conn, wait time.Duration) bool {
+// closedWithin waits for a connection's other end to be closed.
+func closedWithin(c net.Conn, wait time.Duration) bool {
 	c.SetReadDeadline(time.Now().Add(wait))
 	_, err := c.Read(make([]byte, 1))
 	timeout, ok := err.(net.Error)
@@ -53,7 +53,7 @@
 			if whole == c.closes || cancellation.cancelled() != c.closes {
 				t.Errorf("ended whole %v, cancelled %v; want closed %v", whole, cancellation.cancelled(), c.closes)
 			}
-			if closedAfter(theirs, 3*grace) != c.closes {
+			if closedWithin(theirs, 3*grace) != c.closes {
 				t.Errorf("closed %v, want %v", !c.closes, c.closes)
 			}
 		})
