--- a/internal/proxy/admin.go
+++ b/internal/proxy/admin.go
@@ -14,7 +14,7 @@
 	"slateridge/internal/membership"
 )
 
-// Report is what `slateridge status` shows of a proxy.
+// Report is the state of a proxy as shown by `slateridge status`.
 type Report struct {
 	Role       string
 	Node       string
@@ -31,11 +31,11 @@
 	Upstreams  []UpstreamState
 	NewConns   uint64
 	Ejections  uint64
-	Cancelled  uint64 // offers ended here, since nobody waited for them
-	Waited     uint64
-	Full       uint64
+	Cancelled  uint64 // attempts cancelled because the client had left or another attempt had answered
+	Waited     uint64 // requests that waited for upstream capacity
+	Full       uint64 // requests that found no upstream capacity
 	Retries    uint64
-	Denied     uint64
+	Denied     uint64 // retries refused by the retry budget
 	Hedges     uint64
 	Streams    Streams
 	Usage      Usage
@@ -47,39 +47,39 @@
 	histograms *histograms
 }
 
-// Streams is what a proxy passes on piece by piece.
+// Streams counts streaming responses.
 type Streams struct {
 	Open                   int64
-	Cut, Left              uint64 // by their upstream, by their client
-	First, Next, Elsewhere uint64 // placed at their prefix's own upstream, at one of the next, elsewhere
+	Cut, Left              uint64 // ended early by their upstream, by their client
+	First, Next, Elsewhere uint64 // placed at the preferred upstream of their prefix, at one of the next in order, elsewhere
 }
 
-// Usage is what is metered here.
+// Usage is the state of usage metering.
 type Usage struct {
-	Told    string // the control machine it is told to
-	Windows int    // open ones held here
-	Dropped uint64 // runs that came after their window had been reported
+	Told    string // address of the control-plane node that usage is reported to
+	Windows int    // open windows held by this proxy
+	Dropped uint64 // runs that ended after their window had been reported
 }
 
-// Report describes this proxy for operators.
+// Report returns the proxy's current state for operators.
 func (d *Daemon) Report() Report {
 	now := time.Now()
 	r := Report{Role: "proxy", Node: d.nodeSettings.Load().NodeName, Ready: d.ready.Load(), Leaving: d.leaving.Load(), InFlight: d.open.Load(),
 		Subscriber: d.subscriber.State(now), Proxies: d.limiter.Proxies(), Requests: map[string]uint64{}, Upstreams: d.pool.States(now),
 		Hedges: d.hedges.Load(), Quotas: d.limiter.Reports(d.now()), Audit: d.audit.list(), Members: d.members.Members(),
 		Events: d.events.Latest(20), Tallies: d.events.Tallies()}
-	if s := d.config.Load(); s != nil {
-		r.Version = s.Version
+	if cfg := d.config.Load(); cfg != nil {
+		r.Version = cfg.Version
 	}
 	r.Zone, r.Region, r.Evacuated = d.nodeSettings.Load().Zone, d.nodeSettings.Load().Region, d.pool.Evacuated()
-	for i, n := range countNames {
-		r.Requests[n] = d.counts[i].Load()
+	for i, name := range countNames {
+		r.Requests[name] = d.counts[i].Load()
 	}
 	r.Streams.Open, r.Streams.Cut, r.Streams.Left = d.streams.Load(), d.streamsCut.Load(), d.streamsLeft.Load()
 	if d.meter != nil {
 		r.Usage.Windows, r.Usage.Dropped = d.meter.Held()
-		if to := d.usageHolder.Load(); to != nil {
-			r.Usage.Told = *to
+		if holder := d.usageHolder.Load(); holder != nil {
+			r.Usage.Told = *holder
 		}
 	}
 	r.histograms = d.histograms
@@ -93,7 +93,7 @@
 	return r
 }
 
-// WriteMetrics gives the report in the text format that scrapers read.
+// WriteMetrics writes the report in the Prometheus text format.
 func (r Report) WriteMetrics(w io.Writer) {
 	for _, n := range countNames {
 		metrics.WriteCounterUint64(w, fmt.Sprintf("slateridge_requests_total{outcome=%q}", n), r.Requests[n])
--- a/internal/proxy/daemon.go
+++ b/internal/proxy/daemon.go
@@ -30,15 +30,16 @@
 	"slateridge/internal/usage"
 )
 
-// Daemon is the proxy process: the request path, and what keeps it informed.
+// Daemon is the proxy process: the request path, and the background tasks that keep its
+// configuration, upstream list and quotas up to date.
 type Daemon struct {
 	*Proxy
 	nodeSettings        atomic.Pointer[settings.Settings]
 	settingsPath        string
 	subscriber          *distribution.Subscriber
-	reader              config.Reader // used by apply only, one call at a time
+	reader              config.Reader // used only by apply, whose calls are serialized
 	trackers            atomic.Pointer[[]string]
-	coldBounds          atomic.Pointer[map[string]ColdBound] // by service, of the configuration in force
+	coldBounds          atomic.Pointer[map[string]ColdBound] // by service, from the configuration in force
 	ready               atomic.Bool
 	frontend            *frontend
 	source              *discovery.Source
@@ -50,60 +51,61 @@
 	trackerEchoesMu     sync.Mutex
 	trackerEchoes       map[string]trackerEcho // by tracker
 	trackerAnswerTimes  map[string]*answerTime // by tracker; under trackerEchoesMu
-	clock               *clock.Clock           // agreed, as control tells
+	clock               *clock.Clock           // the fleet's agreed time, from control-plane updates
 	usageHolder         atomic.Pointer[string]
 	scalingHolder       atomic.Pointer[string]
-	usageReportMu       sync.Mutex      // one word on usage at a time
+	usageReportMu       sync.Mutex      // held while usage is being reported
 	accountsAgent       *accounts.Agent // nil where tenants have no objectives
 }
 
-// NewDaemon builds the process's parts.
-func NewDaemon(set *settings.Settings, path string, events *eventlog.Log) *Daemon {
-	d := &Daemon{settingsPath: path, trackerEchoes: map[string]trackerEcho{}, trackerAnswerTimes: map[string]*answerTime{}, source: discovery.NewSource(set.CloudAPI.Address)}
-	d.nodeSettings.Store(set)
-	d.settingsFingerprint.Store(d.readSettingsFingerprint()) // what changes from now on is read
-	b := set.Bounds
-	s := &Proxy{events: events, histograms: newHistograms(), began: time.Now(), limiter: admission.New(b.QuotaSlack, set.Trackers(), rand.Uint64())}
-	s.lag.began = s.began
-	d.Proxy = s
-	s.retryBudget = NewRetryBudget(0, b.RetryWindow.D(), b.RetryBudgetRatio, b.RetryBudgetSlack)
-	s.pool = NewPool(set.IPAddress, set.Zone, set.Zones, d.connCap, d.coldBound)
-	s.askFor = d.askTracker
+// NewDaemon creates a proxy process from its settings, which it reloads from path.
+func NewDaemon(nodeSettings *settings.Settings, path string, events *eventlog.Log) *Daemon {
+	d := &Daemon{settingsPath: path, trackerEchoes: map[string]trackerEcho{}, trackerAnswerTimes: map[string]*answerTime{}, source: discovery.NewSource(nodeSettings.CloudAPI.Address)}
+	d.nodeSettings.Store(nodeSettings)
+	d.settingsFingerprint.Store(d.readSettingsFingerprint()) // only later changes cause a reload
+	bounds := nodeSettings.Bounds
+	p := &Proxy{events: events, histograms: newHistograms(), began: time.Now(), limiter: admission.New(bounds.QuotaSlack, nodeSettings.Trackers(), rand.Uint64())}
+	p.lag.began = p.began
+	d.Proxy = p
+	p.retryBudget = NewRetryBudget(0, bounds.RetryWindow.D(), bounds.RetryBudgetRatio, bounds.RetryBudgetSlack)
+	p.pool = NewPool(nodeSettings.IPAddress, nodeSettings.Zone, nodeSettings.Zones, d.connCap, d.coldBound)
+	p.askFor = d.askTracker
 	d.clock = clock.New()
-	if set.HasDuty(settings.DutyUsage) {
-		s.meter, s.window = usage.NewMeter(rand.Uint64()), d.usageWindowAt
+	if nodeSettings.HasDuty(settings.DutyUsage) {
+		p.meter, p.window = usage.NewMeter(rand.Uint64()), d.usageWindowAt
 	}
 	d.trackers.Store(&[]string{})
-	// Each proxy tries the control machines in an order of its own, so that
-	// proxies spread.
-	ips := set.SeedIPs()
+	// Each proxy tries the control-plane nodes in random order, which spreads the
+	// proxies evenly over them.
+	ips := nodeSettings.SeedIPs()
 	rand.Shuffle(len(ips), func(i, j int) { ips[i], ips[j] = ips[j], ips[i] })
-	me := distribution.Subscription{Node: set.IPAddress, Name: set.NodeName, Zone: set.Zone, Region: set.Region,
-		Front: set.ListenAddresses.Frontend}
-	d.subscriber = distribution.NewSubscriber(me, ips, func(ip string, h transport.Handler) *transport.Peer {
-		return transport.NewPeer(set.PeerInternal(ip, constants.PortControl), set.IPAddress, func(conn *transport.Conn, body any) any {
-			if other, ok := body.(transport.Incompatible); ok {
-				d.events.Record("protocol_incompatible", other.String())
+	self := distribution.Subscription{Node: nodeSettings.IPAddress, Name: nodeSettings.NodeName, Zone: nodeSettings.Zone, Region: nodeSettings.Region,
+		Front: nodeSettings.ListenAddresses.Frontend}
+	d.subscriber = distribution.NewSubscriber(self, ips, func(ip string, h transport.Handler) *transport.Peer {
+		return transport.NewPeer(nodeSettings.PeerInternal(ip, constants.PortControl), nodeSettings.IPAddress, func(conn *transport.Conn, message any) any {
+			if incompatible, ok := message.(transport.Incompatible); ok {
+				d.events.Record("protocol_incompatible", incompatible.String())
 				return nil
 			}
-			return h(conn, body)
+			return h(conn, message)
 		})
 	}, d.apply)
 	d.subscriber.ReckonBy(func() int { return d.limiter.Settled(d.now()) })
-	if b.RevocationStrict {
-		s.trustFor, s.readIndexAt = b.Revoke.D()-constants.RevokeReserve, d.subscriber.ReadIndexAt
+	if bounds.RevocationStrict {
+		p.trustFor, p.readIndexAt = bounds.Revoke.D()-constants.RevokeReserve, d.subscriber.ReadIndexAt
 	}
 	return d
 }
 
-// connCap is this proxy's part of an upstream's connections.
+// connCap returns this proxy's share of the connections allowed to each upstream of a
+// service.
 func (d *Daemon) connCap(service string) int {
 	cfg := d.config.Load()
 	if cfg == nil || cfg.Services[service] == nil || cfg.Services[service].MaxConnections == 0 {
 		return constants.UpstreamCap * 2
 	}
-	n := max(1, d.limiter.Proxies())
-	return max(1, int(constants.ConnShare*float64(cfg.Services[service].MaxConnections))/n)
+	proxies := max(1, d.limiter.Proxies())
+	return max(1, int(constants.ConnShare*float64(cfg.Services[service].MaxConnections))/proxies)
 }
 
 // coldBound is what a service's upstreams may be sent while they are coldBound.
@@ -114,26 +116,26 @@
 	return ColdBound{}
 }
 
-// computeColdBounds reckons the bounds on cold upstreams that a configuration asks for.
+// computeColdBounds returns the limits on cold upstreams by service for a configuration.
 func (d *Daemon) computeColdBounds(cfg *config.Config) map[string]ColdBound {
-	out := map[string]ColdBound{}
-	rules := d.nodeSettings.Load().Bounds
+	coldBounds := map[string]ColdBound{}
+	bounds := d.nodeSettings.Load().Bounds
 	for name, service := range cfg.Services {
 		if service.WarmupPerS > 0 {
-			most := service.WarmupPerS*max(1, rules.WarmupOverage) + rules.WarmupSlack
-			out[name] = NewColdBound(service.Warmup, service.WarmupPerS, most)
+			limit := service.WarmupPerS*max(1, bounds.WarmupOverage) + bounds.WarmupSlack
+			coldBounds[name] = NewColdBound(service.Warmup, service.WarmupPerS, limit)
 		}
 	}
-	return out
+	return coldBounds
 }
 
-// apply puts what control sent in force.
-func (d *Daemon) apply(f distribution.Changes) {
+// apply puts changes received from the control plane in force.
+func (d *Daemon) apply(changes distribution.Changes) {
 	now := d.now()
-	if f.Config != nil {
-		cfg, err := d.reader.Read(f.Config.Raw)
+	if changes.Config != nil {
+		cfg, err := d.reader.Read(changes.Config.Raw)
 		if err != nil {
-			d.events.Record("config_unreadable", err.Error()) // control checks before; never expected
+			d.events.Record("config_unreadable", err.Error()) // unexpected: the control plane validates configurations
 		} else {
 			old := d.config.Load()
 			if old == nil || cfg.Version > old.Version {
@@ -146,75 +148,76 @@
 			}
 		}
 	}
-	if f.List != nil {
-		d.pool.Apply(time.Now(), f.List.Instances)
+	if changes.List != nil {
+		d.pool.Apply(time.Now(), changes.List.Instances)
 		d.hasUpstreamList.Store(true)
 		d.events.Count("list_applied", 1)
 	}
-	if f.State > 0 {
-		if d.pool.Evacuate(time.Now(), f.Evacuated) {
-			d.events.Record("evacuations", strings.Join(f.Evacuated, " "))
+	if changes.State > 0 {
+		if d.pool.Evacuate(time.Now(), changes.Evacuated) {
+			d.events.Record("evacuations", strings.Join(changes.Evacuated, " "))
 		}
 	}
-	if f.Proxies > 0 {
-		d.limiter.SetProxies(now, f.Proxies)
-		d.retryBudget.SetProxies(f.Proxies)
-		d.pool.SetProxies(f.Proxies)
+	if changes.Proxies > 0 {
+		d.limiter.SetProxies(now, changes.Proxies)
+		d.retryBudget.SetProxies(changes.Proxies)
+		d.pool.SetProxies(changes.Proxies)
 	}
-	d.clock.Observe(f.From, f.Wall, now)
-	d.scalingHolder.Store(&f.Scaler)
-	if old := d.usageHolder.Swap(&f.Metered); d.meter != nil && (old == nil || *old != f.Metered) {
-		go d.reportUsage() // a successor gathers anew
+	d.clock.Observe(changes.From, changes.Wall, now)
+	d.scalingHolder.Store(&changes.Scaler)
+	if old := d.usageHolder.Swap(&changes.Metered); d.meter != nil && (old == nil || *old != changes.Metered) {
+		go d.reportUsage() // a new holder starts without any usage
 	}
-	if f.Coming != nil {
-		d.limiter.Evaluate(now, f.Coming)
+	if changes.Coming != nil {
+		d.limiter.Evaluate(now, changes.Coming)
 	}
-	if old := d.trackers.Swap(&f.Trackers); !slices.Equal(*old, f.Trackers) {
-		go d.renewGrants() // a new one should know soon what is held here
+	if old := d.trackers.Swap(&changes.Trackers); !slices.Equal(*old, changes.Trackers) {
+		go d.renewGrants() // a new tracker has to learn the grants held here
 	}
 }
 
-// Add puts the process's actors into its group.
+// Add adds the proxy's listeners and background tasks to the run group.
 func (d *Daemon) Add(g *run.Group) error {
-	set := d.nodeSettings.Load()
-	front, err := net.Listen("tcp4", set.ListenAddresses.Frontend)
+	nodeSettings := d.nodeSettings.Load()
+	frontendListener, err := net.Listen("tcp4", nodeSettings.ListenAddresses.Frontend)
 	if err != nil {
 		return err
 	}
-	rl, err := net.Listen("tcp4", set.ListenAddresses.Readiness)
+	readinessListener, err := net.Listen("tcp4", nodeSettings.ListenAddresses.Readiness)
 	if err != nil {
 		return err
 	}
-	adm, err := net.Listen("tcp4", set.Internal(constants.PortProxyAdmin))
+	adminListener, err := net.Listen("tcp4", nodeSettings.Internal(constants.PortProxyAdmin))
 	if err != nil {
 		return err
 	}
-	d.frontend = newFrontend(front, d.Proxy, func() config.Limits {
-		if s := d.config.Load(); s != nil {
-			return s.Limits
+	d.frontend = newFrontend(frontendListener, d.Proxy, func() config.Limits {
+		if cfg := d.config.Load(); cfg != nil {
+			return cfg.Limits
 		}
 		return config.Limits{}
-	}, set.Bounds.ConfigApply.D())
+	}, nodeSettings.Bounds.ConfigApply.D())
 	g.Add(d.frontend.serve, func(error) { d.frontend.close() })
 	group := rungroup.New(g)
-	group.Serve(rl, http.HandlerFunc(d.serveReadiness))
-	group.Serve(adm, adminhttp.Handler(d.Report))
+	group.Serve(readinessListener, http.HandlerFunc(d.serveReadiness))
+	group.Serve(adminListener, adminhttp.Handler(d.Report))
 	group.Every(constants.SettingsEvery, d.reloadIfChanged)
 	group.Every(constants.RetireEvery, func() { d.frontend.closeIdle(time.Now()) })
 	return d.AddBackground(g, group)
 }
 
-// AddBackground puts in what keeps a proxy informed and is said to others, without the
-// path of requests: many such proxies can share one process, to try control's size.
+// AddBackground adds the background tasks that exchange state with the control plane and
+// other nodes, without the request path. Scale tests of the control plane run many such
+// proxies in one process.
 func (d *Daemon) AddBackground(g *run.Group, group *rungroup.Group) error {
-	set := d.nodeSettings.Load()
+	nodeSettings := d.nodeSettings.Load()
 	var err error
 	var seeds []string
-	for _, ip := range set.SeedIPs() {
-		seeds = append(seeds, set.PeerInternal(ip, constants.PortControlMembership))
+	for _, ip := range nodeSettings.SeedIPs() {
+		seeds = append(seeds, nodeSettings.PeerInternal(ip, constants.PortControlMembership))
 	}
-	d.members, err = membership.Listen(set.Internal(constants.PortProxyMembership), set.NodeName+"/proxy", seeds, func(f membership.Fact) {
-		d.events.Count("member_"+f.State.String(), 1)
+	d.members, err = membership.Listen(nodeSettings.Internal(constants.PortProxyMembership), nodeSettings.NodeName+"/proxy", seeds, func(fact membership.Fact) {
+		d.events.Count("member_"+fact.State.String(), 1)
 	})
 	if err != nil {
 		return err
@@ -223,11 +226,11 @@
 	go d.step()
 	group.Every(constants.StepEvery, d.step)
 	group.Every(constants.GrantEvery, d.renewGrants)
-	if set.HasDuty(settings.DutyScaling) {
+	if nodeSettings.HasDuty(settings.DutyScaling) {
 		group.Every(constants.ScaleEvery, d.reportLoad)
 	}
 	if d.meter != nil {
-		every := usage.ReportEvery(set.Bounds.UsageWindow.D(), set.Bounds.UsageTolerance)
+		every := usage.ReportEvery(nodeSettings.Bounds.UsageWindow.D(), nodeSettings.Bounds.UsageTolerance)
 		group.EveryAfter(usage.Phase(rand.Uint64(), every), every, d.reportUsage)
 	}
 	if d.accountsAgent != nil {
@@ -251,26 +254,26 @@
 	w.WriteHeader(http.StatusServiceUnavailable)
 }
 
-// ConfigVersion is the configuration in force here, and Upstreams how many are known.
+// ConfigVersion returns the version of the configuration in force, or 0 if there is none.
 func (d *Daemon) ConfigVersion() uint64 {
-	if s := d.config.Load(); s != nil {
-		return s.Version
+	if cfg := d.config.Load(); cfg != nil {
+		return cfg.Version
 	}
 	return 0
 }
 
-// UpstreamCount is how many are known here.
+// UpstreamCount returns the number of known upstreams.
 func (d *Daemon) UpstreamCount() int { return d.pool.Len() }
 
-// SimulateRequest takes one made-up request through admission and metering as the path of
-// requests does, and sends it nowhere; false when it was refused.
+// SimulateRequest runs a synthetic request of a tenant through admission and metering
+// without sending it to an upstream, and reports whether it was admitted.
 func (d *Daemon) SimulateRequest(tenant string) bool {
-	v := d.limiter.Admit(d.now(), tenant, false)
-	if v.Ask {
+	decision := d.limiter.Admit(d.now(), tenant, false)
+	if decision.Ask {
 		d.askTracker(tenant, time.Now().Add(constants.CallTimeout))
-		v = d.limiter.Admit(d.now(), tenant, true)
+		decision = d.limiter.Admit(d.now(), tenant, true)
 	}
-	if !v.OK {
+	if !decision.OK {
 		return false
 	}
 	d.limiter.Settle(d.now(), tenant, 1)
@@ -281,20 +284,20 @@
 	return true
 }
 
-// Leave answers the last requests: readiness fails at once, connections are
-// still accepted until the platform has noticed, answers ask clients to close,
-// and what is in flight finishes within grace.
+// Leave drains the proxy: the readiness check fails at once, connections are still accepted
+// until the platform has had time to notice, responses ask clients to close their
+// connections, and requests in flight may finish within the grace period.
 func (d *Daemon) Leave() {
 	began := time.Now()
 	d.leaving.Store(true)
 	d.events.Record("leaving", "readiness fails from now on")
 	d.subscriber.Announce()
-	set := d.nodeSettings.Load()
-	grace := set.Bounds.Grace.D() - constants.TermReserve
+	nodeSettings := d.nodeSettings.Load()
+	grace := nodeSettings.Bounds.Grace.D() - constants.TermReserve
 	d.pool.Leave(began.Add(grace))
-	// Where clients ask a directory, old answers name this proxy for some time.
+	// Clients that use a directory may hold cached lookups that still name this proxy.
 	accept := min(constants.TermAccept, grace/2)
-	if set.EntryMode == "directory" {
+	if nodeSettings.EntryMode == "directory" {
 		accept = min(2*constants.LookupTTL, grace/2)
 	}
 	time.Sleep(accept)
--- a/internal/proxy/lists.go
+++ b/internal/proxy/lists.go
@@ -9,31 +9,31 @@
 	"slateridge/internal/distribution"
 )
 
-// step drives the line, decides readiness, and reads the platform's list here
-// when no control machine in contact has spoken for long.
+// step runs the periodic work of the connections to the control plane, sets readiness, and
+// polls the platform's instance list directly while this proxy is out of contact.
 func (d *Daemon) step() {
 	now := time.Now()
 	d.lag.beat(now)
 	d.subscriber.Step(now, d.ready.Load() && !d.leaving.Load())
-	st := d.subscriber.State(now)
-	if !d.ready.Load() && d.config.Load() != nil && d.hasUpstreamList.Load() && st.ListAge < constants.UpdateCurrent && st.Current < constants.UpdateCurrent {
+	state := d.subscriber.State(now)
+	if !d.ready.Load() && d.config.Load() != nil && d.hasUpstreamList.Load() && state.ListAge < constants.UpdateCurrent && state.Current < constants.UpdateCurrent {
 		d.ready.Store(true)
 		d.events.Record("ready", "configuration and upstreams known")
 	}
-	if d.outOfContact(st, now) && now.After(d.nextSelfPoll) && d.config.Load() != nil {
-		every := selfPollInterval(d.pool.Len(), d.limiter.Proxies(), d.nodeSettings.Load().CloudAPI.RatePerS)
+	if d.outOfContact(state, now) && now.After(d.nextSelfPoll) && d.config.Load() != nil {
+		interval := selfPollInterval(d.pool.Len(), d.limiter.Proxies(), d.nodeSettings.Load().CloudAPI.RatePerS)
 		first := d.nextSelfPoll.IsZero()
-		if d.nextSelfPoll = now.Add(every/2 + rand.N(every)); first && rand.Float64() > float64(constants.SelfPollEvery)/float64(every) {
-			return // most of a large fleet have to wait for their turn from the beginning
+		if d.nextSelfPoll = now.Add(interval/2 + rand.N(interval)); first && rand.Float64() > float64(constants.SelfPollEvery)/float64(interval) {
+			return // keeps a large fleet within the platform's rate limit from the first round on
 		}
 		go func() {
-			is, err := d.source.Read(context.Background())
+			instances, err := d.source.Read(context.Background())
 			if err != nil {
 				d.events.Count("self_poll_failed", 1)
 				return
 			}
 			if now := time.Now(); d.outOfContact(d.subscriber.State(now), now) {
-				d.pool.Apply(time.Now(), is)
+				d.pool.Apply(time.Now(), instances)
 				d.hasUpstreamList.Store(true)
 				d.events.Count("self_poll", 1)
 			}
@@ -41,14 +41,16 @@
 	}
 }
 
-// outOfContact says that the list has to be read here: what control machines without
-// contact say of it is what they knew before they lost it.
-func (d *Daemon) outOfContact(st distribution.State, now time.Time) bool {
-	return min(st.Current, now.Sub(d.began)) > constants.SelfPollAfter
+// outOfContact reports whether this proxy has to poll the instance list itself. Only
+// control-plane nodes in contact with a majority count: the others may still send updates,
+// but their list dates from before they lost contact.
+func (d *Daemon) outOfContact(state distribution.State, now time.Time) bool {
+	return min(state.Current, now.Sub(d.began)) > constants.SelfPollAfter
 }
 
-// selfPollInterval is how often a proxy out of touch reads the list, so that all of
-// them together leave the platform's rate to whoever reads for everybody.
+// selfPollInterval returns the interval at which a proxy without contact polls the instance
+// list. All proxies together use only a part of the platform's rate limit, which leaves the
+// rest to the control-plane node that polls for the fleet.
 func selfPollInterval(upstreams, proxies int, rate float64) time.Duration {
 	calls := float64(upstreams/constants.PollPage+1) * float64(max(1, proxies))
 	if rate <= 0 {
--- a/internal/proxy/reload.go
+++ b/internal/proxy/reload.go
@@ -6,23 +6,24 @@
 	"slateridge/internal/settings"
 )
 
-// readSettingsFingerprint tells one state of the settings file from another; 0 if there is none.
+// readSettingsFingerprint returns a value that changes with the settings file's modification
+// time or size, or 0 if the file cannot be read.
 func (d *Daemon) readSettingsFingerprint() int64 {
-	fi, err := os.Stat(d.settingsPath)
+	info, err := os.Stat(d.settingsPath)
 	if err != nil {
 		return 0
 	}
-	return fi.ModTime().UnixNano() ^ fi.Size()
+	return info.ModTime().UnixNano() ^ info.Size()
 }
 
-// reloadIfChanged reloads a settings file that has changed.
+// reloadIfChanged reloads the settings file if it has changed.
 func (d *Daemon) reloadIfChanged() {
-	if is := d.readSettingsFingerprint(); is != 0 && d.settingsFingerprint.Swap(is) != is {
+	if fingerprint := d.readSettingsFingerprint(); fingerprint != 0 && d.settingsFingerprint.Swap(fingerprint) != fingerprint {
 		d.Reload()
 	}
 }
 
-// Reload reads the settings again; a file that cannot be used changes nothing.
+// Reload reads the settings file again. An invalid file leaves the current settings in place.
 func (d *Daemon) Reload() {
 	set, err := settings.Load(d.settingsPath, "frontend", "readiness")
 	if err != nil {
--- a/internal/proxy/reports.go
+++ b/internal/proxy/reports.go
@@ -8,7 +8,8 @@
 	"slateridge/internal/usage"
 )
 
-// usageWindowAt is the usage window that a moment lies in, by the agreed time.
+// usageWindowAt returns the number of the usage window that contains a local time, in the
+// fleet's agreed time.
 func (d *Daemon) usageWindowAt(at time.Time) uint64 {
 	agreed, ok := d.clock.Now(d.now())
 	if !ok {
@@ -17,49 +18,50 @@
 	return usage.Window(agreed.Add(-time.Since(at)), d.nodeSettings.Load().Bounds.UsageWindow.D())
 }
 
-// reportLoad says what runs and waits here of the services that are scaled.
+// reportLoad reports the number of running and waiting requests of each autoscaled service
+// to the holder of the scaling duty.
 func (d *Daemon) reportLoad() {
-	to, cfg := d.scalingHolder.Load(), d.config.Load()
-	if to == nil || *to == "" || cfg == nil {
+	holder, cfg := d.scalingHolder.Load(), d.config.Load()
+	if holder == nil || *holder == "" || cfg == nil {
 		return
 	}
-	set := d.nodeSettings.Load()
-	t := autoscale.Report{Proxy: set.IPAddress, Zone: set.Zone, Running: map[string]int{}}
-	for name, s := range cfg.Services {
-		if s.Scaling != nil {
-			t.Running[name] = d.pool.Busy(name)
+	nodeSettings := d.nodeSettings.Load()
+	report := autoscale.Report{Proxy: nodeSettings.IPAddress, Zone: nodeSettings.Zone, Running: map[string]int{}}
+	for name, service := range cfg.Services {
+		if service.Scaling != nil {
+			report.Running[name] = d.pool.Busy(name)
 		}
 	}
-	v, err := d.subscriber.Ask(*to, t, constants.UsageWait)
-	if h, ok := v.(autoscale.Ack); err != nil || !ok || !h.OK {
+	reply, err := d.subscriber.Ask(*holder, report, constants.UsageWait)
+	if ack, ok := reply.(autoscale.Ack); err != nil || !ok || !ack.OK {
 		d.events.Count("load_untold", 1)
 	}
 }
 
-// reportUsage brings what has been counted to the duty's holder, until it has heard
-// all.
+// reportUsage reports the counted usage to the holder of the usage duty. It returns at once
+// if a report is already under way.
 func (d *Daemon) reportUsage() {
 	if !d.usageReportMu.TryLock() {
 		return
 	}
 	defer d.usageReportMu.Unlock()
-	to := d.usageHolder.Load()
-	if to == nil || *to == "" || d.config.Load() == nil {
+	holder := d.usageHolder.Load()
+	if holder == nil || *holder == "" || d.config.Load() == nil {
 		return
 	}
-	for range 2 { // a new holder's first answer asks for the rest
-		t, some := d.meter.Report(d.nodeSettings.Load().IPAddress, d.usageWindowAt(time.Now()))
-		if !some {
+	for range 2 { // a new holder's first acknowledgement carries a new term and requires a second report
+		report, pending := d.meter.Report(d.nodeSettings.Load().IPAddress, d.usageWindowAt(time.Now()))
+		if !pending {
 			return
 		}
-		v, err := d.subscriber.Ask(*to, t, constants.UsageWait)
-		h, ok := v.(usage.Ack)
-		if err != nil || !ok || h.Term == 0 {
+		reply, err := d.subscriber.Ask(*holder, report, constants.UsageWait)
+		ack, ok := reply.(usage.Ack)
+		if err != nil || !ok || ack.Term == 0 {
 			d.events.Count("usage_untold", 1)
 			return
 		}
-		d.meter.Acknowledged(t, h)
-		if h.Term == t.Term {
+		d.meter.Acknowledged(report, ack)
+		if ack.Term == report.Term {
 			return
 		}
 	}
