--- a/internal/proxy/cancellation.go
+++ b/internal/proxy/cancellation.go
@@ -9,21 +9,22 @@
 	"slateridge/internal/constants"
 )
 
-// cancellation closes an upstream connection when nobody waits for the request on it any
-// more: its client has left, or has been answered by another upstream. It ends with its
-// request, so that it never closes a connection that carries another by then.
+// cancellation closes an upstream connection when the response to the request on it is no
+// longer needed: the client has disconnected, or another upstream has responded. It is
+// finished together with its request, so that it never closes a connection that already
+// carries another request.
 type cancellation struct {
 	conn net.Conn
 
 	mu           sync.Mutex
-	stopWatching func() bool // from the context of the client's request
-	timer        *time.Timer // during the grace
+	stopWatching func() bool // unregisters from the request's context
+	timer        *time.Timer // set during the grace period
 	finished     bool
-	closed       bool // the connection was closed here
+	closed       bool // the connection was closed by this cancellation
 }
 
-// newCancellation has a connection closed so long after a context's end. Without a grace it is
-// closed at once.
+// newCancellation arranges for a connection to be closed a grace period after ctx is done, or
+// immediately if the grace period is zero.
 func newCancellation(ctx context.Context, conn net.Conn, grace time.Duration) *cancellation {
 	c := &cancellation{conn: conn}
 	c.mu.Lock()
@@ -32,7 +33,7 @@
 	return c
 }
 
-// startGrace starts the grace.
+// startGrace closes the connection after the grace period.
 func (c *cancellation) startGrace(grace time.Duration) {
 	if grace <= 0 {
 		c.close()
@@ -45,7 +46,7 @@
 	}
 }
 
-// close closes the connection, unless the request has ended.
+// close closes the connection, unless the request has finished.
 func (c *cancellation) close() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -56,8 +57,8 @@
 	c.conn.Close()
 }
 
-// finish is called when the request on the connection is over; false says that the connection
-// was closed before. Nothing is closed after it. A nil cancellation closes nothing.
+// finish is called when the request on the connection is over. The connection is not closed
+// after that; finish returns false if it was closed before. On a nil receiver it returns true.
 func (c *cancellation) finish() bool {
 	if c == nil {
 		return true
@@ -74,7 +75,7 @@
 	return !c.closed
 }
 
-// cancelled says whether the connection was closed here.
+// cancelled reports whether this cancellation closed the connection.
 func (c *cancellation) cancelled() bool {
 	if c == nil {
 		return false
@@ -84,10 +85,11 @@
 	return c.closed
 }
 
-// cancelOnDisconnect ties an upstream connection to the client whose request it is about to carry.
-// A stream would take its place for long, so it ends at once. A repeatable request is given
-// a grace: most end within it, and their connection serves another. One that may run once
-// is left to finish, since its answer settles what it has cost and whether it has run.
+// cancelOnDisconnect sets up cancellation for the request that conn is about to carry. A
+// stream is cancelled at once, since it would occupy its slot for long. An idempotent request
+// is cancelled after a grace period: most finish within it, and their connection can be
+// reused. A non-idempotent request is never cancelled, since its response determines its cost
+// and whether it ran.
 func (p *exchange) cancelOnDisconnect(conn *upstreamConn) {
 	ctx := p.request.Context()
 	switch {
--- a/internal/proxy/clientconn.go
+++ b/internal/proxy/clientconn.go
@@ -13,27 +13,27 @@
 	"slateridge/internal/constants"
 )
 
-// clientConn is a connection of a client. The HTTP server ends the context of a request when
-// it reads the end of the connection, but it doesn't read while the client's next request
-// waits, or while a body is being passed on. During those times the socket is looked at.
-// It also bounds a request's headers and the time that they take, by the configuration that
-// is in force while they are read.
+// clientConn is a client's connection. The HTTP server cancels a request's context when it
+// reads the end of the connection, but it does not read while a pipelined request waits or
+// while a body is being forwarded. During those times clientConn polls the socket for a
+// hangup. It also limits the size of request headers and the time to read them, by the
+// configuration in force while they are read.
 type clientConn struct {
 	*net.TCPConn
-	cancelRequests context.CancelFunc // ends the contexts of the connection's requests
+	cancelRequests context.CancelFunc // cancels the contexts of all requests on the connection
 	limits         func() config.Limits
 	header         headerProgress
 
 	mu          sync.Mutex
 	handling    bool        // a request is being handled
-	reading     bool        // a read is under way: it notices the end by itself
-	hangupTimer *time.Timer // to the next look; nil before the first
+	reading     bool        // a read is in progress, which detects the end of the connection by itself
+	hangupTimer *time.Timer // for the next hangup check; nil before the first
 }
 
-// clientConnKey is the key of a request's *clientConn in its context.
+// clientConnKey is the context key of a request's *clientConn.
 type clientConnKey struct{}
 
-// clientContext is the context of all requests on a connection.
+// clientContext returns the base context of all requests on a connection.
 func clientContext(ctx context.Context, c net.Conn) context.Context {
 	conn, ok := c.(*clientConn)
 	if !ok {
@@ -43,13 +43,14 @@
 	return ctx
 }
 
-// clientConnFrom is the connection that a request came on, or nil where it isn't known.
+// clientConnFrom returns the connection that a request arrived on, or nil if unknown.
 func clientConnFrom(r *http.Request) *clientConn {
 	conn, _ := r.Context().Value(clientConnKey{}).(*clientConn)
 	return conn
 }
 
-// wrapClientConn makes a clientConn of a TCP connection, and leaves others as they are.
+// wrapClientConn wraps a TCP connection in a clientConn, and returns other connections
+// unchanged.
 func wrapClientConn(c net.Conn, limits func() config.Limits) net.Conn {
 	if tcp, ok := c.(*net.TCPConn); ok {
 		return &clientConn{TCPConn: tcp, limits: limits}
@@ -57,7 +58,7 @@
 	return c
 }
 
-// Read reads what the client has sent.
+// Read reads from the client, within the header limits while headers are expected.
 func (c *clientConn) Read(b []byte) (int, error) {
 	c.setReading(true)
 	defer c.setReading(false)
@@ -74,7 +75,8 @@
 	c.scheduleCheckLocked()
 }
 
-// setHandling marks the beginning and the end of a request's handling. On nil it does nothing.
+// setHandling marks the beginning and the end of a request's handling. On a nil receiver it
+// does nothing.
 func (c *clientConn) setHandling(handling bool) {
 	if c == nil {
 		return
@@ -85,14 +87,14 @@
 	c.scheduleCheckLocked()
 }
 
-// busy says whether a request is being handled.
+// busy reports whether a request is being handled.
 func (c *clientConn) busy() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.handling
 }
 
-// scheduleCheckLocked sets the timer to the next look, or stops it where none is needed.
+// scheduleCheckLocked schedules the next hangup check, or stops the timer if none is needed.
 func (c *clientConn) scheduleCheckLocked() {
 	switch {
 	case !c.handling || c.reading:
@@ -106,7 +108,7 @@
 	}
 }
 
-// checkHangup ends the requests of a client that has hung up.
+// checkHangup cancels the requests of a client that has hung up.
 func (c *clientConn) checkHangup() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -120,8 +122,9 @@
 	c.scheduleCheckLocked()
 }
 
-// hungUp asks the socket whether the client has closed its end, or both, behind whatever it
-// sent before. On nil it is false.
+// hungUp polls the socket and reports whether the client has closed its sending side or the
+// whole connection, even if data sent before is still unread. On a nil receiver it returns
+// false.
 func (c *clientConn) hungUp() bool {
 	if c == nil {
 		return false
@@ -130,11 +133,11 @@
 	if err != nil {
 		return false
 	}
-	gone := false
+	closed := false
 	raw.Control(func(fd uintptr) {
-		ask := []unix.PollFd{{Fd: int32(fd), Events: unix.POLLRDHUP}}
-		n, err := unix.Poll(ask, 0)
-		gone = err == nil && n > 0 && ask[0].Revents&(unix.POLLRDHUP|unix.POLLHUP|unix.POLLERR) != 0
+		fds := []unix.PollFd{{Fd: int32(fd), Events: unix.POLLRDHUP}}
+		n, err := unix.Poll(fds, 0)
+		closed = err == nil && n > 0 && fds[0].Revents&(unix.POLLRDHUP|unix.POLLHUP|unix.POLLERR) != 0
 	})
-	return gone
+	return closed
 }
--- a/internal/proxy/clientheader.go
+++ b/internal/proxy/clientheader.go
@@ -9,24 +9,25 @@
 	"slateridge/internal/constants"
 )
 
-// headerProgress is how far the headers of a connection's next request have come. Only the
+// headerProgress tracks the reading of the next request's headers on a connection. Only the
 // goroutine that serves the connection uses it.
 type headerProgress struct {
 	expected  bool      // the next bytes belong to a request's headers
-	bytesRead int       // read so far
-	startedAt time.Time // when they began to come; zero while the connection rests
+	bytesRead int       // header bytes read so far
+	startedAt time.Time // when the header time limit began to run; zero while the connection is idle
 }
 
-// Headers may exceed their bound by what the server reads ahead: of another request, or of a
-// body. Whole headers are measured to the byte when the request is matched.
+// headerReadAhead is what the byte count may exceed the header limit by, since the server
+// reads ahead into a body or a pipelined request. The exact size of complete headers is
+// checked when the request is matched.
 const headerReadAhead = 4 << 10 // bytes
 
 const headersTooLargeResponse = "HTTP/1.1 431 Request Header Fields Too Large\r\n" +
 	"Content-Type: text/plain; charset=utf-8\r\nConnection: close\r\n\r\n" +
 	"431 Request Header Fields Too Large"
 
-// expectHeaders says whether the next bytes belong to a request's headers. On a new
-// connection their time runs from now on, and on one that rests from their first byte.
+// expectHeaders sets whether the next bytes belong to a request's headers. Their time limit
+// runs from now on a new connection, and from the first byte on an idle one.
 func (c *clientConn) expectHeaders(expected, isNew bool) {
 	c.header = headerProgress{expected: expected}
 	if isNew {
@@ -34,32 +35,33 @@
 	}
 }
 
-// readHeader reads headers of a request, within the bounds in force: one that changes
-// meanwhile holds from then on.
+// readHeader reads request headers within the limits in force. A limit that changes while
+// headers are being read applies at once.
 func (c *clientConn) readHeader(b []byte) (int, error) {
 	for {
-		if due, bounded := c.headerDeadline(); bounded {
-			c.SetReadDeadline(due)
+		if deadline, bounded := c.headerDeadline(); bounded {
+			c.SetReadDeadline(deadline)
 		}
 		n, err := c.TCPConn.Read(b)
 		if n == 0 && errors.Is(err, os.ErrDeadlineExceeded) {
-			if due, bounded := c.headerDeadline(); bounded && time.Now().Before(due) {
-				continue // their time has been raised
+			if deadline, bounded := c.headerDeadline(); bounded && time.Now().Before(deadline) {
+				continue // the time limit was raised while waiting
 			}
 		}
 		return c.countHeaderBytes(n, err)
 	}
 }
 
-// headerDeadline is when the headers have to be here; false while the connection rests.
-func (c *clientConn) headerDeadline() (due time.Time, bounded bool) {
+// headerDeadline returns when the headers must be complete. It returns false while the
+// connection is idle.
+func (c *clientConn) headerDeadline() (deadline time.Time, bounded bool) {
 	if c.header.startedAt.IsZero() {
 		return time.Time{}, false
 	}
 	return c.header.startedAt.Add(orDefault(c.limits().HeaderTimeout, constants.HeaderTimeout)), true
 }
 
-// countHeaderBytes counts what was read, and refuses headers that are over their bound.
+// countHeaderBytes counts bytes read, and rejects headers that exceed the size limit.
 func (c *clientConn) countHeaderBytes(n int, err error) (int, error) {
 	if n > 0 && c.header.startedAt.IsZero() {
 		c.header.startedAt = time.Now()
@@ -72,8 +74,9 @@
 	return 0, io.EOF
 }
 
-// rejectHeaders answers headers that are too large. What the client still sends is read
-// for a while and dropped: closing before would take the answer away from it.
+// rejectHeaders responds to oversized headers with 431. It then discards what the client
+// still sends for up to RefusalLinger: closing with unread data would reset the connection
+// and could destroy the response.
 func (c *clientConn) rejectHeaders() {
 	c.SetWriteDeadline(time.Now().Add(constants.RefusalLinger))
 	io.WriteString(c.TCPConn, headersTooLargeResponse)
--- a/internal/proxy/conn.go
+++ b/internal/proxy/conn.go
@@ -13,9 +13,8 @@
 	"slateridge/internal/constants"
 )
 
-// upstreamConn is one connection to one life of an upstream. It carries one request
-// at a time, and another only after a whole, well-formed exchange that left
-// nothing over.
+// upstreamConn is a connection to an upstream instance. It carries one request at a time, and
+// is reused only after a complete, well-formed exchange without trailing bytes.
 type upstreamConn struct {
 	upstream    *Upstream
 	netConn     net.Conn
@@ -25,97 +24,97 @@
 	idleAt      time.Time
 	idleTimeout time.Duration
 
-	cancellation *cancellation // of the request under way; nil where it runs to its end
+	cancellation *cancellation // of the current request; nil if that is never cancelled
 }
 
-// boundedReader bounds how much may be read before an answer's headers are whole.
+// boundedReader limits how much may be read until a response's headers are complete.
 type boundedReader struct {
 	conn      net.Conn
 	remaining int64
 }
 
-func (m *boundedReader) Read(b []byte) (int, error) {
-	if m.remaining <= 0 {
-		return 0, errors.New("answer's headers too long")
+func (r *boundedReader) Read(b []byte) (int, error) {
+	if r.remaining <= 0 {
+		return 0, errors.New("response headers too large")
 	}
-	if int64(len(b)) > m.remaining {
-		b = b[:m.remaining]
+	if int64(len(b)) > r.remaining {
+		b = b[:r.remaining]
 	}
-	n, err := m.conn.Read(b)
-	m.remaining -= int64(n)
+	n, err := r.conn.Read(b)
+	r.remaining -= int64(n)
 	return n, err
 }
 
 const unbounded = int64(1) << 62
 
 var (
-	errNoConnection  = errors.New("connection no longer usable")
-	errWrongAttempt  = errors.New("answer belongs to another request")
-	errUnframed      = errors.New("answer says neither its length nor its end")
-	errRequestBody   = errors.New("the client's body broke off")
-	errInvalidStatus = errors.New("no status of an answer")
+	errNoConnection  = errors.New("no usable connection to the upstream")
+	errWrongAttempt  = errors.New("response belongs to another attempt")
+	errUnframed      = errors.New("response has neither a content length nor chunked encoding")
+	errRequestBody   = errors.New("client request body ended early")
+	errInvalidStatus = errors.New("invalid response status")
 )
 
-func newUpstreamConn(of *Upstream, c net.Conn) *upstreamConn {
-	m := &boundedReader{conn: c}
-	return &upstreamConn{upstream: of, netConn: c, reader: m, buffered: bufio.NewReaderSize(m, 4<<10), idleAt: time.Now(), idleTimeout: constants.IdleDefault}
+func newUpstreamConn(u *Upstream, netConn net.Conn) *upstreamConn {
+	reader := &boundedReader{conn: netConn}
+	return &upstreamConn{upstream: u, netConn: netConn, reader: reader, buffered: bufio.NewReaderSize(reader, 4<<10), idleAt: time.Now(), idleTimeout: constants.IdleDefault}
 }
 
-// reusable says whether the connection is open with nothing waiting on it: bytes
-// that come while no request is out belong to no request.
+// reusable reports whether the connection is open and has no unread data: bytes that arrive
+// between requests do not belong to any request.
 func (conn *upstreamConn) reusable() bool {
 	if conn.buffered.Buffered() > 0 {
 		return false
 	}
-	sc, ok := conn.netConn.(syscall.Conn)
+	syscallConn, ok := conn.netConn.(syscall.Conn)
 	if !ok {
 		return false
 	}
-	rc, err := sc.SyscallConn()
+	rawConn, err := syscallConn.SyscallConn()
 	if err != nil {
 		return false
 	}
-	quiet := false
-	conn.netConn.SetReadDeadline(time.Time{}) // that of the last request has no say here
-	err = rc.Read(func(fd uintptr) bool {
+	empty := false
+	conn.netConn.SetReadDeadline(time.Time{}) // clears the last request's deadline
+	err = rawConn.Read(func(fd uintptr) bool {
 		var b [1]byte
 		n, err := syscall.Read(int(fd), b[:])
-		quiet = n < 0 && (err == syscall.EAGAIN || err == syscall.EWOULDBLOCK)
+		empty = n < 0 && (err == syscall.EAGAIN || err == syscall.EWOULDBLOCK)
 		return true
 	})
-	return err == nil && quiet
+	return err == nil && empty
 }
 
-// send writes a request. sent false means that not one byte went out.
-func (conn *upstreamConn) send(head, body []byte, rest io.Reader, chunked bool, until time.Time) (sent bool, err error) {
-	conn.netConn.SetDeadline(until)
+// send writes a request. If sent is false, no byte was written.
+func (conn *upstreamConn) send(head, body []byte, bodyRest io.Reader, chunked bool, deadline time.Time) (sent bool, err error) {
+	conn.netConn.SetDeadline(deadline)
 	n, err := conn.netConn.Write(append(head, body...))
 	if err != nil {
 		return n > 0, err
 	}
-	if rest == nil {
+	if bodyRest == nil {
 		return true, nil
 	}
 	buf := make([]byte, 16<<10)
 	for {
-		n, rerr := rest.Read(buf)
+		n, readErr := bodyRest.Read(buf)
 		if n > 0 {
-			out := buf[:n]
+			chunk := buf[:n]
 			if chunked {
-				out = append([]byte(strconv.FormatInt(int64(n), 16)+"\r\n"), append(out, '\r', '\n')...)
+				chunk = append([]byte(strconv.FormatInt(int64(n), 16)+"\r\n"), append(chunk, '\r', '\n')...)
 			}
-			if _, err := conn.netConn.Write(out); err != nil {
+			if _, err := conn.netConn.Write(chunk); err != nil {
 				return true, err
 			}
 		}
-		if rerr == io.EOF {
+		if readErr == io.EOF {
 			if chunked {
 				_, err = io.WriteString(conn.netConn, "0\r\n\r\n")
 			}
 			return true, err
 		}
-		if rerr != nil {
-			return true, errors.Join(errRequestBody, rerr)
+		if readErr != nil {
+			return true, errors.Join(errRequestBody, readErr)
 		}
 	}
 }
@@ -129,20 +128,20 @@
 			return nil, err
 		}
 		conn.reader.remaining = unbounded
-		switch c := resp.StatusCode; {
-		case c < 100 || c > 599 || c == http.StatusSwitchingProtocols:
-			// Nothing was asked to switch, and other numbers are no statuses: what
-			// follows on the connection cannot be told either.
+		switch code := resp.StatusCode; {
+		case code < 100 || code > 599 || code == http.StatusSwitchingProtocols:
+			// No request asks to switch protocols, and other numbers are not HTTP statuses:
+			// the data that follows on the connection cannot be interpreted either.
 			return nil, errInvalidStatus
-		case c < 200:
+		case code < 200:
 			continue
 		}
-		got := resp.Header[headerAttemptID]
-		if attempt != "" && len(got) == 0 && resp.StatusCode/100 == 2 {
+		ids := resp.Header[headerAttemptID]
+		if attempt != "" && len(ids) == 0 && resp.StatusCode/100 == 2 {
 			return nil, errWrongAttempt
 		}
-		for _, id := range got {
-			if id != attempt { // also where the request has none
+		for _, id := range ids {
+			if id != attempt { // also if the request has none
 				return nil, errWrongAttempt
 			}
 		}
@@ -150,22 +149,21 @@
 	}
 }
 
-// unframed says that a body goes on until its connection ends: one that was cut looks
-// like one that is whole.
+// unframed reports whether a body is delimited only by the end of its connection, so that a
+// truncated body cannot be told from a complete one.
 func unframed(resp *http.Response) bool {
 	return resp.ContentLength < 0 && len(resp.TransferEncoding) == 0 && resp.Body != http.NoBody
 }
 
-// finishExchange ends a whole exchange: the connection is kept when nothing speaks
-// against it.
+// finishExchange ends a complete exchange, and keeps the connection for reuse where possible.
 func (conn *upstreamConn) finishExchange(resp *http.Response) {
 	conn.exchanges++
 	if resp.Close || resp.ProtoMajor != 1 || resp.ProtoMinor < 1 || conn.buffered.Buffered() > 0 {
 		conn.close()
 		return
 	}
-	if s, ok := keepAlive(resp.Header); ok {
-		conn.idleTimeout = max(s-constants.IdleSafety, s/4)
+	if timeout, ok := keepAlive(resp.Header); ok {
+		conn.idleTimeout = max(timeout-constants.IdleSafety, timeout/4)
 	}
 	conn.upstream.releaseConn(conn, true)
 }
--- a/internal/proxy/connections.go
+++ b/internal/proxy/connections.go
@@ -7,6 +7,7 @@
 	"slateridge/internal/constants"
 )
 
+// closeIdle closes all idle connections. The pool's mutex must be held.
 func (u *Upstream) closeIdle() {
 	for _, conn := range u.idle {
 		conn.netConn.Close()
@@ -15,9 +16,10 @@
 	u.idle = nil
 }
 
-// connect gives an idle connection, or a new one that is made by a moment; where nothing
-// but its connection ties the answer to the request, always a new one.
-func (u *Upstream) connect(ctx context.Context, fresh bool, by time.Time) (conn *upstreamConn, reused bool, err error) {
+// connect returns an idle connection, or dials a new one before the deadline. With fresh it
+// always dials: the request has no attempt ID, so that only the connection can tie the
+// response to it.
+func (u *Upstream) connect(ctx context.Context, fresh bool, deadline time.Time) (conn *upstreamConn, reused bool, err error) {
 	pool := u.pool
 	now := time.Now()
 	for {
@@ -40,10 +42,10 @@
 	u.conns++
 	pool.NewConns++
 	pool.mu.Unlock()
-	ctx, cancel := context.WithDeadline(ctx, earlier(by, time.Now().Add(constants.ConnectTimeout)))
+	ctx, cancel := context.WithDeadline(ctx, earlier(deadline, time.Now().Add(constants.ConnectTimeout)))
 	defer cancel()
-	began := time.Now()
-	c, err := pool.dialer.DialContext(ctx, "tcp4", u.instance.Address)
+	dialStarted := time.Now()
+	netConn, err := pool.dialer.DialContext(ctx, "tcp4", u.instance.Address)
 	pool.mu.Lock()
 	defer pool.mu.Unlock()
 	if err != nil {
@@ -51,11 +53,11 @@
 		return nil, false, err
 	}
 	connected := time.Now()
-	pool.connectTime[u.distance].learn(connected, connected.Sub(began).Seconds())
-	return newUpstreamConn(u, c), false, nil
+	pool.connectTime[u.distance].learn(connected, connected.Sub(dialStarted).Seconds())
+	return newUpstreamConn(u, netConn), false, nil
 }
 
-// closeConn closes a connection.
+// closeConn closes a connection and ends its cancellation.
 func (u *Upstream) closeConn(conn *upstreamConn) {
 	conn.cancellation.finish()
 	conn.netConn.Close()
@@ -64,9 +66,9 @@
 	u.pool.mu.Unlock()
 }
 
-// releaseConn puts a connection by for the next request: after an exchange, or as it was
-// found, when nothing was sent. Its upstream counts the rest from the last exchange. One
-// that was closed for its client's leaving is not kept.
+// releaseConn returns a connection to the idle connections after an exchange, or unused if
+// nothing was sent. Only an exchange restarts its idle time, since the upstream also counts
+// from there. A connection that was closed by its cancellation is dropped.
 func (u *Upstream) releaseConn(conn *upstreamConn, exchanged bool) {
 	if !conn.cancellation.finish() {
 		u.closeConn(conn)
@@ -86,7 +88,7 @@
 	u.idle = append(u.idle, conn)
 }
 
-// CloseExpiredIdle closes connections idle for too long.
+// CloseExpiredIdle closes connections that have exceeded their idle timeout.
 func (pool *Pool) CloseExpiredIdle(now time.Time) {
 	pool.mu.Lock()
 	defer pool.mu.Unlock()
--- a/internal/proxy/frontend.go
+++ b/internal/proxy/frontend.go
@@ -14,37 +14,37 @@
 	"slateridge/internal/constants"
 )
 
-// frontend is the frontend's entry: it accepts connections and serves requests on them. A
-// connection goes by the client bounds of the configuration in force, also when it was
-// opened under others.
+// frontend accepts client connections and serves requests on them. The client limits of the
+// configuration in force apply to every connection, including those opened under an earlier
+// configuration.
 type frontend struct {
 	listener net.Listener
 	server   *http.Server
 	limits   func() config.Limits
-	overlap  time.Duration // after a bound was lowered, clients may go by the one before
+	overlap  time.Duration // how long the previous idle timeout stays in force after it was lowered
 
 	mu           sync.Mutex
-	conns        map[net.Conn]time.Time // since when it has rested; zero while a request is under way
-	idleTimeout  time.Duration          // idle bound seen last
-	previousIdle replacedTimeout        // the one before, when that was longer
+	conns        map[net.Conn]time.Time // start of the idle period; zero while a request is in progress
+	idleTimeout  time.Duration          // last configured value seen
+	previousIdle replacedTimeout        // the value before it, if that was longer
 	closed       bool
-	done         chan struct{} // closed when all is over
+	done         chan struct{} // closed by close
 	closeOnce    sync.Once
 }
 
-// replacedTimeout is an idle bound that a shorter one has replaced.
+// replacedTimeout is an idle timeout that a shorter one has replaced.
 type replacedTimeout struct {
 	timeout    time.Duration
 	replacedAt time.Time
 }
 
-// newFrontend makes a frontend; a configuration is known to clients configApply after it
-// was acknowledged.
-func newFrontend(l net.Listener, h http.Handler, limits func() config.Limits, configApply time.Duration) *frontend {
-	f := &frontend{listener: l, limits: limits, overlap: configApply, conns: map[net.Conn]time.Time{}, done: make(chan struct{})}
-	// The bounds on headers and their time are kept by each clientConn.
+// newFrontend returns a frontend for a listener. Clients know a configuration no later than
+// configApply after it was acknowledged.
+func newFrontend(listener net.Listener, handler http.Handler, limits func() config.Limits, configApply time.Duration) *frontend {
+	f := &frontend{listener: listener, limits: limits, overlap: configApply, conns: map[net.Conn]time.Time{}, done: make(chan struct{})}
+	// Each clientConn enforces the limits on header size and header read time.
 	f.server = &http.Server{
-		Handler:                      h,
+		Handler:                      handler,
 		ConnState:                    f.onConnState,
 		ConnContext:                  clientContext,
 		MaxHeaderBytes:               math.MaxInt32,
@@ -54,7 +54,7 @@
 	return f
 }
 
-// Accept waits for the next connection of a client, until the frontend is closed.
+// Accept waits for the next client connection, until the frontend is closed.
 func (f *frontend) Accept() (net.Conn, error) {
 	for {
 		accepted, err := f.listener.Accept()
@@ -64,14 +64,14 @@
 		if f.isClosed() {
 			return nil, net.ErrClosed
 		}
-		time.Sleep(constants.AcceptPause) // out of descriptors, or a connection that ended early
+		time.Sleep(constants.AcceptPause) // out of file descriptors, or the connection was aborted before it was accepted
 	}
 }
 
-// Close closes the listener.
+// Close closes the listener. With Accept and Addr it makes the frontend a net.Listener.
 func (f *frontend) Close() error { return f.listener.Close() }
 
-// Addr is the listener's address.
+// Addr returns the listener's address.
 func (f *frontend) Addr() net.Addr { return f.listener.Addr() }
 
 func (f *frontend) isClosed() bool {
@@ -87,16 +87,15 @@
 	return def
 }
 
-// serve accepts until the listener is closed, and returns only when the frontend
-// is: were it to return while requests are in flight, the process's group
-// would end and cut them.
+// serve serves connections, and returns only after close has been called. If it returned
+// while requests are in flight, the run group would end the process and abort them.
 func (f *frontend) serve() error {
 	f.server.Serve(f)
 	<-f.done
 	return nil
 }
 
-// onConnState follows a connection's state.
+// onConnState is the server's ConnState hook.
 func (f *frontend) onConnState(c net.Conn, state http.ConnState) {
 	if client, ok := c.(*clientConn); ok {
 		client.expectHeaders(state == http.StateNew || state == http.StateIdle, state == http.StateNew)
@@ -117,8 +116,8 @@
 	}
 }
 
-// idleTimeoutLocked is how long a connection may rest now: for as long as the configuration
-// in force says, or the one before, as long as clients may not know of a lowered bound.
+// idleTimeoutLocked returns the idle timeout in force. After the timeout was lowered, the
+// longer value stays in force while clients may not know of the change.
 func (f *frontend) idleTimeoutLocked(now time.Time) time.Duration {
 	overlaps := now.Sub(f.previousIdle.replacedAt) < f.overlap
 	current := orDefault(f.limits().IdleTime, constants.IdleTimeout)
@@ -135,31 +134,31 @@
 	return current
 }
 
-// closeIdle closes connections that have rested for longer than they may. They are kept a
-// little longer still, so that it is the client that ends them.
+// closeIdle closes connections that have exceeded the idle timeout by IdleSpare. The margin
+// lets the client close first: a request that is under way when the proxy closes is lost.
 func (f *frontend) closeIdle(now time.Time) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	bound := f.idleTimeoutLocked(now)
+	timeout := f.idleTimeoutLocked(now)
 	for c, idleSince := range f.conns {
 		if conn, ok := c.(*clientConn); ok && conn.busy() {
-			continue // a request that was sent ahead changes no state of the server's
+			continue // a pipelined request does not change the server's connection state
 		}
-		if !idleSince.IsZero() && now.Sub(idleSince) > bound+constants.IdleSpare {
+		if !idleSince.IsZero() && now.Sub(idleSince) > timeout+constants.IdleSpare {
 			delete(f.conns, c)
 			c.Close()
 		}
 	}
 }
 
-// drain stops accepting, and returns when all requests in flight have ended or
-// the time is over.
+// drain stops accepting connections, and returns when all requests in flight have ended or
+// ctx is done.
 func (f *frontend) drain(ctx context.Context) {
 	f.stopAccepting()
 	f.server.Shutdown(ctx)
 }
 
-// close ends all at once.
+// close closes the listener and all connections, and makes serve return.
 func (f *frontend) close() {
 	defer f.closeOnce.Do(func() { close(f.done) })
 	f.stopAccepting()
