--- a/internal/proxy/cancellation_test.go
+++ b/internal/proxy/cancellation_test.go
@@ -13,7 +13,7 @@
 	"slateridge/internal/constants"
 )
 
-// closedWithin waits for a connection's other end to be closed.
+// closedWithin reports whether a connection's other end is closed within a time.
 func closedWithin(c net.Conn, wait time.Duration) bool {
 	c.SetReadDeadline(time.Now().Add(wait))
 	_, err := c.Read(make([]byte, 1))
@@ -21,48 +21,49 @@
 	return err != nil && !(ok && timeout.Timeout())
 }
 
-// A connection is closed once after its grace, and never after its request has ended,
-// whichever comes first.
-func TestCancellationEndsWithItsRequest(t *testing.T) {
+// A connection is closed when the grace period after a disconnect ends, but not if its
+// request has finished before.
+func TestCancellationStopsWhenRequestFinishes(t *testing.T) {
 	const grace = 30 * time.Millisecond
 	for name, c := range map[string]struct {
-		grace, endAfter time.Duration // of the client's leaving; the request's end
-		leaves, closes  bool
+		grace, endAfter     time.Duration // grace period; time from the disconnect to the end of the request, negative if before
+		disconnects, closed bool
 	}{
-		"the client stays":       {grace, 0, false, false},
-		"ends inside the grace":  {grace, 5 * time.Millisecond, true, false},
-		"ends after the grace":   {grace, 500 * time.Millisecond, true, true},
-		"no grace":               {0, 500 * time.Millisecond, true, true},
-		"ended before it leaves": {grace, -1, true, false},
+		"client stays":                 {grace, 0, false, false},
+		"ends within the grace period": {grace, 5 * time.Millisecond, true, false},
+		"ends after the grace period":  {grace, 500 * time.Millisecond, true, true},
+		"no grace period":              {0, 500 * time.Millisecond, true, true},
+		"ended before the disconnect":  {grace, -1, true, false},
 	} {
 		t.Run(name, func(t *testing.T) {
-			ours, theirs := net.Pipe()
-			defer ours.Close()
-			defer theirs.Close()
-			ctx, leave := context.WithCancel(context.Background())
-			defer leave()
-			cancellation := newCancellation(ctx, ours, c.grace)
+			conn, peer := net.Pipe()
+			defer conn.Close()
+			defer peer.Close()
+			ctx, disconnect := context.WithCancel(context.Background())
+			defer disconnect()
+			cancellation := newCancellation(ctx, conn, c.grace)
 			if c.endAfter < 0 {
 				cancellation.finish()
 			}
-			if c.leaves {
-				leave()
+			if c.disconnects {
+				disconnect()
 			}
 			time.Sleep(max(0, c.endAfter))
-			whole := cancellation.finish()
-			if whole == c.closes || cancellation.cancelled() != c.closes {
-				t.Errorf("ended whole %v, cancelled %v; want closed %v", whole, cancellation.cancelled(), c.closes)
+			finishedNormally := cancellation.finish()
+			if finishedNormally == c.closed || cancellation.cancelled() != c.closed {
+				t.Errorf("finished normally %v, cancelled %v; want closed %v", finishedNormally, cancellation.cancelled(), c.closed)
 			}
-			if closedWithin(theirs, 3*grace) != c.closes {
-				t.Errorf("closed %v, want %v", !c.closes, c.closes)
+			if closedWithin(peer, 3*grace) != c.closed {
+				t.Errorf("closed %v, want %v", !c.closed, c.closed)
 			}
 		})
 	}
 }
 
-// Runs end at all moments around the end of the grace: the connections that are put by
-// then serve others whole, those of a cancelled run are closed and counted as such.
-func TestLateCancellationHitsNoOtherRequest(t *testing.T) {
+// Requests finish at moments spread around the end of the grace period. Connections that are
+// returned to the pool then serve other requests without errors, and those of cancelled
+// requests are closed and no longer counted as open.
+func TestLateCancellationDoesNotCloseReusedConnection(t *testing.T) {
 	u := newSlowUpstream(t, "", "")
 	instance := u.instance("i-1", 40)
 	d, front := daemonAt(t, instance)
@@ -86,7 +87,7 @@
 			wg.Go(func() {
 				for end := time.Now().Add(80 * time.Millisecond); time.Now().Before(end); {
 					if status, _, err := fetch(front, "POST", "/once/3ms"); status != http.StatusOK || err != nil {
-						t.Errorf("beside the cancelled: %d %v", status, err)
+						t.Errorf("request next to cancelled ones: %d %v", status, err)
 					}
 				}
 			})
@@ -98,21 +99,21 @@
 		time.Sleep(time.Millisecond)
 	}
 	if open, idle := connsOpen(d.Proxy); open != idle {
-		t.Errorf("%d connections are reckoned as open, %d are at rest", open, idle)
+		t.Errorf("%d connections are counted as open, %d are idle", open, idle)
 	}
 }
 
-// BenchmarkCancellation is what a request pays for one that is not needed.
+// BenchmarkCancellation measures the cost of a cancellation that never fires.
 func BenchmarkCancellation(b *testing.B) {
-	ours, theirs := net.Pipe()
-	defer ours.Close()
-	defer theirs.Close()
-	connection, leave := context.WithCancel(context.Background())
-	defer leave()
+	conn, peer := net.Pipe()
+	defer conn.Close()
+	defer peer.Close()
+	connection, disconnect := context.WithCancel(context.Background())
+	defer disconnect()
 	b.ReportAllocs()
 	for b.Loop() {
-		ctx, done := context.WithCancel(connection) // as the HTTP server makes one for each request
-		cancellation := newCancellation(ctx, ours, constants.CancelGrace)
+		ctx, done := context.WithCancel(connection) // as the HTTP server creates for each request
+		cancellation := newCancellation(ctx, conn, constants.CancelGrace)
 		cancellation.finish()
 		done()
 	}
--- a/internal/proxy/dial_test.go
+++ b/internal/proxy/dial_test.go
@@ -11,7 +11,7 @@
 	"slateridge/internal/discovery"
 )
 
-// unresponsiveAddress is an address at which connections are neither taken nor refused.
+// unresponsiveAddress returns an address where connections are neither accepted nor refused.
 func unresponsiveAddress(t *testing.T) string {
 	t.Helper()
 	fd, err := unix.Socket(unix.AF_INET, unix.SOCK_STREAM, 0)
@@ -30,7 +30,7 @@
 		t.Fatal(err)
 	}
 	address := (&net.TCPAddr{IP: net.IPv4(127, 0, 0, 1), Port: name.(*unix.SockaddrInet4).Port}).String()
-	for range 4 { // until its queue is full
+	for range 4 { // fills the accept queue
 		if conn, err := net.DialTimeout("tcp4", address, 50*time.Millisecond); err == nil {
 			t.Cleanup(func() { conn.Close() })
 		}
@@ -38,16 +38,17 @@
 	return address
 }
 
-// An upstream that takes no connection is given up while the caller can still be served by
-// another; one that had no longer than its caller's time is not held to be gone.
-func TestConnectingLeavesTimeForAnother(t *testing.T) {
+// An upstream that accepts no connection is abandoned while another can still serve the
+// request in time. If the request's time budget cut the connect time short, that does not
+// count as a failure of the upstream.
+func TestConnectTimeoutLeavesTimeForAnotherUpstream(t *testing.T) {
 	const usual, budget = 20 * time.Millisecond, 200 * time.Millisecond
-	free := newRawUpstream(t, func(_ int, r *http.Request) (string, bool) { return ok(r, "x"), false })
-	dark := discovery.Instance{ID: "i-dark", Service: "svc", Address: unresponsiveAddress(t), Zone: "z", Slots: 2}
+	responsive := newRawUpstream(t, func(_ int, r *http.Request) (string, bool) { return ok(r, "x"), false })
+	unresponsive := discovery.Instance{ID: "i-dark", Service: "svc", Address: unresponsiveAddress(t), Zone: "z", Slots: 2}
 	for _, path := range []string{"/a/", "/once/"} {
-		s := timedProxy(t, usual, dark, free.instance("i-free"))
+		s := timedProxy(t, usual, unresponsive, responsive.instance("i-free"))
 		s.pool.mu.Lock()
-		s.pool.upstreams["i-free"].delay = 5 * usual.Seconds() // the dark one is asked first
+		s.pool.upstreams["i-free"].delay = 5 * usual.Seconds() // the unresponsive upstream is tried first
 		s.pool.mu.Unlock()
 		w, took := request(s, path, budget)
 		if w.Code != http.StatusOK {
@@ -55,7 +56,7 @@
 		}
 		s.pool.mu.Lock()
 		if u := s.pool.upstreams["i-dark"]; u.fails > 0 {
-			t.Errorf("%s: it had less than the time to connect and counts as failed", path)
+			t.Errorf("%s: a connect cut short by the time budget counts as a failure", path)
 		}
 		s.pool.mu.Unlock()
 	}
--- a/internal/proxy/frontend_test.go
+++ b/internal/proxy/frontend_test.go
@@ -14,30 +14,30 @@
 	"slateridge/internal/constants"
 )
 
-// newIdleClient opens a connection to a frontend whose idle bound is read from idle, and
-// returns a function that sends one request over it.
+// newIdleClient opens a connection to a frontend that reads its idle timeout from idle. It
+// returns the frontend and a function that sends one request over the connection.
 func newIdleClient(t *testing.T, idle *atomic.Int64) (*frontend, func() error) {
 	u := newRawUpstream(t, func(_ int, r *http.Request) (string, bool) { return ok(r, "x"), false })
-	s := newProxy(t, u.instance("i-1"))
-	l, err := net.Listen("tcp4", "127.0.0.1:0")
+	p := newProxy(t, u.instance("i-1"))
+	listener, err := net.Listen("tcp4", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
-	g := newFrontend(l, s, func() config.Limits { return config.Limits{IdleTime: time.Duration(idle.Load())} }, time.Second)
-	go g.serve()
-	t.Cleanup(g.close)
-	c, err := net.Dial("tcp4", l.Addr().String())
+	f := newFrontend(listener, p, func() config.Limits { return config.Limits{IdleTime: time.Duration(idle.Load())} }, time.Second)
+	go f.serve()
+	t.Cleanup(f.close)
+	conn, err := net.Dial("tcp4", listener.Addr().String())
 	if err != nil {
 		t.Fatal(err)
 	}
-	t.Cleanup(func() { c.Close() })
-	br := bufio.NewReader(c)
-	return g, func() error {
-		c.SetDeadline(time.Now().Add(5 * time.Second))
-		if _, err := io.WriteString(c, "GET /open/ HTTP/1.1\r\nHost: h.example\r\nX-Slateridge-Attempt-Id: id-1\r\n\r\n"); err != nil {
+	t.Cleanup(func() { conn.Close() })
+	reader := bufio.NewReader(conn)
+	return f, func() error {
+		conn.SetDeadline(time.Now().Add(5 * time.Second))
+		if _, err := io.WriteString(conn, "GET /open/ HTTP/1.1\r\nHost: h.example\r\nX-Slateridge-Attempt-Id: id-1\r\n\r\n"); err != nil {
 			return err
 		}
-		resp, err := http.ReadResponse(br, nil)
+		resp, err := http.ReadResponse(reader, nil)
 		if err != nil {
 			return err
 		}
@@ -52,9 +52,8 @@
 	}
 }
 
-// A connection that was open before the idle bound was raised may rest for up to the
-// new one.
-func TestRaisedIdleBoundReachesOpenConnections(t *testing.T) {
+// A raised idle timeout applies to connections that were opened before.
+func TestRaisedIdleTimeoutAppliesToOpenConnections(t *testing.T) {
 	var idle atomic.Int64
 	idle.Store(int64(300 * time.Millisecond))
 	_, request := newIdleClient(t, &idle)
@@ -64,60 +63,61 @@
 	idle.Store(int64(5 * time.Second))
 	time.Sleep(700 * time.Millisecond)
 	if err := request(); err != nil {
-		t.Errorf("after a rest inside the raised bound: %v", err)
+		t.Errorf("after an idle period within the raised timeout: %v", err)
 	}
 }
 
-// A connection is closed once it has rested longer than the bound in force allows, also
-// when it was opened under a longer one; that one holds on while clients may go by it.
+// A connection is closed once it exceeds the idle timeout in force, including one opened
+// under a longer timeout. After the timeout was lowered, the longer one stays in force while
+// clients may not know of the change.
 func TestIdleConnectionsAreClosed(t *testing.T) {
 	const s, spare, configApply = time.Second, constants.IdleSpare, 3 * time.Second
-	var bound atomic.Int64
-	g := newFrontend(nil, nil, func() config.Limits { return config.Limits{IdleTime: time.Duration(bound.Load())} }, configApply)
+	var idleTimeout atomic.Int64
+	f := newFrontend(nil, nil, func() config.Limits { return config.Limits{IdleTime: time.Duration(idleTimeout.Load())} }, configApply)
 	began := time.Now()
 	open := func(after time.Duration) net.Conn {
-		ours, theirs := net.Pipe()
-		t.Cleanup(func() { ours.Close(); theirs.Close() })
+		conn, peer := net.Pipe()
+		t.Cleanup(func() { conn.Close(); peer.Close() })
 		for _, state := range []http.ConnState{http.StateNew, http.StateActive, http.StateIdle} {
-			g.setConnState(ours, state, began.Add(after))
+			f.setConnState(conn, state, began.Add(after))
 		}
-		return ours
+		return conn
 	}
 	isOpen := func(c net.Conn, after time.Duration) bool {
-		g.closeIdle(began.Add(after))
-		_, is := g.conns[c]
-		return is
+		f.closeIdle(began.Add(after))
+		_, found := f.conns[c]
+		return found
 	}
-	closesAt := func(what string, c net.Conn, after time.Duration) {
+	closesAt := func(name string, c net.Conn, after time.Duration) {
 		t.Helper()
 		if !isOpen(c, after) {
-			t.Errorf("%s: closed before %v", what, after)
+			t.Errorf("%s: closed before %v", name, after)
 		}
 		if isOpen(c, after+1) {
-			t.Errorf("%s: open after %v", what, after)
+			t.Errorf("%s: open after %v", name, after)
 		}
 	}
-	bound.Store(int64(20 * s))
+	idleTimeout.Store(int64(20 * s))
 	long, busy := open(0), open(0)
-	g.setConnState(busy, http.StateActive, began)
+	f.setConnState(busy, http.StateActive, began)
 	if !isOpen(long, 10*s) {
-		t.Error("closed inside its bound")
+		t.Error("closed within its timeout")
 	}
 	short := open(10 * s)
-	bound.Store(int64(2 * s))
-	if !isOpen(long, 11*s) { // lowered now; it has rested far longer
-		t.Error("closed by a lowered bound that its client may not know")
+	idleTimeout.Store(int64(2 * s))
+	if !isOpen(long, 11*s) { // the timeout was just lowered, and the idle period exceeds it by far
+		t.Error("closed by a lowered timeout that its client may not know")
 	}
-	closesAt("opened under a longer bound, rested long", long, 11*s+configApply-1)
-	closesAt("opened under a longer bound, rested little", short, 10*s+2*s+spare)
-	closesAt("opened under the lowered bound", open(30*s), 32*s+spare)
+	closesAt("opened under a longer timeout, long idle", long, 11*s+configApply-1)
+	closesAt("opened under a longer timeout, briefly idle", short, 10*s+2*s+spare)
+	closesAt("opened under the lowered timeout", open(30*s), 32*s+spare)
 	raised := open(40 * s)
 	if !isOpen(raised, 45*s) {
-		t.Error("closed inside the bound")
+		t.Error("closed within the timeout")
 	}
-	bound.Store(int64(12 * s))
-	closesAt("raised meanwhile", raised, 52*s+spare)
+	idleTimeout.Store(int64(12 * s))
+	closesAt("timeout raised while idle", raised, 52*s+spare)
 	if !isOpen(busy, 90*s) {
-		t.Error("closed with a request under way")
+		t.Error("closed with a request in progress")
 	}
 }
--- a/internal/proxy/settings_test.go
+++ b/internal/proxy/settings_test.go
@@ -14,9 +14,9 @@
 	"slateridge/internal/settings"
 )
 
-// A settings file that changes while a proxy runs names further control machines, from
-// the first moment on and without a signal; one that cannot be read changes nothing,
-// and the next one is read again.
+// Control-plane nodes added to the settings file take effect while the proxy runs, without a
+// signal, and even if the file changes right after the start. An invalid file changes
+// nothing, and the next valid one is loaded.
 func TestSeedsChangeWhileRunning(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "boot.json")
 	write := func(at time.Time, seeds ...string) {
@@ -40,32 +40,33 @@
 	}
 	at := time.Now()
 	write(at, "127.0.0.62:39191")
-	set, err := settings.Load(path, "frontend", "readiness")
+	nodeSettings, err := settings.Load(path, "frontend", "readiness")
 	if err != nil {
 		t.Fatal(err)
 	}
-	d := NewDaemon(set, path, eventlog.New(zerolog.Nop()))
-	knows := func(ip string) bool { _, ok := d.subscriber.State(time.Now()).Ends[ip]; return ok }
-	write(at.Add(time.Millisecond), "127.0.0.63:39191") // before it is looked for the first time
+	d := NewDaemon(nodeSettings, path, eventlog.New(zerolog.Nop()))
+	isKnown := func(ip string) bool { _, ok := d.subscriber.State(time.Now()).Ends[ip]; return ok }
+	write(at.Add(time.Millisecond), "127.0.0.63:39191") // before the first check for changes
 	d.reloadIfChanged()
-	if !knows("127.0.0.62") || !knows("127.0.0.63") {
-		t.Error("a change in the first second is not seen")
+	if !isKnown("127.0.0.62") || !isKnown("127.0.0.63") {
+		t.Error("a change right after the start was not loaded")
 	}
 	write(at.Add(2 * time.Millisecond))
 	d.reloadIfChanged()
 	write(at.Add(3*time.Millisecond), "127.0.0.64:39191")
 	d.reloadIfChanged()
-	if !knows("127.0.0.64") {
-		t.Error("a change after a file that cannot be read is not seen")
+	if !isKnown("127.0.0.64") {
+		t.Error("a change after an invalid file was not loaded")
 	}
 }
 
-// A proxy reads the platform's list itself while no control machine in contact speaks,
-// also when others do, but not in its first seconds, in which none can have spoken.
-func TestListIsReadHereOutOfContact(t *testing.T) {
+// A proxy polls the platform's instance list itself while it receives no updates from a
+// control-plane node in contact with a majority, even if others send updates. It does not in
+// its first seconds, before the first update can have arrived.
+func TestSelfPollOutOfContact(t *testing.T) {
 	now := time.Now()
 	d := &Daemon{Proxy: &Proxy{began: now.Add(-time.Minute)}}
-	is := func(current, silent, age time.Duration) bool {
+	outOfContact := func(current, silent, age time.Duration) bool {
 		d.began = now.Add(-age)
 		return d.outOfContact(distribution.State{Current: current, Silent: silent}, now)
 	}
@@ -80,7 +81,7 @@
 		{never, 0, time.Second, false},
 		{never, 0, 20 * time.Second, true},
 	} {
-		if got := is(c.current, c.silent, c.age); got != c.want {
+		if got := outOfContact(c.current, c.silent, c.age); got != c.want {
 			t.Errorf("%+v: %v", c, got)
 		}
 	}
