--- a/internal/proxy/disconnect_test.go
+++ b/internal/proxy/disconnect_test.go
@@ -18,28 +18,27 @@
 	"slateridge/internal/discovery"
 )
 
-// What the rule allows after a client has left, and what a loaded test machine may add.
 const (
-	maxWorkAfterDisconnect = 500 * time.Millisecond
-	schedulingSlack        = 300 * time.Millisecond
+	maxWorkAfterDisconnect = 500 * time.Millisecond // required bound on upstream work after a disconnect
+	schedulingSlack        = 300 * time.Millisecond // for scheduling delays on a loaded test machine
 )
 
-// upstreamRun is one request at a workingUpstream.
+// upstreamRun is the execution of one request at a slowUpstream.
 type upstreamRun struct {
 	id, path  string
 	began     time.Time
-	ended     time.Time // zero while it is at work
-	abandoned bool      // its connection was closed while it was at work
+	ended     time.Time // zero while in progress
+	abandoned bool      // the connection was closed while in progress
 }
 
-// slowUpstream is an upstream stand-in that works for as long as the request's path
-// says (/safe/300ms), and drops a request whose connection closes.
+// slowUpstream is a fake upstream that takes as long to respond as the request's path says
+// (/safe/300ms), and abandons a request when its connection is closed.
 type slowUpstream struct {
 	listener   net.Listener
 	mu         sync.Mutex
 	runs       []*upstreamRun
-	beforeWork string // written before the work begins
-	afterWork  string // written after it, instead of an answer; "close" closes
+	beforeWork string // written before the delay
+	afterWork  string // written after it instead of a 200 response; "close" closes the connection
 }
 
 func newSlowUpstream(t *testing.T, first, last string) *slowUpstream {
@@ -53,12 +52,12 @@
 	u.mu.Lock()
 	u.runs = append(u.runs, run)
 	u.mu.Unlock()
-	work, err := time.ParseDuration(r.RequestURI[strings.LastIndex(r.RequestURI, "/")+1:])
+	delay, err := time.ParseDuration(r.RequestURI[strings.LastIndex(r.RequestURI, "/")+1:])
 	if err != nil {
-		work = 0
+		delay = 0
 	}
 	io.WriteString(c, u.beforeWork)
-	c.SetReadDeadline(time.Now().Add(work))
+	c.SetReadDeadline(time.Now().Add(delay))
 	_, err = c.Read(make([]byte, 1))
 	timeout, ok := err.(net.Error)
 	finished := ok && timeout.Timeout()
@@ -83,7 +82,7 @@
 	return discovery.Instance{ID: id, Service: "svc", Address: u.listener.Addr().String(), Zone: "z", Slots: slots}
 }
 
-// recordedRuns is a copy of the runs so far.
+// recordedRuns returns a copy of the runs so far.
 func (u *slowUpstream) recordedRuns() []upstreamRun {
 	u.mu.Lock()
 	defer u.mu.Unlock()
@@ -94,7 +93,7 @@
 	return out
 }
 
-// awaitArrivals waits until so many requests have arrived at some upstreams.
+// awaitArrivals waits until n requests have arrived at the upstreams in total.
 func awaitArrivals(t *testing.T, n int, upstreams ...*slowUpstream) {
 	t.Helper()
 	for end := time.Now().Add(5 * time.Second); ; time.Sleep(time.Millisecond) {
@@ -111,28 +110,28 @@
 	}
 }
 
-// awaitRunsEnded waits until no upstream is at work.
+// awaitRunsEnded waits until no upstream has a run in progress.
 func awaitRunsEnded(t *testing.T, upstreams ...*slowUpstream) {
 	t.Helper()
 	for end := time.Now().Add(8 * time.Second); ; time.Sleep(time.Millisecond) {
-		working := 0
+		running := 0
 		for _, u := range upstreams {
 			for _, run := range u.recordedRuns() {
 				if run.ended.IsZero() {
-					working++
+					running++
 				}
 			}
 		}
-		if working == 0 {
+		if running == 0 {
 			return
 		}
 		if time.Now().After(end) {
-			t.Fatalf("%d requests are still at work", working)
+			t.Fatalf("%d requests are still in progress", running)
 		}
 	}
 }
 
-// clientRequest is a request as a client writes it.
+// clientRequest returns the head of a request as a client sends it.
 func clientRequest(method, path, id string, bodyLength int) string {
 	return fmt.Sprintf("%s %s HTTP/1.1\r\nHost: h.example\r\nX-Slateridge-Attempt-Id: %s\r\nX-Slateridge-Time-Budget-Ms: 9000\r\nX-Api-Key: k1\r\nContent-Length: %d\r\n\r\n",
 		method, path, id, bodyLength)
@@ -149,96 +148,97 @@
 	return c
 }
 
-// An upstream stops working within half a second of its client's leaving, however the
-// client left and whatever the request's state was; it isn't cut off at once, since a run
-// that is about to end costs less than a new connection.
-func TestWorkEndsSoonAfterItsClientLeft(t *testing.T) {
+// After a client disconnects, the upstream stops work on its request within half a second,
+// however the client disconnected and in whatever state the request was. The work is not
+// cancelled at once, since finishing a run that is about to end costs less than a new
+// connection.
+func TestUpstreamWorkEndsSoonAfterDisconnect(t *testing.T) {
 	long := strings.Repeat("x", 600000)
 	for name, c := range map[string]struct {
-		first    string // of the upstream's answer
-		requests string
-		arrivals int
-		leave    func(d *Daemon, c net.Conn)
-		early    bool // the end may come at once
+		beforeWork   string // start of the upstream's response, sent before the work
+		requests     string
+		arrivals     int
+		disconnect   func(d *Daemon, c net.Conn)
+		mayEndAtOnce bool
 	}{
-		"closed":         {requests: clientRequest("GET", "/safe/1900ms", "a", 0), arrivals: 1},
-		"both offers":    {requests: clientRequest("GET", "/safe/1800ms", "a", 0), arrivals: 2},
-		"half-closed":    {requests: clientRequest("GET", "/safe/1900ms", "a", 0), arrivals: 1, leave: func(_ *Daemon, c net.Conn) { c.(*net.TCPConn).CloseWrite() }},
-		"reset":          {requests: clientRequest("GET", "/safe/1900ms", "a", 0), arrivals: 1, leave: func(_ *Daemon, c net.Conn) { c.(*net.TCPConn).SetLinger(0); c.Close() }},
-		"while draining": {requests: clientRequest("GET", "/safe/1900ms", "a", 0), arrivals: 1, leave: func(d *Daemon, c net.Conn) { d.leaving.Store(true); c.Close() }},
-		"after a reload": {requests: clientRequest("GET", "/safe/1900ms", "a", 0), arrivals: 1, leave: func(d *Daemon, c net.Conn) { d.Reload(); c.Close() }},
-		"next request sent": {requests: clientRequest("GET", "/safe/1900ms", "a", 0), arrivals: 1, leave: func(_ *Daemon, c net.Conn) {
+		"closed":                   {requests: clientRequest("GET", "/safe/1900ms", "a", 0), arrivals: 1},
+		"both attempts of a hedge": {requests: clientRequest("GET", "/safe/1800ms", "a", 0), arrivals: 2},
+		"half-closed":              {requests: clientRequest("GET", "/safe/1900ms", "a", 0), arrivals: 1, disconnect: func(_ *Daemon, c net.Conn) { c.(*net.TCPConn).CloseWrite() }},
+		"reset":                    {requests: clientRequest("GET", "/safe/1900ms", "a", 0), arrivals: 1, disconnect: func(_ *Daemon, c net.Conn) { c.(*net.TCPConn).SetLinger(0); c.Close() }},
+		"while draining":           {requests: clientRequest("GET", "/safe/1900ms", "a", 0), arrivals: 1, disconnect: func(d *Daemon, c net.Conn) { d.leaving.Store(true); c.Close() }},
+		"after a reload":           {requests: clientRequest("GET", "/safe/1900ms", "a", 0), arrivals: 1, disconnect: func(d *Daemon, c net.Conn) { d.Reload(); c.Close() }},
+		"next request pipelined": {requests: clientRequest("GET", "/safe/1900ms", "a", 0), arrivals: 1, disconnect: func(_ *Daemon, c net.Conn) {
 			io.WriteString(c, clientRequest("GET", "/safe/1ms", "b", 0))
-			time.Sleep(50 * time.Millisecond) // it has been read by then
+			time.Sleep(50 * time.Millisecond) // long enough for the proxy to read it
 			c.Close()
 		}},
-		"inside a long answer": {first: "HTTP/1.1 200 OK\r\nX-Slateridge-Attempt-Id: a\r\nX-Slateridge-Response-Seal: s\r\nContent-Length: 900000\r\n\r\n" + long,
-			requests: clientRequest("GET", "/safe/1900ms", "a", 0), arrivals: 1, early: true},
-		"inside a long answer, all taken": {first: "HTTP/1.1 200 OK\r\nX-Slateridge-Attempt-Id: a\r\nX-Slateridge-Response-Seal: s\r\nContent-Length: 900000\r\n\r\n" + long,
-			requests: clientRequest("GET", "/safe/1900ms", "a", 0), arrivals: 1, leave: func(_ *Daemon, c net.Conn) {
-				io.ReadFull(c, make([]byte, len(long)-20000)) // the rest may wait for what follows
-				time.Sleep(50 * time.Millisecond)             // it has been written by then: a write that fails ends the work at once
+		"during a long response": {beforeWork: "HTTP/1.1 200 OK\r\nX-Slateridge-Attempt-Id: a\r\nX-Slateridge-Response-Seal: s\r\nContent-Length: 900000\r\n\r\n" + long,
+			requests: clientRequest("GET", "/safe/1900ms", "a", 0), arrivals: 1, mayEndAtOnce: true},
+		"during a long response, all read": {beforeWork: "HTTP/1.1 200 OK\r\nX-Slateridge-Attempt-Id: a\r\nX-Slateridge-Response-Seal: s\r\nContent-Length: 900000\r\n\r\n" + long,
+			requests: clientRequest("GET", "/safe/1900ms", "a", 0), arrivals: 1, disconnect: func(_ *Daemon, c net.Conn) {
+				io.ReadFull(c, make([]byte, len(long)-20000)) // the proxy may buffer the rest
+				time.Sleep(50 * time.Millisecond)             // long enough for the proxy to write it: a failed write ends the work at once
 				c.Close()
 			}},
-		"body passed on": {requests: clientRequest("POST", "/safe/1900ms", "a", 200000) + strings.Repeat("x", 200000), arrivals: 1},
-		"body not whole": {requests: clientRequest("POST", "/flow/1900ms", "a", 200) + "x", arrivals: 0, early: true},
+		"body forwarded":  {requests: clientRequest("POST", "/safe/1900ms", "a", 200000) + strings.Repeat("x", 200000), arrivals: 1},
+		"incomplete body": {requests: clientRequest("POST", "/flow/1900ms", "a", 200) + "x", arrivals: 0, mayEndAtOnce: true},
 	} {
 		t.Run(name, func(t *testing.T) {
-			u, other := newSlowUpstream(t, c.first, ""), newSlowUpstream(t, c.first, "")
+			u, other := newSlowUpstream(t, c.beforeWork, ""), newSlowUpstream(t, c.beforeWork, "")
 			ups := []discovery.Instance{u.instance("i-1", 2)}
 			if c.arrivals == 2 {
 				ups = append(ups, other.instance("i-2", 2))
 			}
 			d, front := daemonAt(t, ups...)
-			for range 400 { // budget for the second offer
+			for range 400 { // fills the retry budget for the hedge
 				d.retryBudget.Request(d.now(), "svc")
 			}
 			client := dialFrontend(t, front)
 			io.WriteString(client, c.requests)
 			awaitArrivals(t, c.arrivals, u, other)
-			if c.first != "" { // it begins to be passed on
+			if c.beforeWork != "" { // wait until the response is being forwarded
 				bufio.NewReader(client).Peek(1)
 			}
-			if c.leave != nil {
-				c.leave(d, client)
+			if c.disconnect != nil {
+				c.disconnect(d, client)
 			} else {
 				client.Close()
 			}
-			left := time.Now()
+			disconnectedAt := time.Now()
 			awaitRunsEnded(t, u, other)
 			for _, run := range append(u.recordedRuns(), other.recordedRuns()...) {
-				after := run.ended.Sub(left)
+				after := run.ended.Sub(disconnectedAt)
 				if after > maxWorkAfterDisconnect+schedulingSlack {
-					t.Errorf("%s was at work %v after its client had left", run.path, after)
+					t.Errorf("%s was in progress %v after the disconnect", run.path, after)
 				}
-				if after < 100*time.Millisecond && !c.early {
-					t.Errorf("%s was cut off %v after its client had left", run.path, after)
+				if after < 100*time.Millisecond && !c.mayEndAtOnce {
+					t.Errorf("%s was cancelled %v after the disconnect", run.path, after)
 				}
 				if run.id == "b" {
-					t.Error("the request behind it went on to an upstream")
+					t.Error("the pipelined request was sent to an upstream")
 				}
 			}
 			for end := time.Now().Add(3 * time.Second); d.pool.Busy("svc") > 0; time.Sleep(time.Millisecond) {
 				if time.Now().After(end) {
-					t.Fatal("its place stays taken")
+					t.Fatal("its slot is still occupied")
 				}
 			}
 			d.pool.mu.Lock()
 			defer d.pool.mu.Unlock()
 			for id, u := range d.pool.upstreams {
 				if u.fails > 0 || time.Now().Before(u.ejectedUntil) {
-					t.Errorf("its leaving is held against %s", id)
+					t.Errorf("the disconnect counts as a failure of %s", id)
 				}
 				if u.conns != len(u.idle) {
-					t.Errorf("%d connections to %s are reckoned as open, %d are at rest", u.conns, id, len(u.idle))
+					t.Errorf("%d connections to %s are counted as open, %d are idle", u.conns, id, len(u.idle))
 				}
 			}
 		})
 	}
 }
 
-// The offer that lost against a second one is given up like a request whose client left.
-func TestLosingOfferIsGivenUp(t *testing.T) {
+// An attempt whose hedge responded first is cancelled like a request whose client left.
+func TestLosingHedgeIsCancelled(t *testing.T) {
 	slow, quick := newSlowUpstream(t, "", ""), newRawUpstream(t, func(_ int, r *http.Request) (string, bool) { return ok(r, "x"), false })
 	d, front := daemonAt(t, slow.instance("i-1", 2))
 	for range 400 {
@@ -255,12 +255,13 @@
 	answered := time.Now()
 	awaitRunsEnded(t, slow)
 	if after := slow.recordedRuns()[0].ended.Sub(answered); after > maxWorkAfterDisconnect+schedulingSlack {
-		t.Errorf("the first offer was at work %v after the answer", after)
+		t.Errorf("the first attempt was in progress %v after the response", after)
 	}
 }
 
-// A run that ends soon after its client left gives its connection back.
-func TestRunThatEndsSoonKeepsItsConnection(t *testing.T) {
+// A run that ends within the grace period after a disconnect returns its connection to the
+// pool.
+func TestRunWithinGraceKeepsConnection(t *testing.T) {
 	u := newSlowUpstream(t, "", "")
 	d, front := daemonAt(t, u.instance("i-1", 2))
 	for n := 1; n <= 3; n++ {
@@ -273,17 +274,17 @@
 			time.Sleep(time.Millisecond)
 		}
 		if runs := u.recordedRuns(); runs[n-1].abandoned {
-			t.Error("a run of 60 ms was cut off")
+			t.Error("a run of 60 ms was cancelled")
 		}
 	}
 	if n := d.pool.counters().newConns; n != 1 {
-		t.Errorf("%d connections for three requests, one after the other", n)
+		t.Errorf("%d connections for three sequential requests", n)
 	}
 }
 
-// A request that may run once is left to finish: its answer settles what the quota is
-// debited, and its connection serves the next.
-func TestRunOnceIsNotBrokenOff(t *testing.T) {
+// A non-idempotent request is not cancelled: its response determines the quota debit, and its
+// connection is reused.
+func TestNonIdempotentRequestIsNotCancelled(t *testing.T) {
 	u := newSlowUpstream(t, "", "")
 	d, front := daemonAt(t, u.instance("i-1", 2))
 	client := dialFrontend(t, front)
@@ -292,7 +293,7 @@
 	client.Close()
 	awaitRunsEnded(t, u)
 	if runs := u.recordedRuns(); runs[0].abandoned {
-		t.Error("it was cut off")
+		t.Error("the request was cancelled")
 	}
 	for d.pool.Busy("svc") > 0 {
 		time.Sleep(time.Millisecond)
@@ -305,13 +306,13 @@
 	}
 }
 
-// Nothing goes out for a client that has left: not what waits for room, no further try,
-// no second offer, and no request that it had sent ahead.
-func TestNothingIsSentForAClientThatLeft(t *testing.T) {
-	t.Run("waiting for room", func(t *testing.T) {
+// Nothing is sent for a client that has disconnected: neither a request that waits for
+// capacity, nor a retry, a hedge or a pipelined request.
+func TestNothingIsSentAfterDisconnect(t *testing.T) {
+	t.Run("waiting for capacity", func(t *testing.T) {
 		u := newSlowUpstream(t, "", "")
 		_, front := daemonAt(t, u.instance("i-1", 1))
-		for range 2 { // its places are taken
+		for range 2 { // occupies all slots
 			io.WriteString(dialFrontend(t, front), clientRequest("POST", "/once/85ms", "busy", 2)+"hi")
 		}
 		awaitArrivals(t, 2, u)
@@ -319,15 +320,15 @@
 		io.WriteString(client, clientRequest("POST", "/once/1ms", "a", 2)+"hi")
 		time.Sleep(20 * time.Millisecond)
 		client.Close()
-		left := time.Now()
+		disconnectedAt := time.Now()
 		time.Sleep(300 * time.Millisecond)
 		for _, run := range u.recordedRuns() {
-			if run.began.After(left.Add(20 * time.Millisecond)) { // its end has been read by then
-				t.Errorf("%s of %s arrives %v after its client had left", run.path, run.id, run.began.Sub(left))
+			if run.began.After(disconnectedAt.Add(20 * time.Millisecond)) { // long enough for the proxy to notice the disconnect
+				t.Errorf("%s of %s arrived %v after the disconnect", run.path, run.id, run.began.Sub(disconnectedAt))
 			}
 		}
 	})
-	for name, path := range map[string]string{"a further try": "/safe/150ms", "a second offer": "/safe/1900ms"} {
+	for name, path := range map[string]string{"retry": "/safe/150ms", "hedge": "/safe/1900ms"} {
 		t.Run(name, func(t *testing.T) {
 			u, other := newSlowUpstream(t, "", "close"), newSlowUpstream(t, "", "")
 			d, front := daemonAt(t, u.instance("i-1", 2))
@@ -344,11 +345,11 @@
 			d.retryBudget.mu.Lock()
 			defer d.retryBudget.mu.Unlock()
 			if len(other.recordedRuns()) > 0 || d.retryBudget.Spent > 0 {
-				t.Errorf("%d went to another upstream, %d taken from the retry budget", len(other.recordedRuns()), d.retryBudget.Spent)
+				t.Errorf("%d sent to another upstream, %d taken from the retry budget", len(other.recordedRuns()), d.retryBudget.Spent)
 			}
 		})
 	}
-	t.Run("sent ahead", func(t *testing.T) {
+	t.Run("pipelined request", func(t *testing.T) {
 		u := newSlowUpstream(t, "", "")
 		_, front := daemonAt(t, u.instance("i-1", 2))
 		client := dialFrontend(t, front)
@@ -358,36 +359,37 @@
 		awaitRunsEnded(t, u)
 		time.Sleep(200 * time.Millisecond)
 		if n := len(u.recordedRuns()); n != 1 {
-			t.Errorf("%d requests arrived, want the first alone", n)
+			t.Errorf("%d requests arrived, want only the first", n)
 		}
 	})
 }
 
-// disconnectingClient is a client of the seeded run below and what it does.
+// disconnectingClient is a client of TestRandomDisconnects with its planned behaviour and
+// its result.
 type disconnectingClient struct {
 	id, kind              string
-	work, disconnectAfter time.Duration // stays 0: until its answer
+	work, disconnectAfter time.Duration // disconnectAfter 0: waits for the response
 	reset                 bool
-	pipelines             bool // it sends another request before it leaves
+	pipelines             bool // sends another request before it disconnects
 	disconnectedAt        time.Time
 	status                int
 	err                   error
 }
 
-// generateClients draws clients by seed.
+// generateClients generates n random clients from a seed.
 func generateClients(seed uint64, n int) []*disconnectingClient {
-	lot := rand.New(rand.NewPCG(seed, 7))
-	out := make([]*disconnectingClient, n)
-	for i := range out {
-		d := &disconnectingClient{id: fmt.Sprint("c", i), kind: []string{"safe", "safe", "once", "flow"}[lot.IntN(4)]}
-		d.work = time.Duration(20+lot.IntN(1500)) * time.Millisecond
-		if lot.IntN(3) > 0 {
-			d.disconnectAfter = time.Duration(1+lot.IntN(400)) * time.Millisecond
+	random := rand.New(rand.NewPCG(seed, 7))
+	clients := make([]*disconnectingClient, n)
+	for i := range clients {
+		d := &disconnectingClient{id: fmt.Sprint("c", i), kind: []string{"safe", "safe", "once", "flow"}[random.IntN(4)]}
+		d.work = time.Duration(20+random.IntN(1500)) * time.Millisecond
+		if random.IntN(3) > 0 {
+			d.disconnectAfter = time.Duration(1+random.IntN(400)) * time.Millisecond
 		}
-		d.reset, d.pipelines = lot.IntN(3) == 0, lot.IntN(4) == 0
-		out[i] = d
+		d.reset, d.pipelines = random.IntN(3) == 0, random.IntN(4) == 0
+		clients[i] = d
 	}
-	return out
+	return clients
 }
 
 func (d *disconnectingClient) run(front string) {
@@ -421,11 +423,11 @@
 	d.disconnectedAt = time.Now()
 }
 
-// Clients of all kinds, drawn by seed, leave at any moment and in any manner, before
-// upstreams of all speeds: no repeatable request and no stream is at work half a second
-// later, nothing arrives that late, what may run once is neither broken off nor doubled,
-// and those that stay are served.
-func TestSeededDepartures(t *testing.T) {
+// Random clients disconnect at any moment and in any manner, from upstreams of any speed. No
+// idempotent request or stream is in progress half a second later, and no request arrives
+// that late. Non-idempotent requests are neither cancelled nor run twice, and clients that
+// stay are served.
+func TestRandomDisconnects(t *testing.T) {
 	for _, seed := range []uint64{1, 2} {
 		var ups []*slowUpstream
 		var instances []discovery.Instance
@@ -454,7 +456,7 @@
 	}
 }
 
-// checkRuns holds a client's runs against the rules.
+// checkRuns checks the runs of a client's request.
 func (d *disconnectingClient) checkRuns(t *testing.T, runs []upstreamRun) {
 	t.Helper()
 	if d.disconnectAfter == 0 {
@@ -468,66 +470,67 @@
 	}
 	for _, run := range runs {
 		if late := run.began.Sub(d.disconnectedAt); late > maxWorkAfterDisconnect {
-			t.Errorf("%+v: arrives %v after it left", *d, late)
+			t.Errorf("%+v: arrived %v after the disconnect", *d, late)
 		}
 		if d.kind == "once" {
 			if run.abandoned {
-				t.Errorf("%+v: broken off", *d)
+				t.Errorf("%+v: cancelled", *d)
 			}
 			continue
 		}
 		if late := run.ended.Sub(d.disconnectedAt); late > maxWorkAfterDisconnect+schedulingSlack {
-			t.Errorf("%+v: at work %v after it left", *d, late)
+			t.Errorf("%+v: in progress %v after the disconnect", *d, late)
 		}
 	}
 }
 
-// checkPipelinedRuns holds what a client sent ahead against the rules: it goes on only where the
-// request before it had been answered.
+// checkPipelinedRuns checks the runs of a client's pipelined request, which is sent on only
+// if the request before it was answered.
 func (d *disconnectingClient) checkPipelinedRuns(t *testing.T, runs []upstreamRun) {
 	t.Helper()
 	for _, run := range runs {
 		if d.work > d.disconnectAfter+schedulingSlack {
-			t.Errorf("%+v: what it had sent ahead ran", *d)
+			t.Errorf("%+v: pipelined request ran", *d)
 		}
 		if late := run.ended.Sub(d.disconnectedAt); late > maxWorkAfterDisconnect+schedulingSlack {
-			t.Errorf("%+v: what it had sent ahead is at work %v after it left", *d, late)
+			t.Errorf("%+v: pipelined request in progress %v after the disconnect", *d, late)
 		}
 	}
 }
 
-// An answer that its client takes nothing of is given up some time after its deadline.
-func TestAnswerThatIsNotTakenIsGivenUp(t *testing.T) {
+// A response that its client does not read is aborted AnswerWriteGrace after the request's
+// deadline.
+func TestUnreadResponseIsAborted(t *testing.T) {
 	t.Parallel()
-	whole := strings.Repeat("x", 32<<20)
-	u := newRawUpstream(t, func(_ int, r *http.Request) (string, bool) { return ok(r, whole), false })
+	body := strings.Repeat("x", 32<<20)
+	u := newRawUpstream(t, func(_ int, r *http.Request) (string, bool) { return ok(r, body), false })
 	d, front := daemonAt(t, u.instance("i-1"))
 	client := dialFrontend(t, front)
 	client.(*net.TCPConn).SetReadBuffer(4 << 10)
 	io.WriteString(client, strings.Replace(clientRequest("GET", "/safe/x", "a", 0), "9000", "300", 1))
 	for end := time.Now().Add(5 * time.Second); u.count() == 0; time.Sleep(time.Millisecond) {
 		if time.Now().After(end) {
-			t.Fatal("not sent on")
+			t.Fatal("request did not arrive at the upstream")
 		}
 	}
 	for end := time.Now().Add(constants.AnswerWriteGrace + 2*time.Second); d.open.Load() > 0; time.Sleep(10 * time.Millisecond) {
 		if time.Now().After(end) {
-			t.Fatal("held for a client that takes nothing")
+			t.Fatal("response is still held for a client that does not read")
 		}
 	}
 }
 
-// A connection whose request was sent ahead of the answer before it is not idle.
-func TestConnectionWithARequestSentAheadIsNotIdle(t *testing.T) {
+// A connection whose next request was pipelined before the response is not closed as idle.
+func TestConnectionWithPipelinedRequestIsNotIdle(t *testing.T) {
 	u := newSlowUpstream(t, "", "")
 	d, front := daemonAt(t, u.instance("i-1", 2))
 	client := dialFrontend(t, front)
 	io.WriteString(client, clientRequest("POST", "/once/1ms", "a", 0)+clientRequest("POST", "/once/300ms", "b", 0))
 	awaitArrivals(t, 2, u)
 	d.frontend.closeIdle(time.Now().Add(time.Hour))
-	answers := bufio.NewReader(client)
+	responses := bufio.NewReader(client)
 	for _, id := range []string{"a", "b"} {
-		resp, err := http.ReadResponse(answers, nil)
+		resp, err := http.ReadResponse(responses, nil)
 		if err != nil {
 			t.Fatalf("request %s: %v", id, err)
 		}
@@ -538,28 +541,28 @@
 	}
 }
 
-// Requests that were read late, by a process that stood still, don't go on when their
-// clients have left meanwhile.
-func TestRequestsReadLateAreNotSentForClientsThatLeft(t *testing.T) {
+// Requests that a paused process reads late are not sent on if their clients have
+// disconnected in the meantime.
+func TestRequestsReadLateAreNotSentAfterDisconnect(t *testing.T) {
 	u := newSlowUpstream(t, "", "")
 	d, _ := daemonAt(t, u.instance("i-1", 20))
 	listener, err := net.Listen("tcp4", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
-	d.lag.beat(time.Now()) // the last one before it stands still
-	late := newFrontend(listener, d.Proxy, func() config.Limits { return config.Limits{} }, time.Second)
-	t.Cleanup(late.close)
+	d.lag.beat(time.Now()) // the last heartbeat before the pause
+	resumed := newFrontend(listener, d.Proxy, func() config.Limits { return config.Limits{} }, time.Second)
+	t.Cleanup(resumed.close)
 	for i := range 30 {
 		client := dialFrontend(t, listener.Addr().String())
 		io.WriteString(client, clientRequest([]string{"GET", "POST"}[i%2], []string{"/safe/1ms", "/once/1ms", "/flow/1ms"}[i%3], fmt.Sprint("c", i), 0))
 		client.Close()
 	}
-	stays := dialFrontend(t, listener.Addr().String())
-	io.WriteString(stays, clientRequest("GET", "/safe/1ms", "stays", 0))
+	staying := dialFrontend(t, listener.Addr().String())
+	io.WriteString(staying, clientRequest("GET", "/safe/1ms", "stays", 0))
 	time.Sleep(constants.LagLong + 50*time.Millisecond)
-	go late.serve()
-	if resp, err := http.ReadResponse(bufio.NewReader(stays), nil); err != nil || resp.StatusCode != http.StatusOK {
+	go resumed.serve()
+	if resp, err := http.ReadResponse(bufio.NewReader(staying), nil); err != nil || resp.StatusCode != http.StatusOK {
 		t.Fatal(resp, err)
 	}
 	for end := time.Now().Add(3 * time.Second); d.open.Load() > 0 && time.Now().Before(end); {
@@ -567,13 +570,14 @@
 	}
 	for _, run := range u.recordedRuns() {
 		if run.id != "stays" {
-			t.Errorf("%s of %s was sent on", run.path, run.id)
+			t.Errorf("%s of %s was sent to an upstream", run.path, run.id)
 		}
 	}
 }
 
-// A dial that takes long ends with a connection for others when the client has left.
-func TestSlowDialSendsNothingForAClientThatLeft(t *testing.T) {
+// If the client disconnects during a slow dial, nothing is sent, and the new connection is
+// kept for other requests.
+func TestSlowDialSendsNothingAfterDisconnect(t *testing.T) {
 	u := newSlowUpstream(t, "", "")
 	d, front := daemonAt(t, u.instance("i-1", 2))
 	dialling := make(chan struct{}, 1)
@@ -593,12 +597,13 @@
 		t.Errorf("%d requests arrived", n)
 	}
 	if open, idle := connsOpen(d.Proxy); open != 1 || idle != 1 {
-		t.Errorf("%d connections are reckoned as open, %d are at rest; want the new one at rest", open, idle)
+		t.Errorf("%d connections are counted as open, %d are idle; want the new one idle", open, idle)
 	}
 }
 
-// A cut run teaches that its upstream is slow, though not how slow.
-func TestCutRunShortensNoDelay(t *testing.T) {
+// A cancelled run shows that its upstream is slow, but not how slow: it may raise the
+// expected delay, but must not lower it.
+func TestCancelledRunDoesNotLowerDelay(t *testing.T) {
 	u := newSlowUpstream(t, "", "")
 	d, front := daemonAt(t, u.instance("i-1", 2))
 	delay := func() float64 {
@@ -619,10 +624,10 @@
 			time.Sleep(time.Millisecond)
 		}
 		if after := delay(); after < before {
-			t.Errorf("after %s the delay to expect is %v, was %v", path, after, before)
+			t.Errorf("after %s the expected delay is %v, was %v", path, after, before)
 		}
 	}
 	if n := d.pool.counters().cancelled; n != 1 {
-		t.Errorf("%d offers counted as cancelled, want 1", n)
+		t.Errorf("%d attempts counted as cancelled, want 1", n)
 	}
 }
