--- a/internal/proxy/daemon.go
+++ b/internal/proxy/daemon.go
@@ -81,13 +81,13 @@
 	rand.Shuffle(len(ips), func(i, j int) { ips[i], ips[j] = ips[j], ips[i] })
 	self := distribution.Subscription{Node: nodeSettings.IPAddress, Name: nodeSettings.NodeName, Zone: nodeSettings.Zone, Region: nodeSettings.Region,
 		Front: nodeSettings.ListenAddresses.Frontend}
-	d.subscriber = distribution.NewSubscriber(self, ips, func(ip string, h transport.Handler) *transport.Peer {
+	d.subscriber = distribution.NewSubscriber(self, ips, func(ip string, handler transport.Handler) *transport.Peer {
 		return transport.NewPeer(nodeSettings.PeerInternal(ip, constants.PortControl), nodeSettings.IPAddress, func(conn *transport.Conn, message any) any {
 			if incompatible, ok := message.(transport.Incompatible); ok {
 				d.events.Record("protocol_incompatible", incompatible.String())
 				return nil
 			}
-			return h(conn, message)
+			return handler(conn, message)
 		})
 	}, d.apply)
 	d.subscriber.ReckonBy(func() int { return d.limiter.Settled(d.now()) })
@@ -108,7 +108,7 @@
 	return max(1, int(constants.ConnShare*float64(cfg.Services[service].MaxConnections))/proxies)
 }
 
-// coldBound is what a service's upstreams may be sent while they are coldBound.
+// coldBound returns the limit on what a service's upstreams may be sent while they are cold.
 func (d *Daemon) coldBound(service string) ColdBound {
 	if bounds := d.coldBounds.Load(); bounds != nil {
 		return (*bounds)[service]
@@ -230,8 +230,8 @@
 		group.Every(constants.ScaleEvery, d.reportLoad)
 	}
 	if d.meter != nil {
-		every := usage.ReportEvery(nodeSettings.Bounds.UsageWindow.D(), nodeSettings.Bounds.UsageTolerance)
-		group.EveryAfter(usage.Phase(rand.Uint64(), every), every, d.reportUsage)
+		interval := usage.ReportEvery(nodeSettings.Bounds.UsageWindow.D(), nodeSettings.Bounds.UsageTolerance)
+		group.EveryAfter(usage.Phase(rand.Uint64(), interval), interval, d.reportUsage)
 	}
 	if d.accountsAgent != nil {
 		group.EveryAfter(rand.N(accounts.TellEvery), accounts.TellEvery, d.accountsAgent.Tell)
--- a/internal/proxy/disconnect_test.go
+++ b/internal/proxy/disconnect_test.go
@@ -41,8 +41,8 @@
 	afterWork  string // written after it instead of a 200 response; "close" closes the connection
 }
 
-func newSlowUpstream(t *testing.T, first, last string) *slowUpstream {
-	u := &slowUpstream{beforeWork: first, afterWork: last}
+func newSlowUpstream(t *testing.T, beforeWork, afterWork string) *slowUpstream {
+	u := &slowUpstream{beforeWork: beforeWork, afterWork: afterWork}
 	u.listener = upstream(t, func(c net.Conn, r *http.Request, _ string) bool { return u.serve(c, r) })
 	return u
 }
@@ -381,46 +381,46 @@
 	random := rand.New(rand.NewPCG(seed, 7))
 	clients := make([]*disconnectingClient, n)
 	for i := range clients {
-		d := &disconnectingClient{id: fmt.Sprint("c", i), kind: []string{"safe", "safe", "once", "flow"}[random.IntN(4)]}
-		d.work = time.Duration(20+random.IntN(1500)) * time.Millisecond
+		client := &disconnectingClient{id: fmt.Sprint("c", i), kind: []string{"safe", "safe", "once", "flow"}[random.IntN(4)]}
+		client.work = time.Duration(20+random.IntN(1500)) * time.Millisecond
 		if random.IntN(3) > 0 {
-			d.disconnectAfter = time.Duration(1+random.IntN(400)) * time.Millisecond
+			client.disconnectAfter = time.Duration(1+random.IntN(400)) * time.Millisecond
 		}
-		d.reset, d.pipelines = random.IntN(3) == 0, random.IntN(4) == 0
-		clients[i] = d
+		client.reset, client.pipelines = random.IntN(3) == 0, random.IntN(4) == 0
+		clients[i] = client
 	}
 	return clients
 }
 
-func (d *disconnectingClient) run(front string) {
+func (client *disconnectingClient) run(front string) {
 	c, err := net.Dial("tcp4", front)
 	if err != nil {
-		d.err = err
+		client.err = err
 		return
 	}
 	defer c.Close()
 	c.SetDeadline(time.Now().Add(10 * time.Second))
-	io.WriteString(c, clientRequest("POST", fmt.Sprintf("/%s/%s", d.kind, d.work), d.id, 2)+"hi")
-	if d.disconnectAfter == 0 {
+	io.WriteString(c, clientRequest("POST", fmt.Sprintf("/%s/%s", client.kind, client.work), client.id, 2)+"hi")
+	if client.disconnectAfter == 0 {
 		resp, err := http.ReadResponse(bufio.NewReader(c), nil)
 		if err != nil {
-			d.err = err
+			client.err = err
 			return
 		}
-		_, d.err = io.Copy(io.Discard, resp.Body)
-		d.status = resp.StatusCode
+		_, client.err = io.Copy(io.Discard, resp.Body)
+		client.status = resp.StatusCode
 		return
 	}
-	time.Sleep(d.disconnectAfter)
-	if d.pipelines {
-		io.WriteString(c, clientRequest("GET", "/safe/900ms", d.id+"-ahead", 0))
+	time.Sleep(client.disconnectAfter)
+	if client.pipelines {
+		io.WriteString(c, clientRequest("GET", "/safe/900ms", client.id+"-ahead", 0))
 		time.Sleep(5 * time.Millisecond)
 	}
-	if d.reset {
+	if client.reset {
 		c.(*net.TCPConn).SetLinger(0)
 	}
 	c.Close()
-	d.disconnectedAt = time.Now()
+	client.disconnectedAt = time.Now()
 }
 
 // Random clients disconnect at any moment and in any manner, from upstreams of any speed. No
@@ -457,43 +457,43 @@
 }
 
 // checkRuns checks the runs of a client's request.
-func (d *disconnectingClient) checkRuns(t *testing.T, runs []upstreamRun) {
+func (client *disconnectingClient) checkRuns(t *testing.T, runs []upstreamRun) {
 	t.Helper()
-	if d.disconnectAfter == 0 {
-		if d.err != nil || d.status != http.StatusOK {
-			t.Errorf("%+v: not served", *d)
+	if client.disconnectAfter == 0 {
+		if client.err != nil || client.status != http.StatusOK {
+			t.Errorf("%+v: not served", *client)
 		}
 		return
 	}
-	if d.kind == "once" && len(runs) > 1 {
-		t.Errorf("%+v: ran %d times", *d, len(runs))
+	if client.kind == "once" && len(runs) > 1 {
+		t.Errorf("%+v: ran %d times", *client, len(runs))
 	}
 	for _, run := range runs {
-		if late := run.began.Sub(d.disconnectedAt); late > maxWorkAfterDisconnect {
-			t.Errorf("%+v: arrived %v after the disconnect", *d, late)
+		if late := run.began.Sub(client.disconnectedAt); late > maxWorkAfterDisconnect {
+			t.Errorf("%+v: arrived %v after the disconnect", *client, late)
 		}
-		if d.kind == "once" {
+		if client.kind == "once" {
 			if run.abandoned {
-				t.Errorf("%+v: cancelled", *d)
+				t.Errorf("%+v: cancelled", *client)
 			}
 			continue
 		}
-		if late := run.ended.Sub(d.disconnectedAt); late > maxWorkAfterDisconnect+schedulingSlack {
-			t.Errorf("%+v: in progress %v after the disconnect", *d, late)
+		if late := run.ended.Sub(client.disconnectedAt); late > maxWorkAfterDisconnect+schedulingSlack {
+			t.Errorf("%+v: in progress %v after the disconnect", *client, late)
 		}
 	}
 }
 
 // checkPipelinedRuns checks the runs of a client's pipelined request, which is sent on only
 // if the request before it was answered.
-func (d *disconnectingClient) checkPipelinedRuns(t *testing.T, runs []upstreamRun) {
+func (client *disconnectingClient) checkPipelinedRuns(t *testing.T, runs []upstreamRun) {
 	t.Helper()
 	for _, run := range runs {
-		if d.work > d.disconnectAfter+schedulingSlack {
-			t.Errorf("%+v: pipelined request ran", *d)
+		if client.work > client.disconnectAfter+schedulingSlack {
+			t.Errorf("%+v: pipelined request ran", *client)
 		}
-		if late := run.ended.Sub(d.disconnectedAt); late > maxWorkAfterDisconnect+schedulingSlack {
-			t.Errorf("%+v: pipelined request in progress %v after the disconnect", *d, late)
+		if late := run.ended.Sub(client.disconnectedAt); late > maxWorkAfterDisconnect+schedulingSlack {
+			t.Errorf("%+v: pipelined request in progress %v after the disconnect", *client, late)
 		}
 	}
 }
