--- a/cmd/scalerun/trial.go
+++ b/cmd/scalerun/trial.go
@@ -43,7 +43,7 @@
 	}
 	d := proxy.NewDaemon(set, "", eventlog.New(zerolog.Nop()))
 	d.KeepAccounts(accountObjectives)
-	return d, d.AddHollow(g, group)
+	return d, d.AddBackground(g, group)
 }
 
 // trial runs the whole system once and prints its figures.
@@ -160,7 +160,7 @@
 
 // allInformed says whether all hollow proxies have a version, and all upstreams.
 func (s *system) allInformed(version uint64) func() bool {
-	behind := func(d *proxy.Daemon) bool { return d.Version() < version || d.Upstreams() < cli.Upstreams }
+	behind := func(d *proxy.Daemon) bool { return d.ConfigVersion() < version || d.UpstreamCount() < cli.Upstreams }
 	return func() bool { return !slices.ContainsFunc(s.hollow, behind) }
 }
 
@@ -263,7 +263,7 @@
 		case <-time.After(time.Duration(rng.ExpFloat64() / cli.PerProxy * float64(time.Second))):
 		}
 		r.made.Add(1)
-		if !d.Rehearse(fmt.Sprintf("t%06d", zipf.Uint64())) {
+		if !d.SimulateRequest(fmt.Sprintf("t%06d", zipf.Uint64())) {
 			r.refused.Add(1)
 		}
 	}
--- a/internal/proxy/attempt.go
+++ b/internal/proxy/attempt.go
@@ -49,7 +49,7 @@
 // abandon gives a place back to which nothing is sent any more.
 func (pool *Pool) abandon(of *placement) *result {
 	pool.done(of, unused)
-	return &result{outcome: unused, notRun: true, abandoned: true, err: errStale}
+	return &result{outcome: unused, notRun: true, abandoned: true, err: errNoConnection}
 }
 
 // try offers the request to one upstream and reads its answer.
@@ -59,7 +59,7 @@
 	ctx, cancel := context.WithDeadline(context.WithoutCancel(p.request.Context()), p.deadline)
 	defer cancel()
 	attempt := p.request.Header.Get(headerAttemptID)
-	var conn *Conn
+	var conn *upstreamConn
 	for again := true; again; {
 		if p.clientLeft() { // before a connection is made for it
 			return pool.abandon(of)
@@ -70,14 +70,14 @@
 		conn, reused, err = u.connect(ctx, attempt == "", connectBy)
 		if err != nil {
 			how := broken
-			if errors.Is(err, errStale) || !time.Now().Before(connectBy) {
+			if errors.Is(err, errNoConnection) || !time.Now().Before(connectBy) {
 				how = unused // the caller's time ended, which says nothing of the upstream
 			}
 			pool.done(of, how)
 			return &result{outcome: how, notRun: true, err: err}
 		}
 		if !p.allowed(u) {
-			u.keep(conn, false)
+			u.releaseConn(conn, false)
 			return pool.abandon(of)
 		}
 		left := time.Until(p.deadline)
@@ -86,15 +86,15 @@
 			name = p.tenant.Name
 		}
 		length := p.length
-		p.cancelWith(conn)
+		p.cancelOnDisconnect(conn)
 		head := requestHead(p.request, u.instance.ID, name, left, length)
 		sent, err := conn.send(head, p.bodyStart, p.bodyRest, length < 0, p.deadline.Add(constants.AnswerGrace))
 		if err != nil && !sent && reused {
-			u.drop(conn)
+			u.closeConn(conn)
 			continue // the connection had ended; not a byte went out
 		}
 		if err != nil {
-			u.drop(conn)
+			u.closeConn(conn)
 			how := blame(conn, err)
 			pool.done(of, how)
 			return &result{outcome: how, sentAt: time.Now(), sent: sent, notRun: !sent, err: err}
@@ -109,11 +109,11 @@
 }
 
 // read takes the answer to what was sent over a connection.
-func (p *exchange) read(of *placement, conn *Conn, attempt string, at time.Time) *result {
+func (p *exchange) read(of *placement, conn *upstreamConn, attempt string, at time.Time) *result {
 	u, pool := of.upstream, p.proxy.pool
-	resp, err := conn.answer(p.request.Method, attempt)
+	resp, err := conn.readResponse(p.request.Method, attempt)
 	if err != nil {
-		u.drop(conn)
+		u.closeConn(conn)
 		how := blame(conn, err)
 		if ne := net.Error(nil); how == broken && errors.As(err, &ne) && ne.Timeout() {
 			how = silent
@@ -126,7 +126,7 @@
 	}
 	// Without this try's id, on a connection that has carried others, it may be a late
 	// word on one of those: nobody is shown it, and nothing is promised on it.
-	doubt := conn.used > 0 && resp.Header.Get(headerAttemptID) == ""
+	doubt := conn.exchanges > 0 && resp.Header.Get(headerAttemptID) == ""
 	if doubt {
 		resp.Close = true // it is not used again
 	}
@@ -134,7 +134,7 @@
 		return p.firstPiece(of, conn, resp, at)
 	}
 	if resp.StatusCode/100 == 2 && unframed(resp) {
-		u.drop(conn)
+		u.closeConn(conn)
 		pool.done(of, broken)
 		return &result{outcome: broken, sentAt: at, sent: true, err: errUnframed}
 	}
@@ -142,11 +142,11 @@
 	res := &result{outcome: served, sentAt: at, sent: true, resp: resp, body: body, doubtful: doubt}
 	switch {
 	case err == nil:
-		conn.exhausted(resp)
+		conn.finishExchange(resp)
 	case errors.Is(err, errLong):
 		res.conn = conn
 	default:
-		u.drop(conn)
+		u.closeConn(conn)
 		how := blame(conn, err)
 		pool.done(of, how)
 		return &result{outcome: how, sentAt: at, sent: true, err: err}
@@ -158,11 +158,11 @@
 
 // blame is how an offer that failed ended. What a client broke by leaving, or by
 // breaking its body off, is no failure of the upstream.
-func blame(conn *Conn, err error) outcome {
+func blame(conn *upstreamConn, err error) outcome {
 	switch {
 	case conn.cancellation.cancelled():
 		return cancelled
-	case errors.Is(err, errUpload):
+	case errors.Is(err, errRequestBody):
 		return unused
 	}
 	return broken
--- a/internal/proxy/contract_test.go
+++ b/internal/proxy/contract_test.go
@@ -32,7 +32,7 @@
 	d.ready.Store(true)
 	for _, want := range []int{http.StatusOK, http.StatusServiceUnavailable} {
 		w := httptest.NewRecorder()
-		d.readiness(w, httptest.NewRequest("GET", "/api/readiness", nil))
+		d.serveReadiness(w, httptest.NewRequest("GET", "/api/readiness", nil))
 		if w.Code != want {
 			t.Errorf("leaving %v: %d", d.leaving.Load(), w.Code)
 		}
@@ -61,7 +61,7 @@
 			s.retryBudget.Request(s.now(), "svc")
 		}
 		w := get(s, "GET", "/safe/x", "", headerBudget, c.budget)
-		if took := time.Since(began); w.Code != http.StatusGatewayTimeout || took < c.held || took > c.held+machineSlack {
+		if took := time.Since(began); w.Code != http.StatusGatewayTimeout || took < c.held || took > c.held+schedulingSlack {
 			t.Errorf("%s: %d after %v", name, w.Code, took)
 		}
 		u.mu.Lock()
@@ -136,7 +136,7 @@
 		return []string{"", "HTTP/1.1 200 OK\r\nContent-Le", ok(r, "x")}[n%3], n%3 < 2
 	})
 	_, front := daemonAt(t, u.instance("i-1"))
-	client := connectTo(t, front)
+	client := dialFrontend(t, front)
 	answers := bufio.NewReader(client)
 	for n := range 9 {
 		io.WriteString(client, clientRequest("POST", "/once/x", fmt.Sprint("a", n), 0))
--- a/internal/proxy/disconnect_test.go
+++ b/internal/proxy/disconnect_test.go
@@ -18,59 +18,58 @@
 	"slateridge/internal/discovery"
 )
 
-// What the rule allows after a client has left, and what a loaded test machine may add.
 const (
-	allowedAfterLeaving = 500 * time.Millisecond
-	machineSlack        = 300 * time.Millisecond
+	maxWorkAfterDisconnect = 500 * time.Millisecond // required bound on upstream work after a disconnect
+	schedulingSlack        = 300 * time.Millisecond // for scheduling delays on a loaded test machine
 )
 
-// upstreamRun is one request at a workingUpstream.
+// upstreamRun is the execution of one request at a slowUpstream.
 type upstreamRun struct {
 	id, path  string
 	began     time.Time
-	ended     time.Time // zero while it is at work
-	abandoned bool      // its connection was closed while it was at work
+	ended     time.Time // zero while in progress
+	abandoned bool      // the connection was closed while in progress
 }
 
-// workingUpstream is an upstream stand-in that works for as long as the request's path
-// says (/safe/300ms), and drops a request whose connection closes.
-type workingUpstream struct {
-	listener net.Listener
-	mu       sync.Mutex
-	runs     []*upstreamRun
-	first    string // written before the work begins
-	last     string // written after it, instead of an answer; "close" closes
+// slowUpstream is a fake upstream that takes as long to respond as the request's path says
+// (/safe/300ms), and abandons a request when its connection is closed.
+type slowUpstream struct {
+	listener   net.Listener
+	mu         sync.Mutex
+	runs       []*upstreamRun
+	beforeWork string // written before the delay
+	afterWork  string // written after it instead of a 200 response; "close" closes the connection
 }
 
-func newWorkingUpstream(t *testing.T, first, last string) *workingUpstream {
-	u := &workingUpstream{first: first, last: last}
+func newSlowUpstream(t *testing.T, beforeWork, afterWork string) *slowUpstream {
+	u := &slowUpstream{beforeWork: beforeWork, afterWork: afterWork}
 	u.listener = upstream(t, func(c net.Conn, r *http.Request, _ string) bool { return u.serve(c, r) })
 	return u
 }
 
-func (u *workingUpstream) serve(c net.Conn, r *http.Request) bool {
+func (u *slowUpstream) serve(c net.Conn, r *http.Request) bool {
 	run := &upstreamRun{id: r.Header.Get(headerAttemptID), path: r.RequestURI, began: time.Now()}
 	u.mu.Lock()
 	u.runs = append(u.runs, run)
 	u.mu.Unlock()
-	work, err := time.ParseDuration(r.RequestURI[strings.LastIndex(r.RequestURI, "/")+1:])
+	delay, err := time.ParseDuration(r.RequestURI[strings.LastIndex(r.RequestURI, "/")+1:])
 	if err != nil {
-		work = 0
+		delay = 0
 	}
-	io.WriteString(c, u.first)
-	c.SetReadDeadline(time.Now().Add(work))
+	io.WriteString(c, u.beforeWork)
+	c.SetReadDeadline(time.Now().Add(delay))
 	_, err = c.Read(make([]byte, 1))
 	timeout, ok := err.(net.Error)
 	finished := ok && timeout.Timeout()
 	u.mu.Lock()
 	run.ended, run.abandoned = time.Now(), !finished
 	u.mu.Unlock()
-	if !finished || u.last == "close" {
+	if !finished || u.afterWork == "close" {
 		return false
 	}
 	c.SetReadDeadline(time.Time{})
-	if u.last != "" {
-		io.WriteString(c, u.last)
+	if u.afterWork != "" {
+		io.WriteString(c, u.afterWork)
 		return true
 	}
 	io.WriteString(c, ok200(r))
@@ -79,12 +78,12 @@
 
 func ok200(r *http.Request) string { return ok(r, "x") }
 
-func (u *workingUpstream) instance(id string, slots int) discovery.Instance {
+func (u *slowUpstream) instance(id string, slots int) discovery.Instance {
 	return discovery.Instance{ID: id, Service: "svc", Address: u.listener.Addr().String(), Zone: "z", Slots: slots}
 }
 
-// seen is a copy of the runs so far.
-func (u *workingUpstream) seen() []upstreamRun {
+// recordedRuns returns a copy of the runs so far.
+func (u *slowUpstream) recordedRuns() []upstreamRun {
 	u.mu.Lock()
 	defer u.mu.Unlock()
 	out := make([]upstreamRun, len(u.runs))
@@ -94,13 +93,13 @@
 	return out
 }
 
-// awaitArrivals waits until so many requests have arrived at some upstreams.
-func awaitArrivals(t *testing.T, n int, upstreams ...*workingUpstream) {
+// awaitArrivals waits until n requests have arrived at the upstreams in total.
+func awaitArrivals(t *testing.T, n int, upstreams ...*slowUpstream) {
 	t.Helper()
 	for end := time.Now().Add(5 * time.Second); ; time.Sleep(time.Millisecond) {
 		arrived := 0
 		for _, u := range upstreams {
-			arrived += len(u.seen())
+			arrived += len(u.recordedRuns())
 		}
 		if arrived >= n {
 			return
@@ -111,34 +110,34 @@
 	}
 }
 
-// awaitEnds waits until no upstream is at work.
-func awaitEnds(t *testing.T, upstreams ...*workingUpstream) {
+// awaitRunsEnded waits until no upstream has a run in progress.
+func awaitRunsEnded(t *testing.T, upstreams ...*slowUpstream) {
 	t.Helper()
 	for end := time.Now().Add(8 * time.Second); ; time.Sleep(time.Millisecond) {
-		working := 0
+		running := 0
 		for _, u := range upstreams {
-			for _, run := range u.seen() {
+			for _, run := range u.recordedRuns() {
 				if run.ended.IsZero() {
-					working++
+					running++
 				}
 			}
 		}
-		if working == 0 {
+		if running == 0 {
 			return
 		}
 		if time.Now().After(end) {
-			t.Fatalf("%d requests are still at work", working)
+			t.Fatalf("%d requests are still in progress", running)
 		}
 	}
 }
 
-// clientRequest is a request as a client writes it.
+// clientRequest returns the head of a request as a client sends it.
 func clientRequest(method, path, id string, bodyLength int) string {
 	return fmt.Sprintf("%s %s HTTP/1.1\r\nHost: h.example\r\nX-Slateridge-Attempt-Id: %s\r\nX-Slateridge-Time-Budget-Ms: 9000\r\nX-Api-Key: k1\r\nContent-Length: %d\r\n\r\n",
 		method, path, id, bodyLength)
 }
 
-func connectTo(t *testing.T, front string) net.Conn {
+func dialFrontend(t *testing.T, front string) net.Conn {
 	t.Helper()
 	c, err := net.Dial("tcp4", front)
 	if err != nil {
@@ -149,102 +148,103 @@
 	return c
 }
 
-// An upstream stops working within half a second of its client's leaving, however the
-// client left and whatever the request's state was; it isn't cut off at once, since a run
-// that is about to end costs less than a new connection.
-func TestWorkEndsSoonAfterItsClientLeft(t *testing.T) {
+// After a client disconnects, the upstream stops work on its request within half a second,
+// however the client disconnected and in whatever state the request was. The work is not
+// cancelled at once, since finishing a run that is about to end costs less than a new
+// connection.
+func TestUpstreamWorkEndsSoonAfterDisconnect(t *testing.T) {
 	long := strings.Repeat("x", 600000)
 	for name, c := range map[string]struct {
-		first    string // of the upstream's answer
-		requests string
-		arrivals int
-		leave    func(d *Daemon, c net.Conn)
-		early    bool // the end may come at once
+		beforeWork   string // start of the upstream's response, sent before the work
+		requests     string
+		arrivals     int
+		disconnect   func(d *Daemon, c net.Conn)
+		mayEndAtOnce bool
 	}{
-		"closed":         {requests: clientRequest("GET", "/safe/1900ms", "a", 0), arrivals: 1},
-		"both offers":    {requests: clientRequest("GET", "/safe/1800ms", "a", 0), arrivals: 2},
-		"half-closed":    {requests: clientRequest("GET", "/safe/1900ms", "a", 0), arrivals: 1, leave: func(_ *Daemon, c net.Conn) { c.(*net.TCPConn).CloseWrite() }},
-		"reset":          {requests: clientRequest("GET", "/safe/1900ms", "a", 0), arrivals: 1, leave: func(_ *Daemon, c net.Conn) { c.(*net.TCPConn).SetLinger(0); c.Close() }},
-		"while draining": {requests: clientRequest("GET", "/safe/1900ms", "a", 0), arrivals: 1, leave: func(d *Daemon, c net.Conn) { d.leaving.Store(true); c.Close() }},
-		"after a reload": {requests: clientRequest("GET", "/safe/1900ms", "a", 0), arrivals: 1, leave: func(d *Daemon, c net.Conn) { d.Reload(); c.Close() }},
-		"next request sent": {requests: clientRequest("GET", "/safe/1900ms", "a", 0), arrivals: 1, leave: func(_ *Daemon, c net.Conn) {
+		"closed":                   {requests: clientRequest("GET", "/safe/1900ms", "a", 0), arrivals: 1},
+		"both attempts of a hedge": {requests: clientRequest("GET", "/safe/1800ms", "a", 0), arrivals: 2},
+		"half-closed":              {requests: clientRequest("GET", "/safe/1900ms", "a", 0), arrivals: 1, disconnect: func(_ *Daemon, c net.Conn) { c.(*net.TCPConn).CloseWrite() }},
+		"reset":                    {requests: clientRequest("GET", "/safe/1900ms", "a", 0), arrivals: 1, disconnect: func(_ *Daemon, c net.Conn) { c.(*net.TCPConn).SetLinger(0); c.Close() }},
+		"while draining":           {requests: clientRequest("GET", "/safe/1900ms", "a", 0), arrivals: 1, disconnect: func(d *Daemon, c net.Conn) { d.leaving.Store(true); c.Close() }},
+		"after a reload":           {requests: clientRequest("GET", "/safe/1900ms", "a", 0), arrivals: 1, disconnect: func(d *Daemon, c net.Conn) { d.Reload(); c.Close() }},
+		"next request pipelined": {requests: clientRequest("GET", "/safe/1900ms", "a", 0), arrivals: 1, disconnect: func(_ *Daemon, c net.Conn) {
 			io.WriteString(c, clientRequest("GET", "/safe/1ms", "b", 0))
-			time.Sleep(50 * time.Millisecond) // it has been read by then
+			time.Sleep(50 * time.Millisecond) // long enough for the proxy to read it
 			c.Close()
 		}},
-		"inside a long answer": {first: "HTTP/1.1 200 OK\r\nX-Slateridge-Attempt-Id: a\r\nX-Slateridge-Response-Seal: s\r\nContent-Length: 900000\r\n\r\n" + long,
-			requests: clientRequest("GET", "/safe/1900ms", "a", 0), arrivals: 1, early: true},
-		"inside a long answer, all taken": {first: "HTTP/1.1 200 OK\r\nX-Slateridge-Attempt-Id: a\r\nX-Slateridge-Response-Seal: s\r\nContent-Length: 900000\r\n\r\n" + long,
-			requests: clientRequest("GET", "/safe/1900ms", "a", 0), arrivals: 1, leave: func(_ *Daemon, c net.Conn) {
-				io.ReadFull(c, make([]byte, len(long)-20000)) // the rest may wait for what follows
-				time.Sleep(50 * time.Millisecond)             // it has been written by then: a write that fails ends the work at once
+		"during a long response": {beforeWork: "HTTP/1.1 200 OK\r\nX-Slateridge-Attempt-Id: a\r\nX-Slateridge-Response-Seal: s\r\nContent-Length: 900000\r\n\r\n" + long,
+			requests: clientRequest("GET", "/safe/1900ms", "a", 0), arrivals: 1, mayEndAtOnce: true},
+		"during a long response, all read": {beforeWork: "HTTP/1.1 200 OK\r\nX-Slateridge-Attempt-Id: a\r\nX-Slateridge-Response-Seal: s\r\nContent-Length: 900000\r\n\r\n" + long,
+			requests: clientRequest("GET", "/safe/1900ms", "a", 0), arrivals: 1, disconnect: func(_ *Daemon, c net.Conn) {
+				io.ReadFull(c, make([]byte, len(long)-20000)) // the proxy may buffer the rest
+				time.Sleep(50 * time.Millisecond)             // long enough for the proxy to write it: a failed write ends the work at once
 				c.Close()
 			}},
-		"body passed on": {requests: clientRequest("POST", "/safe/1900ms", "a", 200000) + strings.Repeat("x", 200000), arrivals: 1},
-		"body not whole": {requests: clientRequest("POST", "/flow/1900ms", "a", 200) + "x", arrivals: 0, early: true},
+		"body forwarded":  {requests: clientRequest("POST", "/safe/1900ms", "a", 200000) + strings.Repeat("x", 200000), arrivals: 1},
+		"incomplete body": {requests: clientRequest("POST", "/flow/1900ms", "a", 200) + "x", arrivals: 0, mayEndAtOnce: true},
 	} {
 		t.Run(name, func(t *testing.T) {
-			u, other := newWorkingUpstream(t, c.first, ""), newWorkingUpstream(t, c.first, "")
+			u, other := newSlowUpstream(t, c.beforeWork, ""), newSlowUpstream(t, c.beforeWork, "")
 			ups := []discovery.Instance{u.instance("i-1", 2)}
 			if c.arrivals == 2 {
 				ups = append(ups, other.instance("i-2", 2))
 			}
 			d, front := daemonAt(t, ups...)
-			for range 400 { // budget for the second offer
+			for range 400 { // fills the retry budget for the hedge
 				d.retryBudget.Request(d.now(), "svc")
 			}
-			client := connectTo(t, front)
+			client := dialFrontend(t, front)
 			io.WriteString(client, c.requests)
 			awaitArrivals(t, c.arrivals, u, other)
-			if c.first != "" { // it begins to be passed on
+			if c.beforeWork != "" { // wait until the response is being forwarded
 				bufio.NewReader(client).Peek(1)
 			}
-			if c.leave != nil {
-				c.leave(d, client)
+			if c.disconnect != nil {
+				c.disconnect(d, client)
 			} else {
 				client.Close()
 			}
-			left := time.Now()
-			awaitEnds(t, u, other)
-			for _, run := range append(u.seen(), other.seen()...) {
-				after := run.ended.Sub(left)
-				if after > allowedAfterLeaving+machineSlack {
-					t.Errorf("%s was at work %v after its client had left", run.path, after)
+			disconnectedAt := time.Now()
+			awaitRunsEnded(t, u, other)
+			for _, run := range append(u.recordedRuns(), other.recordedRuns()...) {
+				after := run.ended.Sub(disconnectedAt)
+				if after > maxWorkAfterDisconnect+schedulingSlack {
+					t.Errorf("%s was in progress %v after the disconnect", run.path, after)
 				}
-				if after < 100*time.Millisecond && !c.early {
-					t.Errorf("%s was cut off %v after its client had left", run.path, after)
+				if after < 100*time.Millisecond && !c.mayEndAtOnce {
+					t.Errorf("%s was cancelled %v after the disconnect", run.path, after)
 				}
 				if run.id == "b" {
-					t.Error("the request behind it went on to an upstream")
+					t.Error("the pipelined request was sent to an upstream")
 				}
 			}
 			for end := time.Now().Add(3 * time.Second); d.pool.Busy("svc") > 0; time.Sleep(time.Millisecond) {
 				if time.Now().After(end) {
-					t.Fatal("its place stays taken")
+					t.Fatal("its slot is still occupied")
 				}
 			}
 			d.pool.mu.Lock()
 			defer d.pool.mu.Unlock()
 			for id, u := range d.pool.upstreams {
 				if u.fails > 0 || time.Now().Before(u.ejectedUntil) {
-					t.Errorf("its leaving is held against %s", id)
+					t.Errorf("the disconnect counts as a failure of %s", id)
 				}
 				if u.conns != len(u.idle) {
-					t.Errorf("%d connections to %s are reckoned as open, %d are at rest", u.conns, id, len(u.idle))
+					t.Errorf("%d connections to %s are counted as open, %d are idle", u.conns, id, len(u.idle))
 				}
 			}
 		})
 	}
 }
 
-// The offer that lost against a second one is given up like a request whose client left.
-func TestLosingOfferIsGivenUp(t *testing.T) {
-	slow, quick := newWorkingUpstream(t, "", ""), newRawUpstream(t, func(_ int, r *http.Request) (string, bool) { return ok(r, "x"), false })
+// An attempt whose hedge responded first is cancelled like a request whose client left.
+func TestLosingHedgeIsCancelled(t *testing.T) {
+	slow, quick := newSlowUpstream(t, "", ""), newRawUpstream(t, func(_ int, r *http.Request) (string, bool) { return ok(r, "x"), false })
 	d, front := daemonAt(t, slow.instance("i-1", 2))
 	for range 400 {
 		d.retryBudget.Request(d.now(), "svc")
 	}
-	client := connectTo(t, front)
+	client := dialFrontend(t, front)
 	io.WriteString(client, clientRequest("GET", "/safe/1900ms", "a", 0))
 	awaitArrivals(t, 1, slow)
 	d.inForce(fmt.Sprintf(testConfig, 1), 1, []discovery.Instance{slow.instance("i-1", 2), quick.instance("i-2")})
@@ -253,46 +253,47 @@
 		t.Fatal(resp, err)
 	}
 	answered := time.Now()
-	awaitEnds(t, slow)
-	if after := slow.seen()[0].ended.Sub(answered); after > allowedAfterLeaving+machineSlack {
-		t.Errorf("the first offer was at work %v after the answer", after)
+	awaitRunsEnded(t, slow)
+	if after := slow.recordedRuns()[0].ended.Sub(answered); after > maxWorkAfterDisconnect+schedulingSlack {
+		t.Errorf("the first attempt was in progress %v after the response", after)
 	}
 }
 
-// A run that ends soon after its client left gives its connection back.
-func TestRunThatEndsSoonKeepsItsConnection(t *testing.T) {
-	u := newWorkingUpstream(t, "", "")
+// A run that ends within the grace period after a disconnect returns its connection to the
+// pool.
+func TestRunWithinGraceKeepsConnection(t *testing.T) {
+	u := newSlowUpstream(t, "", "")
 	d, front := daemonAt(t, u.instance("i-1", 2))
 	for n := 1; n <= 3; n++ {
-		client := connectTo(t, front)
+		client := dialFrontend(t, front)
 		io.WriteString(client, clientRequest("GET", "/safe/60ms", "a", 0))
 		awaitArrivals(t, n, u)
 		client.Close()
-		awaitEnds(t, u)
+		awaitRunsEnded(t, u)
 		for d.pool.Busy("svc") > 0 {
 			time.Sleep(time.Millisecond)
 		}
-		if runs := u.seen(); runs[n-1].abandoned {
-			t.Error("a run of 60 ms was cut off")
+		if runs := u.recordedRuns(); runs[n-1].abandoned {
+			t.Error("a run of 60 ms was cancelled")
 		}
 	}
 	if n := d.pool.counters().newConns; n != 1 {
-		t.Errorf("%d connections for three requests, one after the other", n)
+		t.Errorf("%d connections for three sequential requests", n)
 	}
 }
 
-// A request that may run once is left to finish: its answer settles what the quota is
-// debited, and its connection serves the next.
-func TestRunOnceIsNotBrokenOff(t *testing.T) {
-	u := newWorkingUpstream(t, "", "")
+// A non-idempotent request is not cancelled: its response determines the quota debit, and its
+// connection is reused.
+func TestNonIdempotentRequestIsNotCancelled(t *testing.T) {
+	u := newSlowUpstream(t, "", "")
 	d, front := daemonAt(t, u.instance("i-1", 2))
-	client := connectTo(t, front)
+	client := dialFrontend(t, front)
 	io.WriteString(client, clientRequest("POST", "/once/900ms", "a", 2)+"hi")
 	awaitArrivals(t, 1, u)
 	client.Close()
-	awaitEnds(t, u)
-	if runs := u.seen(); runs[0].abandoned {
-		t.Error("it was cut off")
+	awaitRunsEnded(t, u)
+	if runs := u.recordedRuns(); runs[0].abandoned {
+		t.Error("the request was cancelled")
 	}
 	for d.pool.Busy("svc") > 0 {
 		time.Sleep(time.Millisecond)
@@ -300,234 +301,236 @@
 	if status, _, err := fetch(front, "POST", "/once/1ms"); status != http.StatusOK || err != nil {
 		t.Fatal(status, err)
 	}
-	if runs, conns := len(u.seen()), d.pool.counters().newConns; runs != 2 || conns != 1 {
+	if runs, conns := len(u.recordedRuns()), d.pool.counters().newConns; runs != 2 || conns != 1 {
 		t.Errorf("%d runs over %d connections, want 2 over 1", runs, conns)
 	}
 }
 
-// Nothing goes out for a client that has left: not what waits for room, no further try,
-// no second offer, and no request that it had sent ahead.
-func TestNothingIsSentForAClientThatLeft(t *testing.T) {
-	t.Run("waiting for room", func(t *testing.T) {
-		u := newWorkingUpstream(t, "", "")
+// Nothing is sent for a client that has disconnected: neither a request that waits for
+// capacity, nor a retry, a hedge or a pipelined request.
+func TestNothingIsSentAfterDisconnect(t *testing.T) {
+	t.Run("waiting for capacity", func(t *testing.T) {
+		u := newSlowUpstream(t, "", "")
 		_, front := daemonAt(t, u.instance("i-1", 1))
-		for range 2 { // its places are taken
-			io.WriteString(connectTo(t, front), clientRequest("POST", "/once/85ms", "busy", 2)+"hi")
+		for range 2 { // occupies all slots
+			io.WriteString(dialFrontend(t, front), clientRequest("POST", "/once/85ms", "busy", 2)+"hi")
 		}
 		awaitArrivals(t, 2, u)
-		client := connectTo(t, front)
+		client := dialFrontend(t, front)
 		io.WriteString(client, clientRequest("POST", "/once/1ms", "a", 2)+"hi")
 		time.Sleep(20 * time.Millisecond)
 		client.Close()
-		left := time.Now()
+		disconnectedAt := time.Now()
 		time.Sleep(300 * time.Millisecond)
-		for _, run := range u.seen() {
-			if run.began.After(left.Add(20 * time.Millisecond)) { // its end has been read by then
-				t.Errorf("%s of %s arrives %v after its client had left", run.path, run.id, run.began.Sub(left))
+		for _, run := range u.recordedRuns() {
+			if run.began.After(disconnectedAt.Add(20 * time.Millisecond)) { // long enough for the proxy to notice the disconnect
+				t.Errorf("%s of %s arrived %v after the disconnect", run.path, run.id, run.began.Sub(disconnectedAt))
 			}
 		}
 	})
-	for name, path := range map[string]string{"a further try": "/safe/150ms", "a second offer": "/safe/1900ms"} {
+	for name, path := range map[string]string{"retry": "/safe/150ms", "hedge": "/safe/1900ms"} {
 		t.Run(name, func(t *testing.T) {
-			u, other := newWorkingUpstream(t, "", "close"), newWorkingUpstream(t, "", "")
+			u, other := newSlowUpstream(t, "", "close"), newSlowUpstream(t, "", "")
 			d, front := daemonAt(t, u.instance("i-1", 2))
 			for range 400 {
 				d.retryBudget.Request(d.now(), "svc")
 			}
-			client := connectTo(t, front)
+			client := dialFrontend(t, front)
 			io.WriteString(client, clientRequest("GET", path, "a", 0))
 			awaitArrivals(t, 1, u)
 			d.inForce(fmt.Sprintf(testConfig, 1), 1, []discovery.Instance{u.instance("i-1", 2), other.instance("i-2", 2)})
 			client.Close()
-			awaitEnds(t, u)
+			awaitRunsEnded(t, u)
 			time.Sleep(300 * time.Millisecond)
 			d.retryBudget.mu.Lock()
 			defer d.retryBudget.mu.Unlock()
-			if len(other.seen()) > 0 || d.retryBudget.Spent > 0 {
-				t.Errorf("%d went to another upstream, %d taken from the retry budget", len(other.seen()), d.retryBudget.Spent)
+			if len(other.recordedRuns()) > 0 || d.retryBudget.Spent > 0 {
+				t.Errorf("%d sent to another upstream, %d taken from the retry budget", len(other.recordedRuns()), d.retryBudget.Spent)
 			}
 		})
 	}
-	t.Run("sent ahead", func(t *testing.T) {
-		u := newWorkingUpstream(t, "", "")
+	t.Run("pipelined request", func(t *testing.T) {
+		u := newSlowUpstream(t, "", "")
 		_, front := daemonAt(t, u.instance("i-1", 2))
-		client := connectTo(t, front)
+		client := dialFrontend(t, front)
 		io.WriteString(client, clientRequest("POST", "/once/200ms", "a", 0)+clientRequest("POST", "/once/1ms", "b", 0))
 		awaitArrivals(t, 1, u)
 		client.Close()
-		awaitEnds(t, u)
+		awaitRunsEnded(t, u)
 		time.Sleep(200 * time.Millisecond)
-		if n := len(u.seen()); n != 1 {
-			t.Errorf("%d requests arrived, want the first alone", n)
+		if n := len(u.recordedRuns()); n != 1 {
+			t.Errorf("%d requests arrived, want only the first", n)
 		}
 	})
 }
 
-// departure is a client of the seeded run below and what it does.
-type departure struct {
-	id, kind    string
-	work, stays time.Duration // stays 0: until its answer
-	reset       bool
-	ahead       bool // it sends another request before it leaves
-	left        time.Time
-	status      int
-	err         error
+// disconnectingClient is a client of TestRandomDisconnects with its planned behaviour and
+// its result.
+type disconnectingClient struct {
+	id, kind              string
+	work, disconnectAfter time.Duration // disconnectAfter 0: waits for the response
+	reset                 bool
+	pipelines             bool // sends another request before it disconnects
+	disconnectedAt        time.Time
+	status                int
+	err                   error
 }
 
-// drawDepartures draws clients by seed.
-func drawDepartures(seed uint64, n int) []*departure {
-	lot := rand.New(rand.NewPCG(seed, 7))
-	out := make([]*departure, n)
-	for i := range out {
-		d := &departure{id: fmt.Sprint("c", i), kind: []string{"safe", "safe", "once", "flow"}[lot.IntN(4)]}
-		d.work = time.Duration(20+lot.IntN(1500)) * time.Millisecond
-		if lot.IntN(3) > 0 {
-			d.stays = time.Duration(1+lot.IntN(400)) * time.Millisecond
+// generateClients generates n random clients from a seed.
+func generateClients(seed uint64, n int) []*disconnectingClient {
+	random := rand.New(rand.NewPCG(seed, 7))
+	clients := make([]*disconnectingClient, n)
+	for i := range clients {
+		client := &disconnectingClient{id: fmt.Sprint("c", i), kind: []string{"safe", "safe", "once", "flow"}[random.IntN(4)]}
+		client.work = time.Duration(20+random.IntN(1500)) * time.Millisecond
+		if random.IntN(3) > 0 {
+			client.disconnectAfter = time.Duration(1+random.IntN(400)) * time.Millisecond
 		}
-		d.reset, d.ahead = lot.IntN(3) == 0, lot.IntN(4) == 0
-		out[i] = d
+		client.reset, client.pipelines = random.IntN(3) == 0, random.IntN(4) == 0
+		clients[i] = client
 	}
-	return out
+	return clients
 }
 
-func (d *departure) play(front string) {
+func (client *disconnectingClient) run(front string) {
 	c, err := net.Dial("tcp4", front)
 	if err != nil {
-		d.err = err
+		client.err = err
 		return
 	}
 	defer c.Close()
 	c.SetDeadline(time.Now().Add(10 * time.Second))
-	io.WriteString(c, clientRequest("POST", fmt.Sprintf("/%s/%s", d.kind, d.work), d.id, 2)+"hi")
-	if d.stays == 0 {
+	io.WriteString(c, clientRequest("POST", fmt.Sprintf("/%s/%s", client.kind, client.work), client.id, 2)+"hi")
+	if client.disconnectAfter == 0 {
 		resp, err := http.ReadResponse(bufio.NewReader(c), nil)
 		if err != nil {
-			d.err = err
+			client.err = err
 			return
 		}
-		_, d.err = io.Copy(io.Discard, resp.Body)
-		d.status = resp.StatusCode
+		_, client.err = io.Copy(io.Discard, resp.Body)
+		client.status = resp.StatusCode
 		return
 	}
-	time.Sleep(d.stays)
-	if d.ahead {
-		io.WriteString(c, clientRequest("GET", "/safe/900ms", d.id+"-ahead", 0))
+	time.Sleep(client.disconnectAfter)
+	if client.pipelines {
+		io.WriteString(c, clientRequest("GET", "/safe/900ms", client.id+"-ahead", 0))
 		time.Sleep(5 * time.Millisecond)
 	}
-	if d.reset {
+	if client.reset {
 		c.(*net.TCPConn).SetLinger(0)
 	}
 	c.Close()
-	d.left = time.Now()
+	client.disconnectedAt = time.Now()
 }
 
-// Clients of all kinds, drawn by seed, leave at any moment and in any manner, before
-// upstreams of all speeds: no repeatable request and no stream is at work half a second
-// later, nothing arrives that late, what may run once is neither broken off nor doubled,
-// and those that stay are served.
-func TestSeededDepartures(t *testing.T) {
+// Random clients disconnect at any moment and in any manner, from upstreams of any speed. No
+// idempotent request or stream is in progress half a second later, and no request arrives
+// that late. Non-idempotent requests are neither cancelled nor run twice, and clients that
+// stay are served.
+func TestRandomDisconnects(t *testing.T) {
 	for _, seed := range []uint64{1, 2} {
-		var ups []*workingUpstream
+		var ups []*slowUpstream
 		var instances []discovery.Instance
 		for i := range 3 {
-			u := newWorkingUpstream(t, "", "")
+			u := newSlowUpstream(t, "", "")
 			ups, instances = append(ups, u), append(instances, u.instance(fmt.Sprint("i-", i), 16))
 		}
 		_, front := daemonAt(t, instances...)
-		clients := drawDepartures(seed, 60)
+		clients := generateClients(seed, 60)
 		var wg sync.WaitGroup
 		for _, c := range clients {
-			wg.Go(func() { c.play(front) })
+			wg.Go(func() { c.run(front) })
 		}
 		wg.Wait()
-		awaitEnds(t, ups...)
+		awaitRunsEnded(t, ups...)
 		runs := map[string][]upstreamRun{}
 		for _, u := range ups {
-			for _, run := range u.seen() {
+			for _, run := range u.recordedRuns() {
 				runs[run.id] = append(runs[run.id], run)
 			}
 		}
 		for _, c := range clients {
-			c.check(t, runs[c.id])
-			c.checkAhead(t, runs[c.id+"-ahead"])
+			c.checkRuns(t, runs[c.id])
+			c.checkPipelinedRuns(t, runs[c.id+"-ahead"])
 		}
 	}
 }
 
-// check holds a client's runs against the rules.
-func (d *departure) check(t *testing.T, runs []upstreamRun) {
+// checkRuns checks the runs of a client's request.
+func (client *disconnectingClient) checkRuns(t *testing.T, runs []upstreamRun) {
 	t.Helper()
-	if d.stays == 0 {
-		if d.err != nil || d.status != http.StatusOK {
-			t.Errorf("%+v: not served", *d)
+	if client.disconnectAfter == 0 {
+		if client.err != nil || client.status != http.StatusOK {
+			t.Errorf("%+v: not served", *client)
 		}
 		return
 	}
-	if d.kind == "once" && len(runs) > 1 {
-		t.Errorf("%+v: ran %d times", *d, len(runs))
+	if client.kind == "once" && len(runs) > 1 {
+		t.Errorf("%+v: ran %d times", *client, len(runs))
 	}
 	for _, run := range runs {
-		if late := run.began.Sub(d.left); late > allowedAfterLeaving {
-			t.Errorf("%+v: arrives %v after it left", *d, late)
+		if late := run.began.Sub(client.disconnectedAt); late > maxWorkAfterDisconnect {
+			t.Errorf("%+v: arrived %v after the disconnect", *client, late)
 		}
-		if d.kind == "once" {
+		if client.kind == "once" {
 			if run.abandoned {
-				t.Errorf("%+v: broken off", *d)
+				t.Errorf("%+v: cancelled", *client)
 			}
 			continue
 		}
-		if late := run.ended.Sub(d.left); late > allowedAfterLeaving+machineSlack {
-			t.Errorf("%+v: at work %v after it left", *d, late)
+		if late := run.ended.Sub(client.disconnectedAt); late > maxWorkAfterDisconnect+schedulingSlack {
+			t.Errorf("%+v: in progress %v after the disconnect", *client, late)
 		}
 	}
 }
 
-// checkAhead holds what a client sent ahead against the rules: it goes on only where the
-// request before it had been answered.
-func (d *departure) checkAhead(t *testing.T, runs []upstreamRun) {
+// checkPipelinedRuns checks the runs of a client's pipelined request, which is sent on only
+// if the request before it was answered.
+func (client *disconnectingClient) checkPipelinedRuns(t *testing.T, runs []upstreamRun) {
 	t.Helper()
 	for _, run := range runs {
-		if d.work > d.stays+machineSlack {
-			t.Errorf("%+v: what it had sent ahead ran", *d)
+		if client.work > client.disconnectAfter+schedulingSlack {
+			t.Errorf("%+v: pipelined request ran", *client)
 		}
-		if late := run.ended.Sub(d.left); late > allowedAfterLeaving+machineSlack {
-			t.Errorf("%+v: what it had sent ahead is at work %v after it left", *d, late)
+		if late := run.ended.Sub(client.disconnectedAt); late > maxWorkAfterDisconnect+schedulingSlack {
+			t.Errorf("%+v: pipelined request in progress %v after the disconnect", *client, late)
 		}
 	}
 }
 
-// An answer that its client takes nothing of is given up some time after its deadline.
-func TestAnswerThatIsNotTakenIsGivenUp(t *testing.T) {
+// A response that its client does not read is aborted AnswerWriteGrace after the request's
+// deadline.
+func TestUnreadResponseIsAborted(t *testing.T) {
 	t.Parallel()
-	whole := strings.Repeat("x", 32<<20)
-	u := newRawUpstream(t, func(_ int, r *http.Request) (string, bool) { return ok(r, whole), false })
+	body := strings.Repeat("x", 32<<20)
+	u := newRawUpstream(t, func(_ int, r *http.Request) (string, bool) { return ok(r, body), false })
 	d, front := daemonAt(t, u.instance("i-1"))
-	client := connectTo(t, front)
+	client := dialFrontend(t, front)
 	client.(*net.TCPConn).SetReadBuffer(4 << 10)
 	io.WriteString(client, strings.Replace(clientRequest("GET", "/safe/x", "a", 0), "9000", "300", 1))
 	for end := time.Now().Add(5 * time.Second); u.count() == 0; time.Sleep(time.Millisecond) {
 		if time.Now().After(end) {
-			t.Fatal("not sent on")
+			t.Fatal("request did not arrive at the upstream")
 		}
 	}
 	for end := time.Now().Add(constants.AnswerWriteGrace + 2*time.Second); d.open.Load() > 0; time.Sleep(10 * time.Millisecond) {
 		if time.Now().After(end) {
-			t.Fatal("held for a client that takes nothing")
+			t.Fatal("response is still held for a client that does not read")
 		}
 	}
 }
 
-// A connection whose request was sent ahead of the answer before it is not idle.
-func TestConnectionWithARequestSentAheadIsNotIdle(t *testing.T) {
-	u := newWorkingUpstream(t, "", "")
+// A connection whose next request was pipelined before the response is not closed as idle.
+func TestConnectionWithPipelinedRequestIsNotIdle(t *testing.T) {
+	u := newSlowUpstream(t, "", "")
 	d, front := daemonAt(t, u.instance("i-1", 2))
-	client := connectTo(t, front)
+	client := dialFrontend(t, front)
 	io.WriteString(client, clientRequest("POST", "/once/1ms", "a", 0)+clientRequest("POST", "/once/300ms", "b", 0))
 	awaitArrivals(t, 2, u)
 	d.frontend.closeIdle(time.Now().Add(time.Hour))
-	answers := bufio.NewReader(client)
+	responses := bufio.NewReader(client)
 	for _, id := range []string{"a", "b"} {
-		resp, err := http.ReadResponse(answers, nil)
+		resp, err := http.ReadResponse(responses, nil)
 		if err != nil {
 			t.Fatalf("request %s: %v", id, err)
 		}
@@ -538,43 +541,44 @@
 	}
 }
 
-// Requests that were read late, by a process that stood still, don't go on when their
-// clients have left meanwhile.
-func TestRequestsReadLateAreNotSentForClientsThatLeft(t *testing.T) {
-	u := newWorkingUpstream(t, "", "")
+// Requests that a paused process reads late are not sent on if their clients have
+// disconnected in the meantime.
+func TestRequestsReadLateAreNotSentAfterDisconnect(t *testing.T) {
+	u := newSlowUpstream(t, "", "")
 	d, _ := daemonAt(t, u.instance("i-1", 20))
 	listener, err := net.Listen("tcp4", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
-	d.lag.beat(time.Now()) // the last one before it stands still
-	late := newFrontend(listener, d.Proxy, func() config.Limits { return config.Limits{} }, time.Second)
-	t.Cleanup(late.close)
+	d.lag.beat(time.Now()) // the last heartbeat before the pause
+	resumed := newFrontend(listener, d.Proxy, func() config.Limits { return config.Limits{} }, time.Second)
+	t.Cleanup(resumed.close)
 	for i := range 30 {
-		client := connectTo(t, listener.Addr().String())
+		client := dialFrontend(t, listener.Addr().String())
 		io.WriteString(client, clientRequest([]string{"GET", "POST"}[i%2], []string{"/safe/1ms", "/once/1ms", "/flow/1ms"}[i%3], fmt.Sprint("c", i), 0))
 		client.Close()
 	}
-	stays := connectTo(t, listener.Addr().String())
-	io.WriteString(stays, clientRequest("GET", "/safe/1ms", "stays", 0))
+	staying := dialFrontend(t, listener.Addr().String())
+	io.WriteString(staying, clientRequest("GET", "/safe/1ms", "stays", 0))
 	time.Sleep(constants.LagLong + 50*time.Millisecond)
-	go late.serve()
-	if resp, err := http.ReadResponse(bufio.NewReader(stays), nil); err != nil || resp.StatusCode != http.StatusOK {
+	go resumed.serve()
+	if resp, err := http.ReadResponse(bufio.NewReader(staying), nil); err != nil || resp.StatusCode != http.StatusOK {
 		t.Fatal(resp, err)
 	}
 	for end := time.Now().Add(3 * time.Second); d.open.Load() > 0 && time.Now().Before(end); {
 		time.Sleep(time.Millisecond)
 	}
-	for _, run := range u.seen() {
+	for _, run := range u.recordedRuns() {
 		if run.id != "stays" {
-			t.Errorf("%s of %s was sent on", run.path, run.id)
+			t.Errorf("%s of %s was sent to an upstream", run.path, run.id)
 		}
 	}
 }
 
-// A dial that takes long ends with a connection for others when the client has left.
-func TestSlowDialSendsNothingForAClientThatLeft(t *testing.T) {
-	u := newWorkingUpstream(t, "", "")
+// If the client disconnects during a slow dial, nothing is sent, and the new connection is
+// kept for other requests.
+func TestSlowDialSendsNothingAfterDisconnect(t *testing.T) {
+	u := newSlowUpstream(t, "", "")
 	d, front := daemonAt(t, u.instance("i-1", 2))
 	dialling := make(chan struct{}, 1)
 	d.pool.dialer.Control = func(string, string, syscall.RawConn) error {
@@ -582,24 +586,25 @@
 		time.Sleep(120 * time.Millisecond)
 		return nil
 	}
-	client := connectTo(t, front)
+	client := dialFrontend(t, front)
 	io.WriteString(client, clientRequest("POST", "/once/1ms", "a", 0))
 	<-dialling
 	client.Close()
 	for end := time.Now().Add(3 * time.Second); d.open.Load() > 0 && time.Now().Before(end); {
 		time.Sleep(time.Millisecond)
 	}
-	if n := len(u.seen()); n != 0 {
+	if n := len(u.recordedRuns()); n != 0 {
 		t.Errorf("%d requests arrived", n)
 	}
 	if open, idle := connsOpen(d.Proxy); open != 1 || idle != 1 {
-		t.Errorf("%d connections are reckoned as open, %d are at rest; want the new one at rest", open, idle)
+		t.Errorf("%d connections are counted as open, %d are idle; want the new one idle", open, idle)
 	}
 }
 
-// A cut run teaches that its upstream is slow, though not how slow.
-func TestCutRunShortensNoDelay(t *testing.T) {
-	u := newWorkingUpstream(t, "", "")
+// A cancelled run shows that its upstream is slow, but not how slow: it may raise the
+// expected delay, but must not lower it.
+func TestCancelledRunDoesNotLowerDelay(t *testing.T) {
+	u := newSlowUpstream(t, "", "")
 	d, front := daemonAt(t, u.instance("i-1", 2))
 	delay := func() float64 {
 		d.pool.mu.Lock()
@@ -608,21 +613,21 @@
 	}
 	for n, path := range []string{"/safe/400ms", "/safe/1900ms"} {
 		before := delay()
-		client := connectTo(t, front)
+		client := dialFrontend(t, front)
 		io.WriteString(client, clientRequest("GET", path, "a", 0))
 		awaitArrivals(t, n+1, u)
 		if n > 0 {
 			client.Close()
 		}
-		awaitEnds(t, u)
+		awaitRunsEnded(t, u)
 		for d.pool.Busy("svc") > 0 {
 			time.Sleep(time.Millisecond)
 		}
 		if after := delay(); after < before {
-			t.Errorf("after %s the delay to expect is %v, was %v", path, after, before)
+			t.Errorf("after %s the expected delay is %v, was %v", path, after, before)
 		}
 	}
 	if n := d.pool.counters().cancelled; n != 1 {
-		t.Errorf("%d offers counted as cancelled, want 1", n)
+		t.Errorf("%d attempts counted as cancelled, want 1", n)
 	}
 }
--- a/internal/proxy/fuzz_test.go
+++ b/internal/proxy/fuzz_test.go
@@ -60,7 +60,7 @@
 		s.pool.byService["svc"] = []*Upstream{u}
 		c := &spoken{r: bytes.NewReader(data)}
 		fl := newUpstreamConn(u, c)
-		fl.used = 1
+		fl.exchanges = 1
 		path := map[bool]string{true: "/flow/", false: "/once/"}[stream]
 		if method != "HEAD" && method != "GET" {
 			method = "POST"
@@ -74,7 +74,7 @@
 		if of == nil {
 			t.Fatal("no room")
 		}
-		p.cancelWith(fl)
+		p.cancelOnDisconnect(fl)
 		res := p.read(of, fl, "id-1", time.Now())
 		p.count(res)
 		w, broken := httptest.NewRecorder(), false
--- a/internal/proxy/proxy.go
+++ b/internal/proxy/proxy.go
@@ -117,8 +117,8 @@
 		return
 	}
 	p := s.newExchange(r, arrived, cfg, route, tenant)
-	p.client.handle(true)
-	defer p.client.handle(false)
+	p.client.setHandling(true)
+	defer p.client.setHandling(false)
 	if tenant != nil {
 		if p.account = s.accounts.Begin(tenant.Name); p.account != nil {
 			defer p.settleUnanswered()
@@ -357,6 +357,6 @@
 		panic(http.ErrAbortHandler)
 	}
 	if res.conn != nil {
-		res.conn.exhausted(res.resp)
+		res.conn.finishExchange(res.resp)
 	}
 }
--- a/internal/proxy/reload.go
+++ b/internal/proxy/reload.go
@@ -6,30 +6,31 @@
 	"slateridge/internal/settings"
 )
 
-// settingsModTime tells one state of the settings file from another; 0 if there is none.
-func (d *Daemon) settingsModTime() int64 {
-	fi, err := os.Stat(d.path)
+// readSettingsFingerprint returns a value that changes with the settings file's modification
+// time or size, or 0 if the file cannot be read.
+func (d *Daemon) readSettingsFingerprint() int64 {
+	info, err := os.Stat(d.settingsPath)
 	if err != nil {
 		return 0
 	}
-	return fi.ModTime().UnixNano() ^ fi.Size()
+	return info.ModTime().UnixNano() ^ info.Size()
 }
 
-// lookAtSettings reloads a settings file that has changed.
-func (d *Daemon) lookAtSettings() {
-	if is := d.settingsModTime(); is != 0 && d.settingsChangedAt.Swap(is) != is {
+// reloadIfChanged reloads the settings file if it has changed.
+func (d *Daemon) reloadIfChanged() {
+	if fingerprint := d.readSettingsFingerprint(); fingerprint != 0 && d.settingsFingerprint.Swap(fingerprint) != fingerprint {
 		d.Reload()
 	}
 }
 
-// Reload reads the settings again; a file that cannot be used changes nothing.
+// Reload reads the settings file again. An invalid file leaves the current settings in place.
 func (d *Daemon) Reload() {
-	set, err := settings.Load(d.path, "frontend", "readiness")
+	set, err := settings.Load(d.settingsPath, "frontend", "readiness")
 	if err != nil {
 		d.events.Record("settings_refused", err.Error())
 		return
 	}
-	d.set.Store(set)
+	d.nodeSettings.Store(set)
 	d.subscriber.Add(set.SeedIPs())
 	d.events.Record("settings", "read again")
 }
--- a/internal/proxy/stream.go
+++ b/internal/proxy/stream.go
@@ -10,14 +10,14 @@
 
 // firstPiece waits for a stream's first bytes: until they come nothing has begun to
 // run, and the client has been told nothing.
-func (p *exchange) firstPiece(of *placement, conn *Conn, resp *http.Response, at time.Time) *result {
+func (p *exchange) firstPiece(of *placement, conn *upstreamConn, resp *http.Response, at time.Time) *result {
 	buf := make([]byte, constants.StreamBuffer)
 	n, err := resp.Body.Read(buf)
 	for n == 0 && err == nil {
 		n, err = resp.Body.Read(buf)
 	}
 	if n == 0 { // an end after the first bytes is met again when more is read
-		conn.drop()
+		conn.close()
 		how := blame(conn, err)
 		p.proxy.pool.done(of, how)
 		return &result{outcome: how, sentAt: at, sent: true, err: err}
@@ -64,7 +64,7 @@
 	rc.SetWriteDeadline(time.Time{})
 	switch {
 	case werr == nil && rerr == io.EOF:
-		res.conn.exhausted(res.resp)
+		res.conn.finishExchange(res.resp)
 		s.pool.done(res.stream, served)
 		return
 	case werr != nil || r.Context().Err() != nil: // its leaving closes the upstream's end
@@ -74,6 +74,6 @@
 		s.streamsCut.Add(1)
 		s.pool.done(res.stream, broken)
 	}
-	res.conn.drop()
+	res.conn.close()
 	panic(http.ErrAbortHandler)
 }
