--- a/internal/proxy/exchange.go
+++ b/internal/proxy/exchange.go
@@ -20,22 +20,22 @@
 	arrived  time.Time
 	deadline time.Time // the end of the caller's budget or of the route's timeout
 	// The caller's budget may last beyond the timeout: it can be served elsewhere until then.
-	callerUntil time.Time
-	config      *config.Config
-	route       *config.Route
-	tenant      *config.Tenant
-	priority    int
-	service     string
-	homes       string    // regions it may be served in
-	bodyStart   []byte    // body held for another offer
-	bodyRest    io.Reader // what follows it, offered once
-	length      int64     // of the body; -1 unknown
-	runs        int       // upstream runs this request may have caused
-	sends       int       // upstreams it was sent to
-	ranAt       time.Time // when the run that counts as usage was sent
-	usageRun    *usage.Run
-	account     *accounts.Request // nil where the tenant has no objective
-	answered    int               // upstreams that answered as having run it
+	callerDeadline time.Time
+	config         *config.Config
+	route          *config.Route
+	tenant         *config.Tenant
+	priority       int
+	service        string
+	homes          string    // regions it may be served in
+	bodyStart      []byte    // body held for another offer
+	bodyRest       io.Reader // what follows it, offered once
+	length         int64     // of the body; -1 unknown
+	runs           int       // upstream runs this request may have caused
+	sends          int       // upstreams it was sent to
+	ranAt          time.Time // when the run that counts as usage was sent
+	usageRun       *usage.Run
+	account        *accounts.Request // nil where the tenant has no objective
+	answered       int               // upstreams that answered as having run it
 }
 
 // newExchange is a request that came at a moment and matches a route, and a tenant where
@@ -43,19 +43,19 @@
 func (s *Proxy) newExchange(r *http.Request, arrived time.Time, cfg *config.Config, route *config.Route, tenant *config.Tenant) *exchange {
 	callerUntil := arrived.Add(budget(r))
 	p := &exchange{
-		proxy:       s,
-		request:     r,
-		client:      clientConnOf(r),
-		arrived:     arrived,
-		deadline:    earlier(callerUntil, arrived.Add(route.Timeout)),
-		callerUntil: callerUntil,
-		config:      cfg,
-		route:       route,
-		tenant:      tenant,
-		priority:    route.Priority,
-		service:     route.Pick(rand.Float64()),
-		homes:       homesOf(config.Homes(route, tenant)),
-		usageRun:    &usage.Run{},
+		proxy:          s,
+		request:        r,
+		client:         clientConnOf(r),
+		arrived:        arrived,
+		deadline:       earlier(callerUntil, arrived.Add(route.Timeout)),
+		callerDeadline: callerUntil,
+		config:         cfg,
+		route:          route,
+		tenant:         tenant,
+		priority:       route.Priority,
+		service:        route.Pick(rand.Float64()),
+		homes:          homesOf(config.Homes(route, tenant)),
+		usageRun:       &usage.Run{},
 	}
 	if tenant != nil && tenant.HasPriority {
 		p.priority = tenant.Priority
--- a/internal/proxy/timing.go
+++ b/internal/proxy/timing.go
@@ -19,7 +19,7 @@
 
 // timing is that of this request, as of now.
 func (p *exchange) timing() timing {
-	return timing{answerBy: p.answerBy(), callerUntil: p.callerUntil, work: p.proxy.pool.workTime(p.service)}
+	return timing{answerBy: p.answerBy(), callerUntil: p.callerDeadline, work: p.proxy.pool.workTime(p.service)}
 }
 
 // answerBy is until when the caller waits for the answer or for a stream's first piece:
