--- a/internal/proxy/attempt.go
+++ b/internal/proxy/attempt.go
@@ -14,7 +14,7 @@
 // allowed checks once more, right before bytes go out, that the request may
 // still go there: the process may just have woken from a freeze.
 func (p *exchange) allowed(u *Upstream) bool {
-	if !time.Now().Before(p.deadline) || p.clientLeft() || !u.usable(p.homes) {
+	if !time.Now().Before(p.deadline) || p.clientLeft() || !u.usable(p.allowedRegions) {
 		return false
 	}
 	cfg := p.proxy.config.Load()
@@ -30,7 +30,7 @@
 	if !within(homes, u.region) {
 		return false
 	}
-	p.config, p.route, p.tenant, p.homes = cfg, route, tenant, homes
+	p.config, p.route, p.tenant, p.allowedRegions = cfg, route, tenant, homes
 	return true
 }
 
--- a/internal/proxy/exchange.go
+++ b/internal/proxy/exchange.go
@@ -26,7 +26,7 @@
 	tenant         *config.Tenant
 	priority       int
 	service        string
-	homes          string    // regions it may be served in
+	allowedRegions string    // regions it may be served in
 	bodyStart      []byte    // body held for another offer
 	bodyRest       io.Reader // what follows it, offered once
 	length         int64     // of the body; -1 unknown
@@ -54,7 +54,7 @@
 		tenant:         tenant,
 		priority:       route.Priority,
 		service:        route.Pick(rand.Float64()),
-		homes:          homesOf(config.Homes(route, tenant)),
+		allowedRegions: homesOf(config.Homes(route, tenant)),
 		usageRun:       &usage.Run{},
 	}
 	if tenant != nil && tenant.HasPriority {
@@ -147,7 +147,7 @@
 			return code
 		}
 		p.config, p.route, p.tenant = cfg, route, tenant
-		p.homes = homesOf(config.Homes(route, tenant))
+		p.allowedRegions = homesOf(config.Homes(route, tenant))
 		if !route.RoutesTo(p.service) {
 			p.service = route.Pick(rand.Float64())
 		}
@@ -193,7 +193,7 @@
 
 // target is what this request asks of the pool.
 func (p *exchange) target() target {
-	w := target{service: p.service, homes: p.homes}
+	w := target{service: p.service, homes: p.allowedRegions}
 	if p.route.Stream {
 		w.stream = true
 		if p.route.Affinity {
--- a/internal/proxy/places_test.go
+++ b/internal/proxy/places_test.go
@@ -204,7 +204,7 @@
 		r.RequestURI, r.Host = "/any/", "h.example"
 		r.Header.Set(headerAPIKey, "k1")
 		route, tenant, _ := match(cfg, r)
-		p := &exchange{proxy: s, request: r, config: cfg, route: route, tenant: tenant, service: "svc", homes: anywhere, deadline: time.Now().Add(time.Second)}
+		p := &exchange{proxy: s, request: r, config: cfg, route: route, tenant: tenant, service: "svc", allowedRegions: anywhere, deadline: time.Now().Add(time.Second)}
 		of := s.pool.Place(target{service: "svc", homes: anywhere}, nil)
 		change(s)
 		if of == nil || !p.try(of).notRun || u.count() != 0 {
--- a/internal/proxy/proxy_test.go
+++ b/internal/proxy/proxy_test.go
@@ -595,7 +595,7 @@
 	r.RequestURI, r.Host = "/once/", "h.example"
 	cfg := s.config.Load()
 	p := s.newExchange(r, time.Now(), cfg, cfg.Match("h.example", "/once/"), nil)
-	p.homes = "none"
+	p.allowedRegions = "none"
 	r.Header.Set(headerAttemptID, "id-2")
 	if res := p.try(of); !res.abandoned || u.count() != 1 {
 		t.Fatalf("sent where it may not be: %+v", res)
