--- a/internal/proxy/exchange.go
+++ b/internal/proxy/exchange.go
@@ -27,7 +27,7 @@
 	priority       int
 	service        string
 	allowedRegions string    // regions it may be served in
-	bodyStart      []byte    // body held for another offer
+	bufferedBody   []byte    // body held for another offer
 	bodyRest       io.Reader // what follows it, offered once
 	length         int64     // of the body; -1 unknown
 	runs           int       // upstream runs this request may have caused
--- a/internal/proxy/proxy.go
+++ b/internal/proxy/proxy.go
@@ -249,11 +249,11 @@
 		return http.StatusBadRequest
 	}
 	if len(b) < constants.BodyBuffer {
-		p.bodyStart, p.length = b, int64(len(b))
+		p.bufferedBody, p.length = b, int64(len(b))
 		return 0
 	}
 	if r.ContentLength == int64(len(b)) {
-		p.bodyStart = b
+		p.bufferedBody = b
 		return 0
 	}
 	p.bodyRest = io.MultiReader(bytes.NewReader(b), body)
