--- a/internal/proxy/attempt.go
+++ b/internal/proxy/attempt.go
@@ -88,7 +88,7 @@
 		length := p.length
 		p.cancelWith(conn)
 		head := requestHead(p.request, u.instance.ID, name, left, length)
-		sent, err := conn.send(head, p.bufferedBody, p.bodyRest, length < 0, p.deadline.Add(constants.AnswerGrace))
+		sent, err := conn.send(head, p.bufferedBody, p.streamedBody, length < 0, p.deadline.Add(constants.AnswerGrace))
 		if err != nil && !sent && reused {
 			u.drop(conn)
 			continue // the connection had ended; not a byte went out
--- a/internal/proxy/exchange.go
+++ b/internal/proxy/exchange.go
@@ -28,7 +28,7 @@
 	service        string
 	allowedRegions string    // regions it may be served in
 	bufferedBody   []byte    // body held for another offer
-	bodyRest       io.Reader // what follows it, offered once
+	streamedBody   io.Reader // what follows it, offered once
 	length         int64     // of the body; -1 unknown
 	runs           int       // upstream runs this request may have caused
 	sends          int       // upstreams it was sent to
@@ -130,7 +130,7 @@
 
 // offer makes one offer of the request, and a second beside it where it may be repeated.
 func (p *exchange) offer(of *placement, skip map[*Upstream]bool) *result {
-	if p.route.Idempotent && p.bodyRest == nil {
+	if p.route.Idempotent && p.streamedBody == nil {
 		return p.hedged(of, skip)
 	}
 	res := p.try(of)
@@ -164,7 +164,7 @@
 	if !res.notRun && !p.route.Idempotent {
 		return false
 	}
-	if p.bodyRest != nil || p.sends >= p.maxAttempts() {
+	if p.streamedBody != nil || p.sends >= p.maxAttempts() {
 		return false
 	}
 	return p.proxy.retryBudget.Take(p.proxy.now(), p.service)
--- a/internal/proxy/proxy.go
+++ b/internal/proxy/proxy.go
@@ -256,7 +256,7 @@
 		p.bufferedBody = b
 		return 0
 	}
-	p.bodyRest = io.MultiReader(bytes.NewReader(b), body)
+	p.streamedBody = io.MultiReader(bytes.NewReader(b), body)
 	return 0
 }
 
