--- a/internal/proxy/attempt.go
+++ b/internal/proxy/attempt.go
@@ -85,7 +85,7 @@
 		if p.tenant != nil {
 			name = p.tenant.Name
 		}
-		length := p.length
+		length := p.bodyLength
 		p.cancelWith(conn)
 		head := requestHead(p.request, u.instance.ID, name, left, length)
 		sent, err := conn.send(head, p.bufferedBody, p.streamedBody, length < 0, p.deadline.Add(constants.AnswerGrace))
--- a/internal/proxy/exchange.go
+++ b/internal/proxy/exchange.go
@@ -29,7 +29,7 @@
 	allowedRegions string    // regions it may be served in
 	bufferedBody   []byte    // body held for another offer
 	streamedBody   io.Reader // what follows it, offered once
-	length         int64     // of the body; -1 unknown
+	bodyLength     int64     // of the body; -1 unknown
 	runs           int       // upstream runs this request may have caused
 	sends          int       // upstreams it was sent to
 	ranAt          time.Time // when the run that counts as usage was sent
--- a/internal/proxy/proxy.go
+++ b/internal/proxy/proxy.go
@@ -227,9 +227,9 @@
 // readBody holds the body, or its beginning when it is long.
 func (p *exchange) readBody(w http.ResponseWriter) int {
 	r := p.request
-	p.length = r.ContentLength
+	p.bodyLength = r.ContentLength
 	if r.Body == nil || r.Body == http.NoBody || r.ContentLength == 0 {
-		p.length = 0
+		p.bodyLength = 0
 		return 0
 	}
 	body := io.Reader(r.Body)
@@ -249,7 +249,7 @@
 		return http.StatusBadRequest
 	}
 	if len(b) < constants.BodyBuffer {
-		p.bufferedBody, p.length = b, int64(len(b))
+		p.bufferedBody, p.bodyLength = b, int64(len(b))
 		return 0
 	}
 	if r.ContentLength == int64(len(b)) {
