--- a/internal/proxy/accounting.go
+++ b/internal/proxy/accounting.go
@@ -69,7 +69,7 @@
 // settleFailed settles a request without an answer to give. Where it may run once and may
 // have run, nobody here knows whether it did.
 func (p *exchange) settleFailed() {
-	if !p.route.Idempotent && p.runs > 0 {
+	if !p.route.Idempotent && p.executions > 0 {
 		p.account.Failure(accounts.Unknown)
 	}
 }
--- a/internal/proxy/exchange.go
+++ b/internal/proxy/exchange.go
@@ -30,7 +30,7 @@
 	bufferedBody   []byte    // body held for another offer
 	streamedBody   io.Reader // what follows it, offered once
 	bodyLength     int64     // of the body; -1 unknown
-	runs           int       // upstream runs this request may have caused
+	executions     int       // upstream runs this request may have caused
 	sends          int       // upstreams it was sent to
 	ranAt          time.Time // when the run that counts as usage was sent
 	usageRun       *usage.Run
@@ -208,7 +208,7 @@
 	if r.sent {
 		p.sends++
 		if !r.notRun {
-			if p.runs++; p.ranAt.IsZero() || r.resp != nil && r.resp.StatusCode/100 == 2 {
+			if p.executions++; p.ranAt.IsZero() || r.resp != nil && r.resp.StatusCode/100 == 2 {
 				p.ranAt = r.sentAt
 			}
 		}
--- a/internal/proxy/hedge.go
+++ b/internal/proxy/hedge.go
@@ -26,7 +26,7 @@
 			p.count(r)
 			if r.deliverable() && !r.retryable() && !r.notRun {
 				if out > 0 {
-					p.runs += out // it may well run; its cost is known too late
+					p.executions += out // it may well run; its cost is known too late
 					go discard(ch, out)
 				}
 				best.release()
--- a/internal/proxy/proxy.go
+++ b/internal/proxy/proxy.go
@@ -148,13 +148,13 @@
 	if p.tenant == nil {
 		return
 	}
-	p.proxy.limiter.Settle(p.proxy.now(), p.tenant.Name, p.runs)
+	p.proxy.limiter.Settle(p.proxy.now(), p.tenant.Name, p.executions)
 	meter := p.proxy.meter
 	if meter == nil {
 		return
 	}
 	meter.Over(p.usageRun)
-	if p.runs > 0 && !p.route.Stream { // streams count with their first piece
+	if p.executions > 0 && !p.route.Stream { // streams count with their first piece
 		meter.Count(p.proxy.window(p.ranAt), p.tenant.Name)
 	}
 }
@@ -283,7 +283,7 @@
 	res.release()
 	p.settleFailed()
 	switch {
-	case p.runs == 0 && p.sends == 0 || p.runs == 0 && res.notRun:
+	case p.executions == 0 && p.sends == 0 || p.executions == 0 && res.notRun:
 		// Nothing ran, and nothing will: the promise can be given.
 		p.countUnserved(countNoCapacity)
 		s.refuse(w, r, http.StatusServiceUnavailable, p.capacityRetry())
