--- a/internal/proxy/exchange.go
+++ b/internal/proxy/exchange.go
@@ -31,7 +31,7 @@
 	streamedBody   io.Reader // what follows it, offered once
 	bodyLength     int64     // of the body; -1 unknown
 	executions     int       // upstream runs this request may have caused
-	sends          int       // upstreams it was sent to
+	attempts       int       // upstreams it was sent to
 	ranAt          time.Time // when the run that counts as usage was sent
 	usageRun       *usage.Run
 	account        *accounts.Request // nil where the tenant has no objective
@@ -164,7 +164,7 @@
 	if !res.notRun && !p.route.Idempotent {
 		return false
 	}
-	if p.streamedBody != nil || p.sends >= p.maxAttempts() {
+	if p.streamedBody != nil || p.attempts >= p.maxAttempts() {
 		return false
 	}
 	return p.proxy.retryBudget.Take(p.proxy.now(), p.service)
@@ -206,7 +206,7 @@
 func (p *exchange) count(r *result) {
 	p.countAnswer(r)
 	if r.sent {
-		p.sends++
+		p.attempts++
 		if !r.notRun {
 			if p.executions++; p.ranAt.IsZero() || r.resp != nil && r.resp.StatusCode/100 == 2 {
 				p.ranAt = r.sentAt
--- a/internal/proxy/proxy.go
+++ b/internal/proxy/proxy.go
@@ -283,7 +283,7 @@
 	res.release()
 	p.settleFailed()
 	switch {
-	case p.executions == 0 && p.sends == 0 || p.executions == 0 && res.notRun:
+	case p.executions == 0 && p.attempts == 0 || p.executions == 0 && res.notRun:
 		// Nothing ran, and nothing will: the promise can be given.
 		p.countUnserved(countNoCapacity)
 		s.refuse(w, r, http.StatusServiceUnavailable, p.capacityRetry())
