--- a/internal/proxy/exchange.go
+++ b/internal/proxy/exchange.go
@@ -32,7 +32,7 @@
 	bodyLength     int64     // of the body; -1 unknown
 	executions     int       // upstream runs this request may have caused
 	attempts       int       // upstreams it was sent to
-	ranAt          time.Time // when the run that counts as usage was sent
+	executedAt     time.Time // when the run that counts as usage was sent
 	usageRun       *usage.Run
 	account        *accounts.Request // nil where the tenant has no objective
 	answered       int               // upstreams that answered as having run it
@@ -208,8 +208,8 @@
 	if r.sent {
 		p.attempts++
 		if !r.notRun {
-			if p.executions++; p.ranAt.IsZero() || r.resp != nil && r.resp.StatusCode/100 == 2 {
-				p.ranAt = r.sentAt
+			if p.executions++; p.executedAt.IsZero() || r.resp != nil && r.resp.StatusCode/100 == 2 {
+				p.executedAt = r.sentAt
 			}
 		}
 	}
--- a/internal/proxy/proxy.go
+++ b/internal/proxy/proxy.go
@@ -155,7 +155,7 @@
 	}
 	meter.Over(p.usageRun)
 	if p.executions > 0 && !p.route.Stream { // streams count with their first piece
-		meter.Count(p.proxy.window(p.ranAt), p.tenant.Name)
+		meter.Count(p.proxy.window(p.executedAt), p.tenant.Name)
 	}
 }
 
