--- a/internal/proxy/accounting.go
+++ b/internal/proxy/accounting.go
@@ -39,7 +39,7 @@
 	if p.account == nil || p.route.Idempotent || r.notRun || r.doubtful || r.resp == nil || r.resp.Header.Get(headerSeal) == "" {
 		return
 	}
-	if p.answered++; p.answered == 2 {
+	if p.executedResponses++; p.executedResponses == 2 {
 		p.account.Doubled()
 	}
 }
--- a/internal/proxy/exchange.go
+++ b/internal/proxy/exchange.go
@@ -20,22 +20,22 @@
 	arrived  time.Time
 	deadline time.Time // the end of the caller's budget or of the route's timeout
 	// The caller's budget may last beyond the timeout: it can be served elsewhere until then.
-	callerDeadline time.Time
-	config         *config.Config
-	route          *config.Route
-	tenant         *config.Tenant
-	priority       int
-	service        string
-	allowedRegions string    // regions it may be served in
-	bufferedBody   []byte    // body held for another offer
-	streamedBody   io.Reader // what follows it, offered once
-	bodyLength     int64     // of the body; -1 unknown
-	executions     int       // upstream runs this request may have caused
-	attempts       int       // upstreams it was sent to
-	executedAt     time.Time // when the run that counts as usage was sent
-	usageRun       *usage.Run
-	account        *accounts.Request // nil where the tenant has no objective
-	answered       int               // upstreams that answered as having run it
+	callerDeadline    time.Time
+	config            *config.Config
+	route             *config.Route
+	tenant            *config.Tenant
+	priority          int
+	service           string
+	allowedRegions    string    // regions it may be served in
+	bufferedBody      []byte    // body held for another offer
+	streamedBody      io.Reader // what follows it, offered once
+	bodyLength        int64     // of the body; -1 unknown
+	executions        int       // upstream runs this request may have caused
+	attempts          int       // upstreams it was sent to
+	executedAt        time.Time // when the run that counts as usage was sent
+	usageRun          *usage.Run
+	account           *accounts.Request // nil where the tenant has no objective
+	executedResponses int               // upstreams that answered as having run it
 }
 
 // newExchange is a request that came at a moment and matches a route, and a tenant where
