--- a/internal/proxy/exchange.go
+++ b/internal/proxy/exchange.go
@@ -75,7 +75,7 @@
 		if p.tooLate() {
 			return last, http.StatusServiceUnavailable
 		}
-		of := p.place(skip)
+		of := p.awaitPlacement(skip)
 		if of == nil {
 			return last, http.StatusServiceUnavailable
 		}
@@ -118,8 +118,8 @@
 	}
 }
 
-// place finds room for an offer, or nil; it waits for it while that is of use.
-func (p *exchange) place(skip map[*Upstream]bool) *placement {
+// awaitPlacement finds room for an offer, or nil; it waits for it while that is of use.
+func (p *exchange) awaitPlacement(skip map[*Upstream]bool) *placement {
 	of := p.proxy.pool.Wait(p.request.Context(), p.target(), p.priority, p.timing().latestStart(time.Now()), skip)
 	if of != nil && p.tooLate() { // by now, or by what has been learned of the work meanwhile
 		p.proxy.pool.done(of, unused)
