--- a/internal/proxy/exchange.go
+++ b/internal/proxy/exchange.go
@@ -80,7 +80,7 @@
 			return last, http.StatusServiceUnavailable
 		}
 		skip[of.upstream] = true
-		res := p.offer(of, skip)
+		res := p.dispatch(of, skip)
 		if res.abandoned {
 			if last != nil {
 				return last, 0
@@ -128,8 +128,8 @@
 	return of
 }
 
-// offer makes one offer of the request, and a second beside it where it may be repeated.
-func (p *exchange) offer(of *placement, skip map[*Upstream]bool) *result {
+// dispatch makes one dispatch of the request, and a second beside it where it may be repeated.
+func (p *exchange) dispatch(of *placement, skip map[*Upstream]bool) *result {
 	if p.route.Idempotent && p.streamedBody == nil {
 		return p.hedged(of, skip)
 	}
