--- a/internal/proxy/exchange.go
+++ b/internal/proxy/exchange.go
@@ -85,7 +85,7 @@
 			if last != nil {
 				return last, 0
 			}
-			if code := p.resume(); code != 0 {
+			if code := p.revalidate(); code != 0 {
 				return nil, code
 			}
 			if dials++; dials > constants.MaxDials {
@@ -138,9 +138,9 @@
 	return res
 }
 
-// resume looks at the request again after an offer was abandoned before anything was
+// revalidate looks at the request again after an offer was abandoned before anything was
 // sent, as when the configuration moved on; a status refuses it.
-func (p *exchange) resume() int {
+func (p *exchange) revalidate() int {
 	if cfg := p.proxy.config.Load(); cfg != p.config {
 		route, tenant, code := match(cfg, p.request)
 		if code != 0 {
