--- a/internal/proxy/exchange.go
+++ b/internal/proxy/exchange.go
@@ -172,8 +172,8 @@
 
 func (p *exchange) tooLate() bool { return p.timing().tooLate(time.Now()) }
 
-// capacityRetry is what a caller is told that was refused for want of room.
-func (p *exchange) capacityRetry() time.Duration {
+// capacityRetryAfter is what a caller is told that was refused for want of room.
+func (p *exchange) capacityRetryAfter() time.Duration {
 	return p.timing().retryAfter(time.Now(), p.proxy.pool.roomDue(p.target(), p.priority))
 }
 
--- a/internal/proxy/proxy.go
+++ b/internal/proxy/proxy.go
@@ -266,7 +266,7 @@
 	if res == nil {
 		if code == http.StatusServiceUnavailable {
 			p.countUnserved(countNoCapacity)
-			s.refuse(w, r, code, p.capacityRetry())
+			s.refuse(w, r, code, p.capacityRetryAfter())
 			return
 		}
 		s.counts[map[int]int{http.StatusNotFound: countNoRoute, http.StatusUnauthorized: countKeyUnknown}[code]].Add(1)
@@ -286,7 +286,7 @@
 	case p.executions == 0 && p.attempts == 0 || p.executions == 0 && res.notRun:
 		// Nothing ran, and nothing will: the promise can be given.
 		p.countUnserved(countNoCapacity)
-		s.refuse(w, r, http.StatusServiceUnavailable, p.capacityRetry())
+		s.refuse(w, r, http.StatusServiceUnavailable, p.capacityRetryAfter())
 	case res.outcome == silent || !time.Now().Before(p.deadline):
 		p.countUnserved(countFailed)
 		s.refuse(w, r, http.StatusGatewayTimeout, 0)
