--- a/internal/proxy/accounting_test.go
+++ b/internal/proxy/accounting_test.go
@@ -118,9 +118,9 @@
 		p := &exchange{proxy: s, request: request, route: route, account: s.accounts.Begin("ten")}
 		ran := &result{sent: true, resp: &http.Response{StatusCode: http.StatusOK, Header: http.Header{headerSeal: {"s"}}}}
 		for range 3 {
-			p.count(ran)
+			p.countAttempt(ran)
 		}
-		p.count(&result{sent: true, notRun: true, resp: ran.resp})
+		p.countAttempt(&result{sent: true, notRun: true, resp: ran.resp})
 	}
 	if account := s.accounts.Of("ten"); account.Taken != 2 || account.Doubled != 1 {
 		t.Errorf("%+v, should be one doubled", account)
--- a/internal/proxy/exchange.go
+++ b/internal/proxy/exchange.go
@@ -134,7 +134,7 @@
 		return p.hedged(of, skip)
 	}
 	res := p.try(of)
-	p.count(res)
+	p.countAttempt(res)
 	return res
 }
 
@@ -203,7 +203,7 @@
 	return w
 }
 
-func (p *exchange) count(r *result) {
+func (p *exchange) countAttempt(r *result) {
 	p.countAnswer(r)
 	if r.sent {
 		p.attempts++
--- a/internal/proxy/fuzz_test.go
+++ b/internal/proxy/fuzz_test.go
@@ -76,7 +76,7 @@
 		}
 		p.cancelWith(fl)
 		res := p.read(of, fl, "id-1", time.Now())
-		p.count(res)
+		p.countAttempt(res)
 		w, broken := httptest.NewRecorder(), false
 		func() {
 			defer func() {
--- a/internal/proxy/hedge.go
+++ b/internal/proxy/hedge.go
@@ -23,7 +23,7 @@
 		select {
 		case r := <-ch:
 			out--
-			p.count(r)
+			p.countAttempt(r)
 			if r.deliverable() && !r.retryable() && !r.notRun {
 				if out > 0 {
 					p.executions += out // it may well run; its cost is known too late
