--- a/internal/proxy/attempt.go
+++ b/internal/proxy/attempt.go
@@ -11,9 +11,9 @@
 	"slateridge/internal/constants"
 )
 
-// allowed checks once more, right before bytes go out, that the request may
+// stillAllowed checks once more, right before bytes go out, that the request may
 // still go there: the process may just have woken from a freeze.
-func (p *exchange) allowed(u *Upstream) bool {
+func (p *exchange) stillAllowed(u *Upstream) bool {
 	if !time.Now().Before(p.deadline) || p.clientLeft() || !u.usable(p.allowedRegions) {
 		return false
 	}
@@ -76,7 +76,7 @@
 			pool.done(of, how)
 			return &result{outcome: how, notRun: true, err: err}
 		}
-		if !p.allowed(u) {
+		if !p.stillAllowed(u) {
 			u.keep(conn, false)
 			return pool.abandon(of)
 		}
