--- a/internal/proxy/attempt.go
+++ b/internal/proxy/attempt.go
@@ -14,7 +14,7 @@
 // stillAllowed checks once more, right before bytes go out, that the request may
 // still go there: the process may just have woken from a freeze.
 func (p *exchange) stillAllowed(u *Upstream) bool {
-	if !time.Now().Before(p.deadline) || p.clientLeft() || !u.usable(p.allowedRegions) {
+	if !time.Now().Before(p.deadline) || p.clientDisconnected() || !u.usable(p.allowedRegions) {
 		return false
 	}
 	cfg := p.proxy.config.Load()
@@ -34,10 +34,10 @@
 	return true
 }
 
-// clientLeft says whether the client has closed its connection. Where the request has been
+// clientDisconnected says whether the client has closed its connection. Where the request has been
 // here for long, or may have waited for long to be read, the socket is asked: the goroutine
 // that reads it may not have run since.
-func (p *exchange) clientLeft() bool {
+func (p *exchange) clientDisconnected() bool {
 	if p.request.Context().Err() != nil {
 		return true
 	}
@@ -61,7 +61,7 @@
 	attempt := p.request.Header.Get(headerAttemptID)
 	var conn *Conn
 	for again := true; again; {
-		if p.clientLeft() { // before a connection is made for it
+		if p.clientDisconnected() { // before a connection is made for it
 			return pool.abandon(of)
 		}
 		var reused bool
--- a/internal/proxy/exchange.go
+++ b/internal/proxy/exchange.go
@@ -103,7 +103,7 @@
 		}
 		// Another upstream: always when nothing went out, as the request's kind
 		// and the budget allow when something did.
-		if p.tooLate() || p.clientLeft() {
+		if p.tooLate() || p.clientDisconnected() {
 			return last, 0
 		}
 		if !res.sent {
@@ -152,7 +152,7 @@
 			p.service = route.Pick(rand.Float64())
 		}
 	}
-	if !time.Now().Before(p.deadline) || p.clientLeft() {
+	if !time.Now().Before(p.deadline) || p.clientDisconnected() {
 		return http.StatusServiceUnavailable
 	}
 	return 0
--- a/internal/proxy/hedge.go
+++ b/internal/proxy/hedge.go
@@ -40,7 +40,7 @@
 				return best
 			}
 		case <-t.C:
-			if p.attempts+out >= p.maxAttempts() || p.tooLate() || p.clientLeft() {
+			if p.attempts+out >= p.maxAttempts() || p.tooLate() || p.clientDisconnected() {
 				continue
 			}
 			second := p.proxy.pool.Place(p.target(), skip)
