--- a/internal/proxy/attempt.go
+++ b/internal/proxy/attempt.go
@@ -52,8 +52,8 @@
 	return &result{outcome: unused, notRun: true, abandoned: true, err: errStale}
 }
 
-// try offers the request to one upstream and reads its answer.
-func (p *exchange) try(of *placement) *result {
+// attempt offers the request to one upstream and reads its answer.
+func (p *exchange) attempt(of *placement) *result {
 	u := of.upstream
 	pool := p.proxy.pool
 	ctx, cancel := context.WithDeadline(context.WithoutCancel(p.request.Context()), p.deadline)
--- a/internal/proxy/exchange.go
+++ b/internal/proxy/exchange.go
@@ -133,7 +133,7 @@
 	if p.route.Idempotent && p.streamedBody == nil {
 		return p.hedged(of, skip)
 	}
-	res := p.try(of)
+	res := p.attempt(of)
 	p.countAttempt(res)
 	return res
 }
--- a/internal/proxy/hedge.go
+++ b/internal/proxy/hedge.go
@@ -11,7 +11,7 @@
 	ch := make(chan *result, 2)
 	run := func(of *placement) {
 		c := p.clone() // before the goroutine begins: answers that come meanwhile change p
-		go func() { ch <- c.try(of) }()
+		go func() { ch <- c.attempt(of) }()
 	}
 	run(of)
 	out := 1
--- a/internal/proxy/proxy_test.go
+++ b/internal/proxy/proxy_test.go
@@ -400,7 +400,7 @@
 	}
 	p.deadline = time.Now().Add(-time.Millisecond)
 	s.config.Store(cfg)
-	if of := s.pool.Place(target{service: "svc", homes: anywhere}, nil); of == nil || !p.try(of).notRun || u.count() != 0 {
+	if of := s.pool.Place(target{service: "svc", homes: anywhere}, nil); of == nil || !p.attempt(of).notRun || u.count() != 0 {
 		t.Error("sent after its deadline")
 	}
 }
@@ -597,7 +597,7 @@
 	p := s.newExchange(r, time.Now(), cfg, cfg.Match("h.example", "/once/"), nil)
 	p.allowedRegions = "none"
 	r.Header.Set(headerAttemptID, "id-2")
-	if res := p.try(of); !res.abandoned || u.count() != 1 {
+	if res := p.attempt(of); !res.abandoned || u.count() != 1 {
 		t.Fatalf("sent where it may not be: %+v", res)
 	}
 	if idle := s.pool.upstreams["i-1"].idle; len(idle) != 1 || idle[0] != conn || !conn.idleAt.Equal(rested) {
