--- a/internal/proxy/attempt.go
+++ b/internal/proxy/attempt.go
@@ -105,11 +105,11 @@
 	if p.proxy.meter != nil && p.tenant != nil && !p.route.Stream {
 		p.proxy.meter.Sent(p.usageRun, p.proxy.window(at), p.tenant.Name)
 	}
-	return p.read(of, conn, attempt, at)
+	return p.readResponse(of, conn, attempt, at)
 }
 
-// read takes the answer to what was sent over a connection.
-func (p *exchange) read(of *placement, conn *Conn, attempt string, at time.Time) *result {
+// readResponse takes the answer to what was sent over a connection.
+func (p *exchange) readResponse(of *placement, conn *Conn, attempt string, at time.Time) *result {
 	u, pool := of.upstream, p.proxy.pool
 	resp, err := conn.answer(p.request.Method, attempt)
 	if err != nil {
--- a/internal/proxy/fuzz_test.go
+++ b/internal/proxy/fuzz_test.go
@@ -75,7 +75,7 @@
 			t.Fatal("no room")
 		}
 		p.cancelWith(fl)
-		res := p.read(of, fl, "id-1", time.Now())
+		res := p.readResponse(of, fl, "id-1", time.Now())
 		p.countAttempt(res)
 		w, broken := httptest.NewRecorder(), false
 		func() {
