--- a/internal/proxy/attempt.go
+++ b/internal/proxy/attempt.go
@@ -95,7 +95,7 @@
 		}
 		if err != nil {
 			u.drop(conn)
-			how := blame(conn, err)
+			how := failureOutcome(conn, err)
 			pool.done(of, how)
 			return &result{outcome: how, sentAt: time.Now(), sent: sent, notRun: !sent, err: err}
 		}
@@ -114,7 +114,7 @@
 	resp, err := conn.answer(p.request.Method, attempt)
 	if err != nil {
 		u.drop(conn)
-		how := blame(conn, err)
+		how := failureOutcome(conn, err)
 		if ne := net.Error(nil); how == broken && errors.As(err, &ne) && ne.Timeout() {
 			how = silent
 		}
@@ -147,7 +147,7 @@
 		res.conn = conn
 	default:
 		u.drop(conn)
-		how := blame(conn, err)
+		how := failureOutcome(conn, err)
 		pool.done(of, how)
 		return &result{outcome: how, sentAt: at, sent: true, err: err}
 	}
@@ -156,9 +156,9 @@
 	return res
 }
 
-// blame is how an offer that failed ended. What a client broke by leaving, or by
+// failureOutcome is how an offer that failed ended. What a client broke by leaving, or by
 // breaking its body off, is no failure of the upstream.
-func blame(conn *Conn, err error) outcome {
+func failureOutcome(conn *Conn, err error) outcome {
 	switch {
 	case conn.cancellation.cancelled():
 		return cancelled
--- a/internal/proxy/stream.go
+++ b/internal/proxy/stream.go
@@ -18,7 +18,7 @@
 	}
 	if n == 0 { // an end after the first bytes is met again when more is read
 		conn.drop()
-		how := blame(conn, err)
+		how := failureOutcome(conn, err)
 		p.proxy.pool.done(of, how)
 		return &result{outcome: how, sentAt: at, sent: true, err: err}
 	}
