--- a/internal/proxy/attempt.go
+++ b/internal/proxy/attempt.go
@@ -143,7 +143,7 @@
 	switch {
 	case err == nil:
 		conn.exhausted(resp)
-	case errors.Is(err, errLong):
+	case errors.Is(err, errBodyTooLong):
 		res.conn = conn
 	default:
 		u.drop(conn)
@@ -168,13 +168,13 @@
 	return broken
 }
 
-var errLong = errors.New("longer than what is held")
+var errBodyTooLong = errors.New("longer than what is held")
 
 // readSome reads a body whole, or says that it is longer than max.
 func readSome(r io.Reader, max int) ([]byte, error) {
 	b, err := io.ReadAll(io.LimitReader(r, int64(max)+1))
 	if err == nil && len(b) > max {
-		err = errLong
+		err = errBodyTooLong
 	}
 	return b, err
 }
