--- a/internal/proxy/attempt.go
+++ b/internal/proxy/attempt.go
@@ -138,7 +138,7 @@
 		pool.done(of, broken)
 		return &result{outcome: broken, sentAt: at, sent: true, err: errUnframed}
 	}
-	body, err := readSome(resp.Body, constants.AnswerBuffer)
+	body, err := readUpTo(resp.Body, constants.AnswerBuffer)
 	res := &result{outcome: served, sentAt: at, sent: true, resp: resp, body: body, doubtful: doubt}
 	switch {
 	case err == nil:
@@ -170,8 +170,8 @@
 
 var errBodyTooLong = errors.New("longer than what is held")
 
-// readSome reads a body whole, or says that it is longer than max.
-func readSome(r io.Reader, max int) ([]byte, error) {
+// readUpTo reads a body whole, or says that it is longer than max.
+func readUpTo(r io.Reader, max int) ([]byte, error) {
 	b, err := io.ReadAll(io.LimitReader(r, int64(max)+1))
 	if err == nil && len(b) > max {
 		err = errBodyTooLong
