--- a/internal/proxy/hedge.go
+++ b/internal/proxy/hedge.go
@@ -27,7 +27,7 @@
 			if r.deliverable() && !r.retryable() && !r.notRun {
 				if out > 0 {
 					p.executions += out // it may well run; its cost is known too late
-					go discard(ch, out)
+					go releaseResults(ch, out)
 				}
 				best.release()
 				return r
@@ -62,7 +62,7 @@
 // clone is a copy for an offer made beside another.
 func (p *exchange) clone() *exchange { c := *p; return &c }
 
-func discard(ch chan *result, n int) {
+func releaseResults(ch chan *result, n int) {
 	for range n {
 		(<-ch).release()
 	}
