--- a/internal/proxy/attempt.go
+++ b/internal/proxy/attempt.go
@@ -131,7 +131,7 @@
 		resp.Close = true // it is not used again
 	}
 	if p.route.Stream && !doubt && !unframed(resp) && resp.StatusCode/100 == 2 && resp.Header.Get(headerSeal) != "" {
-		return p.firstPiece(of, conn, resp, at)
+		return p.awaitFirstChunk(of, conn, resp, at)
 	}
 	if resp.StatusCode/100 == 2 && unframed(resp) {
 		u.drop(conn)
--- a/internal/proxy/stream.go
+++ b/internal/proxy/stream.go
@@ -8,9 +8,9 @@
 	"slateridge/internal/constants"
 )
 
-// firstPiece waits for a stream's first bytes: until they come nothing has begun to
+// awaitFirstChunk waits for a stream's first bytes: until they come nothing has begun to
 // run, and the client has been told nothing.
-func (p *exchange) firstPiece(of *placement, conn *Conn, resp *http.Response, at time.Time) *result {
+func (p *exchange) awaitFirstChunk(of *placement, conn *Conn, resp *http.Response, at time.Time) *result {
 	buf := make([]byte, constants.StreamBuffer)
 	n, err := resp.Body.Read(buf)
 	for n == 0 && err == nil {
