--- a/internal/proxy/proxy.go
+++ b/internal/proxy/proxy.go
@@ -331,7 +331,7 @@
 	}
 	w.WriteHeader(res.resp.StatusCode)
 	if res.stream != nil {
-		s.stream(w, p.request, res)
+		s.relayStream(w, p.request, res)
 		return
 	}
 	if len(res.body) <= constants.WriteUnbounded && res.conn == nil {
--- a/internal/proxy/stream.go
+++ b/internal/proxy/stream.go
@@ -31,11 +31,11 @@
 	return &result{outcome: served, sentAt: at, sent: true, resp: resp, body: buf[:n], conn: conn, stream: of}
 }
 
-// stream passes a stream on as it comes: what has been read is written and flushed
+// relayStream passes a relayStream on as it comes: what has been read is written and flushed
 // before more is read, so a slow client slows its upstream and nothing is gathered.
-// A client that takes nothing for long is given up. An end that is not the stream's
+// A client that takes nothing for long is given up. An end that is not the relayStream's
 // own is an end of the connection.
-func (s *Proxy) stream(w http.ResponseWriter, r *http.Request, res *result) {
+func (s *Proxy) relayStream(w http.ResponseWriter, r *http.Request, res *result) {
 	s.streams.Add(1)
 	defer s.streams.Add(-1)
 	rc := http.NewResponseController(w)
