--- a/internal/proxy/timing.go
+++ b/internal/proxy/timing.go
@@ -12,14 +12,14 @@
 // takes, and by nothing else: whether the request was offered before, and what else its
 // route says, changes none of it.
 type timing struct {
-	answerBy    time.Time // the answer, or a stream's first piece, is of use until then
-	callerUntil time.Time // the caller tries again elsewhere until then
-	work        workTime
+	responseDeadline time.Time // the answer, or a stream's first piece, is of use until then
+	callerUntil      time.Time // the caller tries again elsewhere until then
+	work             workTime
 }
 
 // timing is that of this request, as of now.
 func (p *exchange) timing() timing {
-	return timing{answerBy: p.answerBy(), callerUntil: p.callerDeadline, work: p.proxy.pool.workTime(p.service)}
+	return timing{responseDeadline: p.answerBy(), callerUntil: p.callerDeadline, work: p.proxy.pool.workTime(p.service)}
 }
 
 // answerBy is until when the caller waits for the answer or for a stream's first piece:
@@ -41,7 +41,7 @@
 // loses nothing by waiting here.
 func (t timing) latestStart(now time.Time) time.Time {
 	elsewhere := t.callerUntil.Add(-time.Duration(float64(t.work.likely) / (1 - constants.RetryAfterPart)))
-	here := t.answerBy
+	here := t.responseDeadline
 	if !t.work.learnedAt.IsZero() { // else nobody knows that it would come too late
 		here = here.Add(-t.work.likely)
 	}
@@ -54,7 +54,7 @@
 // tooLate says that the request would hardly be answered in time if it were sent now, while
 // a promise that it has not run could not be given any more.
 func (t timing) tooLate(now time.Time) bool {
-	left := t.answerBy.Sub(now)
+	left := t.responseDeadline.Sub(now)
 	return left <= constants.AnswerReturn || left < t.work.leastNow(now)
 }
 
@@ -64,7 +64,7 @@
 	if another := t.latestStart(now); another.After(now) {
 		return another
 	}
-	return t.answerBy
+	return t.responseDeadline
 }
 
 // secondAt is when another upstream is asked beside one that was asked at a moment and
@@ -72,7 +72,7 @@
 // but not before most answers have come.
 func (t timing) secondAt(asked time.Time) time.Time {
 	unusual := asked.Add(t.work.unusual())
-	last := t.answerBy.Add(-t.work.likely)
+	last := t.responseDeadline.Add(-t.work.likely)
 	if last.After(unusual) {
 		return unusual
 	}
