--- a/internal/proxy/timing.go
+++ b/internal/proxy/timing.go
@@ -13,13 +13,13 @@
 // route says, changes none of it.
 type timing struct {
 	responseDeadline time.Time // the answer, or a stream's first piece, is of use until then
-	callerUntil      time.Time // the caller tries again elsewhere until then
+	callerDeadline   time.Time // the caller tries again elsewhere until then
 	work             workTime
 }
 
 // timing is that of this request, as of now.
 func (p *exchange) timing() timing {
-	return timing{responseDeadline: p.answerBy(), callerUntil: p.callerDeadline, work: p.proxy.pool.workTime(p.service)}
+	return timing{responseDeadline: p.answerBy(), callerDeadline: p.callerDeadline, work: p.proxy.pool.workTime(p.service)}
 }
 
 // answerBy is until when the caller waits for the answer or for a stream's first piece:
@@ -40,7 +40,7 @@
 // it may first wait for a part of its time. One that cannot be served elsewhere any more
 // loses nothing by waiting here.
 func (t timing) latestStart(now time.Time) time.Time {
-	elsewhere := t.callerUntil.Add(-time.Duration(float64(t.work.likely) / (1 - constants.RetryAfterPart)))
+	elsewhere := t.callerDeadline.Add(-time.Duration(float64(t.work.likely) / (1 - constants.RetryAfterPart)))
 	here := t.responseDeadline
 	if !t.work.learnedAt.IsZero() { // else nobody knows that it would come too late
 		here = here.Add(-t.work.likely)
@@ -85,13 +85,13 @@
 // retryAfter is what a refused caller is told, when that which it lacks is due after a time:
 // no more than the part of its time that it will wait.
 func (t timing) retryAfter(now time.Time, due time.Duration) time.Duration {
-	return max(0, min(due, time.Duration(float64(t.callerUntil.Sub(now))*constants.RetryAfterPart)))
+	return max(0, min(due, time.Duration(float64(t.callerDeadline.Sub(now))*constants.RetryAfterPart)))
 }
 
 // newsRetry is what a caller is told that was refused for want of news from control: a proxy
 // asks for it so often.
 func newsRetry(arrived time.Time, r *http.Request) time.Duration {
-	return timing{callerUntil: arrived.Add(budget(r))}.retryAfter(arrived, constants.SubscribeEvery)
+	return timing{callerDeadline: arrived.Add(budget(r))}.retryAfter(arrived, constants.SubscribeEvery)
 }
 
 func earlier(a, b time.Time) time.Time {
--- a/internal/proxy/timing_test.go
+++ b/internal/proxy/timing_test.go
@@ -348,7 +348,7 @@
 func TestOldKnowledgeRefusesNobody(t *testing.T) {
 	now := time.Now()
 	work := workTime{least: 980 * time.Millisecond, usual: time.Second, likely: 1020 * time.Millisecond, learnedAt: now}
-	late := timing{responseDeadline: now.Add(500 * time.Millisecond), callerUntil: now.Add(500 * time.Millisecond), work: work}
+	late := timing{responseDeadline: now.Add(500 * time.Millisecond), callerDeadline: now.Add(500 * time.Millisecond), work: work}
 	if !late.tooLate(now) {
 		t.Error("sent with half of the time that the work takes")
 	}
