--- a/internal/proxy/timing.go
+++ b/internal/proxy/timing.go
@@ -14,12 +14,12 @@
 type timing struct {
 	responseDeadline time.Time // the answer, or a stream's first piece, is of use until then
 	callerDeadline   time.Time // the caller tries again elsewhere until then
-	work             workTime
+	latency          workTime
 }
 
 // timing is that of this request, as of now.
 func (p *exchange) timing() timing {
-	return timing{responseDeadline: p.answerBy(), callerDeadline: p.callerDeadline, work: p.proxy.pool.workTime(p.service)}
+	return timing{responseDeadline: p.answerBy(), callerDeadline: p.callerDeadline, latency: p.proxy.pool.workTime(p.service)}
 }
 
 // answerBy is until when the caller waits for the answer or for a stream's first piece:
@@ -40,10 +40,10 @@
 // it may first wait for a part of its time. One that cannot be served elsewhere any more
 // loses nothing by waiting here.
 func (t timing) latestStart(now time.Time) time.Time {
-	elsewhere := t.callerDeadline.Add(-time.Duration(float64(t.work.likely) / (1 - constants.RetryAfterPart)))
+	elsewhere := t.callerDeadline.Add(-time.Duration(float64(t.latency.likely) / (1 - constants.RetryAfterPart)))
 	here := t.responseDeadline
-	if !t.work.learnedAt.IsZero() { // else nobody knows that it would come too late
-		here = here.Add(-t.work.likely)
+	if !t.latency.learnedAt.IsZero() { // else nobody knows that it would come too late
+		here = here.Add(-t.latency.likely)
 	}
 	if elsewhere.After(now) {
 		return earlier(here, elsewhere)
@@ -55,7 +55,7 @@
 // a promise that it has not run could not be given any more.
 func (t timing) tooLate(now time.Time) bool {
 	left := t.responseDeadline.Sub(now)
-	return left <= constants.AnswerReturn || left < t.work.leastNow(now)
+	return left <= constants.AnswerReturn || left < t.latency.leastNow(now)
 }
 
 // connectBy is until when a connection to one upstream is waited for: until another can still
@@ -71,12 +71,12 @@
 // stays silent: when that is unusual, or sooner if there would be no time left elsewhere,
 // but not before most answers have come.
 func (t timing) secondAt(asked time.Time) time.Time {
-	unusual := asked.Add(t.work.unusual())
-	last := t.responseDeadline.Add(-t.work.likely)
+	unusual := asked.Add(t.latency.unusual())
+	last := t.responseDeadline.Add(-t.latency.likely)
 	if last.After(unusual) {
 		return unusual
 	}
-	if most := asked.Add(t.work.likely); last.Before(most) {
+	if most := asked.Add(t.latency.likely); last.Before(most) {
 		return most
 	}
 	return last
--- a/internal/proxy/timing_test.go
+++ b/internal/proxy/timing_test.go
@@ -348,15 +348,15 @@
 func TestOldKnowledgeRefusesNobody(t *testing.T) {
 	now := time.Now()
 	work := workTime{least: 980 * time.Millisecond, usual: time.Second, likely: 1020 * time.Millisecond, learnedAt: now}
-	late := timing{responseDeadline: now.Add(500 * time.Millisecond), callerDeadline: now.Add(500 * time.Millisecond), work: work}
+	late := timing{responseDeadline: now.Add(500 * time.Millisecond), callerDeadline: now.Add(500 * time.Millisecond), latency: work}
 	if !late.tooLate(now) {
 		t.Error("sent with half of the time that the work takes")
 	}
-	late.work.learnedAt = now.Add(-10 * time.Second)
+	late.latency.learnedAt = now.Add(-10 * time.Second)
 	if late.tooLate(now) {
 		t.Error("refused for what was learned ten seconds ago")
 	}
-	late.work = unknownWork
+	late.latency = unknownWork
 	if late.tooLate(now) {
 		t.Error("refused for what nobody knows")
 	}
