--- a/internal/proxy/timing.go
+++ b/internal/proxy/timing.go
@@ -19,12 +19,12 @@
 
 // timing is that of this request, as of now.
 func (p *exchange) timing() timing {
-	return timing{responseDeadline: p.answerBy(), callerDeadline: p.callerDeadline, latency: p.proxy.pool.workTime(p.service)}
+	return timing{responseDeadline: p.responseDeadline(), callerDeadline: p.callerDeadline, latency: p.proxy.pool.workTime(p.service)}
 }
 
-// answerBy is until when the caller waits for the answer or for a stream's first piece:
+// responseDeadline is until when the caller waits for the answer or for a stream's first piece:
 // clients give up a stream that stays silent.
-func (p *exchange) answerBy() time.Time {
+func (p *exchange) responseDeadline() time.Time {
 	if !p.route.Stream {
 		return p.deadline
 	}
