--- a/internal/proxy/attempt.go
+++ b/internal/proxy/attempt.go
@@ -66,7 +66,7 @@
 		}
 		var reused bool
 		var err error
-		connectBy := p.timing().connectBy(time.Now())
+		connectBy := p.timing().connectDeadline(time.Now())
 		conn, reused, err = u.connect(ctx, attempt == "", connectBy)
 		if err != nil {
 			how := broken
--- a/internal/proxy/timing.go
+++ b/internal/proxy/timing.go
@@ -58,9 +58,9 @@
 	return left <= constants.AnswerReturn || left < t.latency.leastNow(now)
 }
 
-// connectBy is until when a connection to one upstream is waited for: until another can still
+// connectDeadline is until when a connection to one upstream is waited for: until another can still
 // be asked, and to the end where there is no time for that anyway.
-func (t timing) connectBy(now time.Time) time.Time {
+func (t timing) connectDeadline(now time.Time) time.Time {
 	if another := t.latestStart(now); another.After(now) {
 		return another
 	}
