--- a/internal/proxy/hedge.go
+++ b/internal/proxy/hedge.go
@@ -16,7 +16,7 @@
 	run(of)
 	out := 1
 	asked := time.Now()
-	t := time.NewTimer(p.timing().secondAt(asked).Sub(asked))
+	t := time.NewTimer(p.timing().hedgeAt(asked).Sub(asked))
 	defer t.Stop()
 	var best *result
 	for {
--- a/internal/proxy/timing.go
+++ b/internal/proxy/timing.go
@@ -67,10 +67,10 @@
 	return t.responseDeadline
 }
 
-// secondAt is when another upstream is asked beside one that was asked at a moment and
+// hedgeAt is when another upstream is asked beside one that was asked at a moment and
 // stays silent: when that is unusual, or sooner if there would be no time left elsewhere,
 // but not before most answers have come.
-func (t timing) secondAt(asked time.Time) time.Time {
+func (t timing) hedgeAt(asked time.Time) time.Time {
 	unusual := asked.Add(t.latency.unusual())
 	last := t.responseDeadline.Add(-t.latency.likely)
 	if last.After(unusual) {
--- a/internal/proxy/timing_test.go
+++ b/internal/proxy/timing_test.go
@@ -183,7 +183,7 @@
 			r := httptest.NewRequest("GET", path, nil)
 			r.Header.Set(headerBudget, strconv.FormatInt(c.budget.Milliseconds(), 10))
 			timing := s.newExchange(r, arrived, cfg, cfg.Match("h.example", path), nil).timing()
-			if second := timing.secondAt(arrived).Sub(arrived); second != c.second {
+			if second := timing.hedgeAt(arrived).Sub(arrived); second != c.second {
 				t.Errorf("%s, %+v: the second is asked after %v", path, c, second)
 			}
 		}
