--- a/internal/proxy/proxy.go
+++ b/internal/proxy/proxy.go
@@ -103,7 +103,7 @@
 	cfg := s.config.Load()
 	if cfg == nil {
 		s.counts[countNoCapacity].Add(1)
-		s.refuse(w, r, http.StatusServiceUnavailable, newsRetry(arrived, r))
+		s.refuse(w, r, http.StatusServiceUnavailable, missingConfigRetryAfter(arrived, r))
 		return
 	}
 	route, tenant, code := match(cfg, r)
@@ -176,7 +176,7 @@
 	if s.trustFor > 0 && p.arrived.Sub(s.readIndexAt()) > s.trustFor {
 		// The key may have been taken away, and nobody here would know.
 		s.counts[countKeyUnsure].Add(1)
-		s.refuse(w, p.request, http.StatusServiceUnavailable, newsRetry(p.arrived, p.request))
+		s.refuse(w, p.request, http.StatusServiceUnavailable, missingConfigRetryAfter(p.arrived, p.request))
 		return false
 	}
 	v := s.limiter.Admit(s.now(), p.tenant.Name, false)
--- a/internal/proxy/timing.go
+++ b/internal/proxy/timing.go
@@ -88,9 +88,9 @@
 	return max(0, min(due, time.Duration(float64(t.callerDeadline.Sub(now))*constants.RetryAfterPart)))
 }
 
-// newsRetry is what a caller is told that was refused for want of news from control: a proxy
+// missingConfigRetryAfter is what a caller is told that was refused for want of news from control: a proxy
 // asks for it so often.
-func newsRetry(arrived time.Time, r *http.Request) time.Duration {
+func missingConfigRetryAfter(arrived time.Time, r *http.Request) time.Duration {
 	return timing{callerDeadline: arrived.Add(budget(r))}.retryAfter(arrived, constants.SubscribeEvery)
 }
 
