--- a/internal/proxy/exchange.go
+++ b/internal/proxy/exchange.go
@@ -120,7 +120,7 @@
 
 // awaitPlacement finds room for an offer, or nil; it waits for it while that is of use.
 func (p *exchange) awaitPlacement(skip map[*Upstream]bool) *placement {
-	of := p.proxy.pool.Wait(p.request.Context(), p.target(), p.priority, p.timing().latestStart(time.Now()), skip)
+	of := p.proxy.pool.Acquire(p.request.Context(), p.target(), p.priority, p.timing().latestStart(time.Now()), skip)
 	if of != nil && p.tooLate() { // by now, or by what has been learned of the work meanwhile
 		p.proxy.pool.done(of, unused)
 		return nil
--- a/internal/proxy/waiting.go
+++ b/internal/proxy/waiting.go
@@ -22,9 +22,9 @@
 	return cmp.Or(cmp.Compare(w.priority, o.priority), w.latestStart.Compare(o.latestStart), cmp.Compare(w.seq, o.seq))
 }
 
-// Wait finds room, at once or until the latest moment at which it is of use; nil as soon as
+// Acquire finds room, at once or until the latest moment at which it is of use; nil as soon as
 // it is plain that there will be none in time.
-func (pool *Pool) Wait(ctx context.Context, want target, priority int, latestStart time.Time, skip map[*Upstream]bool) *placement {
+func (pool *Pool) Acquire(ctx context.Context, want target, priority int, latestStart time.Time, skip map[*Upstream]bool) *placement {
 	pool.mu.Lock()
 	if len(pool.waiting[want.service]) == 0 {
 		if p := pool.placeLocked(want, skip); p != nil {
