--- a/internal/proxy/waiting.go
+++ b/internal/proxy/waiting.go
@@ -44,11 +44,11 @@
 		pool.Waited++
 	}
 	pool.mu.Unlock()
-	return pool.await(ctx, w, latestStart)
+	return pool.awaitGrant(ctx, w, latestStart)
 }
 
-// await waits until room is granted, refused, or of no use any more.
-func (pool *Pool) await(ctx context.Context, w *waiter, latestStart time.Time) *placement {
+// awaitGrant waits until room is granted, refused, or of no use any more.
+func (pool *Pool) awaitGrant(ctx context.Context, w *waiter, latestStart time.Time) *placement {
 	timer := time.NewTimer(time.Until(latestStart))
 	defer timer.Stop()
 	select {
