--- a/internal/proxy/waiting.go
+++ b/internal/proxy/waiting.go
@@ -32,7 +32,7 @@
 			return p
 		}
 	}
-	if !pool.mayOpenLocked(want, skip) {
+	if !pool.hasCandidateLocked(want, skip) {
 		pool.Full++
 		pool.mu.Unlock()
 		return nil
@@ -68,8 +68,8 @@
 	return <-w.granted // decided at the last moment
 }
 
-// mayOpenLocked says whether any upstream is left that the request could be sent to.
-func (pool *Pool) mayOpenLocked(want target, skip map[*Upstream]bool) bool {
+// hasCandidateLocked says whether any upstream is left that the request could be sent to.
+func (pool *Pool) hasCandidateLocked(want target, skip map[*Upstream]bool) bool {
 	return slices.ContainsFunc(pool.candidates(want).all, func(u *Upstream) bool {
 		return !skip[u] && !u.draining && !pool.evacuated[u.instance.Zone]
 	})
