--- a/internal/proxy/waiting.go
+++ b/internal/proxy/waiting.go
@@ -38,7 +38,7 @@
 		return nil
 	}
 	latestStart = pool.beforeLeavingLocked(want, latestStart)
-	w := pool.queueLocked(want, priority, latestStart, skip)
+	w := pool.enqueueLocked(want, priority, latestStart, skip)
 	pool.wakeLocked(want.service) // room may have come by itself
 	if len(w.granted) == 0 {
 		pool.Waited++
@@ -75,8 +75,8 @@
 	})
 }
 
-// queueLocked puts a request among those that wait.
-func (pool *Pool) queueLocked(want target, priority int, latestStart time.Time, skip map[*Upstream]bool) *waiter {
+// enqueueLocked puts a request among those that wait.
+func (pool *Pool) enqueueLocked(want target, priority int, latestStart time.Time, skip map[*Upstream]bool) *waiter {
 	pool.queued++
 	w := &waiter{target: want, priority: priority, latestStart: latestStart, seq: pool.queued, granted: make(chan *placement, 1), skip: skip}
 	ws := pool.waiting[want.service]
