--- a/internal/proxy/choice.go
+++ b/internal/proxy/choice.go
@@ -189,7 +189,7 @@
 func (pool *Pool) Place(w target, skip map[*Upstream]bool) *placement {
 	pool.mu.Lock()
 	defer pool.mu.Unlock()
-	pool.wakeLocked(w.service)
+	pool.serveQueueLocked(w.service)
 	return pool.placeLocked(w, skip)
 }
 
--- a/internal/proxy/ejection.go
+++ b/internal/proxy/ejection.go
@@ -99,5 +99,5 @@
 		u.eject(now)
 		u.closeIdle()
 	}
-	pool.wakeLocked(u.instance.Service)
+	pool.serveQueueLocked(u.instance.Service)
 }
--- a/internal/proxy/pool.go
+++ b/internal/proxy/pool.go
@@ -118,6 +118,6 @@
 	}
 	clear(pool.candidateSets)
 	for s := range pool.byService {
-		pool.wakeLocked(s)
+		pool.serveQueueLocked(s)
 	}
 }
--- a/internal/proxy/waiting.go
+++ b/internal/proxy/waiting.go
@@ -39,7 +39,7 @@
 	}
 	latestStart = pool.beforeLeavingLocked(want, latestStart)
 	w := pool.enqueueLocked(want, priority, latestStart, skip)
-	pool.wakeLocked(want.service) // room may have come by itself
+	pool.serveQueueLocked(want.service) // room may have come by itself
 	if len(w.granted) == 0 {
 		pool.Waited++
 	}
@@ -85,9 +85,9 @@
 	return w
 }
 
-// wakeLocked gives the room there is to those that wait, in their order, and refuses those
+// serveQueueLocked gives the room there is to those that wait, in their order, and refuses those
 // that plainly come too late: even if room opens as fast as it has, those ahead take it.
-func (pool *Pool) wakeLocked(service string) {
+func (pool *Pool) serveQueueLocked(service string) {
 	ws := pool.waiting[service]
 	if len(ws) == 0 {
 		return
@@ -177,7 +177,7 @@
 		if pool.wakeAt[service].Equal(next) {
 			delete(pool.wakeAt, service)
 		}
-		pool.wakeLocked(service)
+		pool.serveQueueLocked(service)
 	})
 }
 
@@ -201,12 +201,12 @@
 			time.AfterFunc(time.Until(w.latestStart), func() { pool.wake(service) })
 		}
 		slices.SortFunc(ws, (*waiter).compare)
-		pool.wakeLocked(service)
+		pool.serveQueueLocked(service)
 	}
 }
 
 func (pool *Pool) wake(service string) {
 	pool.mu.Lock()
 	defer pool.mu.Unlock()
-	pool.wakeLocked(service)
+	pool.serveQueueLocked(service)
 }
