--- a/internal/proxy/waiting.go
+++ b/internal/proxy/waiting.go
@@ -111,16 +111,16 @@
 			w.granted <- nil
 			continue
 		}
-		ahead[group] += pool.roomIntervalLocked(group, now)
+		ahead[group] += pool.releaseIntervalLocked(group, now)
 		still = append(still, w)
 	}
 	pool.waiting[service] = still
 	pool.wakeLaterLocked(service, now)
 }
 
-// roomIntervalLocked is how long it takes until room opens for one more request of a group,
+// releaseIntervalLocked is how long it takes until room opens for one more request of a group,
 // if all that are under way from here take a place for as long as is usual; 0 where none is.
-func (pool *Pool) roomIntervalLocked(group target, now time.Time) time.Duration {
+func (pool *Pool) releaseIntervalLocked(group target, now time.Time) time.Duration {
 	active := 0
 	for _, u := range pool.candidates(group).all {
 		active += len(u.active)
@@ -141,7 +141,7 @@
 	pool.mu.Lock()
 	defer pool.mu.Unlock()
 	now, group := time.Now(), want.group()
-	interval := pool.roomIntervalLocked(group, now)
+	interval := pool.releaseIntervalLocked(group, now)
 	if interval == 0 {
 		return pool.workTimeLocked(want.service, now).usual
 	}
