--- a/internal/proxy/exchange.go
+++ b/internal/proxy/exchange.go
@@ -174,7 +174,7 @@
 
 // capacityRetryAfter is what a caller is told that was refused for want of room.
 func (p *exchange) capacityRetryAfter() time.Duration {
-	return p.timing().retryAfter(time.Now(), p.proxy.pool.roomDue(p.target(), p.priority))
+	return p.timing().retryAfter(time.Now(), p.proxy.pool.expectedWait(p.target(), p.priority))
 }
 
 // maxAttempts is how many upstreams the request may be sent to: what its route allowed
--- a/internal/proxy/waiting.go
+++ b/internal/proxy/waiting.go
@@ -135,9 +135,9 @@
 	return held / time.Duration(active)
 }
 
-// roomDue is how long it takes until room is likely to open for one more request behind
+// expectedWait is how long it takes until room is likely to open for one more request behind
 // those that wait.
-func (pool *Pool) roomDue(want target, priority int) time.Duration {
+func (pool *Pool) expectedWait(want target, priority int) time.Duration {
 	pool.mu.Lock()
 	defer pool.mu.Unlock()
 	now, group := time.Now(), want.group()
