--- a/internal/proxy/waiting.go
+++ b/internal/proxy/waiting.go
@@ -115,7 +115,7 @@
 		still = append(still, w)
 	}
 	pool.waiting[service] = still
-	pool.wakeLaterLocked(service, now)
+	pool.scheduleQueueCheckLocked(service, now)
 }
 
 // releaseIntervalLocked is how long it takes until room opens for one more request of a group,
@@ -154,9 +154,9 @@
 	return due
 }
 
-// wakeLaterLocked has those that wait looked after when the next upstream's pause ends: no
+// scheduleQueueCheckLocked has those that wait looked after when the next upstream's pause ends: no
 // request that ends there would do it.
-func (pool *Pool) wakeLaterLocked(service string, now time.Time) {
+func (pool *Pool) scheduleQueueCheckLocked(service string, now time.Time) {
 	if len(pool.waiting[service]) == 0 {
 		return
 	}
