--- a/internal/proxy/waiting.go
+++ b/internal/proxy/waiting.go
@@ -37,7 +37,7 @@
 		pool.mu.Unlock()
 		return nil
 	}
-	latestStart = pool.beforeLeavingLocked(want, latestStart)
+	latestStart = pool.limitToShutdownLocked(want, latestStart)
 	w := pool.enqueueLocked(want, priority, latestStart, skip)
 	pool.serveQueueLocked(want.service) // room may have come by itself
 	if len(w.granted) == 0 {
@@ -181,9 +181,9 @@
 	})
 }
 
-// beforeLeavingLocked is the latest start of a request that has to be answered before this
+// limitToShutdownLocked is the latest start of a request that has to be answered before this
 // process ends.
-func (pool *Pool) beforeLeavingLocked(want target, latestStart time.Time) time.Time {
+func (pool *Pool) limitToShutdownLocked(want target, latestStart time.Time) time.Time {
 	if pool.leaveBy.IsZero() {
 		return latestStart
 	}
@@ -197,7 +197,7 @@
 	pool.leaveBy = by
 	for service, ws := range pool.waiting {
 		for _, w := range ws {
-			w.latestStart = pool.beforeLeavingLocked(w.target, w.latestStart)
+			w.latestStart = pool.limitToShutdownLocked(w.target, w.latestStart)
 			time.AfterFunc(time.Until(w.latestStart), func() { pool.wake(service) })
 		}
 		slices.SortFunc(ws, (*waiter).compare)
