--- a/internal/proxy/daemon.go
+++ b/internal/proxy/daemon.go
@@ -291,7 +291,7 @@
 	d.subscriber.Announce()
 	set := d.set.Load()
 	grace := set.Bounds.Grace.D() - constants.TermReserve
-	d.pool.Leave(began.Add(grace))
+	d.pool.Drain(began.Add(grace))
 	// Where clients ask a directory, old answers name this proxy for some time.
 	accept := min(constants.TermAccept, grace/2)
 	if set.EntryMode == "directory" {
--- a/internal/proxy/timing_test.go
+++ b/internal/proxy/timing_test.go
@@ -315,7 +315,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		s := timedProxy(t, 20*time.Millisecond, nowhere)
 		takeAll(s)
-		time.AfterFunc(100*time.Millisecond, func() { s.pool.Leave(time.Now().Add(400 * time.Millisecond)) })
+		time.AfterFunc(100*time.Millisecond, func() { s.pool.Drain(time.Now().Add(400 * time.Millisecond)) })
 		w, took := request(s, "/a/", 4*time.Second)
 		if w.Code != http.StatusServiceUnavailable {
 			t.Errorf("got %d", w.Code)
--- a/internal/proxy/waiting.go
+++ b/internal/proxy/waiting.go
@@ -190,8 +190,8 @@
 	return earlier(latestStart, pool.leaveBy.Add(-pool.workTimeLocked(want.service, time.Now()).likely))
 }
 
-// Leave has all that wait answered in time for the process to end at a moment.
-func (pool *Pool) Leave(by time.Time) {
+// Drain has all that wait answered in time for the process to end at a moment.
+func (pool *Pool) Drain(by time.Time) {
 	pool.mu.Lock()
 	defer pool.mu.Unlock()
 	pool.leaveBy = by
