--- a/internal/proxy/waiting.go
+++ b/internal/proxy/waiting.go
@@ -198,14 +198,14 @@
 	for service, ws := range pool.waiting {
 		for _, w := range ws {
 			w.latestStart = pool.limitToShutdownLocked(w.target, w.latestStart)
-			time.AfterFunc(time.Until(w.latestStart), func() { pool.wake(service) })
+			time.AfterFunc(time.Until(w.latestStart), func() { pool.serveQueue(service) })
 		}
 		slices.SortFunc(ws, (*waiter).compare)
 		pool.serveQueueLocked(service)
 	}
 }
 
-func (pool *Pool) wake(service string) {
+func (pool *Pool) serveQueue(service string) {
 	pool.mu.Lock()
 	defer pool.mu.Unlock()
 	pool.serveQueueLocked(service)
