--- a/internal/proxy/grants.go
+++ b/internal/proxy/grants.go
@@ -10,8 +10,8 @@
 	"slateridge/internal/transport"
 )
 
-// tracker is where a key's questions go.
-func (d *Daemon) tracker(shard int) string {
+// trackerOf is where a key's questions go.
+func (d *Daemon) trackerOf(shard int) string {
 	if t := *d.trackers.Load(); shard < len(t) {
 		return t[shard]
 	}
@@ -40,7 +40,7 @@
 	if callersTime <= 0 {
 		return
 	}
-	if to := d.tracker(d.shard(key)); to != "" {
+	if to := d.trackerOf(d.shard(key)); to != "" {
 		patience := d.trackerPatience(to)
 		cutShort := callersTime < patience
 		grants, err := d.ask(to, asked, d.echoOf(to), []admission.Want{d.limiter.Need(asked, key)}, min(patience, callersTime))
@@ -148,10 +148,10 @@
 	d.trackerEchoesMu.Unlock()
 	by := map[string][]admission.Want{}
 	for _, w := range d.limiter.Wants(asked, func(key string) (time.Duration, uint64, bool) {
-		h, ok := echo[d.tracker(d.shard(key))]
+		h, ok := echo[d.trackerOf(d.shard(key))]
 		return h.at, h.time.Life, ok
 	}) {
-		if to := d.tracker(d.shard(w.Key)); to != "" {
+		if to := d.trackerOf(d.shard(w.Key)); to != "" {
 			by[to] = append(by[to], w)
 		}
 	}
