--- a/internal/proxy/grants.go
+++ b/internal/proxy/grants.go
@@ -18,8 +18,8 @@
 	return ""
 }
 
-// shardsOf are those that a machine tracks.
-func (d *Daemon) shardsOf(tracker string) []int {
+// shardsTrackedBy are those that a machine tracks.
+func (d *Daemon) shardsTrackedBy(tracker string) []int {
 	var out []int
 	for i, t := range *d.trackers.Load() {
 		if t == tracker {
@@ -50,7 +50,7 @@
 			return
 		}
 		if errors.Is(err, transport.ErrRefused) {
-			for _, i := range d.shardsOf(to) {
+			for _, i := range d.shardsTrackedBy(to) {
 				d.limiter.TrackerDown(i)
 			}
 		}
@@ -125,7 +125,7 @@
 	}
 	d.trackerEchoesMu.Unlock()
 	if o.time.Life != s.Life || o.time.Begun < s.Begun {
-		d.untold(d.shardsOf(to))
+		d.untold(d.shardsTrackedBy(to))
 		go d.renewGrants()
 	}
 	for _, i := range shards {
