--- a/internal/proxy/grants.go
+++ b/internal/proxy/grants.go
@@ -29,7 +29,7 @@
 	return out
 }
 
-func (d *Daemon) shard(key string) int { return admission.Shard(key, d.set.Load().Trackers()) }
+func (d *Daemon) shardOf(key string) int { return admission.Shard(key, d.set.Load().Trackers()) }
 
 // askTracker asks a key's tracker for tokens. It waits while an answer is of use to the
 // caller and the tracker's silence is not unusual. Only the latter says something of the
@@ -40,12 +40,12 @@
 	if callersTime <= 0 {
 		return
 	}
-	if to := d.trackerOf(d.shard(key)); to != "" {
+	if to := d.trackerOf(d.shardOf(key)); to != "" {
 		patience := d.trackerPatience(to)
 		cutShort := callersTime < patience
 		grants, err := d.ask(to, asked, d.echoOf(to), []admission.Want{d.limiter.Need(asked, key)}, min(patience, callersTime))
 		if err == nil && !grants.Refused {
-			d.heardTracker(to, grants.Stamp, d.shard(key))
+			d.heardTracker(to, grants.Stamp, d.shardOf(key))
 			d.takeGrants(asked, grants)
 			return
 		}
@@ -148,10 +148,10 @@
 	d.trackerEchoesMu.Unlock()
 	by := map[string][]admission.Want{}
 	for _, w := range d.limiter.Wants(asked, func(key string) (time.Duration, uint64, bool) {
-		h, ok := echo[d.trackerOf(d.shard(key))]
+		h, ok := echo[d.trackerOf(d.shardOf(key))]
 		return h.at, h.time.Life, ok
 	}) {
-		if to := d.trackerOf(d.shard(w.Key)); to != "" {
+		if to := d.trackerOf(d.shardOf(w.Key)); to != "" {
 			by[to] = append(by[to], w)
 		}
 	}
