--- a/internal/proxy/daemon.go
+++ b/internal/proxy/daemon.go
@@ -68,7 +68,7 @@
 	d.Proxy = s
 	s.retryBudget = NewRetryBudget(0, b.RetryWindow.D(), b.RetryBudgetRatio, b.RetryBudgetSlack)
 	s.pool = NewPool(set.IPAddress, set.Zone, set.Zones, d.connCap, d.cold)
-	s.askFor = d.askTracker
+	s.askFor = d.requestTokens
 	d.clock = clock.New()
 	if set.HasDuty(settings.DutyUsage) {
 		s.meter, s.window = usage.NewMeter(rand.Uint64()), d.windowAt
@@ -267,7 +267,7 @@
 func (d *Daemon) Rehearse(tenant string) bool {
 	v := d.limiter.Admit(d.now(), tenant, false)
 	if v.Ask {
-		d.askTracker(tenant, time.Now().Add(constants.CallTimeout))
+		d.requestTokens(tenant, time.Now().Add(constants.CallTimeout))
 		v = d.limiter.Admit(d.now(), tenant, true)
 	}
 	if !v.OK {
--- a/internal/proxy/grants.go
+++ b/internal/proxy/grants.go
@@ -31,10 +31,10 @@
 
 func (d *Daemon) shardOf(key string) int { return admission.Shard(key, d.set.Load().Trackers()) }
 
-// askTracker asks a key's tracker for tokens. It waits while an answer is of use to the
+// requestTokens asks a key's tracker for tokens. It waits while an answer is of use to the
 // caller and the tracker's silence is not unusual. Only the latter says something of the
 // tracker, which those that come after need not wait for then.
-func (d *Daemon) askTracker(key string, until time.Time) {
+func (d *Daemon) requestTokens(key string, until time.Time) {
 	asked := d.now()
 	callersTime := time.Until(until)
 	if callersTime <= 0 {
--- a/internal/proxy/grants_test.go
+++ b/internal/proxy/grants_test.go
@@ -36,7 +36,7 @@
 // was waited for.
 func awaitTracker(d *Daemon, key string, callersTime time.Duration) time.Duration {
 	began := time.Now()
-	d.askTracker(key, began.Add(callersTime))
+	d.requestTokens(key, began.Add(callersTime))
 	return time.Since(began)
 }
 
