--- a/internal/proxy/grants.go
+++ b/internal/proxy/grants.go
@@ -43,7 +43,7 @@
 	if to := d.trackerOf(d.shardOf(key)); to != "" {
 		patience := d.trackerPatience(to)
 		cutShort := callersTime < patience
-		grants, err := d.ask(to, asked, d.echoOf(to), []admission.Want{d.limiter.Need(asked, key)}, min(patience, callersTime))
+		grants, err := d.ask(to, asked, d.latestTrackerTime(to), []admission.Want{d.limiter.Need(asked, key)}, min(patience, callersTime))
 		if err == nil && !grants.Refused {
 			d.heardTracker(to, grants.Stamp, d.shardOf(key))
 			d.takeGrants(asked, grants)
@@ -61,8 +61,8 @@
 	d.limiter.Unanswered(d.now(), key)
 }
 
-// echoOf is a tracker's latest time that has come here.
-func (d *Daemon) echoOf(to string) admission.TrackerTime {
+// latestTrackerTime is a tracker's latest time that has come here.
+func (d *Daemon) latestTrackerTime(to string) admission.TrackerTime {
 	d.trackerEchoesMu.Lock()
 	defer d.trackerEchoesMu.Unlock()
 	return d.trackerEchoes[to].time
