--- a/internal/proxy/grants.go
+++ b/internal/proxy/grants.go
@@ -43,7 +43,7 @@
 	if to := d.trackerOf(d.shardOf(key)); to != "" {
 		patience := d.trackerPatience(to)
 		cutShort := callersTime < patience
-		grants, err := d.ask(to, asked, d.latestTrackerTime(to), []admission.Want{d.limiter.Need(asked, key)}, min(patience, callersTime))
+		grants, err := d.sendGrantRequest(to, asked, d.latestTrackerTime(to), []admission.Want{d.limiter.Need(asked, key)}, min(patience, callersTime))
 		if err == nil && !grants.Refused {
 			d.heardTracker(to, grants.Stamp, d.shardOf(key))
 			d.takeGrants(asked, grants)
@@ -68,9 +68,9 @@
 	return d.trackerEchoes[to].time
 }
 
-// ask sends a tracker wants that were reckoned with its time as echoed, and waits for its
+// sendGrantRequest sends a tracker wants that were reckoned with its time as echoed, and waits for its
 // answer.
-func (d *Daemon) ask(to string, asked time.Duration, echo admission.TrackerTime, wants []admission.Want, patience time.Duration) (admission.Grants, error) {
+func (d *Daemon) sendGrantRequest(to string, asked time.Duration, echo admission.TrackerTime, wants []admission.Want, patience time.Duration) (admission.Grants, error) {
 	answer, err := d.subscriber.Ask(to, admission.GrantRequest{
 		Proxy:   d.set.Load().IPAddress,
 		Wants:   wants,
@@ -166,7 +166,7 @@
 	}
 	for to, ws := range by {
 		go func() {
-			grants, err := d.ask(to, asked, echo[to].time, ws, constants.CallTimeout)
+			grants, err := d.sendGrantRequest(to, asked, echo[to].time, ws, constants.CallTimeout)
 			if err != nil {
 				d.untold(shards[to])
 				return
