--- a/internal/proxy/grants.go
+++ b/internal/proxy/grants.go
@@ -84,7 +84,7 @@
 	}
 	grants, ok := answer.(admission.Grants)
 	if !ok {
-		return admission.Grants{}, errNoGrants
+		return admission.Grants{}, errUnexpectedReply
 	}
 	d.trackerEchoesMu.Lock()
 	defer d.trackerEchoesMu.Unlock()
@@ -95,7 +95,7 @@
 	return grants, nil
 }
 
-var errNoGrants = errors.New("a tracker's answer is of another kind")
+var errUnexpectedReply = errors.New("a tracker's answer is of another kind")
 
 // trackerPatience is how long a tracker's silence is not unusual.
 func (d *Daemon) trackerPatience(to string) time.Duration {
