--- a/internal/proxy/grants.go
+++ b/internal/proxy/grants.go
@@ -41,7 +41,7 @@
 		return
 	}
 	if to := d.trackerOf(d.shardOf(key)); to != "" {
-		patience := d.trackerPatience(to)
+		patience := d.trackerTimeout(to)
 		cutShort := callersTime < patience
 		grants, err := d.sendGrantRequest(to, asked, d.latestTrackerTime(to), []admission.Want{d.limiter.Need(asked, key)}, min(patience, callersTime))
 		if err == nil && !grants.Refused {
@@ -97,8 +97,8 @@
 
 var errUnexpectedReply = errors.New("a tracker's answer is of another kind")
 
-// trackerPatience is how long a tracker's silence is not unusual.
-func (d *Daemon) trackerPatience(to string) time.Duration {
+// trackerTimeout is how long a tracker's silence is not unusual.
+func (d *Daemon) trackerTimeout(to string) time.Duration {
 	d.trackerEchoesMu.Lock()
 	defer d.trackerEchoesMu.Unlock()
 	usual := unknownWork
