--- a/internal/proxy/grants.go
+++ b/internal/proxy/grants.go
@@ -46,7 +46,7 @@
 		grants, err := d.sendGrantRequest(to, asked, d.latestTrackerTime(to), []admission.Want{d.limiter.Need(asked, key)}, min(patience, callersTime))
 		if err == nil && !grants.Refused {
 			d.heardTracker(to, grants.Stamp, d.shardOf(key))
-			d.takeGrants(asked, grants)
+			d.applyGrants(asked, grants)
 			return
 		}
 		if errors.Is(err, transport.ErrRefused) {
@@ -108,8 +108,8 @@
 	return max(constants.TrackerBusy, usual.unusual())
 }
 
-// takeGrants takes what a tracker answered to a question asked at a moment.
-func (d *Daemon) takeGrants(asked time.Duration, grants admission.Grants) {
+// applyGrants takes what a tracker answered to a question asked at a moment.
+func (d *Daemon) applyGrants(asked time.Duration, grants admission.Grants) {
 	for _, given := range grants.Given {
 		d.limiter.Take(d.now(), asked, given)
 	}
@@ -174,7 +174,7 @@
 			if !grants.Refused { // what does not track borrows nothing
 				d.heardTracker(to, grants.Stamp, shards[to]...)
 			}
-			d.takeGrants(asked, grants)
+			d.applyGrants(asked, grants)
 			if grants.Retell {
 				d.untold(shards[to])
 			}
