--- a/internal/proxy/grants.go
+++ b/internal/proxy/grants.go
@@ -45,7 +45,7 @@
 		cutShort := callersTime < patience
 		grants, err := d.sendGrantRequest(to, asked, d.latestTrackerTime(to), []admission.Want{d.limiter.Need(asked, key)}, min(patience, callersTime))
 		if err == nil && !grants.Refused {
-			d.heardTracker(to, grants.Stamp, d.shardOf(key))
+			d.recordTrackerReply(to, grants.Stamp, d.shardOf(key))
 			d.applyGrants(asked, grants)
 			return
 		}
@@ -115,8 +115,8 @@
 	}
 }
 
-// heardTracker notes a tracker's answer for some shards.
-func (d *Daemon) heardTracker(to string, s admission.TrackerTime, shards ...int) {
+// recordTrackerReply notes a tracker's answer for some shards.
+func (d *Daemon) recordTrackerReply(to string, s admission.TrackerTime, shards ...int) {
 	now := d.now()
 	d.trackerEchoesMu.Lock()
 	o := d.trackerEchoes[to]
@@ -172,7 +172,7 @@
 				return
 			}
 			if !grants.Refused { // what does not track borrows nothing
-				d.heardTracker(to, grants.Stamp, shards[to]...)
+				d.recordTrackerReply(to, grants.Stamp, shards[to]...)
 			}
 			d.applyGrants(asked, grants)
 			if grants.Retell {
