--- a/internal/proxy/grants.go
+++ b/internal/proxy/grants.go
@@ -135,8 +135,8 @@
 
 // trackerEcho is a tracker's latest time, and when it came here.
 type trackerEcho struct {
-	time admission.TrackerTime
-	at   time.Duration
+	time       admission.TrackerTime
+	receivedAt time.Duration
 }
 
 // renewGrants tells the trackers this proxy's demand and loans, and takes their
@@ -149,7 +149,7 @@
 	by := map[string][]admission.Want{}
 	for _, w := range d.limiter.Wants(asked, func(key string) (time.Duration, uint64, bool) {
 		h, ok := echo[d.trackerOf(d.shardOf(key))]
-		return h.at, h.time.Life, ok
+		return h.receivedAt, h.time.Life, ok
 	}) {
 		if to := d.trackerOf(d.shardOf(w.Key)); to != "" {
 			by[to] = append(by[to], w)
@@ -159,7 +159,7 @@
 	for i, to := range *d.trackers.Load() {
 		if to != "" {
 			shards[to] = append(shards[to], i)
-			if _, ok := by[to]; !ok && asked-echo[to].at > constants.ContactEvery {
+			if _, ok := by[to]; !ok && asked-echo[to].receivedAt > constants.ContactEvery {
 				by[to] = nil // nothing to say but that it is heard
 			}
 		}
