--- a/internal/proxy/grants.go
+++ b/internal/proxy/grants.go
@@ -125,7 +125,7 @@
 	}
 	d.trackerEchoesMu.Unlock()
 	if o.time.Life != s.Life || o.time.Begun < s.Begun {
-		d.untold(d.shardsTrackedBy(to))
+		d.resendReports(d.shardsTrackedBy(to))
 		go d.renewGrants()
 	}
 	for _, i := range shards {
@@ -168,7 +168,7 @@
 		go func() {
 			grants, err := d.sendGrantRequest(to, asked, echo[to].time, ws, constants.CallTimeout)
 			if err != nil {
-				d.untold(shards[to])
+				d.resendReports(shards[to])
 				return
 			}
 			if !grants.Refused { // what does not track borrows nothing
@@ -176,14 +176,14 @@
 			}
 			d.applyGrants(asked, grants)
 			if grants.Retell {
-				d.untold(shards[to])
+				d.resendReports(shards[to])
 			}
 		}()
 	}
 }
 
-// untold notes that the tracker of some shards does not know what it was told.
-func (d *Daemon) untold(shards []int) {
+// resendReports notes that the tracker of some shards does not know what it was told.
+func (d *Daemon) resendReports(shards []int) {
 	for _, i := range shards {
 		d.limiter.ReportAgain(i)
 	}
