--- a/internal/proxy/accounting_test.go
+++ b/internal/proxy/accounting_test.go
@@ -120,7 +120,7 @@
 		for range 3 {
 			p.countAttempt(ran)
 		}
-		p.countAttempt(&result{sent: true, notRun: true, resp: ran.resp})
+		p.countAttempt(&result{sent: true, notExecuted: true, resp: ran.resp})
 	}
 	if account := s.accounts.Of("ten"); account.Taken != 2 || account.Doubled != 1 {
 		t.Errorf("%+v, should be one doubled", account)
--- a/internal/proxy/attempt.go
+++ b/internal/proxy/attempt.go
@@ -49,7 +49,7 @@
 // abandon gives a place back to which nothing is sent any more.
 func (pool *Pool) abandon(of *placement) *result {
 	pool.done(of, unused)
-	return &result{outcome: unused, notRun: true, abandoned: true, err: errStale}
+	return &result{outcome: unused, notExecuted: true, abandoned: true, err: errStale}
 }
 
 // attempt offers the request to one upstream and reads its answer.
@@ -74,7 +74,7 @@
 				how = unused // the caller's time ended, which says nothing of the upstream
 			}
 			pool.done(of, how)
-			return &result{outcome: how, notRun: true, err: err}
+			return &result{outcome: how, notExecuted: true, err: err}
 		}
 		if !p.stillAllowed(u) {
 			u.keep(conn, false)
@@ -97,7 +97,7 @@
 			u.drop(conn)
 			how := failureOutcome(conn, err)
 			pool.done(of, how)
-			return &result{outcome: how, sentAt: time.Now(), sent: sent, notRun: !sent, err: err}
+			return &result{outcome: how, sentAt: time.Now(), sent: sent, notExecuted: !sent, err: err}
 		}
 		again = false
 	}
--- a/internal/proxy/exchange.go
+++ b/internal/proxy/exchange.go
@@ -93,7 +93,7 @@
 			}
 			continue
 		}
-		if res.deliverable() && !(p.route.Idempotent && res.retryable()) && !res.notRun {
+		if res.deliverable() && !(p.route.Idempotent && res.retryable()) && !res.notExecuted {
 			last.release()
 			return res, 0
 		}
@@ -161,7 +161,7 @@
 // mayRetry says whether a request that was sent may be sent once more, and takes that
 // from the retry budget.
 func (p *exchange) mayRetry(res *result) bool {
-	if !res.notRun && !p.route.Idempotent {
+	if !res.notExecuted && !p.route.Idempotent {
 		return false
 	}
 	if p.streamedBody != nil || p.attempts >= p.maxAttempts() {
@@ -207,7 +207,7 @@
 	p.countAnswer(r)
 	if r.sent {
 		p.attempts++
-		if !r.notRun {
+		if !r.notExecuted {
 			if p.executions++; p.executedAt.IsZero() || r.resp != nil && r.resp.StatusCode/100 == 2 {
 				p.executedAt = r.sentAt
 			}
--- a/internal/proxy/hedge.go
+++ b/internal/proxy/hedge.go
@@ -24,7 +24,7 @@
 		case r := <-ch:
 			out--
 			p.countAttempt(r)
-			if r.deliverable() && !r.retryable() && !r.notRun {
+			if r.deliverable() && !r.retryable() && !r.notExecuted {
 				if out > 0 {
 					p.executions += out // it may well run; its cost is known too late
 					go releaseResults(ch, out)
--- a/internal/proxy/places_test.go
+++ b/internal/proxy/places_test.go
@@ -207,7 +207,7 @@
 		p := &exchange{proxy: s, request: r, config: cfg, route: route, tenant: tenant, service: "svc", allowedRegions: anywhere, deadline: time.Now().Add(time.Second)}
 		of := s.pool.Place(target{service: "svc", homes: anywhere}, nil)
 		change(s)
-		if of == nil || !p.attempt(of).notRun || u.count() != 0 {
+		if of == nil || !p.attempt(of).notExecuted || u.count() != 0 {
 			t.Errorf("%s: a request went out all the same", name)
 		}
 	}
--- a/internal/proxy/proxy.go
+++ b/internal/proxy/proxy.go
@@ -274,7 +274,7 @@
 		s.refuse(w, r, code, 0)
 		return
 	}
-	if res.deliverable() && !(res.notRun && res.resp.StatusCode >= 500) {
+	if res.deliverable() && !(res.notExecuted && res.resp.StatusCode >= 500) {
 		began := time.Since(p.arrived) // a stream is in time if its first piece is
 		s.relay(w, p, res)
 		p.settleAnswered(res, began)
@@ -283,7 +283,7 @@
 	res.release()
 	p.settleFailed()
 	switch {
-	case p.executions == 0 && p.attempts == 0 || p.executions == 0 && res.notRun:
+	case p.executions == 0 && p.attempts == 0 || p.executions == 0 && res.notExecuted:
 		// Nothing ran, and nothing will: the promise can be given.
 		p.countUnserved(countNoCapacity)
 		s.refuse(w, r, http.StatusServiceUnavailable, p.capacityRetryAfter())
--- a/internal/proxy/proxy_test.go
+++ b/internal/proxy/proxy_test.go
@@ -400,7 +400,7 @@
 	}
 	p.deadline = time.Now().Add(-time.Millisecond)
 	s.config.Store(cfg)
-	if of := s.pool.Place(target{service: "svc", homes: anywhere}, nil); of == nil || !p.attempt(of).notRun || u.count() != 0 {
+	if of := s.pool.Place(target{service: "svc", homes: anywhere}, nil); of == nil || !p.attempt(of).notExecuted || u.count() != 0 {
 		t.Error("sent after its deadline")
 	}
 }
--- a/internal/proxy/result.go
+++ b/internal/proxy/result.go
@@ -7,17 +7,17 @@
 
 // result is what came of one offer.
 type result struct {
-	outcome   outcome
-	sentAt    time.Time // when it had been sent
-	sent      bool      // a byte of the request went out
-	notRun    bool      // the upstream said so, or nothing went out
-	doubtful  bool      // the answer has no id, and its connection has carried other requests
-	abandoned bool      // the request may not be sent any more: deadline, route or key
-	resp      *http.Response
-	body      []byte
-	conn      *Conn      // when the body is longer than what is held
-	stream    *placement // of a stream under way: its place is taken until it ends
-	err       error
+	outcome     outcome
+	sentAt      time.Time // when it had been sent
+	sent        bool      // a byte of the request went out
+	notExecuted bool      // the upstream said so, or nothing went out
+	doubtful    bool      // the answer has no id, and its connection has carried other requests
+	abandoned   bool      // the request may not be sent any more: deadline, route or key
+	resp        *http.Response
+	body        []byte
+	conn        *Conn      // when the body is longer than what is held
+	stream      *placement // of a stream under way: its place is taken until it ends
+	err         error
 }
 
 // deliverable says whether the result can be given to the client as it is.
@@ -65,10 +65,10 @@
 	status := r.resp.StatusCode
 	switch {
 	case status == http.StatusMisdirectedRequest:
-		r.notRun = !r.doubtful
+		r.notExecuted = !r.doubtful
 		r.outcome = broken
 	case r.resp.Header.Get(headerNotRun) != "" && status/100 != 2:
-		r.notRun = !r.doubtful
+		r.notExecuted = !r.doubtful
 		r.outcome = atCapacity
 	case status >= 500:
 		r.outcome = errored
