--- a/internal/proxy/accounting.go
+++ b/internal/proxy/accounting.go
@@ -36,7 +36,7 @@
 // countAnswer notes an upstream's answer to a request that may run once. A second one as
 // having run it shows that it was doubled.
 func (p *exchange) countAnswer(r *result) {
-	if p.account == nil || p.route.Idempotent || r.notExecuted || r.doubtful || r.resp == nil || r.resp.Header.Get(headerSeal) == "" {
+	if p.account == nil || p.route.Idempotent || r.notExecuted || r.unverified || r.resp == nil || r.resp.Header.Get(headerSeal) == "" {
 		return
 	}
 	if p.executedResponses++; p.executedResponses == 2 {
--- a/internal/proxy/attempt.go
+++ b/internal/proxy/attempt.go
@@ -139,7 +139,7 @@
 		return &result{outcome: broken, sentAt: at, sent: true, err: errUnframed}
 	}
 	body, err := readUpTo(resp.Body, constants.AnswerBuffer)
-	res := &result{outcome: served, sentAt: at, sent: true, resp: resp, body: body, doubtful: doubt}
+	res := &result{outcome: served, sentAt: at, sent: true, resp: resp, body: body, unverified: doubt}
 	switch {
 	case err == nil:
 		conn.exhausted(resp)
--- a/internal/proxy/result.go
+++ b/internal/proxy/result.go
@@ -11,7 +11,7 @@
 	sentAt      time.Time // when it had been sent
 	sent        bool      // a byte of the request went out
 	notExecuted bool      // the upstream said so, or nothing went out
-	doubtful    bool      // the answer has no id, and its connection has carried other requests
+	unverified  bool      // the answer has no id, and its connection has carried other requests
 	abandoned   bool      // the request may not be sent any more: deadline, route or key
 	resp        *http.Response
 	body        []byte
@@ -22,7 +22,7 @@
 
 // deliverable says whether the result can be given to the client as it is.
 func (r *result) deliverable() bool {
-	if r.resp == nil || r.doubtful {
+	if r.resp == nil || r.unverified {
 		return false
 	}
 	switch c := r.resp.StatusCode; {
@@ -52,7 +52,7 @@
 
 // retryable says whether another upstream might do better.
 func (r *result) retryable() bool {
-	if r.resp == nil || r.doubtful {
+	if r.resp == nil || r.unverified {
 		return true
 	}
 	c := r.resp.StatusCode
@@ -65,10 +65,10 @@
 	status := r.resp.StatusCode
 	switch {
 	case status == http.StatusMisdirectedRequest:
-		r.notExecuted = !r.doubtful
+		r.notExecuted = !r.unverified
 		r.outcome = broken
 	case r.resp.Header.Get(headerNotRun) != "" && status/100 != 2:
-		r.notExecuted = !r.doubtful
+		r.notExecuted = !r.unverified
 		r.outcome = atCapacity
 	case status >= 500:
 		r.outcome = errored
