--- a/internal/proxy/accounting.go
+++ b/internal/proxy/accounting.go
@@ -51,7 +51,7 @@
 		return
 	}
 	latency := time.Since(p.arrived)
-	if r.stream != nil {
+	if r.streamPlacement != nil {
 		latency = began
 	}
 	switch status := r.resp.StatusCode; {
--- a/internal/proxy/proxy.go
+++ b/internal/proxy/proxy.go
@@ -330,7 +330,7 @@
 		s.counts[countFailed].Add(1)
 	}
 	w.WriteHeader(res.resp.StatusCode)
-	if res.stream != nil {
+	if res.streamPlacement != nil {
 		s.relayStream(w, p.request, res)
 		return
 	}
--- a/internal/proxy/result.go
+++ b/internal/proxy/result.go
@@ -7,17 +7,17 @@
 
 // result is what came of one offer.
 type result struct {
-	outcome     outcome
-	sentAt      time.Time // when it had been sent
-	sent        bool      // a byte of the request went out
-	notExecuted bool      // the upstream said so, or nothing went out
-	unverified  bool      // the answer has no id, and its connection has carried other requests
-	abandoned   bool      // the request may not be sent any more: deadline, route or key
-	resp        *http.Response
-	body        []byte
-	conn        *Conn      // when the body is longer than what is held
-	stream      *placement // of a stream under way: its place is taken until it ends
-	err         error
+	outcome         outcome
+	sentAt          time.Time // when it had been sent
+	sent            bool      // a byte of the request went out
+	notExecuted     bool      // the upstream said so, or nothing went out
+	unverified      bool      // the answer has no id, and its connection has carried other requests
+	abandoned       bool      // the request may not be sent any more: deadline, route or key
+	resp            *http.Response
+	body            []byte
+	conn            *Conn      // when the body is longer than what is held
+	streamPlacement *placement // of a stream under way: its place is taken until it ends
+	err             error
 }
 
 // deliverable says whether the result can be given to the client as it is.
@@ -36,7 +36,7 @@
 
 // length is that of the answer's body as its client is told it, or -1 where it isn't known.
 func (r *result) length() int64 {
-	held := r.stream == nil && r.conn == nil
+	held := r.streamPlacement == nil && r.conn == nil
 	if held && r.resp.Request.Method != http.MethodHead {
 		return int64(len(r.body))
 	}
--- a/internal/proxy/stream.go
+++ b/internal/proxy/stream.go
@@ -28,7 +28,7 @@
 	if p.proxy.meter != nil && p.tenant != nil {
 		p.proxy.meter.Count(p.proxy.window(now), p.tenant.Name)
 	}
-	return &result{outcome: served, sentAt: at, sent: true, resp: resp, body: buf[:n], conn: conn, stream: of}
+	return &result{outcome: served, sentAt: at, sent: true, resp: resp, body: buf[:n], conn: conn, streamPlacement: of}
 }
 
 // relayStream passes a relayStream on as it comes: what has been read is written and flushed
@@ -65,14 +65,14 @@
 	switch {
 	case werr == nil && rerr == io.EOF:
 		res.conn.exhausted(res.resp)
-		s.pool.done(res.stream, served)
+		s.pool.done(res.streamPlacement, served)
 		return
 	case werr != nil || r.Context().Err() != nil: // its leaving closes the upstream's end
 		s.streamsLeft.Add(1)
-		s.pool.done(res.stream, unused)
+		s.pool.done(res.streamPlacement, unused)
 	default:
 		s.streamsCut.Add(1)
-		s.pool.done(res.stream, broken)
+		s.pool.done(res.streamPlacement, broken)
 	}
 	res.conn.drop()
 	panic(http.ErrAbortHandler)
