--- a/internal/proxy/attempt.go
+++ b/internal/proxy/attempt.go
@@ -151,7 +151,7 @@
 		pool.done(of, how)
 		return &result{outcome: how, sentAt: at, sent: true, err: err}
 	}
-	res.judge()
+	res.classify()
 	pool.done(of, res.outcome)
 	return res
 }
--- a/internal/proxy/result.go
+++ b/internal/proxy/result.go
@@ -60,8 +60,8 @@
 		c/100 == 2 && r.resp.Header.Get(headerSeal) == ""
 }
 
-// judge sets what the answer's status and headers say of the run and of the upstream.
-func (r *result) judge() {
+// classify sets what the answer's status and headers say of the run and of the upstream.
+func (r *result) classify() {
 	status := r.resp.StatusCode
 	switch {
 	case status == http.StatusMisdirectedRequest:
