--- a/internal/proxy/daemon.go
+++ b/internal/proxy/daemon.go
@@ -68,7 +68,7 @@
 	d.Proxy = s
 	s.retryBudget = NewRetryBudget(0, b.RetryWindow.D(), b.RetryBudgetRatio, b.RetryBudgetSlack)
 	s.pool = NewPool(set.IPAddress, set.Zone, set.Zones, d.connCap, d.cold)
-	s.askFor = d.requestTokens
+	s.requestTokens = d.requestTokens
 	d.clock = clock.New()
 	if set.HasDuty(settings.DutyUsage) {
 		s.meter, s.window = usage.NewMeter(rand.Uint64()), d.windowAt
--- a/internal/proxy/proxy.go
+++ b/internal/proxy/proxy.go
@@ -24,23 +24,23 @@
 
 // Proxy is the request path of one proxy.
 type Proxy struct {
-	events      *eventlog.Log
-	began       time.Time
-	config      atomic.Pointer[config.Config]
-	pool        *Pool
-	limiter     *admission.Limiter
-	meter       *usage.Meter // nil where usage is not reported
-	window      func(at time.Time) uint64
-	accounts    *accounts.Meter // nil where tenants have no objectives
-	retryBudget *RetryBudget
-	askFor      func(key string, until time.Time) // one question to a key's tracker, answered by then or not
-	leaving     atomic.Bool
-	hedges      atomic.Uint64
-	open        atomic.Int64
-	lag         lagMeter
-	counts      [len(countNames)]atomic.Uint64
-	trustFor    time.Duration    // how long a key may be trusted unheard; 0: for ever
-	readIndexAt func() time.Time // when what is in force here was last known to be the newest
+	events        *eventlog.Log
+	began         time.Time
+	config        atomic.Pointer[config.Config]
+	pool          *Pool
+	limiter       *admission.Limiter
+	meter         *usage.Meter // nil where usage is not reported
+	window        func(at time.Time) uint64
+	accounts      *accounts.Meter // nil where tenants have no objectives
+	retryBudget   *RetryBudget
+	requestTokens func(key string, until time.Time) // one question to a key's tracker, answered by then or not
+	leaving       atomic.Bool
+	hedges        atomic.Uint64
+	open          atomic.Int64
+	lag           lagMeter
+	counts        [len(countNames)]atomic.Uint64
+	trustFor      time.Duration    // how long a key may be trusted unheard; 0: for ever
+	readIndexAt   func() time.Time // when what is in force here was last known to be the newest
 
 	streams     atomic.Int64  // under way
 	streamsCut  atomic.Uint64 // ended by their upstream before their end
@@ -181,7 +181,7 @@
 	}
 	v := s.limiter.Admit(s.now(), p.tenant.Name, false)
 	if v.Ask {
-		s.askFor(p.tenant.Name, p.timing().latestStart(time.Now()))
+		s.requestTokens(p.tenant.Name, p.timing().latestStart(time.Now()))
 		v = s.limiter.Admit(s.now(), p.tenant.Name, true)
 	}
 	if !v.OK {
--- a/internal/proxy/proxy_test.go
+++ b/internal/proxy/proxy_test.go
@@ -122,7 +122,7 @@
 	s.retryBudget = NewRetryBudget(0, 10*time.Second, 0.2, 60)
 	s.retryBudget.SetProxies(1)
 	s.pool = NewPool("p", "z", map[string]string{"z": "r", "z2": "r", "far": "r2"}, func(string) int { return 10 }, func(string) ColdBound { return ColdBound{} })
-	s.askFor = func(string, time.Time) {}
+	s.requestTokens = func(string, time.Time) {}
 	s.limiter.SetProxies(0, 1)
 	s.limiter.SetQuotas(0, admission.Quotas(cfg))
 	s.config.Store(cfg)
