--- a/internal/proxy/contract_test.go
+++ b/internal/proxy/contract_test.go
@@ -34,9 +34,9 @@
 		w := httptest.NewRecorder()
 		d.readiness(w, httptest.NewRequest("GET", "/api/readiness", nil))
 		if w.Code != want {
-			t.Errorf("leaving %v: %d", d.leaving.Load(), w.Code)
+			t.Errorf("leaving %v: %d", d.shuttingDown.Load(), w.Code)
 		}
-		d.leaving.Store(true)
+		d.shuttingDown.Store(true)
 	}
 }
 
--- a/internal/proxy/daemon.go
+++ b/internal/proxy/daemon.go
@@ -244,7 +244,7 @@
 		w.WriteHeader(http.StatusNotFound)
 		return
 	}
-	if d.ready.Load() && !d.leaving.Load() {
+	if d.ready.Load() && !d.shuttingDown.Load() {
 		w.WriteHeader(http.StatusOK)
 		return
 	}
@@ -286,7 +286,7 @@
 // and what is in flight finishes within grace.
 func (d *Daemon) Leave() {
 	began := time.Now()
-	d.leaving.Store(true)
+	d.shuttingDown.Store(true)
 	d.events.Record("leaving", "readiness fails from now on")
 	d.subscriber.Announce()
 	set := d.set.Load()
--- a/internal/proxy/disconnect_test.go
+++ b/internal/proxy/disconnect_test.go
@@ -165,7 +165,7 @@
 		"both offers":    {requests: clientRequest("GET", "/safe/1800ms", "a", 0), arrivals: 2},
 		"half-closed":    {requests: clientRequest("GET", "/safe/1900ms", "a", 0), arrivals: 1, leave: func(_ *Daemon, c net.Conn) { c.(*net.TCPConn).CloseWrite() }},
 		"reset":          {requests: clientRequest("GET", "/safe/1900ms", "a", 0), arrivals: 1, leave: func(_ *Daemon, c net.Conn) { c.(*net.TCPConn).SetLinger(0); c.Close() }},
-		"while draining": {requests: clientRequest("GET", "/safe/1900ms", "a", 0), arrivals: 1, leave: func(d *Daemon, c net.Conn) { d.leaving.Store(true); c.Close() }},
+		"while draining": {requests: clientRequest("GET", "/safe/1900ms", "a", 0), arrivals: 1, leave: func(d *Daemon, c net.Conn) { d.shuttingDown.Store(true); c.Close() }},
 		"after a reload": {requests: clientRequest("GET", "/safe/1900ms", "a", 0), arrivals: 1, leave: func(d *Daemon, c net.Conn) { d.Reload(); c.Close() }},
 		"next request sent": {requests: clientRequest("GET", "/safe/1900ms", "a", 0), arrivals: 1, leave: func(_ *Daemon, c net.Conn) {
 			io.WriteString(c, clientRequest("GET", "/safe/1ms", "b", 0))
--- a/internal/proxy/lists.go
+++ b/internal/proxy/lists.go
@@ -14,7 +14,7 @@
 func (d *Daemon) step() {
 	now := time.Now()
 	d.lag.beat(now)
-	d.subscriber.Step(now, d.ready.Load() && !d.leaving.Load())
+	d.subscriber.Step(now, d.ready.Load() && !d.shuttingDown.Load())
 	st := d.subscriber.State(now)
 	if !d.ready.Load() && d.config.Load() != nil && d.haveList.Load() && st.ListAge < constants.UpdateCurrent && st.Current < constants.UpdateCurrent {
 		d.ready.Store(true)
--- a/internal/proxy/proxy.go
+++ b/internal/proxy/proxy.go
@@ -34,7 +34,7 @@
 	accounts      *accounts.Meter // nil where tenants have no objectives
 	retryBudget   *RetryBudget
 	requestTokens func(key string, until time.Time) // one question to a key's tracker, answered by then or not
-	leaving       atomic.Bool
+	shuttingDown  atomic.Bool
 	hedges        atomic.Uint64
 	open          atomic.Int64
 	lag           lagMeter
@@ -96,7 +96,7 @@
 func (s *Proxy) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	s.open.Add(1)
 	defer s.open.Add(-1)
-	if s.leaving.Load() {
+	if s.shuttingDown.Load() {
 		w.Header().Set("Connection", "close")
 	}
 	arrived := time.Now()
--- a/internal/proxy/stream_test.go
+++ b/internal/proxy/stream_test.go
@@ -282,7 +282,7 @@
 		}
 	}
 	before := u.count()
-	s.leaving.Store(true)
+	s.shuttingDown.Store(true)
 	io.WriteString(c, one("/safe/6")+one("/safe/7"))
 	resp, err := http.ReadResponse(br, nil)
 	if err != nil || !resp.Close {
