--- a/internal/proxy/admin.go
+++ b/internal/proxy/admin.go
@@ -64,7 +64,7 @@
 // Report describes this proxy for operators.
 func (d *Daemon) Report() Report {
 	now := time.Now()
-	r := Report{Role: "proxy", Node: d.set.Load().NodeName, Ready: d.ready.Load(), Leaving: d.shuttingDown.Load(), InFlight: d.open.Load(),
+	r := Report{Role: "proxy", Node: d.set.Load().NodeName, Ready: d.ready.Load(), Leaving: d.shuttingDown.Load(), InFlight: d.openRequests.Load(),
 		Subscriber: d.subscriber.State(now), Proxies: d.limiter.Proxies(), Requests: map[string]uint64{}, Upstreams: d.pool.States(now),
 		Hedges: d.hedges.Load(), Quotas: d.limiter.Reports(d.now()), Audit: d.audit.list(), Members: d.members.Members(),
 		Events: d.events.Latest(20), Tallies: d.events.Tallies()}
--- a/internal/proxy/disconnect_test.go
+++ b/internal/proxy/disconnect_test.go
@@ -510,7 +510,7 @@
 			t.Fatal("not sent on")
 		}
 	}
-	for end := time.Now().Add(constants.AnswerWriteGrace + 2*time.Second); d.open.Load() > 0; time.Sleep(10 * time.Millisecond) {
+	for end := time.Now().Add(constants.AnswerWriteGrace + 2*time.Second); d.openRequests.Load() > 0; time.Sleep(10 * time.Millisecond) {
 		if time.Now().After(end) {
 			t.Fatal("held for a client that takes nothing")
 		}
@@ -562,7 +562,7 @@
 	if resp, err := http.ReadResponse(bufio.NewReader(stays), nil); err != nil || resp.StatusCode != http.StatusOK {
 		t.Fatal(resp, err)
 	}
-	for end := time.Now().Add(3 * time.Second); d.open.Load() > 0 && time.Now().Before(end); {
+	for end := time.Now().Add(3 * time.Second); d.openRequests.Load() > 0 && time.Now().Before(end); {
 		time.Sleep(time.Millisecond)
 	}
 	for _, run := range u.seen() {
@@ -586,7 +586,7 @@
 	io.WriteString(client, clientRequest("POST", "/once/1ms", "a", 0))
 	<-dialling
 	client.Close()
-	for end := time.Now().Add(3 * time.Second); d.open.Load() > 0 && time.Now().Before(end); {
+	for end := time.Now().Add(3 * time.Second); d.openRequests.Load() > 0 && time.Now().Before(end); {
 		time.Sleep(time.Millisecond)
 	}
 	if n := len(u.seen()); n != 0 {
--- a/internal/proxy/proxy.go
+++ b/internal/proxy/proxy.go
@@ -36,7 +36,7 @@
 	requestTokens func(key string, until time.Time) // one question to a key's tracker, answered by then or not
 	shuttingDown  atomic.Bool
 	hedges        atomic.Uint64
-	open          atomic.Int64
+	openRequests  atomic.Int64
 	lag           lagMeter
 	counts        [len(countNames)]atomic.Uint64
 	trustFor      time.Duration    // how long a key may be trusted unheard; 0: for ever
@@ -94,8 +94,8 @@
 
 // ServeHTTP is the path of every request.
 func (s *Proxy) ServeHTTP(w http.ResponseWriter, r *http.Request) {
-	s.open.Add(1)
-	defer s.open.Add(-1)
+	s.openRequests.Add(1)
+	defer s.openRequests.Add(-1)
 	if s.shuttingDown.Load() {
 		w.Header().Set("Connection", "close")
 	}
