--- a/internal/proxy/admin.go
+++ b/internal/proxy/admin.go
@@ -73,7 +73,7 @@
 	}
 	r.Zone, r.Region, r.Evacuated = d.set.Load().Zone, d.set.Load().Region, d.pool.Evacuated()
 	for i, n := range countNames {
-		r.Requests[n] = d.counts[i].Load()
+		r.Requests[n] = d.outcomeCounts[i].Load()
 	}
 	r.Streams.Open, r.Streams.Cut, r.Streams.Left = d.streams.Load(), d.streamsCut.Load(), d.streamsLeft.Load()
 	if d.meter != nil {
--- a/internal/proxy/proxy.go
+++ b/internal/proxy/proxy.go
@@ -38,7 +38,7 @@
 	hedges        atomic.Uint64
 	openRequests  atomic.Int64
 	lag           lagMeter
-	counts        [len(countNames)]atomic.Uint64
+	outcomeCounts [len(countNames)]atomic.Uint64
 	trustFor      time.Duration    // how long a key may be trusted unheard; 0: for ever
 	readIndexAt   func() time.Time // when what is in force here was last known to be the newest
 
@@ -102,13 +102,13 @@
 	arrived := time.Now()
 	cfg := s.config.Load()
 	if cfg == nil {
-		s.counts[countNoCapacity].Add(1)
+		s.outcomeCounts[countNoCapacity].Add(1)
 		s.refuse(w, r, http.StatusServiceUnavailable, missingConfigRetryAfter(arrived, r))
 		return
 	}
 	route, tenant, code := match(cfg, r)
 	if code != 0 {
-		s.counts[map[int]int{http.StatusNotFound: countNoRoute, http.StatusUnauthorized: countKeyUnknown}[code]].Add(1)
+		s.outcomeCounts[map[int]int{http.StatusNotFound: countNoRoute, http.StatusUnauthorized: countKeyUnknown}[code]].Add(1)
 		s.refuse(w, r, code, 0)
 		return
 	}
@@ -175,7 +175,7 @@
 func (s *Proxy) admit(w http.ResponseWriter, p *exchange) bool {
 	if s.trustFor > 0 && p.arrived.Sub(s.readIndexAt()) > s.trustFor {
 		// The key may have been taken away, and nobody here would know.
-		s.counts[countKeyUnsure].Add(1)
+		s.outcomeCounts[countKeyUnsure].Add(1)
 		s.refuse(w, p.request, http.StatusServiceUnavailable, missingConfigRetryAfter(p.arrived, p.request))
 		return false
 	}
@@ -185,7 +185,7 @@
 		v = s.limiter.Admit(s.now(), p.tenant.Name, true)
 	}
 	if !v.OK {
-		s.counts[countOverQuota].Add(1)
+		s.outcomeCounts[countOverQuota].Add(1)
 		p.account.Failure(accounts.Refused)
 		s.refuse(w, p.request, http.StatusTooManyRequests, v.Retry)
 		return false
@@ -269,7 +269,7 @@
 			s.refuse(w, r, code, p.capacityRetryAfter())
 			return
 		}
-		s.counts[map[int]int{http.StatusNotFound: countNoRoute, http.StatusUnauthorized: countKeyUnknown}[code]].Add(1)
+		s.outcomeCounts[map[int]int{http.StatusNotFound: countNoRoute, http.StatusUnauthorized: countKeyUnknown}[code]].Add(1)
 		p.account.Failure(accounts.Refused)
 		s.refuse(w, r, code, 0)
 		return
@@ -301,7 +301,7 @@
 	if p.request.Context().Err() != nil {
 		outcome = countClientLeft
 	}
-	p.proxy.counts[outcome].Add(1)
+	p.proxy.outcomeCounts[outcome].Add(1)
 }
 
 // relay gives the upstream's answer to the client unchanged. An answer that
@@ -325,9 +325,9 @@
 		h.Set("Content-Length", strconv.FormatInt(length, 10))
 	}
 	if res.resp.StatusCode/100 == 2 {
-		s.counts[countServed].Add(1)
+		s.outcomeCounts[countServed].Add(1)
 	} else {
-		s.counts[countFailed].Add(1)
+		s.outcomeCounts[countFailed].Add(1)
 	}
 	w.WriteHeader(res.resp.StatusCode)
 	if res.streamPlacement != nil {
