--- a/internal/proxy/daemon.go
+++ b/internal/proxy/daemon.go
@@ -91,7 +91,7 @@
 	}, d.apply)
 	d.subscriber.ReckonBy(func() int { return d.limiter.Settled(d.now()) })
 	if b.RevocationStrict {
-		s.trustFor, s.readIndexAt = b.Revoke.D()-constants.RevokeReserve, d.subscriber.ReadIndexAt
+		s.keyTrustPeriod, s.readIndexAt = b.Revoke.D()-constants.RevokeReserve, d.subscriber.ReadIndexAt
 	}
 	return d
 }
--- a/internal/proxy/proxy.go
+++ b/internal/proxy/proxy.go
@@ -24,23 +24,23 @@
 
 // Proxy is the request path of one proxy.
 type Proxy struct {
-	events        *eventlog.Log
-	began         time.Time
-	config        atomic.Pointer[config.Config]
-	pool          *Pool
-	limiter       *admission.Limiter
-	meter         *usage.Meter // nil where usage is not reported
-	window        func(at time.Time) uint64
-	accounts      *accounts.Meter // nil where tenants have no objectives
-	retryBudget   *RetryBudget
-	requestTokens func(key string, until time.Time) // one question to a key's tracker, answered by then or not
-	shuttingDown  atomic.Bool
-	hedges        atomic.Uint64
-	openRequests  atomic.Int64
-	lag           lagMeter
-	outcomeCounts [len(countNames)]atomic.Uint64
-	trustFor      time.Duration    // how long a key may be trusted unheard; 0: for ever
-	readIndexAt   func() time.Time // when what is in force here was last known to be the newest
+	events         *eventlog.Log
+	began          time.Time
+	config         atomic.Pointer[config.Config]
+	pool           *Pool
+	limiter        *admission.Limiter
+	meter          *usage.Meter // nil where usage is not reported
+	window         func(at time.Time) uint64
+	accounts       *accounts.Meter // nil where tenants have no objectives
+	retryBudget    *RetryBudget
+	requestTokens  func(key string, until time.Time) // one question to a key's tracker, answered by then or not
+	shuttingDown   atomic.Bool
+	hedges         atomic.Uint64
+	openRequests   atomic.Int64
+	lag            lagMeter
+	outcomeCounts  [len(countNames)]atomic.Uint64
+	keyTrustPeriod time.Duration    // how long a key may be trusted unheard; 0: for ever
+	readIndexAt    func() time.Time // when what is in force here was last known to be the newest
 
 	streams     atomic.Int64  // under way
 	streamsCut  atomic.Uint64 // ended by their upstream before their end
@@ -173,7 +173,7 @@
 // admit says whether a tenant's request is admitted by its key and its quota, and
 // refuses it if not.
 func (s *Proxy) admit(w http.ResponseWriter, p *exchange) bool {
-	if s.trustFor > 0 && p.arrived.Sub(s.readIndexAt()) > s.trustFor {
+	if s.keyTrustPeriod > 0 && p.arrived.Sub(s.readIndexAt()) > s.keyTrustPeriod {
 		// The key may have been taken away, and nobody here would know.
 		s.outcomeCounts[countKeyUnsure].Add(1)
 		s.refuse(w, p.request, http.StatusServiceUnavailable, missingConfigRetryAfter(p.arrived, p.request))
--- a/internal/proxy/proxy_test.go
+++ b/internal/proxy/proxy_test.go
@@ -207,7 +207,7 @@
 	u := newRawUpstream(t, func(_ int, r *http.Request) (string, bool) { return ok(r, "x"), false })
 	s := newProxy(t, u.instance("i-1"))
 	known := time.Now()
-	s.trustFor, s.readIndexAt = 4*time.Second, func() time.Time { return known }
+	s.keyTrustPeriod, s.readIndexAt = 4*time.Second, func() time.Time { return known }
 	if w := get(s, "GET", "/safe/x", ""); w.Code != 200 {
 		t.Errorf("a key known to hold: %d", w.Code)
 	}
