--- a/internal/proxy/admin.go
+++ b/internal/proxy/admin.go
@@ -75,7 +75,7 @@
 	for i, n := range countNames {
 		r.Requests[n] = d.outcomeCounts[i].Load()
 	}
-	r.Streams.Open, r.Streams.Cut, r.Streams.Left = d.streams.Load(), d.streamsCut.Load(), d.streamsLeft.Load()
+	r.Streams.Open, r.Streams.Cut, r.Streams.Left = d.streams.Load(), d.streamsCut.Load(), d.streamsAbandoned.Load()
 	if d.meter != nil {
 		r.Usage.Windows, r.Usage.Dropped = d.meter.Held()
 		if to := d.usageHolder.Load(); to != nil {
--- a/internal/proxy/proxy.go
+++ b/internal/proxy/proxy.go
@@ -42,10 +42,10 @@
 	keyTrustPeriod time.Duration    // how long a key may be trusted unheard; 0: for ever
 	readIndexAt    func() time.Time // when what is in force here was last known to be the newest
 
-	streams     atomic.Int64  // under way
-	streamsCut  atomic.Uint64 // ended by their upstream before their end
-	streamsLeft atomic.Uint64 // ended by their client
-	histograms  *histograms
+	streams          atomic.Int64  // under way
+	streamsCut       atomic.Uint64 // ended by their upstream before their end
+	streamsAbandoned atomic.Uint64 // ended by their client
+	histograms       *histograms
 }
 
 // histograms are this proxy's histograms.
--- a/internal/proxy/stream.go
+++ b/internal/proxy/stream.go
@@ -68,7 +68,7 @@
 		s.pool.done(res.streamPlacement, served)
 		return
 	case werr != nil || r.Context().Err() != nil: // its leaving closes the upstream's end
-		s.streamsLeft.Add(1)
+		s.streamsAbandoned.Add(1)
 		s.pool.done(res.streamPlacement, unused)
 	default:
 		s.streamsCut.Add(1)
