--- a/internal/proxy/proxy.go
+++ b/internal/proxy/proxy.go
@@ -50,13 +50,13 @@
 
 // histograms are this proxy's histograms.
 type histograms struct {
-	set                 *metrics.Set
-	firstPieces, pauses *metrics.Histogram
+	set                *metrics.Set
+	firstChunk, pauses *metrics.Histogram
 }
 
 func newHistograms() *histograms {
 	m := &histograms{set: metrics.NewSet()}
-	m.firstPieces = m.set.NewHistogram("slateridge_stream_first_piece_seconds")
+	m.firstChunk = m.set.NewHistogram("slateridge_stream_first_piece_seconds")
 	m.pauses = m.set.NewHistogram("slateridge_stream_pause_seconds")
 	return m
 }
--- a/internal/proxy/stream.go
+++ b/internal/proxy/stream.go
@@ -24,7 +24,7 @@
 	}
 	now := time.Now()
 	p.proxy.pool.began(of, now)
-	p.proxy.histograms.firstPieces.Update(now.Sub(p.arrived).Seconds())
+	p.proxy.histograms.firstChunk.Update(now.Sub(p.arrived).Seconds())
 	if p.proxy.meter != nil && p.tenant != nil {
 		p.proxy.meter.Count(p.proxy.window(now), p.tenant.Name)
 	}
