--- a/internal/proxy/proxy.go
+++ b/internal/proxy/proxy.go
@@ -50,14 +50,14 @@
 
 // histograms are this proxy's histograms.
 type histograms struct {
-	set                *metrics.Set
-	firstChunk, pauses *metrics.Histogram
+	set                       *metrics.Set
+	firstChunk, chunkInterval *metrics.Histogram
 }
 
 func newHistograms() *histograms {
 	m := &histograms{set: metrics.NewSet()}
 	m.firstChunk = m.set.NewHistogram("slateridge_stream_first_piece_seconds")
-	m.pauses = m.set.NewHistogram("slateridge_stream_pause_seconds")
+	m.chunkInterval = m.set.NewHistogram("slateridge_stream_pause_seconds")
 	return m
 }
 
--- a/internal/proxy/stream.go
+++ b/internal/proxy/stream.go
@@ -57,7 +57,7 @@
 		piece = buf[:n]
 		if n > 0 {
 			now := time.Now()
-			s.histograms.pauses.Update(now.Sub(last).Seconds())
+			s.histograms.chunkInterval.Update(now.Sub(last).Seconds())
 			last = now
 		}
 	}
