--- a/internal/proxy/proxy.go
+++ b/internal/proxy/proxy.go
@@ -342,12 +342,12 @@
 	control := http.NewResponseController(w)
 	control.SetWriteDeadline(p.deadline.Add(constants.AnswerWriteGrace))
 	defer control.SetWriteDeadline(time.Time{})
-	p.writeLong(w, res)
+	p.writeLongBody(w, res)
 }
 
-// writeLong writes an answer that may not fit the connection's buffers, and breaks it off
+// writeLongBody writes an answer that may not fit the connection's buffers, and breaks it off
 // where its rest doesn't come or isn't taken.
-func (p *exchange) writeLong(w http.ResponseWriter, res *result) {
+func (p *exchange) writeLongBody(w http.ResponseWriter, res *result) {
 	_, err := w.Write(res.body)
 	if err == nil && res.conn != nil {
 		_, err = io.Copy(w, res.resp.Body)
