--- a/internal/proxy/proxy.go
+++ b/internal/proxy/proxy.go
@@ -164,7 +164,7 @@
 	if cfg.Limits.BodyBytes > 0 && r.ContentLength > cfg.Limits.BodyBytes {
 		return http.StatusRequestEntityTooLarge
 	}
-	if cfg.Limits.HeaderBytes > 0 && headerSize(r) > cfg.Limits.HeaderBytes {
+	if cfg.Limits.HeaderBytes > 0 && requestHeaderSize(r) > cfg.Limits.HeaderBytes {
 		return http.StatusRequestHeaderFieldsTooLarge
 	}
 	return 0
@@ -193,7 +193,7 @@
 	return true
 }
 
-func headerSize(r *http.Request) int {
+func requestHeaderSize(r *http.Request) int {
 	n := len(r.Method) + len(r.RequestURI) + len(r.Host)
 	for k, vs := range r.Header {
 		for _, v := range vs {
