--- a/internal/proxy/answertime.go
+++ b/internal/proxy/answertime.go
@@ -8,8 +8,8 @@
 	"slateridge/internal/constants"
 )
 
-// answerTime knows how long each of the latest answers took, of a service or of one peer.
-type answerTime struct {
+// latencyWindow knows how long each of the latest answers took, of a service or of one peer.
+type latencyWindow struct {
 	recent    []float64 // seconds; a ring once it is full
 	next      int       // the oldest of it, overwritten next
 	middle    float64   // their median, unless stale: many ask for it between two answers
@@ -18,7 +18,7 @@
 }
 
 // learn takes one more answer, which took so many seconds.
-func (a *answerTime) learn(now time.Time, seconds float64) {
+func (a *latencyWindow) learn(now time.Time, seconds float64) {
 	a.learnedAt, a.stale = now, true
 	if len(a.recent) < constants.RecentAnswers {
 		a.recent = append(a.recent, seconds)
@@ -29,11 +29,11 @@
 }
 
 // known says whether there has been any answer.
-func (a *answerTime) known() bool { return len(a.recent) > 0 }
+func (a *latencyWindow) known() bool { return len(a.recent) > 0 }
 
 // usual is what half of the latest answers took no longer than, in seconds; 0 where there
 // has been none.
-func (a *answerTime) usual() float64 {
+func (a *latencyWindow) usual() float64 {
 	if a.stale {
 		a.middle, a.stale = median(slices.Clone(a.recent)), false
 	}
@@ -41,7 +41,7 @@
 }
 
 // work is what the answers tell of the work.
-func (a *answerTime) work() workTime { return workOf(slices.Clone(a.recent), a.learnedAt) }
+func (a *latencyWindow) work() workTime { return workOf(slices.Clone(a.recent), a.learnedAt) }
 
 // workTime is how long the work on a request takes, until its answer or the first piece of
 // its stream: of the latest answers few came within least, half within usual and most within
@@ -86,9 +86,9 @@
 // serviceTimes are those of a service's requests from here. They outlast its upstreams, of
 // which each may be new.
 type serviceTimes struct {
-	answers answerTime // good ones, or the first pieces of streams
-	held    answerTime // for how long requests took a place
-	work    workTime   // as reckoned last
+	answers latencyWindow // good ones, or the first pieces of streams
+	held    latencyWindow // for how long requests took a place
+	work    workTime      // as reckoned last
 	workAt  time.Time
 }
 
--- a/internal/proxy/daemon.go
+++ b/internal/proxy/daemon.go
@@ -48,9 +48,9 @@
 	audit             audit
 	members           *membership.Agent
 	trackerEchoesMu   sync.Mutex
-	trackerEchoes     map[string]trackerEcho // by tracker
-	trackerAnswers    map[string]*answerTime // by tracker; under trackerEchoesMu
-	clock             *clock.Clock           // agreed, as control tells
+	trackerEchoes     map[string]trackerEcho    // by tracker
+	trackerAnswers    map[string]*latencyWindow // by tracker; under trackerEchoesMu
+	clock             *clock.Clock              // agreed, as control tells
 	usageHolder       atomic.Pointer[string]
 	scalingHolder     atomic.Pointer[string]
 	telling           sync.Mutex      // one word on usage at a time
@@ -59,7 +59,7 @@
 
 // NewDaemon builds the process's parts.
 func NewDaemon(set *settings.Settings, path string, events *eventlog.Log) *Daemon {
-	d := &Daemon{path: path, trackerEchoes: map[string]trackerEcho{}, trackerAnswers: map[string]*answerTime{}, source: discovery.NewSource(set.CloudAPI.Address)}
+	d := &Daemon{path: path, trackerEchoes: map[string]trackerEcho{}, trackerAnswers: map[string]*latencyWindow{}, source: discovery.NewSource(set.CloudAPI.Address)}
 	d.set.Store(set)
 	d.settingsChangedAt.Store(d.settingsModTime()) // what changes from now on is read
 	b := set.Bounds
--- a/internal/proxy/grants.go
+++ b/internal/proxy/grants.go
@@ -89,7 +89,7 @@
 	d.trackerEchoesMu.Lock()
 	defer d.trackerEchoesMu.Unlock()
 	if d.trackerAnswers[to] == nil {
-		d.trackerAnswers[to] = &answerTime{}
+		d.trackerAnswers[to] = &latencyWindow{}
 	}
 	d.trackerAnswers[to].learn(time.Now(), (d.now() - asked).Seconds())
 	return grants, nil
--- a/internal/proxy/pool.go
+++ b/internal/proxy/pool.go
@@ -29,7 +29,7 @@
 	wakeAt        map[string]time.Time     // by service, when those that wait are looked after next
 	leaveBy       time.Time                // when this process ends; zero: not known to
 	connCap       func(service string) int // this proxy's share of connections to one upstream
-	connectTime   [3]answerTime            // of new connections, by distance: a round trip
+	connectTime   [3]latencyWindow         // of new connections, by distance: a round trip
 	NewConns      uint64                   // new connections
 	Ejected       uint64
 	Kept          [3]uint64 // streams at their prefix's first upstream, at one of the next, elsewhere
--- a/internal/proxy/timing_test.go
+++ b/internal/proxy/timing_test.go
@@ -28,8 +28,8 @@
 var sameTimePaths = []string{"/a/", "/b/", "/c/"}
 
 // evenAnswers are of a peer that took the same time for each of its latest answers.
-func evenAnswers(took time.Duration) *answerTime {
-	a := &answerTime{}
+func evenAnswers(took time.Duration) *latencyWindow {
+	a := &latencyWindow{}
 	for range constants.RecentAnswers {
 		a.learn(time.Now(), took.Seconds())
 	}
