--- a/internal/proxy/answertime.go
+++ b/internal/proxy/answertime.go
@@ -10,7 +10,7 @@
 
 // latencyWindow knows how long each of the latest answers took, of a service or of one peer.
 type latencyWindow struct {
-	recent    []float64 // seconds; a ring once it is full
+	samples   []float64 // seconds; a ring once it is full
 	next      int       // the oldest of it, overwritten next
 	middle    float64   // their median, unless stale: many ask for it between two answers
 	stale     bool
@@ -20,28 +20,28 @@
 // learn takes one more answer, which took so many seconds.
 func (a *latencyWindow) learn(now time.Time, seconds float64) {
 	a.learnedAt, a.stale = now, true
-	if len(a.recent) < constants.RecentAnswers {
-		a.recent = append(a.recent, seconds)
+	if len(a.samples) < constants.RecentAnswers {
+		a.samples = append(a.samples, seconds)
 		return
 	}
-	a.recent[a.next] = seconds
-	a.next = (a.next + 1) % len(a.recent)
+	a.samples[a.next] = seconds
+	a.next = (a.next + 1) % len(a.samples)
 }
 
 // known says whether there has been any answer.
-func (a *latencyWindow) known() bool { return len(a.recent) > 0 }
+func (a *latencyWindow) known() bool { return len(a.samples) > 0 }
 
 // usual is what half of the latest answers took no longer than, in seconds; 0 where there
 // has been none.
 func (a *latencyWindow) usual() float64 {
 	if a.stale {
-		a.middle, a.stale = median(slices.Clone(a.recent)), false
+		a.middle, a.stale = median(slices.Clone(a.samples)), false
 	}
 	return a.middle
 }
 
 // work is what the answers tell of the work.
-func (a *latencyWindow) work() workTime { return workOf(slices.Clone(a.recent), a.learnedAt) }
+func (a *latencyWindow) work() workTime { return workOf(slices.Clone(a.samples), a.learnedAt) }
 
 // workTime is how long the work on a request takes, until its answer or the first piece of
 // its stream: of the latest answers few came within least, half within usual and most within
