--- a/internal/proxy/answertime.go
+++ b/internal/proxy/answertime.go
@@ -10,11 +10,11 @@
 
 // latencyWindow knows how long each of the latest answers took, of a service or of one peer.
 type latencyWindow struct {
-	samples   []float64 // seconds; a ring once it is full
-	next      int       // the oldest of it, overwritten next
-	middle    float64   // their median, unless stale: many ask for it between two answers
-	stale     bool
-	learnedAt time.Time // when the latest answer came; zero: none has
+	samples      []float64 // seconds; a ring once it is full
+	next         int       // the oldest of it, overwritten next
+	cachedMedian float64   // their median, unless stale: many ask for it between two answers
+	stale        bool
+	learnedAt    time.Time // when the latest answer came; zero: none has
 }
 
 // learn takes one more answer, which took so many seconds.
@@ -35,9 +35,9 @@
 // has been none.
 func (a *latencyWindow) usual() float64 {
 	if a.stale {
-		a.middle, a.stale = median(slices.Clone(a.samples)), false
+		a.cachedMedian, a.stale = median(slices.Clone(a.samples)), false
 	}
-	return a.middle
+	return a.cachedMedian
 }
 
 // work is what the answers tell of the work.
