--- a/internal/proxy/answertime.go
+++ b/internal/proxy/answertime.go
@@ -13,13 +13,13 @@
 	samples      []float64 // seconds; a ring once it is full
 	next         int       // the oldest of it, overwritten next
 	cachedMedian float64   // their median, unless stale: many ask for it between two answers
-	stale        bool
+	medianStale  bool
 	learnedAt    time.Time // when the latest answer came; zero: none has
 }
 
 // learn takes one more answer, which took so many seconds.
 func (a *latencyWindow) learn(now time.Time, seconds float64) {
-	a.learnedAt, a.stale = now, true
+	a.learnedAt, a.medianStale = now, true
 	if len(a.samples) < constants.RecentAnswers {
 		a.samples = append(a.samples, seconds)
 		return
@@ -34,8 +34,8 @@
 // usual is what half of the latest answers took no longer than, in seconds; 0 where there
 // has been none.
 func (a *latencyWindow) usual() float64 {
-	if a.stale {
-		a.cachedMedian, a.stale = median(slices.Clone(a.samples)), false
+	if a.medianStale {
+		a.cachedMedian, a.medianStale = median(slices.Clone(a.samples)), false
 	}
 	return a.cachedMedian
 }
