--- a/internal/proxy/answertime.go
+++ b/internal/proxy/answertime.go
@@ -14,12 +14,12 @@
 	next         int       // the oldest of it, overwritten next
 	cachedMedian float64   // their median, unless stale: many ask for it between two answers
 	medianStale  bool
-	learnedAt    time.Time // when the latest answer came; zero: none has
+	updatedAt    time.Time // when the latest answer came; zero: none has
 }
 
 // learn takes one more answer, which took so many seconds.
 func (a *latencyWindow) learn(now time.Time, seconds float64) {
-	a.learnedAt, a.medianStale = now, true
+	a.updatedAt, a.medianStale = now, true
 	if len(a.samples) < constants.RecentAnswers {
 		a.samples = append(a.samples, seconds)
 		return
@@ -41,7 +41,7 @@
 }
 
 // work is what the answers tell of the work.
-func (a *latencyWindow) work() workTime { return workOf(slices.Clone(a.samples), a.learnedAt) }
+func (a *latencyWindow) work() workTime { return workOf(slices.Clone(a.samples), a.updatedAt) }
 
 // workTime is how long the work on a request takes, until its answer or the first piece of
 // its stream: of the latest answers few came within least, half within usual and most within
