--- a/internal/proxy/answertime.go
+++ b/internal/proxy/answertime.go
@@ -17,8 +17,8 @@
 	updatedAt    time.Time // when the latest answer came; zero: none has
 }
 
-// learn takes one more answer, which took so many seconds.
-func (a *latencyWindow) learn(now time.Time, seconds float64) {
+// observe takes one more answer, which took so many seconds.
+func (a *latencyWindow) observe(now time.Time, seconds float64) {
 	a.updatedAt, a.medianStale = now, true
 	if len(a.samples) < constants.RecentAnswers {
 		a.samples = append(a.samples, seconds)
@@ -97,7 +97,7 @@
 	if !t.answers.known() {
 		t.workAt = time.Time{} // the first answer is known at once
 	}
-	t.answers.learn(now, took)
+	t.answers.observe(now, took)
 }
 
 // timesLocked are the times of a service.
--- a/internal/proxy/connections.go
+++ b/internal/proxy/connections.go
@@ -51,7 +51,7 @@
 		return nil, false, err
 	}
 	connected := time.Now()
-	pool.connectTime[u.distance].learn(connected, connected.Sub(began).Seconds())
+	pool.connectTime[u.distance].observe(connected, connected.Sub(began).Seconds())
 	return newUpstreamConn(u, c), false, nil
 }
 
--- a/internal/proxy/grants.go
+++ b/internal/proxy/grants.go
@@ -91,7 +91,7 @@
 	if d.trackerAnswers[to] == nil {
 		d.trackerAnswers[to] = &latencyWindow{}
 	}
-	d.trackerAnswers[to].learn(time.Now(), (d.now() - asked).Seconds())
+	d.trackerAnswers[to].observe(time.Now(), (d.now() - asked).Seconds())
 	return grants, nil
 }
 
--- a/internal/proxy/timing_test.go
+++ b/internal/proxy/timing_test.go
@@ -31,7 +31,7 @@
 func evenAnswers(took time.Duration) *latencyWindow {
 	a := &latencyWindow{}
 	for range constants.RecentAnswers {
-		a.learn(time.Now(), took.Seconds())
+		a.observe(time.Now(), took.Seconds())
 	}
 	return a
 }
@@ -328,7 +328,7 @@
 // than most of the work takes, and do not put the second upstream off.
 func TestFewStuckAnswersAreNotTheWork(t *testing.T) {
 	s := timedProxy(t, 5*time.Millisecond, quick(t))
-	s.pool.times["svc"].answers.learn(time.Now(), 2)
+	s.pool.times["svc"].answers.observe(time.Now(), 2)
 	work := s.pool.workTime("svc")
 	if work.likely > 10*time.Millisecond || work.unusual() > 30*time.Millisecond {
 		t.Errorf("many answers of 5 ms and one of 2 s: likely %v, unusual %v", work.likely, work.unusual())
