--- a/internal/proxy/answertime.go
+++ b/internal/proxy/answertime.go
@@ -28,8 +28,8 @@
 	a.next = (a.next + 1) % len(a.samples)
 }
 
-// known says whether there has been any answer.
-func (a *latencyWindow) known() bool { return len(a.samples) > 0 }
+// hasSamples says whether there has been any answer.
+func (a *latencyWindow) hasSamples() bool { return len(a.samples) > 0 }
 
 // usual is what half of the latest answers took no longer than, in seconds; 0 where there
 // has been none.
@@ -94,7 +94,7 @@
 
 // answered takes a good answer, or the first piece of a stream, after so many seconds.
 func (t *serviceTimes) answered(now time.Time, took float64) {
-	if !t.answers.known() {
+	if !t.answers.hasSamples() {
 		t.workAt = time.Time{} // the first answer is known at once
 	}
 	t.answers.observe(now, took)
--- a/internal/proxy/waiting.go
+++ b/internal/proxy/waiting.go
@@ -129,7 +129,7 @@
 		return 0
 	}
 	held := pool.workTimeLocked(group.service, now).usual
-	if times := pool.timesLocked(group.service); times.held.known() {
+	if times := pool.timesLocked(group.service); times.held.hasSamples() {
 		held = seconds(times.held.usual())
 	}
 	return held / time.Duration(active)
