--- a/internal/proxy/answertime.go
+++ b/internal/proxy/answertime.go
@@ -31,9 +31,9 @@
 // hasSamples says whether there has been any answer.
 func (a *latencyWindow) hasSamples() bool { return len(a.samples) > 0 }
 
-// usual is what half of the latest answers took no longer than, in seconds; 0 where there
+// median is what half of the latest answers took no longer than, in seconds; 0 where there
 // has been none.
-func (a *latencyWindow) usual() float64 {
+func (a *latencyWindow) median() float64 {
 	if a.medianStale {
 		a.cachedMedian, a.medianStale = median(slices.Clone(a.samples)), false
 	}
--- a/internal/proxy/choice.go
+++ b/internal/proxy/choice.go
@@ -175,7 +175,7 @@
 		cost *= 1 + (u.load-1)*(1-age.Seconds()/constants.LoadFresh.Seconds())
 	}
 	cost += float64(u.distance) * c.spread
-	roundTrip := u.pool.connectTime[u.distance].usual()
+	roundTrip := u.pool.connectTime[u.distance].median()
 	if u.distance > 0 && u.answers == 0 {
 		cost += roundTrip // of those asked before it is in the delay
 	}
--- a/internal/proxy/waiting.go
+++ b/internal/proxy/waiting.go
@@ -130,7 +130,7 @@
 	}
 	held := pool.workTimeLocked(group.service, now).usual
 	if times := pool.timesLocked(group.service); times.held.hasSamples() {
-		held = seconds(times.held.usual())
+		held = seconds(times.held.median())
 	}
 	return held / time.Duration(active)
 }
