--- a/internal/proxy/answertime.go
+++ b/internal/proxy/answertime.go
@@ -40,8 +40,8 @@
 	return a.cachedMedian
 }
 
-// work is what the answers tell of the work.
-func (a *latencyWindow) work() workTime { return workOf(slices.Clone(a.samples), a.updatedAt) }
+// estimate is what the answers tell of the estimate.
+func (a *latencyWindow) estimate() workTime { return workOf(slices.Clone(a.samples), a.updatedAt) }
 
 // workTime is how long the work on a request takes, until its answer or the first piece of
 // its stream: of the latest answers few came within least, half within usual and most within
@@ -121,7 +121,7 @@
 func (pool *Pool) workTimeLocked(service string, now time.Time) workTime {
 	times := pool.timesLocked(service)
 	if now.Sub(times.workAt) >= constants.WorkTimeEvery {
-		times.workAt, times.work = now, times.answers.work()
+		times.workAt, times.work = now, times.answers.estimate()
 	}
 	return times.work
 }
--- a/internal/proxy/grants.go
+++ b/internal/proxy/grants.go
@@ -103,7 +103,7 @@
 	defer d.trackerEchoesMu.Unlock()
 	usual := unknownWork
 	if answers := d.trackerAnswers[to]; answers != nil {
-		usual = answers.work()
+		usual = answers.estimate()
 	}
 	return max(constants.TrackerBusy, usual.unusual())
 }
