--- a/internal/proxy/answertime.go
+++ b/internal/proxy/answertime.go
@@ -41,21 +41,23 @@
 }
 
 // estimate is what the answers tell of the estimate.
-func (a *latencyWindow) estimate() workTime { return workOf(slices.Clone(a.samples), a.updatedAt) }
+func (a *latencyWindow) estimate() latencyEstimate {
+	return workOf(slices.Clone(a.samples), a.updatedAt)
+}
 
-// workTime is how long the work on a request takes, until its answer or the first piece of
+// latencyEstimate is how long the work on a request takes, until its answer or the first piece of
 // its stream: of the latest answers few came within least, half within usual and most within
 // likely. What a few took that were stuck does not count.
-type workTime struct {
+type latencyEstimate struct {
 	least, usual, likely time.Duration
 	learnedAt            time.Time // when the latest answer came; zero: none has
 }
 
 // unknownWork is assumed until the first answer.
-var unknownWork = workTime{usual: constants.FirstDelay, likely: 2 * constants.FirstDelay}
+var unknownWork = latencyEstimate{usual: constants.FirstDelay, likely: 2 * constants.FirstDelay}
 
 // workOf is what answers tell that took so many seconds each; it sorts them.
-func workOf(answers []float64, learnedAt time.Time) workTime {
+func workOf(answers []float64, learnedAt time.Time) latencyEstimate {
 	if len(answers) == 0 {
 		return unknownWork
 	}
@@ -63,32 +65,32 @@
 	at := func(part float64) time.Duration {
 		return seconds(answers[int(math.Round(part*float64(len(answers)-1)))])
 	}
-	return workTime{least: at(1 - constants.LikelyPart), usual: at(0.5), likely: at(constants.LikelyPart), learnedAt: learnedAt}
+	return latencyEstimate{least: at(1 - constants.LikelyPart), usual: at(0.5), likely: at(constants.LikelyPart), learnedAt: learnedAt}
 }
 
 // leastNow is the time in which hardly any answer comes. What was learned long ago rules
 // nothing out: were it to, nobody would be sent who could show that it is wrong.
-func (w workTime) leastNow(now time.Time) time.Duration {
+func (w latencyEstimate) leastNow(now time.Time) time.Duration {
 	age := now.Sub(w.learnedAt).Seconds() / constants.DelayFade.Seconds()
 	return time.Duration(float64(w.least) * math.Exp(-age))
 }
 
 // unusual is a silence that is out of the ordinary, for answers as even or uneven as these.
-func (w workTime) unusual() time.Duration {
+func (w latencyEstimate) unusual() time.Duration {
 	return max(constants.UnusualUsual*w.usual, constants.UnusualLikely*w.likely)
 }
 
 // spread is by how much answers usually vary.
-func (w workTime) spread() time.Duration { return w.likely - w.usual }
+func (w latencyEstimate) spread() time.Duration { return w.likely - w.usual }
 
 func seconds(s float64) time.Duration { return time.Duration(s * float64(time.Second)) }
 
 // serviceTimes are those of a service's requests from here. They outlast its upstreams, of
 // which each may be new.
 type serviceTimes struct {
-	answers latencyWindow // good ones, or the first pieces of streams
-	held    latencyWindow // for how long requests took a place
-	work    workTime      // as reckoned last
+	answers latencyWindow   // good ones, or the first pieces of streams
+	held    latencyWindow   // for how long requests took a place
+	work    latencyEstimate // as reckoned last
 	workAt  time.Time
 }
 
@@ -111,14 +113,14 @@
 }
 
 // workTime is how long the work of a service takes.
-func (pool *Pool) workTime(service string) workTime {
+func (pool *Pool) workTime(service string) latencyEstimate {
 	pool.mu.Lock()
 	defer pool.mu.Unlock()
 	return pool.workTimeLocked(service, time.Now())
 }
 
 // workTimeLocked is reckoned anew every so often, not for each request.
-func (pool *Pool) workTimeLocked(service string, now time.Time) workTime {
+func (pool *Pool) workTimeLocked(service string, now time.Time) latencyEstimate {
 	times := pool.timesLocked(service)
 	if now.Sub(times.workAt) >= constants.WorkTimeEvery {
 		times.workAt, times.work = now, times.answers.estimate()
--- a/internal/proxy/timing.go
+++ b/internal/proxy/timing.go
@@ -14,7 +14,7 @@
 type timing struct {
 	responseDeadline time.Time // the answer, or a stream's first piece, is of use until then
 	callerDeadline   time.Time // the caller tries again elsewhere until then
-	latency          workTime
+	latency          latencyEstimate
 }
 
 // timing is that of this request, as of now.
