--- a/internal/proxy/answertime.go
+++ b/internal/proxy/answertime.go
@@ -68,9 +68,9 @@
 	return latencyEstimate{least: at(1 - constants.LikelyPart), usual: at(0.5), likely: at(constants.LikelyPart), learnedAt: learnedAt}
 }
 
-// leastNow is the time in which hardly any answer comes. What was learned long ago rules
+// decayedLow is the time in which hardly any answer comes. What was learned long ago rules
 // nothing out: were it to, nobody would be sent who could show that it is wrong.
-func (w latencyEstimate) leastNow(now time.Time) time.Duration {
+func (w latencyEstimate) decayedLow(now time.Time) time.Duration {
 	age := now.Sub(w.learnedAt).Seconds() / constants.DelayFade.Seconds()
 	return time.Duration(float64(w.least) * math.Exp(-age))
 }
--- a/internal/proxy/timing.go
+++ b/internal/proxy/timing.go
@@ -55,7 +55,7 @@
 // a promise that it has not run could not be given any more.
 func (t timing) tooLate(now time.Time) bool {
 	left := t.responseDeadline.Sub(now)
-	return left <= constants.AnswerReturn || left < t.latency.leastNow(now)
+	return left <= constants.AnswerReturn || left < t.latency.decayedLow(now)
 }
 
 // connectDeadline is until when a connection to one upstream is waited for: until another can still
