--- a/internal/proxy/answertime.go
+++ b/internal/proxy/answertime.go
@@ -85,9 +85,9 @@
 
 func seconds(s float64) time.Duration { return time.Duration(s * float64(time.Second)) }
 
-// serviceTimes are those of a service's requests from here. They outlast its upstreams, of
+// serviceLatency are those of a service's requests from here. They outlast its upstreams, of
 // which each may be new.
-type serviceTimes struct {
+type serviceLatency struct {
 	answers latencyWindow   // good ones, or the first pieces of streams
 	held    latencyWindow   // for how long requests took a place
 	work    latencyEstimate // as reckoned last
@@ -95,7 +95,7 @@
 }
 
 // answered takes a good answer, or the first piece of a stream, after so many seconds.
-func (t *serviceTimes) answered(now time.Time, took float64) {
+func (t *serviceLatency) answered(now time.Time, took float64) {
 	if !t.answers.hasSamples() {
 		t.workAt = time.Time{} // the first answer is known at once
 	}
@@ -103,10 +103,10 @@
 }
 
 // timesLocked are the times of a service.
-func (pool *Pool) timesLocked(service string) *serviceTimes {
+func (pool *Pool) timesLocked(service string) *serviceLatency {
 	times := pool.times[service]
 	if times == nil {
-		times = &serviceTimes{}
+		times = &serviceLatency{}
 		pool.times[service] = times
 	}
 	return times
--- a/internal/proxy/pool.go
+++ b/internal/proxy/pool.go
@@ -23,14 +23,14 @@
 	cold          func(service string) ColdBound
 	proxies       int // live count
 	self          string
-	times         map[string]*serviceTimes // by service
-	waiting       map[string][]*waiter     // by service, the most urgent first
-	queued        uint64                   // how many ever waited: the order in which they came
-	wakeAt        map[string]time.Time     // by service, when those that wait are looked after next
-	leaveBy       time.Time                // when this process ends; zero: not known to
-	connCap       func(service string) int // this proxy's share of connections to one upstream
-	connectTime   [3]latencyWindow         // of new connections, by distance: a round trip
-	NewConns      uint64                   // new connections
+	times         map[string]*serviceLatency // by service
+	waiting       map[string][]*waiter       // by service, the most urgent first
+	queued        uint64                     // how many ever waited: the order in which they came
+	wakeAt        map[string]time.Time       // by service, when those that wait are looked after next
+	leaveBy       time.Time                  // when this process ends; zero: not known to
+	connCap       func(service string) int   // this proxy's share of connections to one upstream
+	connectTime   [3]latencyWindow           // of new connections, by distance: a round trip
+	NewConns      uint64                     // new connections
 	Ejected       uint64
 	Kept          [3]uint64 // streams at their prefix's first upstream, at one of the next, elsewhere
 	Waited        uint64
@@ -65,7 +65,7 @@
 		candidateSets: map[target]*candidateSet{},
 		evacuated:     map[string]bool{},
 		waiting:       map[string][]*waiter{},
-		times:         map[string]*serviceTimes{},
+		times:         map[string]*serviceLatency{},
 		wakeAt:        map[string]time.Time{},
 		dialer:        net.Dialer{Timeout: constants.ConnectTimeout, KeepAlive: -1},
 	}
--- a/internal/proxy/timing_test.go
+++ b/internal/proxy/timing_test.go
@@ -48,7 +48,7 @@
 	for _, u := range s.pool.upstreams {
 		u.delay, u.delayAt = usual.Seconds(), time.Now()
 	}
-	s.pool.times["svc"] = &serviceTimes{answers: *evenAnswers(usual), held: *evenAnswers(usual)}
+	s.pool.times["svc"] = &serviceLatency{answers: *evenAnswers(usual), held: *evenAnswers(usual)}
 	s.pool.mu.Unlock()
 	for range 1000 {
 		s.retryBudget.Request(s.now(), "svc")
@@ -382,7 +382,7 @@
 			u.answers = 1
 		}
 		work := latencyEstimate{usual: c.near, likely: c.near + 2*c.spread, learnedAt: now}
-		s.pool.times["svc"] = &serviceTimes{work: work, workAt: now.Add(time.Minute)}
+		s.pool.times["svc"] = &serviceLatency{work: work, workAt: now.Add(time.Minute)}
 		if of := s.pool.Place(target{service: "svc", homes: anywhere}, nil); (of.upstream.instance.ID == "far") != c.goesFar {
 			t.Errorf("%+v, usually %v: %s was asked", c, work.usual, of.upstream.instance.ID)
 		}
