--- a/internal/proxy/choice.go
+++ b/internal/proxy/choice.go
@@ -117,7 +117,7 @@
 		if !u.eligible(c) {
 			continue
 		}
-		delay := u.expect(c.now, c.usual)
+		delay := u.expectedDelay(c.now, c.usual)
 		oldest := u.oldestActive(c.now)
 		if len(u.active) >= u.activeLimit(delay, oldest, c.usual) {
 			continue
--- a/internal/proxy/delay.go
+++ b/internal/proxy/delay.go
@@ -7,9 +7,9 @@
 	"slateridge/internal/constants"
 )
 
-// expect is the delay to expect of an upstream: what was learned, fading
+// expectedDelay is the delay to expectedDelay of an upstream: what was learned, fading
 // toward the service's usual as it ages.
-func (u *Upstream) expect(now time.Time, usual float64) float64 {
+func (u *Upstream) expectedDelay(now time.Time, usual float64) float64 {
 	if u.delay == 0 {
 		return usual
 	}
--- a/internal/proxy/ejection.go
+++ b/internal/proxy/ejection.go
@@ -62,7 +62,7 @@
 		if u.delay == 0 {
 			u.delay = s
 		} else {
-			u.delay = u.expect(now, usual())
+			u.delay = u.expectedDelay(now, usual())
 			u.delay += constants.DelayWeight * (s - u.delay)
 		}
 		u.delayAt = now
@@ -89,7 +89,7 @@
 	case cancelled:
 		pool.Cancelled++
 		// No failure; but an answer would have taken longer still.
-		if took > u.expect(now, usual()) {
+		if took > u.expectedDelay(now, usual()) {
 			learn(took)
 		}
 	case broken, silent:
