--- a/internal/proxy/choice.go
+++ b/internal/proxy/choice.go
@@ -80,7 +80,7 @@
 	c := choice{
 		skip:   skip,
 		now:    now,
-		usual:  usualDelay(set.preferred),
+		usual:  medianDelay(set.preferred),
 		spread: pool.workTimeLocked(w.service, now).spread().Seconds(),
 		cold:   pool.cold(w.service),
 	}
--- a/internal/proxy/delay.go
+++ b/internal/proxy/delay.go
@@ -17,9 +17,9 @@
 	return usual + (u.delay-usual)*fade
 }
 
-// usualDelay is the median delay of some upstreams, in seconds: one that is stuck does not
+// medianDelay is the median delay of some upstreams, in seconds: one that is stuck does not
 // make the others look quick, however long the service's work takes.
-func usualDelay(upstreams []*Upstream) float64 {
+func medianDelay(upstreams []*Upstream) float64 {
 	delays := make([]float64, 0, len(upstreams))
 	for _, u := range upstreams {
 		if u.delay > 0 {
--- a/internal/proxy/ejection.go
+++ b/internal/proxy/ejection.go
@@ -56,7 +56,7 @@
 		took = p.first
 	}
 	usual := func() float64 {
-		return usualDelay(pool.candidates(target{service: u.instance.Service, homes: anywhere}).preferred)
+		return medianDelay(pool.candidates(target{service: u.instance.Service, homes: anywhere}).preferred)
 	}
 	learn := func(s float64) {
 		if u.delay == 0 {
