--- a/internal/proxy/lag.go
+++ b/internal/proxy/lag.go
@@ -7,17 +7,17 @@
 	"slateridge/internal/constants"
 )
 
-// lagMeter tells when this process runs late: it stood still, or has more to do than its
-// processor allows. What it reads then may have waited for long. A lagMeter without beats
+// lagDetector tells when this process runs late: it stood still, or has more to do than its
+// processor allows. What it reads then may have waited for long. A lagDetector without beats
 // says that it does.
-type lagMeter struct {
+type lagDetector struct {
 	began     time.Time
 	lastBeat  atomic.Int64 // nanoseconds since began; 0 before the first
 	lateUntil atomic.Int64 // likewise: what came during a lag has been read by then
 }
 
 // beat is to be called each StepEvery.
-func (m *lagMeter) beat(now time.Time) {
+func (m *lagDetector) beat(now time.Time) {
 	at := int64(now.Sub(m.began))
 	if last := m.lastBeat.Swap(at); at-last > int64(constants.LagLong) {
 		m.lateUntil.Store(at + int64(constants.LagMemory))
@@ -25,7 +25,7 @@
 }
 
 // late says whether the process runs late, or did so shortly before.
-func (m *lagMeter) late(now time.Time) bool {
+func (m *lagDetector) late(now time.Time) bool {
 	at, last := int64(now.Sub(m.began)), m.lastBeat.Load()
 	return last == 0 || at-last > int64(constants.LagLong) || at < m.lateUntil.Load()
 }
--- a/internal/proxy/proxy.go
+++ b/internal/proxy/proxy.go
@@ -37,7 +37,7 @@
 	shuttingDown   atomic.Bool
 	hedges         atomic.Uint64
 	openRequests   atomic.Int64
-	lag            lagMeter
+	lag            lagDetector
 	outcomeCounts  [len(countNames)]atomic.Uint64
 	keyTrustPeriod time.Duration    // how long a key may be trusted unheard; 0: for ever
 	readIndexAt    func() time.Time // when what is in force here was last known to be the newest
