--- a/internal/proxy/lag_test.go
+++ b/internal/proxy/lag_test.go
@@ -12,7 +12,7 @@
 func TestLagIsNoticed(t *testing.T) {
 	const step = constants.StepEvery
 	began := time.Now()
-	m := &lagDetector{began: began}
+	m := &lagDetector{startedAt: began}
 	if !m.late(began.Add(step)) {
 		t.Error("not late without a beat")
 	}
