--- a/internal/proxy/lag.go
+++ b/internal/proxy/lag.go
@@ -12,20 +12,20 @@
 // says that it does.
 type lagDetector struct {
 	startedAt time.Time
-	lastBeat  atomic.Int64 // nanoseconds since began; 0 before the first
+	lastTick  atomic.Int64 // nanoseconds since began; 0 before the first
 	lateUntil atomic.Int64 // likewise: what came during a lag has been read by then
 }
 
 // beat is to be called each StepEvery.
 func (m *lagDetector) beat(now time.Time) {
 	at := int64(now.Sub(m.startedAt))
-	if last := m.lastBeat.Swap(at); at-last > int64(constants.LagLong) {
+	if last := m.lastTick.Swap(at); at-last > int64(constants.LagLong) {
 		m.lateUntil.Store(at + int64(constants.LagMemory))
 	}
 }
 
 // late says whether the process runs late, or did so shortly before.
 func (m *lagDetector) late(now time.Time) bool {
-	at, last := int64(now.Sub(m.startedAt)), m.lastBeat.Load()
+	at, last := int64(now.Sub(m.startedAt)), m.lastTick.Load()
 	return last == 0 || at-last > int64(constants.LagLong) || at < m.lateUntil.Load()
 }
