--- a/internal/proxy/lag.go
+++ b/internal/proxy/lag.go
@@ -11,21 +11,21 @@
 // processor allows. What it reads then may have waited for long. A lagDetector without beats
 // says that it does.
 type lagDetector struct {
-	startedAt time.Time
-	lastTick  atomic.Int64 // nanoseconds since began; 0 before the first
-	lateUntil atomic.Int64 // likewise: what came during a lag has been read by then
+	startedAt    time.Time
+	lastTick     atomic.Int64 // nanoseconds since began; 0 before the first
+	laggingUntil atomic.Int64 // likewise: what came during a lag has been read by then
 }
 
 // beat is to be called each StepEvery.
 func (m *lagDetector) beat(now time.Time) {
 	at := int64(now.Sub(m.startedAt))
 	if last := m.lastTick.Swap(at); at-last > int64(constants.LagLong) {
-		m.lateUntil.Store(at + int64(constants.LagMemory))
+		m.laggingUntil.Store(at + int64(constants.LagMemory))
 	}
 }
 
 // late says whether the process runs late, or did so shortly before.
 func (m *lagDetector) late(now time.Time) bool {
 	at, last := int64(now.Sub(m.startedAt)), m.lastTick.Load()
-	return last == 0 || at-last > int64(constants.LagLong) || at < m.lateUntil.Load()
+	return last == 0 || at-last > int64(constants.LagLong) || at < m.laggingUntil.Load()
 }
