--- a/internal/proxy/disconnect_test.go
+++ b/internal/proxy/disconnect_test.go
@@ -547,7 +547,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	d.lag.beat(time.Now()) // the last one before it stands still
+	d.lag.tick(time.Now()) // the last one before it stands still
 	late := newFrontend(listener, d.Proxy, func() config.Limits { return config.Limits{} }, time.Second)
 	t.Cleanup(late.close)
 	for i := range 30 {
--- a/internal/proxy/lag.go
+++ b/internal/proxy/lag.go
@@ -16,8 +16,8 @@
 	laggingUntil atomic.Int64 // likewise: what came during a lag has been read by then
 }
 
-// beat is to be called each StepEvery.
-func (m *lagDetector) beat(now time.Time) {
+// tick is to be called each StepEvery.
+func (m *lagDetector) tick(now time.Time) {
 	at := int64(now.Sub(m.startedAt))
 	if last := m.lastTick.Swap(at); at-last > int64(constants.LagLong) {
 		m.laggingUntil.Store(at + int64(constants.LagMemory))
--- a/internal/proxy/lag_test.go
+++ b/internal/proxy/lag_test.go
@@ -17,10 +17,10 @@
 		t.Error("not late without a beat")
 	}
 	at := began.Add(10 * time.Second)
-	m.beat(at)
+	m.tick(at)
 	for range 20 {
 		at = at.Add(step)
-		m.beat(at)
+		m.tick(at)
 	}
 	if m.late(at.Add(step)) {
 		t.Error("late with regular beats")
@@ -29,12 +29,12 @@
 	if !m.late(woken) {
 		t.Error("a standstill isn't noticed before the next beat")
 	}
-	m.beat(woken)
+	m.tick(woken)
 	if !m.late(woken.Add(step)) {
 		t.Error("a standstill is forgotten with the next beat")
 	}
 	for at = woken; at.Before(woken.Add(constants.LagMemory)); at = at.Add(step) {
-		m.beat(at)
+		m.tick(at)
 	}
 	if m.late(at.Add(step)) {
 		t.Error("late for ever")
--- a/internal/proxy/lists.go
+++ b/internal/proxy/lists.go
@@ -13,7 +13,7 @@
 // when no control machine in contact has spoken for long.
 func (d *Daemon) step() {
 	now := time.Now()
-	d.lag.beat(now)
+	d.lag.tick(now)
 	d.subscriber.Step(now, d.ready.Load() && !d.shuttingDown.Load())
 	st := d.subscriber.State(now)
 	if !d.ready.Load() && d.config.Load() != nil && d.haveList.Load() && st.ListAge < constants.UpdateCurrent && st.Current < constants.UpdateCurrent {
