--- a/internal/proxy/lag.go
+++ b/internal/proxy/lag.go
@@ -24,8 +24,8 @@
 	}
 }
 
-// late says whether the process runs late, or did so shortly before.
-func (m *lagDetector) late(now time.Time) bool {
+// lagging says whether the process runs lagging, or did so shortly before.
+func (m *lagDetector) lagging(now time.Time) bool {
 	at, last := int64(now.Sub(m.startedAt)), m.lastTick.Load()
 	return last == 0 || at-last > int64(constants.LagLong) || at < m.laggingUntil.Load()
 }
--- a/internal/proxy/lag_test.go
+++ b/internal/proxy/lag_test.go
@@ -13,7 +13,7 @@
 	const step = constants.StepEvery
 	began := time.Now()
 	m := &lagDetector{startedAt: began}
-	if !m.late(began.Add(step)) {
+	if !m.lagging(began.Add(step)) {
 		t.Error("not late without a beat")
 	}
 	at := began.Add(10 * time.Second)
@@ -22,21 +22,21 @@
 		at = at.Add(step)
 		m.tick(at)
 	}
-	if m.late(at.Add(step)) {
+	if m.lagging(at.Add(step)) {
 		t.Error("late with regular beats")
 	}
 	woken := at.Add(3 * time.Second)
-	if !m.late(woken) {
+	if !m.lagging(woken) {
 		t.Error("a standstill isn't noticed before the next beat")
 	}
 	m.tick(woken)
-	if !m.late(woken.Add(step)) {
+	if !m.lagging(woken.Add(step)) {
 		t.Error("a standstill is forgotten with the next beat")
 	}
 	for at = woken; at.Before(woken.Add(constants.LagMemory)); at = at.Add(step) {
 		m.tick(at)
 	}
-	if m.late(at.Add(step)) {
+	if m.lagging(at.Add(step)) {
 		t.Error("late for ever")
 	}
 }
