--- a/internal/proxy/answertime.go
+++ b/internal/proxy/answertime.go
@@ -49,8 +49,8 @@
 // its stream: of the latest answers few came within least, half within usual and most within
 // likely. What a few took that were stuck does not count.
 type latencyEstimate struct {
-	least, usual, likely time.Duration
-	learnedAt            time.Time // when the latest answer came; zero: none has
+	low, usual, likely time.Duration
+	learnedAt          time.Time // when the latest answer came; zero: none has
 }
 
 // unknownWork is assumed until the first answer.
@@ -65,14 +65,14 @@
 	at := func(part float64) time.Duration {
 		return seconds(answers[int(math.Round(part*float64(len(answers)-1)))])
 	}
-	return latencyEstimate{least: at(1 - constants.LikelyPart), usual: at(0.5), likely: at(constants.LikelyPart), learnedAt: learnedAt}
+	return latencyEstimate{low: at(1 - constants.LikelyPart), usual: at(0.5), likely: at(constants.LikelyPart), learnedAt: learnedAt}
 }
 
 // decayedLow is the time in which hardly any answer comes. What was learned long ago rules
 // nothing out: were it to, nobody would be sent who could show that it is wrong.
 func (w latencyEstimate) decayedLow(now time.Time) time.Duration {
 	age := now.Sub(w.learnedAt).Seconds() / constants.DelayFade.Seconds()
-	return time.Duration(float64(w.least) * math.Exp(-age))
+	return time.Duration(float64(w.low) * math.Exp(-age))
 }
 
 // unusual is a silence that is out of the ordinary, for answers as even or uneven as these.
--- a/internal/proxy/timing_test.go
+++ b/internal/proxy/timing_test.go
@@ -347,7 +347,7 @@
 // the work has become shorter.
 func TestOldKnowledgeRefusesNobody(t *testing.T) {
 	now := time.Now()
-	work := latencyEstimate{least: 980 * time.Millisecond, usual: time.Second, likely: 1020 * time.Millisecond, learnedAt: now}
+	work := latencyEstimate{low: 980 * time.Millisecond, usual: time.Second, likely: 1020 * time.Millisecond, learnedAt: now}
 	late := timing{responseDeadline: now.Add(500 * time.Millisecond), callerDeadline: now.Add(500 * time.Millisecond), latency: work}
 	if !late.tooLate(now) {
 		t.Error("sent with half of the time that the work takes")
