--- a/internal/proxy/waiting.go
+++ b/internal/proxy/waiting.go
@@ -128,7 +128,7 @@
 	if active == 0 {
 		return 0
 	}
-	held := pool.workTimeLocked(group.service, now).usual
+	held := pool.workTimeLocked(group.service, now).median
 	if times := pool.timesLocked(group.service); times.held.hasSamples() {
 		held = seconds(times.held.median())
 	}
@@ -143,7 +143,7 @@
 	now, group := time.Now(), want.group()
 	interval := pool.releaseIntervalLocked(group, now)
 	if interval == 0 {
-		return pool.workTimeLocked(want.service, now).usual
+		return pool.workTimeLocked(want.service, now).median
 	}
 	due := interval
 	for _, w := range pool.waiting[want.service] {
