--- a/internal/proxy/answertime.go
+++ b/internal/proxy/answertime.go
@@ -49,12 +49,12 @@
 // its stream: of the latest answers few came within least, half within usual and most within
 // likely. What a few took that were stuck does not count.
 type latencyEstimate struct {
-	low, median, likely time.Duration
-	learnedAt           time.Time // when the latest answer came; zero: none has
+	low, median, high time.Duration
+	learnedAt         time.Time // when the latest answer came; zero: none has
 }
 
 // unknownWork is assumed until the first answer.
-var unknownWork = latencyEstimate{median: constants.FirstDelay, likely: 2 * constants.FirstDelay}
+var unknownWork = latencyEstimate{median: constants.FirstDelay, high: 2 * constants.FirstDelay}
 
 // workOf is what answers tell that took so many seconds each; it sorts them.
 func workOf(answers []float64, learnedAt time.Time) latencyEstimate {
@@ -65,7 +65,7 @@
 	at := func(part float64) time.Duration {
 		return seconds(answers[int(math.Round(part*float64(len(answers)-1)))])
 	}
-	return latencyEstimate{low: at(1 - constants.LikelyPart), median: at(0.5), likely: at(constants.LikelyPart), learnedAt: learnedAt}
+	return latencyEstimate{low: at(1 - constants.LikelyPart), median: at(0.5), high: at(constants.LikelyPart), learnedAt: learnedAt}
 }
 
 // decayedLow is the time in which hardly any answer comes. What was learned long ago rules
@@ -77,11 +77,11 @@
 
 // unusual is a silence that is out of the ordinary, for answers as even or uneven as these.
 func (w latencyEstimate) unusual() time.Duration {
-	return max(constants.UnusualUsual*w.median, constants.UnusualLikely*w.likely)
+	return max(constants.UnusualUsual*w.median, constants.UnusualLikely*w.high)
 }
 
 // spread is by how much answers usually vary.
-func (w latencyEstimate) spread() time.Duration { return w.likely - w.median }
+func (w latencyEstimate) spread() time.Duration { return w.high - w.median }
 
 func seconds(s float64) time.Duration { return time.Duration(s * float64(time.Second)) }
 
--- a/internal/proxy/timing.go
+++ b/internal/proxy/timing.go
@@ -40,10 +40,10 @@
 // it may first wait for a part of its time. One that cannot be served elsewhere any more
 // loses nothing by waiting here.
 func (t timing) latestStart(now time.Time) time.Time {
-	elsewhere := t.callerDeadline.Add(-time.Duration(float64(t.latency.likely) / (1 - constants.RetryAfterPart)))
+	elsewhere := t.callerDeadline.Add(-time.Duration(float64(t.latency.high) / (1 - constants.RetryAfterPart)))
 	here := t.responseDeadline
 	if !t.latency.learnedAt.IsZero() { // else nobody knows that it would come too late
-		here = here.Add(-t.latency.likely)
+		here = here.Add(-t.latency.high)
 	}
 	if elsewhere.After(now) {
 		return earlier(here, elsewhere)
@@ -72,11 +72,11 @@
 // but not before most answers have come.
 func (t timing) hedgeAt(asked time.Time) time.Time {
 	unusual := asked.Add(t.latency.unusual())
-	last := t.responseDeadline.Add(-t.latency.likely)
+	last := t.responseDeadline.Add(-t.latency.high)
 	if last.After(unusual) {
 		return unusual
 	}
-	if most := asked.Add(t.latency.likely); last.Before(most) {
+	if most := asked.Add(t.latency.high); last.Before(most) {
 		return most
 	}
 	return last
--- a/internal/proxy/timing_test.go
+++ b/internal/proxy/timing_test.go
@@ -330,8 +330,8 @@
 	s := timedProxy(t, 5*time.Millisecond, quick(t))
 	s.pool.times["svc"].answers.observe(time.Now(), 2)
 	work := s.pool.workTime("svc")
-	if work.likely > 10*time.Millisecond || work.unusual() > 30*time.Millisecond {
-		t.Errorf("many answers of 5 ms and one of 2 s: likely %v, unusual %v", work.likely, work.unusual())
+	if work.high > 10*time.Millisecond || work.unusual() > 30*time.Millisecond {
+		t.Errorf("many answers of 5 ms and one of 2 s: likely %v, unusual %v", work.high, work.unusual())
 	}
 	giveBack := takeAll(s)
 	time.AfterFunc(30*time.Millisecond, func() {
@@ -347,7 +347,7 @@
 // the work has become shorter.
 func TestOldKnowledgeRefusesNobody(t *testing.T) {
 	now := time.Now()
-	work := latencyEstimate{low: 980 * time.Millisecond, median: time.Second, likely: 1020 * time.Millisecond, learnedAt: now}
+	work := latencyEstimate{low: 980 * time.Millisecond, median: time.Second, high: 1020 * time.Millisecond, learnedAt: now}
 	late := timing{responseDeadline: now.Add(500 * time.Millisecond), callerDeadline: now.Add(500 * time.Millisecond), latency: work}
 	if !late.tooLate(now) {
 		t.Error("sent with half of the time that the work takes")
@@ -381,7 +381,7 @@
 			u.delay, u.delayAt = usual.Seconds(), now
 			u.answers = 1
 		}
-		work := latencyEstimate{median: c.near, likely: c.near + 2*c.spread, learnedAt: now}
+		work := latencyEstimate{median: c.near, high: c.near + 2*c.spread, learnedAt: now}
 		s.pool.times["svc"] = &serviceLatency{work: work, workAt: now.Add(time.Minute)}
 		if of := s.pool.Place(target{service: "svc", homes: anywhere}, nil); (of.upstream.instance.ID == "far") != c.goesFar {
 			t.Errorf("%+v, usually %v: %s was asked", c, work.median, of.upstream.instance.ID)
--- a/internal/proxy/waiting.go
+++ b/internal/proxy/waiting.go
@@ -187,7 +187,7 @@
 	if pool.leaveBy.IsZero() {
 		return latestStart
 	}
-	return earlier(latestStart, pool.leaveBy.Add(-pool.workTimeLocked(want.service, time.Now()).likely))
+	return earlier(latestStart, pool.leaveBy.Add(-pool.workTimeLocked(want.service, time.Now()).high))
 }
 
 // Drain has all that wait answered in time for the process to end at a moment.
