--- a/internal/proxy/answertime.go
+++ b/internal/proxy/answertime.go
@@ -50,7 +50,7 @@
 // likely. What a few took that were stuck does not count.
 type latencyEstimate struct {
 	low, median, high time.Duration
-	learnedAt         time.Time // when the latest answer came; zero: none has
+	updatedAt         time.Time // when the latest answer came; zero: none has
 }
 
 // unknownWork is assumed until the first answer.
@@ -65,13 +65,13 @@
 	at := func(part float64) time.Duration {
 		return seconds(answers[int(math.Round(part*float64(len(answers)-1)))])
 	}
-	return latencyEstimate{low: at(1 - constants.LikelyPart), median: at(0.5), high: at(constants.LikelyPart), learnedAt: learnedAt}
+	return latencyEstimate{low: at(1 - constants.LikelyPart), median: at(0.5), high: at(constants.LikelyPart), updatedAt: learnedAt}
 }
 
 // decayedLow is the time in which hardly any answer comes. What was learned long ago rules
 // nothing out: were it to, nobody would be sent who could show that it is wrong.
 func (w latencyEstimate) decayedLow(now time.Time) time.Duration {
-	age := now.Sub(w.learnedAt).Seconds() / constants.DelayFade.Seconds()
+	age := now.Sub(w.updatedAt).Seconds() / constants.DelayFade.Seconds()
 	return time.Duration(float64(w.low) * math.Exp(-age))
 }
 
--- a/internal/proxy/timing.go
+++ b/internal/proxy/timing.go
@@ -42,7 +42,7 @@
 func (t timing) latestStart(now time.Time) time.Time {
 	elsewhere := t.callerDeadline.Add(-time.Duration(float64(t.latency.high) / (1 - constants.RetryAfterPart)))
 	here := t.responseDeadline
-	if !t.latency.learnedAt.IsZero() { // else nobody knows that it would come too late
+	if !t.latency.updatedAt.IsZero() { // else nobody knows that it would come too late
 		here = here.Add(-t.latency.high)
 	}
 	if elsewhere.After(now) {
--- a/internal/proxy/timing_test.go
+++ b/internal/proxy/timing_test.go
@@ -347,12 +347,12 @@
 // the work has become shorter.
 func TestOldKnowledgeRefusesNobody(t *testing.T) {
 	now := time.Now()
-	work := latencyEstimate{low: 980 * time.Millisecond, median: time.Second, high: 1020 * time.Millisecond, learnedAt: now}
+	work := latencyEstimate{low: 980 * time.Millisecond, median: time.Second, high: 1020 * time.Millisecond, updatedAt: now}
 	late := timing{responseDeadline: now.Add(500 * time.Millisecond), callerDeadline: now.Add(500 * time.Millisecond), latency: work}
 	if !late.tooLate(now) {
 		t.Error("sent with half of the time that the work takes")
 	}
-	late.latency.learnedAt = now.Add(-10 * time.Second)
+	late.latency.updatedAt = now.Add(-10 * time.Second)
 	if late.tooLate(now) {
 		t.Error("refused for what was learned ten seconds ago")
 	}
@@ -381,7 +381,7 @@
 			u.delay, u.delayAt = usual.Seconds(), now
 			u.answers = 1
 		}
-		work := latencyEstimate{median: c.near, high: c.near + 2*c.spread, learnedAt: now}
+		work := latencyEstimate{median: c.near, high: c.near + 2*c.spread, updatedAt: now}
 		s.pool.times["svc"] = &serviceLatency{work: work, workAt: now.Add(time.Minute)}
 		if of := s.pool.Place(target{service: "svc", homes: anywhere}, nil); (of.upstream.instance.ID == "far") != c.goesFar {
 			t.Errorf("%+v, usually %v: %s was asked", c, work.median, of.upstream.instance.ID)
