--- a/internal/proxy/answertime.go
+++ b/internal/proxy/answertime.go
@@ -53,13 +53,13 @@
 	updatedAt         time.Time // when the latest answer came; zero: none has
 }
 
-// unknownWork is assumed until the first answer.
-var unknownWork = latencyEstimate{median: constants.FirstDelay, high: 2 * constants.FirstDelay}
+// defaultLatency is assumed until the first answer.
+var defaultLatency = latencyEstimate{median: constants.FirstDelay, high: 2 * constants.FirstDelay}
 
 // workOf is what answers tell that took so many seconds each; it sorts them.
 func workOf(answers []float64, learnedAt time.Time) latencyEstimate {
 	if len(answers) == 0 {
-		return unknownWork
+		return defaultLatency
 	}
 	slices.Sort(answers)
 	at := func(part float64) time.Duration {
--- a/internal/proxy/grants.go
+++ b/internal/proxy/grants.go
@@ -101,7 +101,7 @@
 func (d *Daemon) trackerTimeout(to string) time.Duration {
 	d.trackerEchoesMu.Lock()
 	defer d.trackerEchoesMu.Unlock()
-	usual := unknownWork
+	usual := defaultLatency
 	if answers := d.trackerAnswers[to]; answers != nil {
 		usual = answers.estimate()
 	}
--- a/internal/proxy/timing_test.go
+++ b/internal/proxy/timing_test.go
@@ -356,7 +356,7 @@
 	if late.tooLate(now) {
 		t.Error("refused for what was learned ten seconds ago")
 	}
-	late.latency = unknownWork
+	late.latency = defaultLatency
 	if late.tooLate(now) {
 		t.Error("refused for what nobody knows")
 	}
