--- a/internal/proxy/answertime.go
+++ b/internal/proxy/answertime.go
@@ -42,7 +42,7 @@
 
 // estimate is what the answers tell of the estimate.
 func (a *latencyWindow) estimate() latencyEstimate {
-	return workOf(slices.Clone(a.samples), a.updatedAt)
+	return estimateLatency(slices.Clone(a.samples), a.updatedAt)
 }
 
 // latencyEstimate is how long the work on a request takes, until its answer or the first piece of
@@ -56,8 +56,8 @@
 // defaultLatency is assumed until the first answer.
 var defaultLatency = latencyEstimate{median: constants.FirstDelay, high: 2 * constants.FirstDelay}
 
-// workOf is what answers tell that took so many seconds each; it sorts them.
-func workOf(answers []float64, learnedAt time.Time) latencyEstimate {
+// estimateLatency is what answers tell that took so many seconds each; it sorts them.
+func estimateLatency(answers []float64, learnedAt time.Time) latencyEstimate {
 	if len(answers) == 0 {
 		return defaultLatency
 	}
