--- a/internal/proxy/answertime.go
+++ b/internal/proxy/answertime.go
@@ -75,8 +75,8 @@
 	return time.Duration(float64(w.low) * math.Exp(-age))
 }
 
-// unusual is a silence that is out of the ordinary, for answers as even or uneven as these.
-func (w latencyEstimate) unusual() time.Duration {
+// hedgeThreshold is a silence that is out of the ordinary, for answers as even or uneven as these.
+func (w latencyEstimate) hedgeThreshold() time.Duration {
 	return max(constants.UnusualUsual*w.median, constants.UnusualLikely*w.high)
 }
 
--- a/internal/proxy/grants.go
+++ b/internal/proxy/grants.go
@@ -105,7 +105,7 @@
 	if answers := d.trackerAnswers[to]; answers != nil {
 		usual = answers.estimate()
 	}
-	return max(constants.TrackerBusy, usual.unusual())
+	return max(constants.TrackerBusy, usual.hedgeThreshold())
 }
 
 // applyGrants takes what a tracker answered to a question asked at a moment.
--- a/internal/proxy/timing.go
+++ b/internal/proxy/timing.go
@@ -71,7 +71,7 @@
 // stays silent: when that is unusual, or sooner if there would be no time left elsewhere,
 // but not before most answers have come.
 func (t timing) hedgeAt(asked time.Time) time.Time {
-	unusual := asked.Add(t.latency.unusual())
+	unusual := asked.Add(t.latency.hedgeThreshold())
 	last := t.responseDeadline.Add(-t.latency.high)
 	if last.After(unusual) {
 		return unusual
--- a/internal/proxy/timing_test.go
+++ b/internal/proxy/timing_test.go
@@ -330,8 +330,8 @@
 	s := timedProxy(t, 5*time.Millisecond, quick(t))
 	s.pool.times["svc"].answers.observe(time.Now(), 2)
 	work := s.pool.workTime("svc")
-	if work.high > 10*time.Millisecond || work.unusual() > 30*time.Millisecond {
-		t.Errorf("many answers of 5 ms and one of 2 s: likely %v, unusual %v", work.high, work.unusual())
+	if work.high > 10*time.Millisecond || work.hedgeThreshold() > 30*time.Millisecond {
+		t.Errorf("many answers of 5 ms and one of 2 s: likely %v, unusual %v", work.high, work.hedgeThreshold())
 	}
 	giveBack := takeAll(s)
 	time.AfterFunc(30*time.Millisecond, func() {
