--- a/internal/proxy/answertime.go
+++ b/internal/proxy/answertime.go
@@ -88,18 +88,18 @@
 // serviceLatency are those of a service's requests from here. They outlast its upstreams, of
 // which each may be new.
 type serviceLatency struct {
-	answers latencyWindow   // good ones, or the first pieces of streams
-	held    latencyWindow   // for how long requests took a place
-	work    latencyEstimate // as reckoned last
-	workAt  time.Time
+	responses latencyWindow   // good ones, or the first pieces of streams
+	held      latencyWindow   // for how long requests took a place
+	work      latencyEstimate // as reckoned last
+	workAt    time.Time
 }
 
 // answered takes a good answer, or the first piece of a stream, after so many seconds.
 func (t *serviceLatency) answered(now time.Time, took float64) {
-	if !t.answers.hasSamples() {
+	if !t.responses.hasSamples() {
 		t.workAt = time.Time{} // the first answer is known at once
 	}
-	t.answers.observe(now, took)
+	t.responses.observe(now, took)
 }
 
 // timesLocked are the times of a service.
@@ -123,7 +123,7 @@
 func (pool *Pool) workTimeLocked(service string, now time.Time) latencyEstimate {
 	times := pool.timesLocked(service)
 	if now.Sub(times.workAt) >= constants.WorkTimeEvery {
-		times.workAt, times.work = now, times.answers.estimate()
+		times.workAt, times.work = now, times.responses.estimate()
 	}
 	return times.work
 }
--- a/internal/proxy/timing_test.go
+++ b/internal/proxy/timing_test.go
@@ -48,7 +48,7 @@
 	for _, u := range s.pool.upstreams {
 		u.delay, u.delayAt = usual.Seconds(), time.Now()
 	}
-	s.pool.times["svc"] = &serviceLatency{answers: *evenAnswers(usual), held: *evenAnswers(usual)}
+	s.pool.times["svc"] = &serviceLatency{responses: *evenAnswers(usual), held: *evenAnswers(usual)}
 	s.pool.mu.Unlock()
 	for range 1000 {
 		s.retryBudget.Request(s.now(), "svc")
@@ -328,7 +328,7 @@
 // than most of the work takes, and do not put the second upstream off.
 func TestFewStuckAnswersAreNotTheWork(t *testing.T) {
 	s := timedProxy(t, 5*time.Millisecond, quick(t))
-	s.pool.times["svc"].answers.observe(time.Now(), 2)
+	s.pool.times["svc"].responses.observe(time.Now(), 2)
 	work := s.pool.workTime("svc")
 	if work.high > 10*time.Millisecond || work.hedgeThreshold() > 30*time.Millisecond {
 		t.Errorf("many answers of 5 ms and one of 2 s: likely %v, unusual %v", work.high, work.hedgeThreshold())
