--- a/internal/proxy/answertime.go
+++ b/internal/proxy/answertime.go
@@ -89,7 +89,7 @@
 // which each may be new.
 type serviceLatency struct {
 	responses latencyWindow   // good ones, or the first pieces of streams
-	held      latencyWindow   // for how long requests took a place
+	occupancy latencyWindow   // for how long requests took a place
 	work      latencyEstimate // as reckoned last
 	workAt    time.Time
 }
--- a/internal/proxy/ejection.go
+++ b/internal/proxy/ejection.go
@@ -69,7 +69,7 @@
 	}
 	times := pool.timesLocked(u.instance.Service)
 	if how != atCapacity && how != unused {
-		times.held.observe(now, now.Sub(began).Seconds())
+		times.occupancy.observe(now, now.Sub(began).Seconds())
 	}
 	switch how {
 	case served:
--- a/internal/proxy/timing_test.go
+++ b/internal/proxy/timing_test.go
@@ -48,7 +48,7 @@
 	for _, u := range s.pool.upstreams {
 		u.delay, u.delayAt = usual.Seconds(), time.Now()
 	}
-	s.pool.times["svc"] = &serviceLatency{responses: *evenAnswers(usual), held: *evenAnswers(usual)}
+	s.pool.times["svc"] = &serviceLatency{responses: *evenAnswers(usual), occupancy: *evenAnswers(usual)}
 	s.pool.mu.Unlock()
 	for range 1000 {
 		s.retryBudget.Request(s.now(), "svc")
--- a/internal/proxy/waiting.go
+++ b/internal/proxy/waiting.go
@@ -129,8 +129,8 @@
 		return 0
 	}
 	held := pool.workTimeLocked(group.service, now).median
-	if times := pool.timesLocked(group.service); times.held.hasSamples() {
-		held = seconds(times.held.median())
+	if times := pool.timesLocked(group.service); times.occupancy.hasSamples() {
+		held = seconds(times.occupancy.median())
 	}
 	return held / time.Duration(active)
 }
