--- a/internal/proxy/answertime.go
+++ b/internal/proxy/answertime.go
@@ -90,7 +90,7 @@
 type serviceLatency struct {
 	responses latencyWindow   // good ones, or the first pieces of streams
 	occupancy latencyWindow   // for how long requests took a place
-	work      latencyEstimate // as reckoned last
+	estimate  latencyEstimate // as reckoned last
 	workAt    time.Time
 }
 
@@ -123,9 +123,9 @@
 func (pool *Pool) workTimeLocked(service string, now time.Time) latencyEstimate {
 	times := pool.timesLocked(service)
 	if now.Sub(times.workAt) >= constants.WorkTimeEvery {
-		times.workAt, times.work = now, times.responses.estimate()
+		times.workAt, times.estimate = now, times.responses.estimate()
 	}
-	return times.work
+	return times.estimate
 }
 
 // median sorts values and gives the middle one.
