--- a/internal/proxy/answertime.go
+++ b/internal/proxy/answertime.go
@@ -88,16 +88,16 @@
 // serviceLatency are those of a service's requests from here. They outlast its upstreams, of
 // which each may be new.
 type serviceLatency struct {
-	responses latencyWindow   // good ones, or the first pieces of streams
-	occupancy latencyWindow   // for how long requests took a place
-	estimate  latencyEstimate // as reckoned last
-	workAt    time.Time
+	responses   latencyWindow   // good ones, or the first pieces of streams
+	occupancy   latencyWindow   // for how long requests took a place
+	estimate    latencyEstimate // as reckoned last
+	estimatedAt time.Time
 }
 
 // answered takes a good answer, or the first piece of a stream, after so many seconds.
 func (t *serviceLatency) answered(now time.Time, took float64) {
 	if !t.responses.hasSamples() {
-		t.workAt = time.Time{} // the first answer is known at once
+		t.estimatedAt = time.Time{} // the first answer is known at once
 	}
 	t.responses.observe(now, took)
 }
@@ -122,8 +122,8 @@
 // workTimeLocked is reckoned anew every so often, not for each request.
 func (pool *Pool) workTimeLocked(service string, now time.Time) latencyEstimate {
 	times := pool.timesLocked(service)
-	if now.Sub(times.workAt) >= constants.WorkTimeEvery {
-		times.workAt, times.estimate = now, times.responses.estimate()
+	if now.Sub(times.estimatedAt) >= constants.WorkTimeEvery {
+		times.estimatedAt, times.estimate = now, times.responses.estimate()
 	}
 	return times.estimate
 }
--- a/internal/proxy/timing_test.go
+++ b/internal/proxy/timing_test.go
@@ -382,7 +382,7 @@
 			u.answers = 1
 		}
 		work := latencyEstimate{median: c.near, high: c.near + 2*c.spread, updatedAt: now}
-		s.pool.times["svc"] = &serviceLatency{estimate: work, workAt: now.Add(time.Minute)}
+		s.pool.times["svc"] = &serviceLatency{estimate: work, estimatedAt: now.Add(time.Minute)}
 		if of := s.pool.Place(target{service: "svc", homes: anywhere}, nil); (of.upstream.instance.ID == "far") != c.goesFar {
 			t.Errorf("%+v, usually %v: %s was asked", c, work.median, of.upstream.instance.ID)
 		}
