--- a/internal/proxy/answertime.go
+++ b/internal/proxy/answertime.go
@@ -94,8 +94,8 @@
 	estimatedAt time.Time
 }
 
-// answered takes a good answer, or the first piece of a stream, after so many seconds.
-func (t *serviceLatency) answered(now time.Time, took float64) {
+// observeResponse takes a good answer, or the first piece of a stream, after so many seconds.
+func (t *serviceLatency) observeResponse(now time.Time, took float64) {
 	if !t.responses.hasSamples() {
 		t.estimatedAt = time.Time{} // the first answer is known at once
 	}
--- a/internal/proxy/ejection.go
+++ b/internal/proxy/ejection.go
@@ -75,7 +75,7 @@
 	case served:
 		u.fails = 0
 		u.answers++
-		times.answered(now, took)
+		times.observeResponse(now, took)
 		learn(took)
 	case errored:
 		// Few answers of a healthy upstream are failures, so one is evidence
