--- a/internal/proxy/answertime.go
+++ b/internal/proxy/answertime.go
@@ -102,8 +102,8 @@
 	t.responses.observe(now, took)
 }
 
-// timesLocked are the times of a service.
-func (pool *Pool) timesLocked(service string) *serviceLatency {
+// serviceLatencyLocked are the times of a service.
+func (pool *Pool) serviceLatencyLocked(service string) *serviceLatency {
 	times := pool.times[service]
 	if times == nil {
 		times = &serviceLatency{}
@@ -121,7 +121,7 @@
 
 // workTimeLocked is reckoned anew every so often, not for each request.
 func (pool *Pool) workTimeLocked(service string, now time.Time) latencyEstimate {
-	times := pool.timesLocked(service)
+	times := pool.serviceLatencyLocked(service)
 	if now.Sub(times.estimatedAt) >= constants.WorkTimeEvery {
 		times.estimatedAt, times.estimate = now, times.responses.estimate()
 	}
--- a/internal/proxy/ejection.go
+++ b/internal/proxy/ejection.go
@@ -67,7 +67,7 @@
 		}
 		u.delayAt = now
 	}
-	times := pool.timesLocked(u.instance.Service)
+	times := pool.serviceLatencyLocked(u.instance.Service)
 	if how != atCapacity && how != unused {
 		times.occupancy.observe(now, now.Sub(began).Seconds())
 	}
--- a/internal/proxy/waiting.go
+++ b/internal/proxy/waiting.go
@@ -129,7 +129,7 @@
 		return 0
 	}
 	held := pool.workTimeLocked(group.service, now).median
-	if times := pool.timesLocked(group.service); times.occupancy.hasSamples() {
+	if times := pool.serviceLatencyLocked(group.service); times.occupancy.hasSamples() {
 		held = seconds(times.occupancy.median())
 	}
 	return held / time.Duration(active)
