--- a/internal/proxy/answertime.go
+++ b/internal/proxy/answertime.go
@@ -112,8 +112,8 @@
 	return times
 }
 
-// workTime is how long the work of a service takes.
-func (pool *Pool) workTime(service string) latencyEstimate {
+// latencyEstimate is how long the work of a service takes.
+func (pool *Pool) latencyEstimate(service string) latencyEstimate {
 	pool.mu.Lock()
 	defer pool.mu.Unlock()
 	return pool.workTimeLocked(service, time.Now())
--- a/internal/proxy/timing.go
+++ b/internal/proxy/timing.go
@@ -19,7 +19,7 @@
 
 // timing is that of this request, as of now.
 func (p *exchange) timing() timing {
-	return timing{responseDeadline: p.responseDeadline(), callerDeadline: p.callerDeadline, latency: p.proxy.pool.workTime(p.service)}
+	return timing{responseDeadline: p.responseDeadline(), callerDeadline: p.callerDeadline, latency: p.proxy.pool.latencyEstimate(p.service)}
 }
 
 // responseDeadline is until when the caller waits for the answer or for a stream's first piece:
--- a/internal/proxy/timing_test.go
+++ b/internal/proxy/timing_test.go
@@ -329,7 +329,7 @@
 func TestFewStuckAnswersAreNotTheWork(t *testing.T) {
 	s := timedProxy(t, 5*time.Millisecond, quick(t))
 	s.pool.times["svc"].responses.observe(time.Now(), 2)
-	work := s.pool.workTime("svc")
+	work := s.pool.latencyEstimate("svc")
 	if work.high > 10*time.Millisecond || work.hedgeThreshold() > 30*time.Millisecond {
 		t.Errorf("many answers of 5 ms and one of 2 s: likely %v, unusual %v", work.high, work.hedgeThreshold())
 	}
