--- a/internal/proxy/answertime.go
+++ b/internal/proxy/answertime.go
@@ -116,11 +116,11 @@
 func (pool *Pool) latencyEstimate(service string) latencyEstimate {
 	pool.mu.Lock()
 	defer pool.mu.Unlock()
-	return pool.workTimeLocked(service, time.Now())
+	return pool.latencyEstimateLocked(service, time.Now())
 }
 
-// workTimeLocked is reckoned anew every so often, not for each request.
-func (pool *Pool) workTimeLocked(service string, now time.Time) latencyEstimate {
+// latencyEstimateLocked is reckoned anew every so often, not for each request.
+func (pool *Pool) latencyEstimateLocked(service string, now time.Time) latencyEstimate {
 	times := pool.serviceLatencyLocked(service)
 	if now.Sub(times.estimatedAt) >= constants.WorkTimeEvery {
 		times.estimatedAt, times.estimate = now, times.responses.estimate()
--- a/internal/proxy/choice.go
+++ b/internal/proxy/choice.go
@@ -81,7 +81,7 @@
 		skip:   skip,
 		now:    now,
 		usual:  medianDelay(set.preferred),
-		spread: pool.workTimeLocked(w.service, now).spread().Seconds(),
+		spread: pool.latencyEstimateLocked(w.service, now).spread().Seconds(),
 		cold:   pool.cold(w.service),
 	}
 	if u := pool.chooseAmong(set.preferred, c); u != nil {
--- a/internal/proxy/waiting.go
+++ b/internal/proxy/waiting.go
@@ -128,7 +128,7 @@
 	if active == 0 {
 		return 0
 	}
-	held := pool.workTimeLocked(group.service, now).median
+	held := pool.latencyEstimateLocked(group.service, now).median
 	if times := pool.serviceLatencyLocked(group.service); times.occupancy.hasSamples() {
 		held = seconds(times.occupancy.median())
 	}
@@ -143,7 +143,7 @@
 	now, group := time.Now(), want.group()
 	interval := pool.releaseIntervalLocked(group, now)
 	if interval == 0 {
-		return pool.workTimeLocked(want.service, now).median
+		return pool.latencyEstimateLocked(want.service, now).median
 	}
 	due := interval
 	for _, w := range pool.waiting[want.service] {
@@ -187,7 +187,7 @@
 	if pool.leaveBy.IsZero() {
 		return latestStart
 	}
-	return earlier(latestStart, pool.leaveBy.Add(-pool.workTimeLocked(want.service, time.Now()).high))
+	return earlier(latestStart, pool.leaveBy.Add(-pool.latencyEstimateLocked(want.service, time.Now()).high))
 }
 
 // Drain has all that wait answered in time for the process to end at a moment.
