--- a/internal/proxy/attempts_test.go
+++ b/internal/proxy/attempts_test.go
@@ -56,7 +56,7 @@
 	}
 	for range 400 {
 		s.pool.mu.Lock()
-		s.pool.times["svc"] = &serviceLatency{responses: *evenAnswers(500 * time.Microsecond)} // so that hedges come about when answers do
+		s.pool.times["svc"] = &serviceLatency{responses: *uniformLatency(500 * time.Microsecond)} // so that hedges come about when answers do
 		s.pool.mu.Unlock()
 		if w := get(s, "GET", "/safe/", ""); w.Code != http.StatusOK {
 			t.Fatalf("got %d", w.Code)
--- a/internal/proxy/grants_test.go
+++ b/internal/proxy/grants_test.go
@@ -72,7 +72,7 @@
 	tookWithin(t, "with 30 ms", waited(30*time.Millisecond), 25*time.Millisecond, 70*time.Millisecond)
 	usually := func(took time.Duration) {
 		d.trackerEchoesMu.Lock()
-		d.trackerAnswers[tracker] = evenAnswers(took)
+		d.trackerAnswers[tracker] = uniformLatency(took)
 		d.trackerEchoesMu.Unlock()
 	}
 	usually(2 * time.Millisecond)
--- a/internal/proxy/timing_test.go
+++ b/internal/proxy/timing_test.go
@@ -27,8 +27,8 @@
 // sameTimePaths are those of routes that differ in their target latency, if they have one.
 var sameTimePaths = []string{"/a/", "/b/", "/c/"}
 
-// evenAnswers are of a peer that took the same time for each of its latest answers.
-func evenAnswers(took time.Duration) *latencyWindow {
+// uniformLatency are of a peer that took the same time for each of its latest answers.
+func uniformLatency(took time.Duration) *latencyWindow {
 	a := &latencyWindow{}
 	for range constants.RecentAnswers {
 		a.observe(time.Now(), took.Seconds())
@@ -48,7 +48,7 @@
 	for _, u := range s.pool.upstreams {
 		u.delay, u.delayAt = usual.Seconds(), time.Now()
 	}
-	s.pool.times["svc"] = &serviceLatency{responses: *evenAnswers(usual), occupancy: *evenAnswers(usual)}
+	s.pool.times["svc"] = &serviceLatency{responses: *uniformLatency(usual), occupancy: *uniformLatency(usual)}
 	s.pool.mu.Unlock()
 	for range 1000 {
 		s.retryBudget.Request(s.now(), "svc")
