--- a/internal/proxy/dial_test.go
+++ b/internal/proxy/dial_test.go
@@ -45,7 +45,7 @@
 	free := newRawUpstream(t, func(_ int, r *http.Request) (string, bool) { return ok(r, "x"), false })
 	dark := discovery.Instance{ID: "i-dark", Service: "svc", Address: silentAddress(t), Zone: "z", Slots: 2}
 	for _, path := range []string{"/a/", "/once/"} {
-		s := timedProxy(t, usual, dark, free.instance("i-free"))
+		s := newProxyWithLatency(t, usual, dark, free.instance("i-free"))
 		s.pool.mu.Lock()
 		s.pool.upstreams["i-free"].delay = 5 * usual.Seconds() // the dark one is asked first
 		s.pool.mu.Unlock()
--- a/internal/proxy/timing_test.go
+++ b/internal/proxy/timing_test.go
@@ -36,8 +36,8 @@
 	return a
 }
 
-// timedProxy is a proxy whose upstreams have answered some requests within a usual time.
-func timedProxy(t *testing.T, usual time.Duration, ups ...discovery.Instance) *Proxy {
+// newProxyWithLatency is a proxy whose upstreams have answered some requests within a usual time.
+func newProxyWithLatency(t *testing.T, usual time.Duration, ups ...discovery.Instance) *Proxy {
 	s := newProxy(t, ups...)
 	cfg, err := config.Read([]byte(sameTimeConfig))
 	if err != nil {
@@ -99,7 +99,7 @@
 		const usual = 40 * time.Millisecond
 		for _, budget := range []time.Duration{300 * time.Millisecond, 900 * time.Millisecond} {
 			for _, path := range sameTimePaths {
-				s := timedProxy(t, usual, nowhere)
+				s := newProxyWithLatency(t, usual, nowhere)
 				takeAll(s)
 				w, took := request(s, path, budget)
 				left := budget - took
@@ -123,7 +123,7 @@
 		const budget = 900 * time.Millisecond
 		var waits []time.Duration
 		for _, usual := range []time.Duration{20 * time.Millisecond, 300 * time.Millisecond} {
-			s := timedProxy(t, usual, nowhere)
+			s := newProxyWithLatency(t, usual, nowhere)
 			takeAll(s)
 			_, took := request(s, "/a/", budget)
 			waits = append(waits, took)
@@ -138,7 +138,7 @@
 func TestNoRoomInTimeIsSaidAtOnce(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		const usual, budget, most = 200 * time.Millisecond, time.Second, 60
-		s := timedProxy(t, usual, nowhere)
+		s := newProxyWithLatency(t, usual, nowhere)
 		takeAll(s) // two places: ten requests a second
 		var mu sync.Mutex
 		atOnce, waited := 0, 0
@@ -178,7 +178,7 @@
 		{150 * time.Millisecond, 200 * time.Millisecond, 150 * time.Millisecond}, // but not before the usual time
 	} {
 		for _, path := range sameTimePaths {
-			s := timedProxy(t, c.usual, nowhere)
+			s := newProxyWithLatency(t, c.usual, nowhere)
 			cfg := s.config.Load()
 			r := httptest.NewRequest("GET", path, nil)
 			r.Header.Set(headerBudget, strconv.FormatInt(c.budget.Milliseconds(), 10))
@@ -201,7 +201,7 @@
 			return ok(r, "x"), false
 		}
 		a, b := newRawUpstream(t, silent), newRawUpstream(t, silent)
-		s := timedProxy(t, usual, a.instance("i-1"), b.instance("i-2"))
+		s := newProxyWithLatency(t, usual, a.instance("i-1"), b.instance("i-2"))
 		began := time.Now()
 		request(s, path, budget)
 		<-asked
@@ -219,7 +219,7 @@
 	})
 	free := newRawUpstream(t, func(_ int, r *http.Request) (string, bool) { return ok(r, "x"), false })
 	for _, path := range []string{"/a/", "/b/", "/once/"} {
-		s := timedProxy(t, 30*time.Millisecond, free.instance("i-free"))
+		s := newProxyWithLatency(t, 30*time.Millisecond, free.instance("i-free"))
 		giveBack := takeAll(s)
 		s.pool.Apply(time.Now(), []discovery.Instance{free.instance("i-free"), full.instance("i-full")})
 		time.AfterFunc(200*time.Millisecond, func() {
@@ -247,7 +247,7 @@
 		time.Sleep(30 * time.Millisecond)
 		return ok(r, "x"), false
 	})
-	s := timedProxy(t, 30*time.Millisecond, u.instance("i-1"))
+	s := newProxyWithLatency(t, 30*time.Millisecond, u.instance("i-1"))
 	giveBack := takeAll(s)
 	var group sync.WaitGroup
 	for _, budget := range []string{"3000", "2000", "1000"} {
@@ -273,7 +273,7 @@
 // Room that comes by the end of an upstream's pause is given to those that wait then,
 // though no request ends or comes.
 func TestEndOfAPauseWakesWhoWaits(t *testing.T) {
-	s := timedProxy(t, 20*time.Millisecond, quick(t))
+	s := newProxyWithLatency(t, 20*time.Millisecond, quick(t))
 	s.pool.mu.Lock()
 	for _, u := range s.pool.upstreams {
 		u.ejectedUntil = time.Now().Add(200 * time.Millisecond)
@@ -292,7 +292,7 @@
 // A caller refused for want of a configuration is told to come again within the part of its
 // time that it will wait, and when news may have come.
 func TestWithoutNewsTheCallersTimeCounts(t *testing.T) {
-	s := timedProxy(t, 20*time.Millisecond)
+	s := newProxyWithLatency(t, 20*time.Millisecond)
 	s.config.Store(nil)
 	told := func(budget time.Duration) time.Duration {
 		w, _ := request(s, "/a/", budget)
@@ -313,7 +313,7 @@
 // A process that is about to end answers those that wait while it is still there.
 func TestLeavingAnswersWhoWaits(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		s := timedProxy(t, 20*time.Millisecond, nowhere)
+		s := newProxyWithLatency(t, 20*time.Millisecond, nowhere)
 		takeAll(s)
 		time.AfterFunc(100*time.Millisecond, func() { s.pool.Drain(time.Now().Add(400 * time.Millisecond)) })
 		w, took := request(s, "/a/", 4*time.Second)
@@ -327,7 +327,7 @@
 // A few answers that were stuck do not keep requests from waiting that have far more time
 // than most of the work takes, and do not put the second upstream off.
 func TestFewStuckAnswersAreNotTheWork(t *testing.T) {
-	s := timedProxy(t, 5*time.Millisecond, quick(t))
+	s := newProxyWithLatency(t, 5*time.Millisecond, quick(t))
 	s.pool.times["svc"].responses.observe(time.Now(), 2)
 	work := s.pool.latencyEstimate("svc")
 	if work.high > 10*time.Millisecond || work.hedgeThreshold() > 30*time.Millisecond {
@@ -394,7 +394,7 @@
 func TestLongWorkIsNotSlowness(t *testing.T) {
 	for _, usual := range []time.Duration{30 * time.Millisecond, 3 * time.Second} {
 		instances := []discovery.Instance{{ID: "i-1", Service: "svc", Zone: "z", Slots: 1}, {ID: "i-2", Service: "svc", Zone: "z", Slots: 1}, {ID: "i-slow", Service: "svc", Zone: "z", Slots: 1}}
-		s := timedProxy(t, usual, instances...)
+		s := newProxyWithLatency(t, usual, instances...)
 		s.pool.SetProxies(1)
 		s.pool.mu.Lock()
 		s.pool.upstreams["i-slow"].delay = 4 * usual.Seconds()
