--- a/internal/proxy/timing_test.go
+++ b/internal/proxy/timing_test.go
@@ -56,8 +56,8 @@
 	return s
 }
 
-// takeAll takes all places there are, and gives them back one by one.
-func takeAll(s *Proxy) (giveBack func() bool) {
+// occupyAll takes all places there are, and gives them back one by one.
+func occupyAll(s *Proxy) (giveBack func() bool) {
 	var taken []*placement
 	for of := s.pool.Place(target{service: "svc", homes: anywhere}, nil); of != nil; of = s.pool.Place(target{service: "svc", homes: anywhere}, nil) {
 		taken = append(taken, of)
@@ -100,7 +100,7 @@
 		for _, budget := range []time.Duration{300 * time.Millisecond, 900 * time.Millisecond} {
 			for _, path := range sameTimePaths {
 				s := newProxyWithLatency(t, usual, nowhere)
-				takeAll(s)
+				occupyAll(s)
 				w, took := request(s, path, budget)
 				left := budget - took
 				if w.Code != http.StatusServiceUnavailable {
@@ -124,7 +124,7 @@
 		var waits []time.Duration
 		for _, usual := range []time.Duration{20 * time.Millisecond, 300 * time.Millisecond} {
 			s := newProxyWithLatency(t, usual, nowhere)
-			takeAll(s)
+			occupyAll(s)
 			_, took := request(s, "/a/", budget)
 			waits = append(waits, took)
 		}
@@ -139,7 +139,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		const usual, budget, most = 200 * time.Millisecond, time.Second, 60
 		s := newProxyWithLatency(t, usual, nowhere)
-		takeAll(s) // two places: ten requests a second
+		occupyAll(s) // two places: ten requests a second
 		var mu sync.Mutex
 		atOnce, waited := 0, 0
 		var group sync.WaitGroup
@@ -220,7 +220,7 @@
 	free := newRawUpstream(t, func(_ int, r *http.Request) (string, bool) { return ok(r, "x"), false })
 	for _, path := range []string{"/a/", "/b/", "/once/"} {
 		s := newProxyWithLatency(t, 30*time.Millisecond, free.instance("i-free"))
-		giveBack := takeAll(s)
+		giveBack := occupyAll(s)
 		s.pool.Apply(time.Now(), []discovery.Instance{free.instance("i-free"), full.instance("i-full")})
 		time.AfterFunc(200*time.Millisecond, func() {
 			for giveBack() {
@@ -248,7 +248,7 @@
 		return ok(r, "x"), false
 	})
 	s := newProxyWithLatency(t, 30*time.Millisecond, u.instance("i-1"))
-	giveBack := takeAll(s)
+	giveBack := occupyAll(s)
 	var group sync.WaitGroup
 	for _, budget := range []string{"3000", "2000", "1000"} {
 		group.Go(func() {
@@ -281,7 +281,7 @@
 	s.pool.mu.Unlock()
 	busy := newRawUpstream(t, func(_ int, r *http.Request) (string, bool) { return ok(r, "x"), false })
 	s.pool.Apply(time.Now(), append([]discovery.Instance{busy.instance("i-2"), busy.instance("i-3")}, s.pool.upstreams["i-1"].instance))
-	takeAll(s)
+	occupyAll(s)
 	w, took := request(s, "/a/", 3*time.Second)
 	if w.Code != http.StatusOK {
 		t.Errorf("got %d", w.Code)
@@ -314,7 +314,7 @@
 func TestLeavingAnswersWhoWaits(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		s := newProxyWithLatency(t, 20*time.Millisecond, nowhere)
-		takeAll(s)
+		occupyAll(s)
 		time.AfterFunc(100*time.Millisecond, func() { s.pool.Drain(time.Now().Add(400 * time.Millisecond)) })
 		w, took := request(s, "/a/", 4*time.Second)
 		if w.Code != http.StatusServiceUnavailable {
@@ -333,7 +333,7 @@
 	if work.high > 10*time.Millisecond || work.hedgeThreshold() > 30*time.Millisecond {
 		t.Errorf("many answers of 5 ms and one of 2 s: likely %v, unusual %v", work.high, work.hedgeThreshold())
 	}
-	giveBack := takeAll(s)
+	giveBack := occupyAll(s)
 	time.AfterFunc(30*time.Millisecond, func() {
 		for giveBack() {
 		}
@@ -399,7 +399,7 @@
 		s.pool.mu.Lock()
 		s.pool.upstreams["i-slow"].delay = 4 * usual.Seconds()
 		s.pool.mu.Unlock()
-		takeAll(s)
+		occupyAll(s)
 		got := map[string]int{}
 		for id, u := range s.pool.upstreams {
 			got[id] = len(u.active)
