--- a/internal/proxy/dial_test.go
+++ b/internal/proxy/dial_test.go
@@ -49,7 +49,7 @@
 		s.pool.mu.Lock()
 		s.pool.upstreams["i-free"].delay = 5 * usual.Seconds() // the dark one is asked first
 		s.pool.mu.Unlock()
-		w, took := request(s, path, budget)
+		w, took := timedGet(s, path, budget)
 		if w.Code != http.StatusOK {
 			t.Errorf("%s: got %d after %v", path, w.Code, took)
 		}
--- a/internal/proxy/timing_test.go
+++ b/internal/proxy/timing_test.go
@@ -72,7 +72,7 @@
 	}
 }
 
-func request(s *Proxy, path string, budget time.Duration) (w *httptest.ResponseRecorder, took time.Duration) {
+func timedGet(s *Proxy, path string, budget time.Duration) (w *httptest.ResponseRecorder, took time.Duration) {
 	began := time.Now()
 	w = get(s, "GET", path, "", headerBudget, strconv.FormatInt(budget.Milliseconds(), 10))
 	return w, time.Since(began)
@@ -101,7 +101,7 @@
 			for _, path := range sameTimePaths {
 				s := newProxyWithLatency(t, usual, nowhere)
 				occupyAll(s)
-				w, took := request(s, path, budget)
+				w, took := timedGet(s, path, budget)
 				left := budget - took
 				if w.Code != http.StatusServiceUnavailable {
 					t.Errorf("%s with %v: got %d", path, budget, w.Code)
@@ -125,7 +125,7 @@
 		for _, usual := range []time.Duration{20 * time.Millisecond, 300 * time.Millisecond} {
 			s := newProxyWithLatency(t, usual, nowhere)
 			occupyAll(s)
-			_, took := request(s, "/a/", budget)
+			_, took := timedGet(s, "/a/", budget)
 			waits = append(waits, took)
 		}
 		if waits[0]-waits[1] < 250*time.Millisecond {
@@ -146,7 +146,7 @@
 		for range most {
 			time.Sleep(time.Millisecond)
 			group.Go(func() {
-				w, took := request(s, "/a/", budget)
+				w, took := timedGet(s, "/a/", budget)
 				mu.Lock()
 				defer mu.Unlock()
 				switch {
@@ -203,7 +203,7 @@
 		a, b := newRawUpstream(t, silent), newRawUpstream(t, silent)
 		s := newProxyWithLatency(t, usual, a.instance("i-1"), b.instance("i-2"))
 		began := time.Now()
-		request(s, path, budget)
+		timedGet(s, path, budget)
 		<-asked
 		if second := (<-asked).Sub(began); second < 3*usual || second > budget/2 {
 			t.Errorf("%s: the second is asked after %v of %v, a silence of %v is unusual", path, second, budget, 3*usual)
@@ -227,7 +227,7 @@
 			}
 		})
 		before := full.count()
-		w, took := request(s, path, time.Second)
+		w, took := timedGet(s, path, time.Second)
 		if w.Code != http.StatusOK || full.count() != before+1 {
 			t.Errorf("%s: got %d after %v and %d arrivals at the upstream that is full", path, w.Code, took, full.count()-before)
 		}
@@ -282,7 +282,7 @@
 	busy := newRawUpstream(t, func(_ int, r *http.Request) (string, bool) { return ok(r, "x"), false })
 	s.pool.Apply(time.Now(), append([]discovery.Instance{busy.instance("i-2"), busy.instance("i-3")}, s.pool.upstreams["i-1"].instance))
 	occupyAll(s)
-	w, took := request(s, "/a/", 3*time.Second)
+	w, took := timedGet(s, "/a/", 3*time.Second)
 	if w.Code != http.StatusOK {
 		t.Errorf("got %d", w.Code)
 	}
@@ -295,7 +295,7 @@
 	s := newProxyWithLatency(t, 20*time.Millisecond)
 	s.config.Store(nil)
 	told := func(budget time.Duration) time.Duration {
-		w, _ := request(s, "/a/", budget)
+		w, _ := timedGet(s, "/a/", budget)
 		retry, err := strconv.ParseFloat(w.Header().Get("Retry-After"), 64)
 		if w.Code != http.StatusServiceUnavailable || err != nil {
 			t.Fatalf("with %v: got %d, %v", budget, w.Code, err)
@@ -316,7 +316,7 @@
 		s := newProxyWithLatency(t, 20*time.Millisecond, nowhere)
 		occupyAll(s)
 		time.AfterFunc(100*time.Millisecond, func() { s.pool.Drain(time.Now().Add(400 * time.Millisecond)) })
-		w, took := request(s, "/a/", 4*time.Second)
+		w, took := timedGet(s, "/a/", 4*time.Second)
 		if w.Code != http.StatusServiceUnavailable {
 			t.Errorf("got %d", w.Code)
 		}
@@ -338,7 +338,7 @@
 		for giveBack() {
 		}
 	})
-	if w, took := request(s, "/once/", 100*time.Millisecond); w.Code != http.StatusOK {
+	if w, took := timedGet(s, "/once/", 100*time.Millisecond); w.Code != http.StatusOK {
 		t.Errorf("got %d after %v", w.Code, took)
 	}
 }
