--- a/internal/proxy/timing_test.go
+++ b/internal/proxy/timing_test.go
@@ -78,8 +78,8 @@
 	return w, time.Since(began)
 }
 
-// nowhere is an upstream that nothing is sent to.
-var nowhere = discovery.Instance{ID: "i-1", Service: "svc", Address: "127.0.0.1:1", Zone: "z", Slots: 2}
+// unreachableUpstream is an upstream that nothing is sent to.
+var unreachableUpstream = discovery.Instance{ID: "i-1", Service: "svc", Address: "127.0.0.1:1", Zone: "z", Slots: 2}
 
 func quick(t *testing.T) discovery.Instance {
 	return newRawUpstream(t, func(_ int, r *http.Request) (string, bool) { return ok(r, "x"), false }).instance("i-1")
@@ -99,7 +99,7 @@
 		const usual = 40 * time.Millisecond
 		for _, budget := range []time.Duration{300 * time.Millisecond, 900 * time.Millisecond} {
 			for _, path := range sameTimePaths {
-				s := newProxyWithLatency(t, usual, nowhere)
+				s := newProxyWithLatency(t, usual, unreachableUpstream)
 				occupyAll(s)
 				w, took := timedGet(s, path, budget)
 				left := budget - took
@@ -123,7 +123,7 @@
 		const budget = 900 * time.Millisecond
 		var waits []time.Duration
 		for _, usual := range []time.Duration{20 * time.Millisecond, 300 * time.Millisecond} {
-			s := newProxyWithLatency(t, usual, nowhere)
+			s := newProxyWithLatency(t, usual, unreachableUpstream)
 			occupyAll(s)
 			_, took := timedGet(s, "/a/", budget)
 			waits = append(waits, took)
@@ -138,7 +138,7 @@
 func TestNoRoomInTimeIsSaidAtOnce(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		const usual, budget, most = 200 * time.Millisecond, time.Second, 60
-		s := newProxyWithLatency(t, usual, nowhere)
+		s := newProxyWithLatency(t, usual, unreachableUpstream)
 		occupyAll(s) // two places: ten requests a second
 		var mu sync.Mutex
 		atOnce, waited := 0, 0
@@ -178,7 +178,7 @@
 		{150 * time.Millisecond, 200 * time.Millisecond, 150 * time.Millisecond}, // but not before the usual time
 	} {
 		for _, path := range sameTimePaths {
-			s := newProxyWithLatency(t, c.usual, nowhere)
+			s := newProxyWithLatency(t, c.usual, unreachableUpstream)
 			cfg := s.config.Load()
 			r := httptest.NewRequest("GET", path, nil)
 			r.Header.Set(headerBudget, strconv.FormatInt(c.budget.Milliseconds(), 10))
@@ -313,7 +313,7 @@
 // A process that is about to end answers those that wait while it is still there.
 func TestLeavingAnswersWhoWaits(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		s := newProxyWithLatency(t, 20*time.Millisecond, nowhere)
+		s := newProxyWithLatency(t, 20*time.Millisecond, unreachableUpstream)
 		occupyAll(s)
 		time.AfterFunc(100*time.Millisecond, func() { s.pool.Drain(time.Now().Add(400 * time.Millisecond)) })
 		w, took := timedGet(s, "/a/", 4*time.Second)
