--- a/internal/proxy/timing_test.go
+++ b/internal/proxy/timing_test.go
@@ -81,7 +81,7 @@
 // unreachableUpstream is an upstream that nothing is sent to.
 var unreachableUpstream = discovery.Instance{ID: "i-1", Service: "svc", Address: "127.0.0.1:1", Zone: "z", Slots: 2}
 
-func quick(t *testing.T) discovery.Instance {
+func newFastUpstream(t *testing.T) discovery.Instance {
 	return newRawUpstream(t, func(_ int, r *http.Request) (string, bool) { return ok(r, "x"), false }).instance("i-1")
 }
 
@@ -273,7 +273,7 @@
 // Room that comes by the end of an upstream's pause is given to those that wait then,
 // though no request ends or comes.
 func TestEndOfAPauseWakesWhoWaits(t *testing.T) {
-	s := newProxyWithLatency(t, 20*time.Millisecond, quick(t))
+	s := newProxyWithLatency(t, 20*time.Millisecond, newFastUpstream(t))
 	s.pool.mu.Lock()
 	for _, u := range s.pool.upstreams {
 		u.ejectedUntil = time.Now().Add(200 * time.Millisecond)
@@ -327,7 +327,7 @@
 // A few answers that were stuck do not keep requests from waiting that have far more time
 // than most of the work takes, and do not put the second upstream off.
 func TestFewStuckAnswersAreNotTheWork(t *testing.T) {
-	s := newProxyWithLatency(t, 5*time.Millisecond, quick(t))
+	s := newProxyWithLatency(t, 5*time.Millisecond, newFastUpstream(t))
 	s.pool.times["svc"].responses.observe(time.Now(), 2)
 	work := s.pool.latencyEstimate("svc")
 	if work.high > 10*time.Millisecond || work.hedgeThreshold() > 30*time.Millisecond {
