--- a/internal/proxy/grants_test.go
+++ b/internal/proxy/grants_test.go
@@ -69,15 +69,15 @@
 	const tracker = "127.0.0.65"
 	d := silentTracker(t, tracker)
 	waited := func(callersTime time.Duration) time.Duration { return awaitTracker(d, "k", callersTime) }
-	tookWithin(t, "with 30 ms", waited(30*time.Millisecond), 25*time.Millisecond, 70*time.Millisecond)
+	assertDuration(t, "with 30 ms", waited(30*time.Millisecond), 25*time.Millisecond, 70*time.Millisecond)
 	usually := func(took time.Duration) {
 		d.trackerEchoesMu.Lock()
 		d.trackerAnswers[tracker] = uniformLatency(took)
 		d.trackerEchoesMu.Unlock()
 	}
 	usually(2 * time.Millisecond)
-	tookWithin(t, "of a tracker that usually takes 2 ms", waited(time.Second), constants.TrackerBusy, constants.TrackerBusy+50*time.Millisecond)
+	assertDuration(t, "of a tracker that usually takes 2 ms", waited(time.Second), constants.TrackerBusy, constants.TrackerBusy+50*time.Millisecond)
 	usually(100 * time.Millisecond)
-	tookWithin(t, "of a tracker that usually takes 100 ms", waited(time.Second), 300*time.Millisecond, 380*time.Millisecond)
-	tookWithin(t, "of the same with 200 ms", waited(200*time.Millisecond), 195*time.Millisecond, 260*time.Millisecond)
+	assertDuration(t, "of a tracker that usually takes 100 ms", waited(time.Second), 300*time.Millisecond, 380*time.Millisecond)
+	assertDuration(t, "of the same with 200 ms", waited(200*time.Millisecond), 195*time.Millisecond, 260*time.Millisecond)
 }
--- a/internal/proxy/timing_test.go
+++ b/internal/proxy/timing_test.go
@@ -85,7 +85,7 @@
 	return newRawUpstream(t, func(_ int, r *http.Request) (string, bool) { return ok(r, "x"), false }).instance("i-1")
 }
 
-func tookWithin(t *testing.T, what string, got, least, most time.Duration) {
+func assertDuration(t *testing.T, what string, got, least, most time.Duration) {
 	t.Helper()
 	if got < least || got > most {
 		t.Errorf("%s: %v, want %v to %v", what, got, least, most)
@@ -286,7 +286,7 @@
 	if w.Code != http.StatusOK {
 		t.Errorf("got %d", w.Code)
 	}
-	tookWithin(t, "served after", took, 150*time.Millisecond, 500*time.Millisecond)
+	assertDuration(t, "served after", took, 150*time.Millisecond, 500*time.Millisecond)
 }
 
 // A caller refused for want of a configuration is told to come again within the part of its
@@ -320,7 +320,7 @@
 		if w.Code != http.StatusServiceUnavailable {
 			t.Errorf("got %d", w.Code)
 		}
-		tookWithin(t, "answered after", took, 470*time.Millisecond, 480*time.Millisecond)
+		assertDuration(t, "answered after", took, 470*time.Millisecond, 480*time.Millisecond)
 	})
 }
 
