--- a/internal/proxy/stream_test.go
+++ b/internal/proxy/stream_test.go
@@ -17,7 +17,7 @@
 	"slateridge/internal/usage"
 )
 
-const eventHead = "HTTP/1.1 200 OK\r\nX-Slateridge-Attempt-Id: id-1\r\nX-Slateridge-Response-Seal: s\r\nContent-Type: text/event-stream\r\nTransfer-Encoding: chunked\r\n\r\n"
+const streamResponseHead = "HTTP/1.1 200 OK\r\nX-Slateridge-Attempt-Id: id-1\r\nX-Slateridge-Response-Seal: s\r\nContent-Type: text/event-stream\r\nTransfer-Encoding: chunked\r\n\r\n"
 
 func event(n int) string {
 	e := fmt.Sprintf("id: %d\ndata: piece %d\n\n", n, n)
@@ -57,7 +57,7 @@
 func TestEventsComeAsTheyAreMade(t *testing.T) {
 	seen := make(chan int)
 	up, runs := source(t, func(c net.Conn, _ *http.Request) {
-		io.WriteString(c, eventHead)
+		io.WriteString(c, streamResponseHead)
 		for n := 1; n <= 5; n++ {
 			io.WriteString(c, event(n))
 			select {
@@ -110,7 +110,7 @@
 func TestCutStreamLooksCut(t *testing.T) {
 	for _, last := range []string{"", "1c\r\nid: 2\ndata: pie"} {
 		up, runs := source(t, func(c net.Conn, _ *http.Request) {
-			io.WriteString(c, eventHead+event(1)+last)
+			io.WriteString(c, streamResponseHead+event(1)+last)
 			c.Close()
 		})
 		s := newProxy(t, up)
@@ -155,7 +155,7 @@
 // A client that goes away, before the first event or in the middle, frees the
 // upstream's place.
 func TestLeavingClientFreesThePlace(t *testing.T) {
-	for _, first := range []string{"", eventHead + event(1)} {
+	for _, first := range []string{"", streamResponseHead + event(1)} {
 		ended := make(chan bool, 1)
 		up, _ := source(t, func(c net.Conn, _ *http.Request) {
 			io.WriteString(c, first)
@@ -190,7 +190,7 @@
 func TestLeavingClientIsNoFailure(t *testing.T) {
 	for name, c := range map[string]struct{ request, first string }{
 		"before the first event": {"POST /flow/x HTTP/1.1\r\nContent-Length: 2\r\n\r\nhi", ""},
-		"in a stream":            {"POST /flow/x HTTP/1.1\r\nContent-Length: 2\r\n\r\nhi", eventHead + event(1)},
+		"in a stream":            {"POST /flow/x HTTP/1.1\r\nContent-Length: 2\r\n\r\nhi", streamResponseHead + event(1)},
 		"in its body":            {"POST /once/x HTTP/1.1\r\nContent-Length: 200000\r\n\r\n" + strings.Repeat("x", 100000), ""},
 	} {
 		t.Run(name, func(t *testing.T) {
@@ -233,7 +233,7 @@
 	piece := event(1)
 	piece = strings.Repeat(piece, 100)
 	up, _ := source(t, func(c net.Conn, _ *http.Request) {
-		io.WriteString(c, eventHead)
+		io.WriteString(c, streamResponseHead)
 		for {
 			if n, err := io.WriteString(c, piece); err != nil {
 				return
