--- a/internal/proxy/stream_test.go
+++ b/internal/proxy/stream_test.go
@@ -19,7 +19,7 @@
 
 const streamResponseHead = "HTTP/1.1 200 OK\r\nX-Slateridge-Attempt-Id: id-1\r\nX-Slateridge-Response-Seal: s\r\nContent-Type: text/event-stream\r\nTransfer-Encoding: chunked\r\n\r\n"
 
-func event(n int) string {
+func eventChunk(n int) string {
 	e := fmt.Sprintf("id: %d\ndata: piece %d\n\n", n, n)
 	return fmt.Sprintf("%x\r\n%s\r\n", len(e), e)
 }
@@ -59,7 +59,7 @@
 	up, runs := source(t, func(c net.Conn, _ *http.Request) {
 		io.WriteString(c, streamResponseHead)
 		for n := 1; n <= 5; n++ {
-			io.WriteString(c, event(n))
+			io.WriteString(c, eventChunk(n))
 			select {
 			case got := <-seen:
 				if got != n {
@@ -110,7 +110,7 @@
 func TestCutStreamLooksCut(t *testing.T) {
 	for _, last := range []string{"", "1c\r\nid: 2\ndata: pie"} {
 		up, runs := source(t, func(c net.Conn, _ *http.Request) {
-			io.WriteString(c, streamResponseHead+event(1)+last)
+			io.WriteString(c, streamResponseHead+eventChunk(1)+last)
 			c.Close()
 		})
 		s := newProxy(t, up)
@@ -155,7 +155,7 @@
 // A client that goes away, before the first event or in the middle, frees the
 // upstream's place.
 func TestLeavingClientFreesThePlace(t *testing.T) {
-	for _, first := range []string{"", streamResponseHead + event(1)} {
+	for _, first := range []string{"", streamResponseHead + eventChunk(1)} {
 		ended := make(chan bool, 1)
 		up, _ := source(t, func(c net.Conn, _ *http.Request) {
 			io.WriteString(c, first)
@@ -190,7 +190,7 @@
 func TestLeavingClientIsNoFailure(t *testing.T) {
 	for name, c := range map[string]struct{ request, first string }{
 		"before the first event": {"POST /flow/x HTTP/1.1\r\nContent-Length: 2\r\n\r\nhi", ""},
-		"in a stream":            {"POST /flow/x HTTP/1.1\r\nContent-Length: 2\r\n\r\nhi", streamResponseHead + event(1)},
+		"in a stream":            {"POST /flow/x HTTP/1.1\r\nContent-Length: 2\r\n\r\nhi", streamResponseHead + eventChunk(1)},
 		"in its body":            {"POST /once/x HTTP/1.1\r\nContent-Length: 200000\r\n\r\n" + strings.Repeat("x", 100000), ""},
 	} {
 		t.Run(name, func(t *testing.T) {
@@ -230,7 +230,7 @@
 // A client that reads nothing holds its upstream up; nothing is gathered here.
 func TestSlowReaderHoldsItsUpstream(t *testing.T) {
 	var made atomic.Int64
-	piece := event(1)
+	piece := eventChunk(1)
 	piece = strings.Repeat(piece, 100)
 	up, _ := source(t, func(c net.Conn, _ *http.Request) {
 		io.WriteString(c, streamResponseHead)
