--- a/internal/proxy/accounting_test.go
+++ b/internal/proxy/accounting_test.go
@@ -27,7 +27,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	instance, _ := source(t, answer)
+	instance, _ := newStreamUpstream(t, answer)
 	s := newProxy(t, instance)
 	s.accounts = accounts.NewMeter("p", 1, objectives, nil, nil)
 	return s
--- a/internal/proxy/contract_test.go
+++ b/internal/proxy/contract_test.go
@@ -114,7 +114,7 @@
 // on its way is not taken for whole.
 func TestResetFailureIsNotWhole(t *testing.T) {
 	for _, reset := range []bool{false, true} {
-		up, _ := source(t, func(c net.Conn, _ *http.Request) {
+		up, _ := newStreamUpstream(t, func(c net.Conn, _ *http.Request) {
 			io.WriteString(c, "HTTP/1.1 500 Ill\r\nX-Slateridge-Attempt-Id: id-1\r\nX-Slateridge-Response-Seal: s\r\n\r\nthe cause")
 			time.Sleep(30 * time.Millisecond)
 			if reset {
--- a/internal/proxy/stream_test.go
+++ b/internal/proxy/stream_test.go
@@ -24,8 +24,8 @@
 	return fmt.Sprintf("%x\r\n%s\r\n", len(e), e)
 }
 
-// source is an upstream stand-in whose answers are written by the test.
-func source(t *testing.T, answer func(c net.Conn, r *http.Request)) (discovery.Instance, *atomic.Int64) {
+// newStreamUpstream is an upstream stand-in whose answers are written by the test.
+func newStreamUpstream(t *testing.T, answer func(c net.Conn, r *http.Request)) (discovery.Instance, *atomic.Int64) {
 	runs := &atomic.Int64{}
 	l := upstream(t, func(c net.Conn, r *http.Request, _ string) bool {
 		runs.Add(1)
@@ -56,7 +56,7 @@
 // counts as usage once, with its first; its connection serves another afterwards.
 func TestEventsComeAsTheyAreMade(t *testing.T) {
 	seen := make(chan int)
-	up, runs := source(t, func(c net.Conn, _ *http.Request) {
+	up, runs := newStreamUpstream(t, func(c net.Conn, _ *http.Request) {
 		io.WriteString(c, streamResponseHead)
 		for n := 1; n <= 5; n++ {
 			io.WriteString(c, eventChunk(n))
@@ -109,7 +109,7 @@
 // complete, and is not sent again.
 func TestCutStreamLooksCut(t *testing.T) {
 	for _, last := range []string{"", "1c\r\nid: 2\ndata: pie"} {
-		up, runs := source(t, func(c net.Conn, _ *http.Request) {
+		up, runs := newStreamUpstream(t, func(c net.Conn, _ *http.Request) {
 			io.WriteString(c, streamResponseHead+eventChunk(1)+last)
 			c.Close()
 		})
@@ -134,13 +134,13 @@
 // with 502 and not tried again, an upstream's word that it has not run is tried
 // elsewhere, and neither counts as usage.
 func TestStreamIsSentOnce(t *testing.T) {
-	reset, resets := source(t, func(c net.Conn, _ *http.Request) { c.(*net.TCPConn).SetLinger(0); c.Close() })
+	reset, resets := newStreamUpstream(t, func(c net.Conn, _ *http.Request) { c.(*net.TCPConn).SetLinger(0); c.Close() })
 	s := newProxy(t, reset)
 	s.meter, s.window = usage.NewMeter(1), func(time.Time) uint64 { return 40 }
 	if w := get(s, "POST", "/flow/x", "hi"); w.Code != 502 || resets.Load() != 1 {
 		t.Errorf("after a reset: %d, sent %d times", w.Code, resets.Load())
 	}
-	full, fulls := source(t, func(c net.Conn, _ *http.Request) {
+	full, fulls := newStreamUpstream(t, func(c net.Conn, _ *http.Request) {
 		io.WriteString(c, "HTTP/1.1 503 Service Unavailable\r\nX-Slateridge-Attempt-Id: id-1\r\nX-Slateridge-Not-Executed: 1\r\nContent-Length: 0\r\n\r\n")
 	})
 	s.pool.Apply(time.Now(), []discovery.Instance{full})
@@ -157,7 +157,7 @@
 func TestLeavingClientFreesThePlace(t *testing.T) {
 	for _, first := range []string{"", streamResponseHead + eventChunk(1)} {
 		ended := make(chan bool, 1)
-		up, _ := source(t, func(c net.Conn, _ *http.Request) {
+		up, _ := newStreamUpstream(t, func(c net.Conn, _ *http.Request) {
 			io.WriteString(c, first)
 			c.SetReadDeadline(time.Now().Add(10 * time.Second))
 			_, err := c.Read(make([]byte, 1))
@@ -232,7 +232,7 @@
 	var made atomic.Int64
 	piece := eventChunk(1)
 	piece = strings.Repeat(piece, 100)
-	up, _ := source(t, func(c net.Conn, _ *http.Request) {
+	up, _ := newStreamUpstream(t, func(c net.Conn, _ *http.Request) {
 		io.WriteString(c, streamResponseHead)
 		for {
 			if n, err := io.WriteString(c, piece); err != nil {
@@ -372,7 +372,7 @@
 		{"HTTP/1.1 503 Service Unavailable\r\nX-Slateridge-Attempt-Id: id-1\r\nX-Slateridge-Not-Executed: true\r\nContent-Length: 0\r\n\r\n", 0},
 	} {
 		came, release := make(chan bool, 10), make(chan bool)
-		up, _ := source(t, func(conn net.Conn, _ *http.Request) {
+		up, _ := newStreamUpstream(t, func(conn net.Conn, _ *http.Request) {
 			came <- true
 			<-release
 			io.WriteString(conn, c.answer)
