--- a/internal/proxy/stream_test.go
+++ b/internal/proxy/stream_test.go
@@ -35,8 +35,8 @@
 	return discovery.Instance{ID: "i-" + l.Addr().String(), Service: "svc", Address: l.Addr().String(), Zone: "z", Slots: 4}, runs
 }
 
-// flow opens a stream through a real server.
-func flow(t *testing.T, s *Proxy) (net.Conn, *bufio.Reader) {
+// dialProxy opens a stream through a real server.
+func dialProxy(t *testing.T, s *Proxy) (net.Conn, *bufio.Reader) {
 	srv := httptest.NewServer(s)
 	t.Cleanup(srv.Close)
 	c, err := net.Dial("tcp4", srv.Listener.Addr().String())
@@ -74,7 +74,7 @@
 	})
 	s := newProxy(t, up)
 	s.meter, s.window = usage.NewMeter(1), func(time.Time) uint64 { return 40 }
-	c, br := flow(t, s)
+	c, br := dialProxy(t, s)
 	for round := range 2 {
 		ask(c, "/flow/x")
 		resp, err := http.ReadResponse(br, nil)
@@ -114,7 +114,7 @@
 			c.Close()
 		})
 		s := newProxy(t, up)
-		c, br := flow(t, s)
+		c, br := dialProxy(t, s)
 		ask(c, "/flow/x")
 		resp, err := http.ReadResponse(br, nil)
 		if err != nil {
@@ -165,7 +165,7 @@
 			ended <- err != nil && !(timeout && ne.Timeout())
 		})
 		s := newProxy(t, up)
-		c, br := flow(t, s)
+		c, br := dialProxy(t, s)
 		ask(c, "/flow/x")
 		if first == "" {
 			for s.pool.Busy("svc") == 0 {
@@ -205,7 +205,7 @@
 				io.Copy(io.Discard, c1)
 			})
 			s := newProxy(t, discovery.Instance{ID: "i-1", Service: "svc", Address: l.Addr().String(), Zone: "z", Slots: 4})
-			conn, br := flow(t, s)
+			conn, br := dialProxy(t, s)
 			line, rest, _ := strings.Cut(c.request, "\r\n")
 			io.WriteString(conn, line+"\r\nHost: h.example\r\nX-Slateridge-Attempt-Id: id-1\r\nX-Slateridge-Time-Budget-Ms: 9000\r\nX-Api-Key: k1\r\n"+rest)
 			<-began
@@ -242,7 +242,7 @@
 			}
 		}
 	})
-	c, _ := flow(t, newProxy(t, up))
+	c, _ := dialProxy(t, newProxy(t, up))
 	ask(c, "/flow/x")
 	last := int64(-1)
 	for n := made.Load(); n != last || n == 0; n = made.Load() { // until it stands still
@@ -267,7 +267,7 @@
 		return ok(r, r.RequestURI), false
 	})
 	s := newProxy(t, u.instance("i-1"))
-	c, br := flow(t, s)
+	c, br := dialProxy(t, s)
 	one := func(path string) string {
 		return "GET " + path + " HTTP/1.1\r\nHost: h.example\r\nX-Slateridge-Attempt-Id: " + path[len(path)-1:] + "\r\nX-Slateridge-Time-Budget-Ms: 2000\r\nX-Api-Key: k1\r\n\r\n"
 	}
