--- a/internal/proxy/stream_test.go
+++ b/internal/proxy/stream_test.go
@@ -48,7 +48,7 @@
 	return c, bufio.NewReader(c)
 }
 
-func ask(c net.Conn, path string) {
+func sendStreamRequest(c net.Conn, path string) {
 	fmt.Fprintf(c, "POST %s HTTP/1.1\r\nHost: h.example\r\nX-Slateridge-Attempt-Id: id-1\r\nX-Slateridge-Time-Budget-Ms: 9000\r\nX-Api-Key: k1\r\nX-Slateridge-Prompt-Prefix: 17\r\nContent-Length: 2\r\n\r\nhi", path)
 }
 
@@ -76,7 +76,7 @@
 	s.meter, s.window = usage.NewMeter(1), func(time.Time) uint64 { return 40 }
 	c, br := dialProxy(t, s)
 	for round := range 2 {
-		ask(c, "/flow/x")
+		sendStreamRequest(c, "/flow/x")
 		resp, err := http.ReadResponse(br, nil)
 		if err != nil || resp.StatusCode != 200 || resp.Header.Get(headerSeal) != "s" {
 			t.Fatal(resp, err)
@@ -115,7 +115,7 @@
 		})
 		s := newProxy(t, up)
 		c, br := dialProxy(t, s)
-		ask(c, "/flow/x")
+		sendStreamRequest(c, "/flow/x")
 		resp, err := http.ReadResponse(br, nil)
 		if err != nil {
 			t.Fatal(err)
@@ -166,7 +166,7 @@
 		})
 		s := newProxy(t, up)
 		c, br := dialProxy(t, s)
-		ask(c, "/flow/x")
+		sendStreamRequest(c, "/flow/x")
 		if first == "" {
 			for s.pool.Busy("svc") == 0 {
 				time.Sleep(time.Millisecond)
@@ -243,7 +243,7 @@
 		}
 	})
 	c, _ := dialProxy(t, newProxy(t, up))
-	ask(c, "/flow/x")
+	sendStreamRequest(c, "/flow/x")
 	last := int64(-1)
 	for n := made.Load(); n != last || n == 0; n = made.Load() { // until it stands still
 		last = n
