--- a/internal/proxy/grants_test.go
+++ b/internal/proxy/grants_test.go
@@ -11,9 +11,9 @@
 	"slateridge/internal/transport"
 )
 
-// silentTracker is a daemon whose trackers take questions and answer none, and are
+// daemonWithSilentTracker is a daemon whose trackers take questions and answer none, and are
 // connected.
-func silentTracker(t *testing.T, tracker string) *Daemon {
+func daemonWithSilentTracker(t *testing.T, tracker string) *Daemon {
 	d, _ := daemonAt(t)
 	listener, err := transport.Listen(d.set.Load().PeerInternal(tracker, constants.PortControl))
 	if err != nil {
@@ -43,7 +43,7 @@
 // A caller whose time ends before the tracker's silence is unusual leaves the next caller the
 // same chance; one that has waited for as long as that spares it the wait.
 func TestShortTimeIsNoSilence(t *testing.T) {
-	d := silentTracker(t, "127.0.0.66")
+	d := daemonWithSilentTracker(t, "127.0.0.66")
 	slow := strings.Replace(fmt.Sprintf(testConfig, 2), `"ratePerS":0.001,`, `"ratePerS":0.5,`, 1)
 	trackers := d.trackers.Load()
 	d.inForce(slow, 2, nil)
@@ -67,7 +67,7 @@
 // that tracker's silence is usual.
 func TestTrackerIsAwaitedByCallerAndTracker(t *testing.T) {
 	const tracker = "127.0.0.65"
-	d := silentTracker(t, tracker)
+	d := daemonWithSilentTracker(t, tracker)
 	waited := func(callersTime time.Duration) time.Duration { return awaitTracker(d, "k", callersTime) }
 	assertDuration(t, "with 30 ms", waited(30*time.Millisecond), 25*time.Millisecond, 70*time.Millisecond)
 	usually := func(took time.Duration) {
