--- a/internal/proxy/grants_test.go
+++ b/internal/proxy/grants_test.go
@@ -23,7 +23,7 @@
 	go transport.Serve(listener, func(*transport.Conn, any) any { return nil })
 	all := slices.Repeat([]string{tracker}, d.set.Load().Trackers())
 	d.trackers.Store(&all)
-	for n := 0; awaitTracker(d, "k", time.Second) < constants.TrackerBusy/2; n++ { // until the connection stands
+	for n := 0; timeTokenRequest(d, "k", time.Second) < constants.TrackerBusy/2; n++ { // until the connection stands
 		if n > 100 {
 			t.Fatal("no connection to the tracker")
 		}
@@ -32,9 +32,9 @@
 	return d
 }
 
-// awaitTracker asks a key's tracker for a caller with so much time, and tells how long it
+// timeTokenRequest asks a key's tracker for a caller with so much time, and tells how long it
 // was waited for.
-func awaitTracker(d *Daemon, key string, callersTime time.Duration) time.Duration {
+func timeTokenRequest(d *Daemon, key string, callersTime time.Duration) time.Duration {
 	began := time.Now()
 	d.requestTokens(key, began.Add(callersTime))
 	return time.Since(began)
@@ -52,12 +52,12 @@
 	for d.limiter.Admit(d.now(), "tight", true).OK {
 	}
 	time.Sleep(1100 * time.Millisecond) // the bucket for bursts has a token again, the one for the rate has none
-	awaitTracker(d, "tight", 20*time.Millisecond)
-	awaitTracker(d, "tight", -time.Second)
+	timeTokenRequest(d, "tight", 20*time.Millisecond)
+	timeTokenRequest(d, "tight", -time.Second)
 	if !asks() {
 		t.Error("the next caller does not wait for the tracker, after one that had no time")
 	}
-	awaitTracker(d, "tight", time.Second)
+	timeTokenRequest(d, "tight", time.Second)
 	if asks() {
 		t.Error("the next caller waits for a tracker that was silent for unusually long")
 	}
@@ -68,7 +68,7 @@
 func TestTrackerIsAwaitedByCallerAndTracker(t *testing.T) {
 	const tracker = "127.0.0.65"
 	d := daemonWithSilentTracker(t, tracker)
-	waited := func(callersTime time.Duration) time.Duration { return awaitTracker(d, "k", callersTime) }
+	waited := func(callersTime time.Duration) time.Duration { return timeTokenRequest(d, "k", callersTime) }
 	assertDuration(t, "with 30 ms", waited(30*time.Millisecond), 25*time.Millisecond, 70*time.Millisecond)
 	usually := func(took time.Duration) {
 		d.trackerEchoesMu.Lock()
