--- a/internal/proxy/priority_test.go
+++ b/internal/proxy/priority_test.go
@@ -7,9 +7,9 @@
 	"time"
 )
 
-// pausing is a proxy whose upstreams are full but for one, which is left alone for a
+// newProxyWithEjected is a proxy whose upstreams are full but for one, which is left alone for a
 // while after a failure and then tried with one request.
-func pausing(t *testing.T, pause, work time.Duration) *Proxy {
+func newProxyWithEjected(t *testing.T, pause, work time.Duration) *Proxy {
 	u := newRawUpstream(t, func(_ int, r *http.Request) (string, bool) {
 		time.Sleep(work)
 		return ok(r, "x"), false
@@ -27,7 +27,7 @@
 // Room that comes by itself, as when an upstream is tried again after a pause, goes to
 // the most urgent request that waits, and not to a less urgent one that comes just then.
 func TestRoomGoesToTheMostUrgent(t *testing.T) {
-	s := pausing(t, 60*time.Millisecond, 150*time.Millisecond)
+	s := newProxyWithEjected(t, 60*time.Millisecond, 150*time.Millisecond)
 	var urgent, other int
 	var wg sync.WaitGroup
 	wg.Go(func() { urgent = get(s, "POST", "/once/", "").Code }) // priority 1
