--- a/internal/proxy/proxy_test.go
+++ b/internal/proxy/proxy_test.go
@@ -27,10 +27,10 @@
 // request on a connection, and what it returns is written; close ends the
 // connection after that.
 type rawUpstream struct {
-	l     net.Listener
-	mu    sync.Mutex
-	runs  []string // request line and body of each request that arrived
-	heads []http.Header
+	listener net.Listener
+	mu       sync.Mutex
+	runs     []string // request line and body of each request that arrived
+	heads    []http.Header
 }
 
 type script func(n int, r *http.Request) (answer string, close bool)
@@ -75,7 +75,7 @@
 
 func newRawUpstream(t *testing.T, s script) *rawUpstream {
 	u := &rawUpstream{}
-	u.l = upstream(t, func(c net.Conn, r *http.Request, body string) bool {
+	u.listener = upstream(t, func(c net.Conn, r *http.Request, body string) bool {
 		u.mu.Lock()
 		u.runs = append(u.runs, r.Method+" "+r.RequestURI+" "+body)
 		u.heads = append(u.heads, r.Header)
@@ -95,7 +95,7 @@
 }
 
 func (u *rawUpstream) instance(id string) discovery.Instance {
-	return discovery.Instance{ID: id, Service: "svc", Address: u.l.Addr().String(), Zone: "z", Slots: 2}
+	return discovery.Instance{ID: id, Service: "svc", Address: u.listener.Addr().String(), Zone: "z", Slots: 2}
 }
 
 func ok(r *http.Request, body string) string {
@@ -541,7 +541,7 @@
 	} {
 		var to []string // remote addresses of requests
 		u := &rawUpstream{}
-		u.l = upstream(t, func(conn net.Conn, r *http.Request, _ string) bool {
+		u.listener = upstream(t, func(conn net.Conn, r *http.Request, _ string) bool {
 			u.mu.Lock()
 			to = append(to, conn.RemoteAddr().String())
 			a := c.late
