--- a/internal/proxy/proxy_test.go
+++ b/internal/proxy/proxy_test.go
@@ -29,7 +29,7 @@
 type rawUpstream struct {
 	listener net.Listener
 	mu       sync.Mutex
-	runs     []string // request line and body of each request that arrived
+	requests []string // request line and body of each request that arrived
 	heads    []http.Header
 }
 
@@ -77,9 +77,9 @@
 	u := &rawUpstream{}
 	u.listener = upstream(t, func(c net.Conn, r *http.Request, body string) bool {
 		u.mu.Lock()
-		u.runs = append(u.runs, r.Method+" "+r.RequestURI+" "+body)
+		u.requests = append(u.requests, r.Method+" "+r.RequestURI+" "+body)
 		u.heads = append(u.heads, r.Header)
-		n := len(u.runs)
+		n := len(u.requests)
 		u.mu.Unlock()
 		a, end := s(n, r)
 		io.WriteString(c, a)
@@ -91,7 +91,7 @@
 func (u *rawUpstream) count() int {
 	u.mu.Lock()
 	defer u.mu.Unlock()
-	return len(u.runs)
+	return len(u.requests)
 }
 
 func (u *rawUpstream) instance(id string) discovery.Instance {
@@ -160,8 +160,8 @@
 	if w.Code != 200 || w.Body.String() != "the body" || w.Header().Get(headerSeal) != "s" {
 		t.Fatalf("got %d %q", w.Code, w.Body)
 	}
-	if want := "POST " + path + " payload"; u.runs[0] != want {
-		t.Fatalf("upstream saw %q, want %q", u.runs[0], want)
+	if want := "POST " + path + " payload"; u.requests[0] != want {
+		t.Fatalf("upstream saw %q, want %q", u.requests[0], want)
 	}
 	h := u.heads[0]
 	for k, want := range map[string]string{headerTenant: "ten", headerExpectedInstance: "i-1", headerAPIKey: "", "X-Other": "kept", "X-Hop": "", "Accept-Encoding": "", "User-Agent": "", headerAttemptID: "id-1"} {
