--- a/internal/proxy/contract_test.go
+++ b/internal/proxy/contract_test.go
@@ -65,14 +65,14 @@
 			t.Errorf("%s: %d after %v", name, w.Code, took)
 		}
 		u.mu.Lock()
-		for n, head := range u.heads {
+		for n, head := range u.headers {
 			left, err := strconv.Atoi(head.Get(headerBudget))
 			passed := time.Duration(n) * 200 * time.Millisecond // the second offer goes out then at the earliest
 			if err != nil || time.Duration(left)*time.Millisecond > c.held-passed {
 				t.Errorf("%s: try %d is handed %q", name, n+1, head.Get(headerBudget))
 			}
 		}
-		if len(u.heads) < 2 {
+		if len(u.headers) < 2 {
 			t.Errorf("%s: no second try", name)
 		}
 		u.mu.Unlock()
--- a/internal/proxy/proxy_test.go
+++ b/internal/proxy/proxy_test.go
@@ -30,7 +30,7 @@
 	listener net.Listener
 	mu       sync.Mutex
 	requests []string // request line and body of each request that arrived
-	heads    []http.Header
+	headers  []http.Header
 }
 
 type script func(n int, r *http.Request) (answer string, close bool)
@@ -78,7 +78,7 @@
 	u.listener = upstream(t, func(c net.Conn, r *http.Request, body string) bool {
 		u.mu.Lock()
 		u.requests = append(u.requests, r.Method+" "+r.RequestURI+" "+body)
-		u.heads = append(u.heads, r.Header)
+		u.headers = append(u.headers, r.Header)
 		n := len(u.requests)
 		u.mu.Unlock()
 		a, end := s(n, r)
@@ -163,7 +163,7 @@
 	if want := "POST " + path + " payload"; u.requests[0] != want {
 		t.Fatalf("upstream saw %q, want %q", u.requests[0], want)
 	}
-	h := u.heads[0]
+	h := u.headers[0]
 	for k, want := range map[string]string{headerTenant: "ten", headerExpectedInstance: "i-1", headerAPIKey: "", "X-Other": "kept", "X-Hop": "", "Accept-Encoding": "", "User-Agent": "", headerAttemptID: "id-1"} {
 		if got := h.Get(k); got != want {
 			t.Errorf("%s: upstream saw %q, want %q", k, got, want)
