--- a/internal/proxy/contract_test.go
+++ b/internal/proxy/contract_test.go
@@ -84,7 +84,7 @@
 func TestEarlyAnswerIsFollowedByTheWholeBody(t *testing.T) {
 	const length = 600000
 	bodies := make(chan error, 4)
-	listener := listenEach(t, func(c net.Conn) {
+	listener := serveConns(t, func(c net.Conn) {
 		for br := bufio.NewReader(c); ; {
 			r, err := http.ReadRequest(br)
 			if err != nil {
--- a/internal/proxy/proxy_test.go
+++ b/internal/proxy/proxy_test.go
@@ -35,8 +35,8 @@
 
 type script func(n int, r *http.Request) (answer string, close bool)
 
-// listenEach listens until the test's end, and has each connection served and then closed.
-func listenEach(t *testing.T, serve func(c net.Conn)) net.Listener {
+// serveConns listens until the test's end, and has each connection served and then closed.
+func serveConns(t *testing.T, serve func(c net.Conn)) net.Listener {
 	l, err := net.Listen("tcp4", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
@@ -60,7 +60,7 @@
 // upstream listens and has each request answered on its connection, until answer
 // says that the connection ends.
 func upstream(t *testing.T, answer func(c net.Conn, r *http.Request, body string) (more bool)) net.Listener {
-	return listenEach(t, func(c net.Conn) {
+	return serveConns(t, func(c net.Conn) {
 		br := bufio.NewReader(c)
 		for more := true; more; {
 			r, err := http.ReadRequest(br)
--- a/internal/proxy/stream_test.go
+++ b/internal/proxy/stream_test.go
@@ -195,7 +195,7 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			began := make(chan bool, 1)
-			l := listenEach(t, func(c1 net.Conn) {
+			l := serveConns(t, func(c1 net.Conn) {
 				if _, err := http.ReadRequest(bufio.NewReader(c1)); err != nil {
 					return
 				}
