--- a/internal/proxy/disconnect_test.go
+++ b/internal/proxy/disconnect_test.go
@@ -44,7 +44,7 @@
 
 func newWorkingUpstream(t *testing.T, first, last string) *workingUpstream {
 	u := &workingUpstream{first: first, last: last}
-	u.listener = upstream(t, func(c net.Conn, r *http.Request, _ string) bool { return u.serve(c, r) })
+	u.listener = serveRequests(t, func(c net.Conn, r *http.Request, _ string) bool { return u.serve(c, r) })
 	return u
 }
 
--- a/internal/proxy/proxy_test.go
+++ b/internal/proxy/proxy_test.go
@@ -57,9 +57,9 @@
 	return l
 }
 
-// upstream listens and has each request answered on its connection, until answer
+// serveRequests listens and has each request answered on its connection, until answer
 // says that the connection ends.
-func upstream(t *testing.T, answer func(c net.Conn, r *http.Request, body string) (more bool)) net.Listener {
+func serveRequests(t *testing.T, answer func(c net.Conn, r *http.Request, body string) (more bool)) net.Listener {
 	return serveConns(t, func(c net.Conn) {
 		br := bufio.NewReader(c)
 		for more := true; more; {
@@ -75,7 +75,7 @@
 
 func newRawUpstream(t *testing.T, s script) *rawUpstream {
 	u := &rawUpstream{}
-	u.listener = upstream(t, func(c net.Conn, r *http.Request, body string) bool {
+	u.listener = serveRequests(t, func(c net.Conn, r *http.Request, body string) bool {
 		u.mu.Lock()
 		u.requests = append(u.requests, r.Method+" "+r.RequestURI+" "+body)
 		u.headers = append(u.headers, r.Header)
@@ -541,7 +541,7 @@
 	} {
 		var to []string // remote addresses of requests
 		u := &rawUpstream{}
-		u.listener = upstream(t, func(conn net.Conn, r *http.Request, _ string) bool {
+		u.listener = serveRequests(t, func(conn net.Conn, r *http.Request, _ string) bool {
 			u.mu.Lock()
 			to = append(to, conn.RemoteAddr().String())
 			a := c.late
--- a/internal/proxy/stream_test.go
+++ b/internal/proxy/stream_test.go
@@ -27,7 +27,7 @@
 // newStreamUpstream is an upstream stand-in whose answers are written by the test.
 func newStreamUpstream(t *testing.T, answer func(c net.Conn, r *http.Request)) (discovery.Instance, *atomic.Int64) {
 	runs := &atomic.Int64{}
-	l := upstream(t, func(c net.Conn, r *http.Request, _ string) bool {
+	l := serveRequests(t, func(c net.Conn, r *http.Request, _ string) bool {
 		runs.Add(1)
 		answer(c, r)
 		return true
--- a/internal/proxy/unbroken_test.go
+++ b/internal/proxy/unbroken_test.go
@@ -124,7 +124,7 @@
 	for name, size := range map[string]int{"short": 4000, "longer than what is held": 600000} {
 		for _, before := range []int{0, 200, size / 2} {
 			t.Run(fmt.Sprint(name, " after ", before), func(t *testing.T) {
-				l := upstream(t, func(c net.Conn, r *http.Request, _ string) bool {
+				l := serveRequests(t, func(c net.Conn, r *http.Request, _ string) bool {
 					whole := ok(r, strings.Repeat("x", size))
 					io.WriteString(c, whole[:before])
 					time.Sleep(1200 * time.Millisecond)
