--- a/internal/proxy/accounting_test.go
+++ b/internal/proxy/accounting_test.go
@@ -35,14 +35,14 @@
 
 // answers are what the stand-in upstream says, by the end of the path.
 var answers = map[string]func(c net.Conn, r *http.Request){
-	"fine":   func(c net.Conn, r *http.Request) { io.WriteString(c, ok(r, "hi")) },
+	"fine":   func(c net.Conn, r *http.Request) { io.WriteString(c, okResponse(r, "hi")) },
 	"broken": func(c net.Conn, _ *http.Request) { c.Close() },
 	"wrong": func(c net.Conn, _ *http.Request) {
 		io.WriteString(c, "HTTP/1.1 400 Bad Request\r\nX-Slateridge-Attempt-Id: id-1\r\nContent-Length: 0\r\n\r\n")
 	},
 	"late": func(c net.Conn, r *http.Request) {
 		time.Sleep(100 * time.Millisecond)
-		io.WriteString(c, ok(r, "hi"))
+		io.WriteString(c, okResponse(r, "hi"))
 	},
 	"cut": func(c net.Conn, _ *http.Request) {
 		io.WriteString(c, "HTTP/1.1 200 OK\r\nX-Slateridge-Attempt-Id: id-1\r\nX-Slateridge-Response-Seal: s\r\nTransfer-Encoding: chunked\r\n\r\n2\r\nhi\r\n")
--- a/internal/proxy/attempts_test.go
+++ b/internal/proxy/attempts_test.go
@@ -47,7 +47,7 @@
 func TestHedgeBesideAnAnswer(t *testing.T) {
 	answer := func(n int, r *http.Request) (string, bool) {
 		time.Sleep(time.Millisecond + time.Duration(n%40)*25*time.Microsecond)
-		return ok(r, "x"), false
+		return okResponse(r, "x"), false
 	}
 	a, b := newRawUpstream(t, answer), newRawUpstream(t, answer)
 	s := newProxy(t, a.instance("i-1"), b.instance("i-2"))
--- a/internal/proxy/clientheader_test.go
+++ b/internal/proxy/clientheader_test.go
@@ -25,7 +25,7 @@
 // boundedFrontend serves with the bounds that limits holds, also put into the configuration
 // that requests are matched to.
 func boundedFrontend(t *testing.T) (limits *atomic.Pointer[config.Limits], connect func() *keptClient) {
-	u := newRawUpstream(t, func(_ int, r *http.Request) (string, bool) { return ok(r, "x"), false })
+	u := newRawUpstream(t, func(_ int, r *http.Request) (string, bool) { return okResponse(r, "x"), false })
 	s := newProxy(t, u.instance("i-1"))
 	limits = &atomic.Pointer[config.Limits]{}
 	limits.Store(&config.Limits{})
--- a/internal/proxy/contract_test.go
+++ b/internal/proxy/contract_test.go
@@ -54,7 +54,7 @@
 				return "", true
 			}
 			time.Sleep(3 * time.Second)
-			return ok(r, "x"), false
+			return okResponse(r, "x"), false
 		})
 		s := newProxy(t, u.instance("i-1"), u.instance("i-2"))
 		for range 400 {
@@ -90,7 +90,7 @@
 			if err != nil {
 				return
 			}
-			io.WriteString(c, ok(r, "early"))
+			io.WriteString(c, okResponse(r, "early"))
 			time.Sleep(100 * time.Millisecond)
 			b, err := io.ReadAll(r.Body)
 			if err == nil && string(b) != strings.Repeat("x", length) {
@@ -133,7 +133,7 @@
 // became of it there, and the connection serves the next.
 func TestKeptConnectionIsAnswered(t *testing.T) {
 	u := newRawUpstream(t, func(n int, r *http.Request) (string, bool) {
-		return []string{"", "HTTP/1.1 200 OK\r\nContent-Le", ok(r, "x")}[n%3], n%3 < 2
+		return []string{"", "HTTP/1.1 200 OK\r\nContent-Le", okResponse(r, "x")}[n%3], n%3 < 2
 	})
 	_, front := daemonAt(t, u.instance("i-1"))
 	client := connectTo(t, front)
--- a/internal/proxy/dial_test.go
+++ b/internal/proxy/dial_test.go
@@ -42,7 +42,7 @@
 // another; one that had no longer than its caller's time is not held to be gone.
 func TestConnectingLeavesTimeForAnother(t *testing.T) {
 	const usual, budget = 20 * time.Millisecond, 200 * time.Millisecond
-	free := newRawUpstream(t, func(_ int, r *http.Request) (string, bool) { return ok(r, "x"), false })
+	free := newRawUpstream(t, func(_ int, r *http.Request) (string, bool) { return okResponse(r, "x"), false })
 	dark := discovery.Instance{ID: "i-dark", Service: "svc", Address: silentAddress(t), Zone: "z", Slots: 2}
 	for _, path := range []string{"/a/", "/once/"} {
 		s := newProxyWithLatency(t, usual, dark, free.instance("i-free"))
--- a/internal/proxy/disconnect_test.go
+++ b/internal/proxy/disconnect_test.go
@@ -77,7 +77,7 @@
 	return true
 }
 
-func ok200(r *http.Request) string { return ok(r, "x") }
+func ok200(r *http.Request) string { return okResponse(r, "x") }
 
 func (u *workingUpstream) instance(id string, slots int) discovery.Instance {
 	return discovery.Instance{ID: id, Service: "svc", Address: u.listener.Addr().String(), Zone: "z", Slots: slots}
@@ -239,7 +239,7 @@
 
 // The offer that lost against a second one is given up like a request whose client left.
 func TestLosingOfferIsGivenUp(t *testing.T) {
-	slow, quick := newWorkingUpstream(t, "", ""), newRawUpstream(t, func(_ int, r *http.Request) (string, bool) { return ok(r, "x"), false })
+	slow, quick := newWorkingUpstream(t, "", ""), newRawUpstream(t, func(_ int, r *http.Request) (string, bool) { return okResponse(r, "x"), false })
 	d, front := daemonAt(t, slow.instance("i-1", 2))
 	for range 400 {
 		d.retryBudget.Request(d.now(), "svc")
@@ -500,7 +500,7 @@
 func TestAnswerThatIsNotTakenIsGivenUp(t *testing.T) {
 	t.Parallel()
 	whole := strings.Repeat("x", 32<<20)
-	u := newRawUpstream(t, func(_ int, r *http.Request) (string, bool) { return ok(r, whole), false })
+	u := newRawUpstream(t, func(_ int, r *http.Request) (string, bool) { return okResponse(r, whole), false })
 	d, front := daemonAt(t, u.instance("i-1"))
 	client := connectTo(t, front)
 	client.(*net.TCPConn).SetReadBuffer(4 << 10)
--- a/internal/proxy/frontend_test.go
+++ b/internal/proxy/frontend_test.go
@@ -17,7 +17,7 @@
 // restingClient opens a connection to a frontend whose idle bound is read from idle, and
 // returns a function that sends one request over it.
 func restingClient(t *testing.T, idle *atomic.Int64) (*frontend, func() error) {
-	u := newRawUpstream(t, func(_ int, r *http.Request) (string, bool) { return ok(r, "x"), false })
+	u := newRawUpstream(t, func(_ int, r *http.Request) (string, bool) { return okResponse(r, "x"), false })
 	s := newProxy(t, u.instance("i-1"))
 	l, err := net.Listen("tcp4", "127.0.0.1:0")
 	if err != nil {
--- a/internal/proxy/hold_test.go
+++ b/internal/proxy/hold_test.go
@@ -19,7 +19,7 @@
 		"long body":  {100000, 500000, http.StatusGatewayTimeout},
 	} {
 		t.Run(name, func(t *testing.T) {
-			u := newRawUpstream(t, func(_ int, r *http.Request) (string, bool) { return ok(r, "x"), false })
+			u := newRawUpstream(t, func(_ int, r *http.Request) (string, bool) { return okResponse(r, "x"), false })
 			srv := httptest.NewServer(newProxy(t, u.instance("i-1")))
 			defer srv.Close()
 			conn := connectTo(t, srv.Listener.Addr().String())
@@ -46,7 +46,7 @@
 			t.Parallel()
 			u := newRawUpstream(t, func(_ int, r *http.Request) (string, bool) {
 				time.Sleep(100 * time.Millisecond)
-				return ok(r, "x"), false
+				return okResponse(r, "x"), false
 			})
 			srv := httptest.NewServer(newProxy(t, u.instance("i-1")))
 			defer srv.Close()
@@ -72,7 +72,7 @@
 func TestTooLateToBeSent(t *testing.T) {
 	u := newRawUpstream(t, func(_ int, r *http.Request) (string, bool) {
 		time.Sleep(60 * time.Millisecond)
-		return ok(r, "x"), false
+		return okResponse(r, "x"), false
 	})
 	s := newProxy(t, u.instance("i-1"))
 	const learned = 10
--- a/internal/proxy/places_test.go
+++ b/internal/proxy/places_test.go
@@ -65,7 +65,7 @@
 				case mood == 2 && n%2 == 0:
 					return "HTTP/1.1 503 Full\r\nX-Slateridge-Not-Executed: 1\r\nX-Slateridge-Attempt-Id: " + q.Header.Get(headerAttemptID) + "\r\nContent-Length: 0\r\n\r\n", false
 				}
-				return ok(q, "b"), false
+				return okResponse(q, "b"), false
 			})
 			in := u.instance(id)
 			in.Zone = z
@@ -186,7 +186,7 @@
 // Between the choice of an upstream and the first byte its zone may be evacuated,
 // or a new configuration may forbid its region.
 func TestPlacesAreCheckedAgain(t *testing.T) {
-	u := newRawUpstream(t, func(_ int, r *http.Request) (string, bool) { return ok(r, "b"), false })
+	u := newRawUpstream(t, func(_ int, r *http.Request) (string, bool) { return okResponse(r, "b"), false })
 	for name, change := range map[string]func(*Proxy){
 		"evacuated": func(s *Proxy) { s.pool.Evacuate(time.Now(), []string{"z"}) },
 		"forbidden": func(s *Proxy) {
--- a/internal/proxy/priority_test.go
+++ b/internal/proxy/priority_test.go
@@ -12,7 +12,7 @@
 func newProxyWithEjected(t *testing.T, pause, work time.Duration) *Proxy {
 	u := newRawUpstream(t, func(_ int, r *http.Request) (string, bool) {
 		time.Sleep(work)
-		return ok(r, "x"), false
+		return okResponse(r, "x"), false
 	})
 	s := newProxy(t, u.instance("i-1"), u.instance("i-2"), u.instance("i-3"))
 	s.pool.mu.Lock()
--- a/internal/proxy/proxy_test.go
+++ b/internal/proxy/proxy_test.go
@@ -98,7 +98,7 @@
 	return discovery.Instance{ID: id, Service: "svc", Address: u.listener.Addr().String(), Zone: "z", Slots: 2}
 }
 
-func ok(r *http.Request, body string) string {
+func okResponse(r *http.Request, body string) string {
 	return fmt.Sprintf("HTTP/1.1 200 OK\r\nX-Slateridge-Attempt-Id: %s\r\nX-Slateridge-Response-Seal: s\r\nContent-Length: %d\r\n\r\n%s",
 		r.Header.Get(headerAttemptID), len(body), body)
 }
@@ -153,7 +153,7 @@
 }
 
 func TestForwardsByteForByte(t *testing.T) {
-	u := newRawUpstream(t, func(_ int, r *http.Request) (string, bool) { return ok(r, "the body"), false })
+	u := newRawUpstream(t, func(_ int, r *http.Request) (string, bool) { return okResponse(r, "the body"), false })
 	s := newProxy(t, u.instance("i-1"))
 	path := "/once/a//b/../%41%2f?x=%zz&y=1;2"
 	w := get(s, "POST", path, "payload", headerTenant, "forged", "X-Other", "kept", "Connection", "X-Hop", "X-Hop", "dropped")
@@ -180,7 +180,7 @@
 }
 
 func TestRefusalsAreCheapAndApart(t *testing.T) {
-	u := newRawUpstream(t, func(_ int, r *http.Request) (string, bool) { return ok(r, ""), false })
+	u := newRawUpstream(t, func(_ int, r *http.Request) (string, bool) { return okResponse(r, ""), false })
 	s := newProxy(t, u.instance("i-1"))
 	for _, c := range []struct {
 		path, key string
@@ -204,7 +204,7 @@
 // known for long whether a key still holds refuses it, and sends nothing on; what
 // needs no key goes on.
 func TestUnheardKeysAreRefused(t *testing.T) {
-	u := newRawUpstream(t, func(_ int, r *http.Request) (string, bool) { return ok(r, "x"), false })
+	u := newRawUpstream(t, func(_ int, r *http.Request) (string, bool) { return okResponse(r, "x"), false })
 	s := newProxy(t, u.instance("i-1"))
 	known := time.Now()
 	s.keyTrustPeriod, s.readIndexAt = 4*time.Second, func() time.Time { return known }
@@ -238,8 +238,12 @@
 		"unmarked 429, once":             {plain("429 Slow"), "/once/", 502, 1},
 		"unmarked 408, once":             {plain("408 Late"), "/once/", 502, 1},
 		"garbage, once":                  {func(int, *http.Request) (string, bool) { return "no answer at all\r\n\r\n", true }, "/once/", 502, 1},
-		"cut answer, once":               {func(_ int, r *http.Request) (string, bool) { return ok(r, "whole")[:len(ok(r, "whole"))-2], true }, "/once/", 502, 1},
-		"cut answer, safe":               {func(_ int, r *http.Request) (string, bool) { return ok(r, "whole")[:len(ok(r, "whole"))-2], true }, "/safe/", 502, 2},
+		"cut answer, once": {func(_ int, r *http.Request) (string, bool) {
+			return okResponse(r, "whole")[:len(okResponse(r, "whole"))-2], true
+		}, "/once/", 502, 1},
+		"cut answer, safe": {func(_ int, r *http.Request) (string, bool) {
+			return okResponse(r, "whole")[:len(okResponse(r, "whole"))-2], true
+		}, "/safe/", 502, 2},
 		"no end to tell it whole, once": {func(int, *http.Request) (string, bool) {
 			return "HTTP/1.1 200 OK\r\nX-Slateridge-Attempt-Id: id-1\r\nX-Slateridge-Response-Seal: s\r\n\r\nperhaps cu", true
 		}, "/once/", 502, 1},
@@ -247,13 +251,13 @@
 			return "HTTP/1.1 200 OK\r\nX-Slateridge-Attempt-Id: id-1\r\nX-Slateridge-Response-Seal: s\r\n\r\nid: 1\n", true
 		}, "/flow/", 502, 1},
 		"served, and yet not run, once": {func(_ int, r *http.Request) (string, bool) {
-			return strings.Replace(ok(r, "x"), "\r\n", "\r\nX-Slateridge-Not-Executed: 1\r\n", 1), false
+			return strings.Replace(okResponse(r, "x"), "\r\n", "\r\nX-Slateridge-Not-Executed: 1\r\n", 1), false
 		}, "/once/", 200, 1},
 		"no status, once":           {plain("042 Odd"), "/once/", 502, 1},
 		"a status beyond all, once": {plain("777 Odd"), "/once/", 502, 1},
 		"switches unasked, once":    {plain("101 Switching Protocols"), "/once/", 502, 1},
 		"another request's answer, once": {func(_ int, r *http.Request) (string, bool) {
-			return strings.Replace(ok(r, "x"), "id-1", "id-2", 1), false
+			return strings.Replace(okResponse(r, "x"), "id-1", "id-2", 1), false
 		}, "/once/", 502, 1},
 		"success without the seal, once": {plain("200 OK"), "/once/", 502, 1},
 		"500 of its own, once":           {plain("500 Oops"), "/once/", 500, 1},
@@ -281,9 +285,9 @@
 func TestLeftoversNeverReachAnother(t *testing.T) {
 	u := newRawUpstream(t, func(n int, r *http.Request) (string, bool) {
 		if n == 1 {
-			return ok(r, "one") + "HTTP/1.1 200 OK\r\nX-Slateridge-Response-Seal: f\r\nContent-Length: 6\r\n\r\nforged", false
+			return okResponse(r, "one") + "HTTP/1.1 200 OK\r\nX-Slateridge-Response-Seal: f\r\nContent-Length: 6\r\n\r\nforged", false
 		}
-		return ok(r, "two"), false
+		return okResponse(r, "two"), false
 	})
 	s := newProxy(t, u.instance("i-1"))
 	for i, want := range []string{"one", "two", "two"} {
@@ -297,7 +301,7 @@
 }
 
 func TestDrainingUpstreamGetsNothing(t *testing.T) {
-	u := newRawUpstream(t, func(_ int, r *http.Request) (string, bool) { return ok(r, "x"), false })
+	u := newRawUpstream(t, func(_ int, r *http.Request) (string, bool) { return okResponse(r, "x"), false })
 	s := newProxy(t, u.instance("i-1"))
 	get(s, "GET", "/safe/", "")
 	i := u.instance("i-1")
@@ -332,7 +336,11 @@
 func TestDrainFinishesInFlight(t *testing.T) {
 	release := make(chan struct{})
 	started := make(chan struct{})
-	u := newRawUpstream(t, func(_ int, r *http.Request) (string, bool) { close(started); <-release; return ok(r, "late"), false })
+	u := newRawUpstream(t, func(_ int, r *http.Request) (string, bool) {
+		close(started)
+		<-release
+		return okResponse(r, "late"), false
+	})
 	s := newProxy(t, u.instance("i-1"))
 	l, err := net.Listen("tcp4", "127.0.0.1:0")
 	if err != nil {
@@ -381,7 +389,7 @@
 // A configuration that came while the request was on its way decides, right
 // before the bytes go out.
 func TestConfigurationIsCheckedAgain(t *testing.T) {
-	u := newRawUpstream(t, func(_ int, r *http.Request) (string, bool) { return ok(r, "x"), false })
+	u := newRawUpstream(t, func(_ int, r *http.Request) (string, bool) { return okResponse(r, "x"), false })
 	s := newProxy(t, u.instance("i-1"))
 	r := httptest.NewRequest("POST", "/once/", nil)
 	r.RequestURI, r.Host = "/once/", "h.example"
@@ -407,7 +415,7 @@
 
 // A connection whose last request's deadline has passed is as good as before.
 func TestIdleConnectionOutlivesLastDeadline(t *testing.T) {
-	u := newRawUpstream(t, func(_ int, r *http.Request) (string, bool) { return ok(r, "x"), false })
+	u := newRawUpstream(t, func(_ int, r *http.Request) (string, bool) { return okResponse(r, "x"), false })
 	s := newProxy(t, u.instance("i-1"))
 	get(s, "POST", "/once/", "", headerBudget, "40")
 	time.Sleep(100 * time.Millisecond)
@@ -422,7 +430,7 @@
 	sick := newRawUpstream(t, func(_ int, r *http.Request) (string, bool) {
 		return "HTTP/1.1 500 Ill\r\nX-Slateridge-Attempt-Id: " + r.Header.Get(headerAttemptID) + "\r\nX-Slateridge-Response-Seal: s\r\nContent-Length: 0\r\n\r\n", false
 	})
-	well := newRawUpstream(t, func(_ int, r *http.Request) (string, bool) { return ok(r, "b"), false })
+	well := newRawUpstream(t, func(_ int, r *http.Request) (string, bool) { return okResponse(r, "b"), false })
 	s := newProxy(t, sick.instance("i-1"), well.instance("i-2"))
 	for range 40 {
 		get(s, "POST", "/once/", "")
@@ -447,7 +455,7 @@
 	const shed = "HTTP/1.1 503 Full\r\nX-Slateridge-Not-Executed: 1\r\nContent-Length: 0\r\n\r\n"
 	u := newRawUpstream(t, func(n int, r *http.Request) (string, bool) {
 		if n == 1 {
-			return ok(r, "b"), false
+			return okResponse(r, "b"), false
 		}
 		return shed, false
 	})
@@ -500,7 +508,7 @@
 				if arrivals.Add(1) == 1 {
 					time.Sleep(c.pause)
 				} else if second = time.Since(began); c.serves {
-					return ok(r, "x"), false
+					return okResponse(r, "x"), false
 				}
 				return fmt.Sprintf("HTTP/1.1 500 Oops\r\nX-Slateridge-Attempt-Id: id-1\r\nContent-Length: 600000\r\n\r\n%s", strings.Repeat("x", 600000)), false
 			}
@@ -546,7 +554,7 @@
 			to = append(to, conn.RemoteAddr().String())
 			a := c.late
 			if len(to) == 1 {
-				a = ok(r, "one")
+				a = okResponse(r, "one")
 			}
 			u.mu.Unlock()
 			io.WriteString(conn, a)
@@ -571,8 +579,8 @@
 // An upstream listed under the same id at another address, or for another service,
 // is another life: nothing goes over the connections of the one before.
 func TestMovedUpstreamIsAnother(t *testing.T) {
-	a := newRawUpstream(t, func(_ int, r *http.Request) (string, bool) { return ok(r, "a"), false })
-	b := newRawUpstream(t, func(_ int, r *http.Request) (string, bool) { return ok(r, "b"), false })
+	a := newRawUpstream(t, func(_ int, r *http.Request) (string, bool) { return okResponse(r, "a"), false })
+	b := newRawUpstream(t, func(_ int, r *http.Request) (string, bool) { return okResponse(r, "b"), false })
 	s := newProxy(t, a.instance("i-1"))
 	get(s, "POST", "/once/", "")
 	s.pool.Apply(time.Now(), []discovery.Instance{b.instance("i-1")})
@@ -584,7 +592,7 @@
 // A connection that was taken and put back unused has rested since its last
 // exchange, and is given up before its upstream closes it.
 func TestUnusedConnectionRestsOn(t *testing.T) {
-	u := newRawUpstream(t, func(_ int, r *http.Request) (string, bool) { return ok(r, "x"), false })
+	u := newRawUpstream(t, func(_ int, r *http.Request) (string, bool) { return okResponse(r, "x"), false })
 	s := newProxy(t, u.instance("i-1"))
 	get(s, "POST", "/once/", "")
 	conn := s.pool.upstreams["i-1"].idle[0]
--- a/internal/proxy/room_test.go
+++ b/internal/proxy/room_test.go
@@ -23,7 +23,7 @@
 			}
 			time.Sleep(500 * time.Millisecond) // all ten have come by then
 			atWork.Add(-1)
-			return ok(r, "x"), false
+			return okResponse(r, "x"), false
 		})
 		i := u.instance("i-1")
 		i.Slots = c.slots
--- a/internal/proxy/stream_test.go
+++ b/internal/proxy/stream_test.go
@@ -264,7 +264,7 @@
 		if n == 1 {
 			time.Sleep(50 * time.Millisecond) // those behind it are there by now
 		}
-		return ok(r, r.RequestURI), false
+		return okResponse(r, r.RequestURI), false
 	})
 	s := newProxy(t, u.instance("i-1"))
 	c, br := dialProxy(t, s)
--- a/internal/proxy/timing_test.go
+++ b/internal/proxy/timing_test.go
@@ -82,7 +82,7 @@
 var unreachableUpstream = discovery.Instance{ID: "i-1", Service: "svc", Address: "127.0.0.1:1", Zone: "z", Slots: 2}
 
 func newFastUpstream(t *testing.T) discovery.Instance {
-	return newRawUpstream(t, func(_ int, r *http.Request) (string, bool) { return ok(r, "x"), false }).instance("i-1")
+	return newRawUpstream(t, func(_ int, r *http.Request) (string, bool) { return okResponse(r, "x"), false }).instance("i-1")
 }
 
 func assertDuration(t *testing.T, what string, got, least, most time.Duration) {
@@ -198,7 +198,7 @@
 		silent := func(_ int, r *http.Request) (string, bool) {
 			asked <- time.Now()
 			time.Sleep(budget)
-			return ok(r, "x"), false
+			return okResponse(r, "x"), false
 		}
 		a, b := newRawUpstream(t, silent), newRawUpstream(t, silent)
 		s := newProxyWithLatency(t, usual, a.instance("i-1"), b.instance("i-2"))
@@ -217,7 +217,7 @@
 	full := newRawUpstream(t, func(_ int, _ *http.Request) (string, bool) {
 		return answerOf("503 Full", "id-1", "X-Slateridge-Not-Executed: 1\r\n", ""), false
 	})
-	free := newRawUpstream(t, func(_ int, r *http.Request) (string, bool) { return ok(r, "x"), false })
+	free := newRawUpstream(t, func(_ int, r *http.Request) (string, bool) { return okResponse(r, "x"), false })
 	for _, path := range []string{"/a/", "/b/", "/once/"} {
 		s := newProxyWithLatency(t, 30*time.Millisecond, free.instance("i-free"))
 		giveBack := occupyAll(s)
@@ -245,7 +245,7 @@
 		order = append(order, r.Header.Get(caller))
 		mu.Unlock()
 		time.Sleep(30 * time.Millisecond)
-		return ok(r, "x"), false
+		return okResponse(r, "x"), false
 	})
 	s := newProxyWithLatency(t, 30*time.Millisecond, u.instance("i-1"))
 	giveBack := occupyAll(s)
@@ -279,7 +279,7 @@
 		u.ejectedUntil = time.Now().Add(200 * time.Millisecond)
 	}
 	s.pool.mu.Unlock()
-	busy := newRawUpstream(t, func(_ int, r *http.Request) (string, bool) { return ok(r, "x"), false })
+	busy := newRawUpstream(t, func(_ int, r *http.Request) (string, bool) { return okResponse(r, "x"), false })
 	s.pool.Apply(time.Now(), append([]discovery.Instance{busy.instance("i-2"), busy.instance("i-3")}, s.pool.upstreams["i-1"].instance))
 	occupyAll(s)
 	w, took := timedGet(s, "/a/", 3*time.Second)
--- a/internal/proxy/unbroken_test.go
+++ b/internal/proxy/unbroken_test.go
@@ -82,9 +82,9 @@
 	u := newRawUpstream(t, func(_ int, r *http.Request) (string, bool) {
 		begun <- struct{}{}
 		<-release
-		return ok(r, strings.Repeat("x", 300000)), false // longer than what is held
+		return okResponse(r, strings.Repeat("x", 300000)), false // longer than what is held
 	})
-	others := newRawUpstream(t, func(_ int, r *http.Request) (string, bool) { return ok(r, "other"), false })
+	others := newRawUpstream(t, func(_ int, r *http.Request) (string, bool) { return okResponse(r, "other"), false })
 	d, front := daemonAt(t, u.instance("i-1"))
 	type answer struct {
 		status int
@@ -125,7 +125,7 @@
 		for _, before := range []int{0, 200, size / 2} {
 			t.Run(fmt.Sprint(name, " after ", before), func(t *testing.T) {
 				l := serveRequests(t, func(c net.Conn, r *http.Request, _ string) bool {
-					whole := ok(r, strings.Repeat("x", size))
+					whole := okResponse(r, strings.Repeat("x", size))
 					io.WriteString(c, whole[:before])
 					time.Sleep(1200 * time.Millisecond)
 					io.WriteString(c, whole[before:])
@@ -142,7 +142,7 @@
 
 // Routes that later configurations add are served as the first ones are.
 func TestRoutesAddedLaterAreServed(t *testing.T) {
-	u := newRawUpstream(t, func(_ int, r *http.Request) (string, bool) { return ok(r, "x"), false })
+	u := newRawUpstream(t, func(_ int, r *http.Request) (string, bool) { return okResponse(r, "x"), false })
 	d, front := daemonAt(t, u.instance("i-1"))
 	const added = `{"resourceKind":"routes","metadata":{"name":"added-%d"},"spec":{"host":"h.example","pathPrefix":"/added-%d/","routeType":"non_idempotent","timeout":"2s","targetLatency":"400ms","priority":1,"targetService":"svc","maxAttempts":3}},
 {"resourceKind":"services"`
