--- a/internal/proxy/accounting_test.go
+++ b/internal/proxy/accounting_test.go
@@ -71,7 +71,7 @@
 			bound = impossibleBound
 		}
 		s := accounted(t, bound, answers[c.upstream])
-		get(s, c.method, c.path, "")
+		sendRequest(s, c.method, c.path, "")
 		account := s.accounts.Of("ten")
 		if account.Taken != 1 || account.Open() != 0 || account.Settled[c.want] != 1 || account.Doubled != 0 {
 			t.Errorf("%s %s, upstream %s: %+v, should be one %v", c.method, c.path, c.upstream, account, c.want)
@@ -83,14 +83,14 @@
 func TestOutcomesWithoutUpstream(t *testing.T) {
 	s := accounted(t, easyBound, answers["fine"])
 	for range 3 {
-		get(s, "GET", "/safe/x", "", headerAPIKey, "k2")
+		sendRequest(s, "GET", "/safe/x", "", headerAPIKey, "k2")
 	}
 	account := s.accounts.Of("tight")
 	if account.Taken != 3 || account.Settled[accounts.Refused] == 0 || account.Settled[accounts.Refused]+account.Settled[accounts.InAim] != 3 {
 		t.Errorf("over the quota: %+v", account)
 	}
-	get(s, "GET", "/safe/x", "", headerAPIKey, "no key of anyone")
-	get(s, "GET", "/open/x", "")
+	sendRequest(s, "GET", "/safe/x", "", headerAPIKey, "no key of anyone")
+	sendRequest(s, "GET", "/open/x", "")
 	if account := s.accounts.Of("ten"); account.Taken != 0 {
 		t.Errorf("requests of no tenant: %+v", account)
 	}
--- a/internal/proxy/attempts_test.go
+++ b/internal/proxy/attempts_test.go
@@ -34,7 +34,7 @@
 			for range 400 {
 				s.retryBudget.Request(s.now(), "svc")
 			}
-			w := get(s, c.method, c.path, "")
+			w := sendRequest(s, c.method, c.path, "")
 			if n := a.count() + b.count(); n != 1 {
 				t.Errorf("got %d after %d arrivals, want one", w.Code, n)
 			}
@@ -58,7 +58,7 @@
 		s.pool.mu.Lock()
 		s.pool.times["svc"] = &serviceLatency{responses: *uniformLatency(500 * time.Microsecond)} // so that hedges come about when answers do
 		s.pool.mu.Unlock()
-		if w := get(s, "GET", "/safe/", ""); w.Code != http.StatusOK {
+		if w := sendRequest(s, "GET", "/safe/", ""); w.Code != http.StatusOK {
 			t.Fatalf("got %d", w.Code)
 		}
 	}
--- a/internal/proxy/contract_test.go
+++ b/internal/proxy/contract_test.go
@@ -20,7 +20,7 @@
 	s := newProxy(t)
 	s.config.Store(nil)
 	for _, path := range []string{"/safe/", "/once/", "/none/"} {
-		if w := get(s, "POST", path, "x", headerAPIKey, "bad"); w.Code != http.StatusServiceUnavailable || w.Header().Get("Retry-After") == "" {
+		if w := sendRequest(s, "POST", path, "x", headerAPIKey, "bad"); w.Code != http.StatusServiceUnavailable || w.Header().Get("Retry-After") == "" {
 			t.Errorf("%s: %d %v", path, w.Code, w.Header())
 		}
 	}
@@ -60,7 +60,7 @@
 		for range 400 {
 			s.retryBudget.Request(s.now(), "svc")
 		}
-		w := get(s, "GET", "/safe/x", "", headerBudget, c.budget)
+		w := sendRequest(s, "GET", "/safe/x", "", headerBudget, c.budget)
 		if took := time.Since(began); w.Code != http.StatusGatewayTimeout || took < c.held || took > c.held+machineSlack {
 			t.Errorf("%s: %d after %v", name, w.Code, took)
 		}
@@ -101,7 +101,7 @@
 	})
 	s := newProxy(t, discovery.Instance{ID: "i-1", Service: "svc", Address: listener.Addr().String(), Zone: "z", Slots: 2})
 	for range 2 {
-		if w := get(s, "POST", "/once/x", strings.Repeat("x", length)); w.Code != http.StatusOK || w.Body.String() != "early" {
+		if w := sendRequest(s, "POST", "/once/x", strings.Repeat("x", length)); w.Code != http.StatusOK || w.Body.String() != "early" {
 			t.Errorf("%d %q", w.Code, w.Body)
 		}
 		if err := <-bodies; err != nil {
@@ -122,7 +122,7 @@
 			}
 			c.Close()
 		})
-		w := get(newProxy(t, up), "POST", "/once/x", "x")
+		w := sendRequest(newProxy(t, up), "POST", "/once/x", "x")
 		if whole := w.Code == 500 && w.Body.String() == "the cause"; whole == reset || reset && w.Code != http.StatusBadGateway {
 			t.Errorf("reset %v: %d %q", reset, w.Code, w.Body)
 		}
--- a/internal/proxy/hold_test.go
+++ b/internal/proxy/hold_test.go
@@ -77,14 +77,14 @@
 	s := newProxy(t, u.instance("i-1"))
 	const learned = 10
 	for range learned {
-		get(s, "POST", "/once/", "")
+		sendRequest(s, "POST", "/once/", "")
 	}
 	for _, path := range []string{"/once/", "/safe/", "/flow/"} {
-		if w := get(s, "POST", path, "", headerBudget, "35"); w.Code != http.StatusServiceUnavailable || u.count() != learned {
+		if w := sendRequest(s, "POST", path, "", headerBudget, "35"); w.Code != http.StatusServiceUnavailable || u.count() != learned {
 			t.Errorf("%s with 35 ms left: got %d after %d arrivals, want 503 after none", path, w.Code, u.count()-learned)
 		}
 	}
-	if w := get(s, "POST", "/once/", "", headerBudget, "90"); w.Code != http.StatusOK || u.count() != learned+1 {
+	if w := sendRequest(s, "POST", "/once/", "", headerBudget, "90"); w.Code != http.StatusOK || u.count() != learned+1 {
 		t.Errorf("with 90 ms left: got %d after %d arrivals, want 200 after one", w.Code, u.count()-learned)
 	}
 }
--- a/internal/proxy/priority_test.go
+++ b/internal/proxy/priority_test.go
@@ -30,9 +30,9 @@
 	s := newProxyWithEjected(t, 60*time.Millisecond, 150*time.Millisecond)
 	var urgent, other int
 	var wg sync.WaitGroup
-	wg.Go(func() { urgent = get(s, "POST", "/once/", "").Code }) // priority 1
+	wg.Go(func() { urgent = sendRequest(s, "POST", "/once/", "").Code }) // priority 1
 	time.Sleep(65 * time.Millisecond)
-	wg.Go(func() { other = get(s, "GET", "/safe/", "", headerBudget, "250").Code }) // priority 2; too late once the other has been served
+	wg.Go(func() { other = sendRequest(s, "GET", "/safe/", "", headerBudget, "250").Code }) // priority 2; too late once the other has been served
 	wg.Wait()
 	if urgent != http.StatusOK || other != http.StatusServiceUnavailable {
 		t.Errorf("urgent got %d, the other %d; want 200 and 503", urgent, other)
--- a/internal/proxy/proxy_test.go
+++ b/internal/proxy/proxy_test.go
@@ -130,7 +130,7 @@
 	return s
 }
 
-func get(s *Proxy, method, path, body string, hdr ...string) *httptest.ResponseRecorder {
+func sendRequest(s *Proxy, method, path, body string, hdr ...string) *httptest.ResponseRecorder {
 	r := httptest.NewRequest(method, path, strings.NewReader(body))
 	r.RequestURI = path
 	r.Host = "h.example"
@@ -156,7 +156,7 @@
 	u := newRawUpstream(t, func(_ int, r *http.Request) (string, bool) { return okResponse(r, "the body"), false })
 	s := newProxy(t, u.instance("i-1"))
 	path := "/once/a//b/../%41%2f?x=%zz&y=1;2"
-	w := get(s, "POST", path, "payload", headerTenant, "forged", "X-Other", "kept", "Connection", "X-Hop", "X-Hop", "dropped")
+	w := sendRequest(s, "POST", path, "payload", headerTenant, "forged", "X-Other", "kept", "Connection", "X-Hop", "X-Hop", "dropped")
 	if w.Code != 200 || w.Body.String() != "the body" || w.Header().Get(headerSeal) != "s" {
 		t.Fatalf("got %d %q", w.Code, w.Body)
 	}
@@ -186,7 +186,7 @@
 		path, key string
 		code      int
 	}{{"/none/", "k1", 404}, {"/safe/", "bad", 401}, {"/safe/", "k2", 429}, {"/open/", "bad", 200}} {
-		if w := get(s, "GET", c.path, "", headerAPIKey, c.key); w.Code != c.code {
+		if w := sendRequest(s, "GET", c.path, "", headerAPIKey, c.key); w.Code != c.code {
 			t.Errorf("%s with %s: got %d, want %d", c.path, c.key, w.Code, c.code)
 		}
 	}
@@ -194,7 +194,7 @@
 		t.Errorf("%d requests reached the upstream, want only the public one", u.count())
 	}
 	s.pool.Apply(time.Now(), nil)
-	if w := get(s, "GET", "/safe/", ""); w.Code != 503 || w.Header().Get("Retry-After") == "" {
+	if w := sendRequest(s, "GET", "/safe/", ""); w.Code != 503 || w.Header().Get("Retry-After") == "" {
 		t.Errorf("no upstream: got %d", w.Code)
 	}
 }
@@ -208,14 +208,14 @@
 	s := newProxy(t, u.instance("i-1"))
 	known := time.Now()
 	s.keyTrustPeriod, s.readIndexAt = 4*time.Second, func() time.Time { return known }
-	if w := get(s, "GET", "/safe/x", ""); w.Code != 200 {
+	if w := sendRequest(s, "GET", "/safe/x", ""); w.Code != 200 {
 		t.Errorf("a key known to hold: %d", w.Code)
 	}
 	known = time.Now().Add(-5 * time.Second)
-	if w := get(s, "GET", "/safe/x", ""); w.Code != 503 || w.Header().Get("Retry-After") == "" || u.count() != 1 {
+	if w := sendRequest(s, "GET", "/safe/x", ""); w.Code != 503 || w.Header().Get("Retry-After") == "" || u.count() != 1 {
 		t.Errorf("a key that may be gone: %d %v, %d sent", w.Code, w.Header(), u.count())
 	}
-	if w := get(s, "GET", "/open/x", ""); w.Code != 200 {
+	if w := sendRequest(s, "GET", "/open/x", ""); w.Code != 200 {
 		t.Errorf("no key needed: %d", w.Code)
 	}
 }
@@ -272,7 +272,7 @@
 			for range 400 { // budget for further tries
 				s.retryBudget.Request(s.now(), "svc")
 			}
-			w := get(s, "POST", c.path, "x")
+			w := sendRequest(s, "POST", c.path, "x")
 			if w.Code != c.code || a.count()+b.count() != c.arrivals {
 				t.Errorf("got %d after %d arrivals, want %d after %d", w.Code, a.count()+b.count(), c.code, c.arrivals)
 			}
@@ -291,7 +291,7 @@
 	})
 	s := newProxy(t, u.instance("i-1"))
 	for i, want := range []string{"one", "two", "two"} {
-		if w := get(s, "POST", "/once/", "x"); w.Code != 200 || w.Body.String() != want {
+		if w := sendRequest(s, "POST", "/once/", "x"); w.Code != 200 || w.Body.String() != want {
 			t.Fatalf("request %d: got %d %q, want %q", i+1, w.Code, w.Body, want)
 		}
 	}
@@ -303,11 +303,11 @@
 func TestDrainingUpstreamGetsNothing(t *testing.T) {
 	u := newRawUpstream(t, func(_ int, r *http.Request) (string, bool) { return okResponse(r, "x"), false })
 	s := newProxy(t, u.instance("i-1"))
-	get(s, "GET", "/safe/", "")
+	sendRequest(s, "GET", "/safe/", "")
 	i := u.instance("i-1")
 	i.Draining = true
 	s.pool.Apply(time.Now(), []discovery.Instance{i})
-	if w := get(s, "GET", "/safe/", ""); w.Code != 503 || u.count() != 1 {
+	if w := sendRequest(s, "GET", "/safe/", ""); w.Code != 503 || u.count() != 1 {
 		t.Errorf("got %d after %d arrivals, want 503 after 1", w.Code, u.count())
 	}
 }
@@ -417,9 +417,9 @@
 func TestIdleConnectionOutlivesLastDeadline(t *testing.T) {
 	u := newRawUpstream(t, func(_ int, r *http.Request) (string, bool) { return okResponse(r, "x"), false })
 	s := newProxy(t, u.instance("i-1"))
-	get(s, "POST", "/once/", "", headerBudget, "40")
+	sendRequest(s, "POST", "/once/", "", headerBudget, "40")
 	time.Sleep(100 * time.Millisecond)
-	if w := get(s, "POST", "/once/", ""); w.Code != 200 || s.pool.NewConns != 1 {
+	if w := sendRequest(s, "POST", "/once/", ""); w.Code != 200 || s.pool.NewConns != 1 {
 		t.Errorf("got %d over %d connections, want 200 over one", w.Code, s.pool.NewConns)
 	}
 }
@@ -433,7 +433,7 @@
 	well := newRawUpstream(t, func(_ int, r *http.Request) (string, bool) { return okResponse(r, "b"), false })
 	s := newProxy(t, sick.instance("i-1"), well.instance("i-2"))
 	for range 40 {
-		get(s, "POST", "/once/", "")
+		sendRequest(s, "POST", "/once/", "")
 	}
 	if n := sick.count(); n > 3 {
 		t.Errorf("the ill upstream got %d of 40 requests", n)
@@ -441,7 +441,7 @@
 	s = newProxy(t, sick.instance("i-1"))
 	before := sick.count()
 	for range 5 {
-		get(s, "POST", "/once/", "")
+		sendRequest(s, "POST", "/once/", "")
 	}
 	if n := sick.count() - before; n != 5 {
 		t.Errorf("the only upstream got %d of 5 requests", n)
@@ -461,18 +461,18 @@
 	})
 	other := newRawUpstream(t, func(_ int, _ *http.Request) (string, bool) { return shed, false })
 	s := newProxy(t, u.instance("i-1"))
-	get(s, "POST", "/once/", "")
+	sendRequest(s, "POST", "/once/", "")
 	s.pool.Apply(time.Now(), []discovery.Instance{u.instance("i-1"), other.instance("i-2")})
 	for id := range s.pool.upstreams {
 		if id == "i-2" {
 			s.pool.upstreams[id].ejectedUntil = time.Now().Add(time.Minute)
 		}
 	}
-	if w := get(s, "POST", "/once/", ""); w.Code != http.StatusBadGateway || other.count() != 0 {
+	if w := sendRequest(s, "POST", "/once/", ""); w.Code != http.StatusBadGateway || other.count() != 0 {
 		t.Errorf("in doubt: got %d and %d tries elsewhere, want 502 and none", w.Code, other.count())
 	}
 	s = newProxy(t, other.instance("i-2"))
-	if w := get(s, "POST", "/once/", ""); w.Code != http.StatusServiceUnavailable {
+	if w := sendRequest(s, "POST", "/once/", ""); w.Code != http.StatusServiceUnavailable {
 		t.Errorf("on a new connection: got %d, want the promise 503", w.Code)
 	}
 }
@@ -517,7 +517,7 @@
 			for range 400 {
 				s.retryBudget.Request(s.now(), "svc")
 			}
-			if w := get(s, "GET", "/safe/", ""); w.Code != c.code || a.count() != 1 || b.count() != 1 {
+			if w := sendRequest(s, "GET", "/safe/", ""); w.Code != c.code || a.count() != 1 || b.count() != 1 {
 				t.Fatalf("got %d after %d and %d arrivals, want %d after one each", w.Code, a.count(), b.count(), c.code)
 			}
 			if c.pause > 0 && second >= c.pause {
@@ -561,10 +561,10 @@
 			return true
 		})
 		s := newProxy(t, u.instance("i-1"))
-		if w := get(s, "POST", "/once/", ""); w.Code != 200 {
+		if w := sendRequest(s, "POST", "/once/", ""); w.Code != 200 {
 			t.Fatal(w.Code)
 		}
-		w := get(s, "POST", "/once/", "", headerAttemptID, c.id)
+		w := sendRequest(s, "POST", "/once/", "", headerAttemptID, c.id)
 		if w.Code != c.code || w.Code == 502 && w.Body.Len() > 0 {
 			t.Errorf("%q: got %d %q, want %d", c.late, w.Code, w.Body, c.code)
 		}
@@ -582,9 +582,9 @@
 	a := newRawUpstream(t, func(_ int, r *http.Request) (string, bool) { return okResponse(r, "a"), false })
 	b := newRawUpstream(t, func(_ int, r *http.Request) (string, bool) { return okResponse(r, "b"), false })
 	s := newProxy(t, a.instance("i-1"))
-	get(s, "POST", "/once/", "")
+	sendRequest(s, "POST", "/once/", "")
 	s.pool.Apply(time.Now(), []discovery.Instance{b.instance("i-1")})
-	if w := get(s, "POST", "/once/", ""); w.Body.String() != "b" || a.count() != 1 {
+	if w := sendRequest(s, "POST", "/once/", ""); w.Body.String() != "b" || a.count() != 1 {
 		t.Errorf("got %d %q, %d sent to where it was", w.Code, w.Body, a.count())
 	}
 }
@@ -594,7 +594,7 @@
 func TestUnusedConnectionRestsOn(t *testing.T) {
 	u := newRawUpstream(t, func(_ int, r *http.Request) (string, bool) { return okResponse(r, "x"), false })
 	s := newProxy(t, u.instance("i-1"))
-	get(s, "POST", "/once/", "")
+	sendRequest(s, "POST", "/once/", "")
 	conn := s.pool.upstreams["i-1"].idle[0]
 	conn.idleAt = conn.idleAt.Add(-conn.idleFor / 2)
 	rested := conn.idleAt
--- a/internal/proxy/room_test.go
+++ b/internal/proxy/room_test.go
@@ -34,7 +34,7 @@
 		for range 10 {
 			wg.Go(func() {
 				// A second one after 500 ms would not be in time.
-				if get(s, "POST", "/once/", "", headerBudget, "700").Code == http.StatusOK {
+				if sendRequest(s, "POST", "/once/", "", headerBudget, "700").Code == http.StatusOK {
 					served.Add(1)
 				}
 			})
--- a/internal/proxy/stream_test.go
+++ b/internal/proxy/stream_test.go
@@ -137,14 +137,14 @@
 	reset, resets := newStreamUpstream(t, func(c net.Conn, _ *http.Request) { c.(*net.TCPConn).SetLinger(0); c.Close() })
 	s := newProxy(t, reset)
 	s.meter, s.window = usage.NewMeter(1), func(time.Time) uint64 { return 40 }
-	if w := get(s, "POST", "/flow/x", "hi"); w.Code != 502 || resets.Load() != 1 {
+	if w := sendRequest(s, "POST", "/flow/x", "hi"); w.Code != 502 || resets.Load() != 1 {
 		t.Errorf("after a reset: %d, sent %d times", w.Code, resets.Load())
 	}
 	full, fulls := newStreamUpstream(t, func(c net.Conn, _ *http.Request) {
 		io.WriteString(c, "HTTP/1.1 503 Service Unavailable\r\nX-Slateridge-Attempt-Id: id-1\r\nX-Slateridge-Not-Executed: 1\r\nContent-Length: 0\r\n\r\n")
 	})
 	s.pool.Apply(time.Now(), []discovery.Instance{full})
-	if w := get(s, "POST", "/flow/x", "hi"); w.Code != 503 || w.Header().Get("Retry-After") == "" || fulls.Load() != 1 {
+	if w := sendRequest(s, "POST", "/flow/x", "hi"); w.Code != 503 || w.Header().Get("Retry-After") == "" || fulls.Load() != 1 {
 		t.Errorf("turned away: %d %v, sent %d times", w.Code, w.Header(), fulls.Load())
 	}
 	if told, _ := s.meter.Report("p", 41); len(told.Windows) > 0 {
@@ -344,7 +344,7 @@
 		t.Errorf("the one upstream with room is not found: %v", u)
 	}
 	tell(3, "")
-	if w := get(a, "POST", "/flow/x", "hi"); w.Code != 503 || w.Header().Get("Retry-After") == "" {
+	if w := sendRequest(a, "POST", "/flow/x", "hi"); w.Code != 503 || w.Header().Get("Retry-After") == "" {
 		t.Errorf("with no room anywhere: %d %v", w.Code, w.Header())
 	}
 	tell(0, "")
@@ -388,7 +388,7 @@
 			return uint64(y.Sum(40)["ten"])
 		}
 		done := make(chan bool)
-		go func() { get(s, "POST", "/once/x", "hi"); close(done) }()
+		go func() { sendRequest(s, "POST", "/once/x", "hi"); close(done) }()
 		<-came
 		for end := time.Now().Add(5 * time.Second); sum() != 1; time.Sleep(time.Millisecond) {
 			if time.Now().After(end) {
--- a/internal/proxy/timing_test.go
+++ b/internal/proxy/timing_test.go
@@ -74,7 +74,7 @@
 
 func timedGet(s *Proxy, path string, budget time.Duration) (w *httptest.ResponseRecorder, took time.Duration) {
 	began := time.Now()
-	w = get(s, "GET", path, "", headerBudget, strconv.FormatInt(budget.Milliseconds(), 10))
+	w = sendRequest(s, "GET", path, "", headerBudget, strconv.FormatInt(budget.Milliseconds(), 10))
 	return w, time.Since(began)
 }
 
@@ -252,7 +252,7 @@
 	var group sync.WaitGroup
 	for _, budget := range []string{"3000", "2000", "1000"} {
 		group.Go(func() {
-			if w := get(s, "GET", "/a/", "", headerBudget, budget, caller, budget); w.Code != http.StatusOK {
+			if w := sendRequest(s, "GET", "/a/", "", headerBudget, budget, caller, budget); w.Code != http.StatusOK {
 				t.Errorf("with %s ms: got %d", budget, w.Code)
 			}
 		})
