--- a/internal/proxy/cancellation_test.go
+++ b/internal/proxy/cancellation_test.go
@@ -97,7 +97,7 @@
 	for d.pool.Busy("svc") > 0 {
 		time.Sleep(time.Millisecond)
 	}
-	if open, idle := connsOpen(d.Proxy); open != idle {
+	if open, idle := connCounts(d.Proxy); open != idle {
 		t.Errorf("%d connections are reckoned as open, %d are at rest", open, idle)
 	}
 }
--- a/internal/proxy/disconnect_test.go
+++ b/internal/proxy/disconnect_test.go
@@ -592,7 +592,7 @@
 	if n := len(u.seen()); n != 0 {
 		t.Errorf("%d requests arrived", n)
 	}
-	if open, idle := connsOpen(d.Proxy); open != 1 || idle != 1 {
+	if open, idle := connCounts(d.Proxy); open != 1 || idle != 1 {
 		t.Errorf("%d connections are reckoned as open, %d are at rest; want the new one at rest", open, idle)
 	}
 }
--- a/internal/proxy/pool_test.go
+++ b/internal/proxy/pool_test.go
@@ -399,7 +399,7 @@
 				}
 				deadline := time.Now().Add(time.Second)
 				for {
-					open, idle := connsOpen(s)
+					open, idle := connCounts(s)
 					if open == idle {
 						break
 					}
--- a/internal/proxy/proxy_test.go
+++ b/internal/proxy/proxy_test.go
@@ -477,9 +477,9 @@
 	}
 }
 
-// connsOpen is how many connections to upstreams are reckoned as open, and how many
+// connCounts is how many connections to upstreams are reckoned as open, and how many
 // of them are at rest.
-func connsOpen(s *Proxy) (open, idle int) {
+func connCounts(s *Proxy) (open, idle int) {
 	s.pool.mu.Lock()
 	defer s.pool.mu.Unlock()
 	for _, u := range s.pool.upstreams {
@@ -523,7 +523,7 @@
 			if c.pause > 0 && second >= c.pause {
 				t.Fatal("not hedged")
 			}
-			if open, idle := connsOpen(s); open != idle {
+			if open, idle := connCounts(s); open != idle {
 				t.Errorf("%d connections are reckoned as open and %d of them at rest, with no request under way", open, idle)
 			}
 		})
