--- a/internal/proxy/daemon.go
+++ b/internal/proxy/daemon.go
@@ -63,8 +63,8 @@
 	d.set.Store(set)
 	d.settingsChangedAt.Store(d.settingsModTime()) // what changes from now on is read
 	b := set.Bounds
-	s := &Proxy{events: events, histograms: newHistograms(), began: time.Now(), limiter: admission.New(b.QuotaSlack, set.Trackers(), rand.Uint64())}
-	s.lag.startedAt = s.began
+	s := &Proxy{events: events, histograms: newHistograms(), startedAt: time.Now(), limiter: admission.New(b.QuotaSlack, set.Trackers(), rand.Uint64())}
+	s.lag.startedAt = s.startedAt
 	d.Proxy = s
 	s.retryBudget = NewRetryBudget(0, b.RetryWindow.D(), b.RetryBudgetRatio, b.RetryBudgetSlack)
 	s.pool = NewPool(set.IPAddress, set.Zone, set.Zones, d.connCap, d.cold)
--- a/internal/proxy/lists.go
+++ b/internal/proxy/lists.go
@@ -44,7 +44,7 @@
 // outOfContact says that the list has to be read here: what control machines without
 // contact say of it is what they knew before they lost it.
 func (d *Daemon) outOfContact(st distribution.State, now time.Time) bool {
-	return min(st.Current, now.Sub(d.began)) > constants.SelfPollAfter
+	return min(st.Current, now.Sub(d.startedAt)) > constants.SelfPollAfter
 }
 
 // selfPollEvery is how often a proxy out of touch reads the list, so that all of
--- a/internal/proxy/proxy.go
+++ b/internal/proxy/proxy.go
@@ -25,7 +25,7 @@
 // Proxy is the request path of one proxy.
 type Proxy struct {
 	events         *eventlog.Log
-	began          time.Time
+	startedAt      time.Time
 	config         atomic.Pointer[config.Config]
 	pool           *Pool
 	limiter        *admission.Limiter
@@ -75,7 +75,7 @@
 
 var countNames = [...]string{"served", "key_unknown", "no_route", "over_quota", "no_capacity", "failed", "key_unsure", "client_left"}
 
-func (s *Proxy) now() time.Duration { return time.Since(s.began) }
+func (s *Proxy) now() time.Duration { return time.Since(s.startedAt) }
 
 // refuse answers without having sent the request anywhere, or without an
 // upstream having run it where the status is a promise.
--- a/internal/proxy/proxy_test.go
+++ b/internal/proxy/proxy_test.go
@@ -118,7 +118,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	s := &Proxy{histograms: newHistograms(), events: eventlog.New(zerolog.Nop()), began: time.Now().Add(-time.Minute), limiter: admission.New(20, 3, 1)}
+	s := &Proxy{histograms: newHistograms(), events: eventlog.New(zerolog.Nop()), startedAt: time.Now().Add(-time.Minute), limiter: admission.New(20, 3, 1)}
 	s.retryBudget = NewRetryBudget(0, 10*time.Second, 0.2, 60)
 	s.retryBudget.SetProxies(1)
 	s.pool = NewPool("p", "z", map[string]string{"z": "r", "z2": "r", "far": "r2"}, func(string) int { return 10 }, func(string) ColdBound { return ColdBound{} })
--- a/internal/proxy/settings_test.go
+++ b/internal/proxy/settings_test.go
@@ -64,9 +64,9 @@
 // also when others do, but not in its first seconds, in which none can have spoken.
 func TestListIsReadHereOutOfContact(t *testing.T) {
 	now := time.Now()
-	d := &Daemon{Proxy: &Proxy{began: now.Add(-time.Minute)}}
+	d := &Daemon{Proxy: &Proxy{startedAt: now.Add(-time.Minute)}}
 	is := func(current, silent, age time.Duration) bool {
-		d.began = now.Add(-age)
+		d.startedAt = now.Add(-age)
 		return d.outOfContact(distribution.State{Current: current, Silent: silent}, now)
 	}
 	never := now.Sub(time.Time{})
