--- a/internal/proxy/attempt.go
+++ b/internal/proxy/attempt.go
@@ -11,8 +11,8 @@
 	"slateridge/internal/constants"
 )
 
-// stillAllowed checks once more, right before bytes go out, that the request may
-// still go there: the process may just have woken from a freeze.
+// stillAllowed checks again, right before bytes are sent, whether the request may go to u: the
+// process may have just resumed from a freeze.
 func (p *exchange) stillAllowed(u *Upstream) bool {
 	if !time.Now().Before(p.deadline) || p.clientDisconnected() || !u.usable(p.allowedRegions) {
 		return false
@@ -26,17 +26,17 @@
 		route.Idempotent != p.route.Idempotent {
 		return false
 	}
-	homes := homesOf(config.Homes(route, tenant))
-	if !within(homes, u.region) {
+	regions := homesOf(config.Homes(route, tenant))
+	if !within(regions, u.region) {
 		return false
 	}
-	p.config, p.route, p.tenant, p.allowedRegions = cfg, route, tenant, homes
+	p.config, p.route, p.tenant, p.allowedRegions = cfg, route, tenant, regions
 	return true
 }
 
-// clientDisconnected says whether the client has closed its connection. Where the request has been
-// here for long, or may have waited for long to be read, the socket is asked: the goroutine
-// that reads it may not have run since.
+// clientDisconnected reports whether the client has closed its connection. If the request has
+// been in progress for long, or may have waited for long to be read, it polls the socket, since
+// the goroutine that reads the socket may not have run since.
 func (p *exchange) clientDisconnected() bool {
 	if p.request.Context().Err() != nil {
 		return true
@@ -46,100 +46,101 @@
 	return mayBeOld && p.client.hungUp()
 }
 
-// abandon gives a place back to which nothing is sent any more.
-func (pool *Pool) abandon(of *placement) *result {
-	pool.done(of, unused)
+// abandon releases a placement to which nothing will be sent.
+func (pool *Pool) abandon(pl *placement) *result {
+	pool.done(pl, unused)
 	return &result{outcome: unused, notExecuted: true, abandoned: true, err: errStale}
 }
 
-// attempt offers the request to one upstream and reads its answer.
-func (p *exchange) attempt(of *placement) *result {
-	u := of.upstream
+// attempt sends the request to one upstream and reads its response.
+func (p *exchange) attempt(pl *placement) *result {
+	u := pl.upstream
 	pool := p.proxy.pool
 	ctx, cancel := context.WithDeadline(context.WithoutCancel(p.request.Context()), p.deadline)
 	defer cancel()
-	attempt := p.request.Header.Get(headerAttemptID)
+	attemptID := p.request.Header.Get(headerAttemptID)
 	var conn *Conn
-	for again := true; again; {
-		if p.clientDisconnected() { // before a connection is made for it
-			return pool.abandon(of)
+	for unsent := true; unsent; {
+		if p.clientDisconnected() { // checked before connecting
+			return pool.abandon(pl)
 		}
 		var reused bool
 		var err error
 		connectBy := p.timing().connectDeadline(time.Now())
-		conn, reused, err = u.connect(ctx, attempt == "", connectBy)
+		conn, reused, err = u.connect(ctx, attemptID == "", connectBy)
 		if err != nil {
-			how := broken
+			failure := broken
 			if errors.Is(err, errStale) || !time.Now().Before(connectBy) {
-				how = unused // the caller's time ended, which says nothing of the upstream
+				failure = unused // the request's time is over, which is no failure of the upstream
 			}
-			pool.done(of, how)
-			return &result{outcome: how, notExecuted: true, err: err}
+			pool.done(pl, failure)
+			return &result{outcome: failure, notExecuted: true, err: err}
 		}
 		if !p.stillAllowed(u) {
 			u.keep(conn, false)
-			return pool.abandon(of)
+			return pool.abandon(pl)
 		}
-		left := time.Until(p.deadline)
-		name := ""
+		remaining := time.Until(p.deadline)
+		tenantName := ""
 		if p.tenant != nil {
-			name = p.tenant.Name
+			tenantName = p.tenant.Name
 		}
 		length := p.bodyLength
 		p.cancelWith(conn)
-		head := requestHead(p.request, u.instance.ID, name, left, length)
+		head := requestHead(p.request, u.instance.ID, tenantName, remaining, length)
 		sent, err := conn.send(head, p.bufferedBody, p.streamedBody, length < 0, p.deadline.Add(constants.AnswerGrace))
 		if err != nil && !sent && reused {
 			u.drop(conn)
-			continue // the connection had ended; not a byte went out
+			continue // the reused connection had been closed and no byte was sent
 		}
 		if err != nil {
 			u.drop(conn)
-			how := failureOutcome(conn, err)
-			pool.done(of, how)
-			return &result{outcome: how, sentAt: time.Now(), sent: sent, notExecuted: !sent, err: err}
+			failure := failureOutcome(conn, err)
+			pool.done(pl, failure)
+			return &result{outcome: failure, sentAt: time.Now(), sent: sent, notExecuted: !sent, err: err}
 		}
-		again = false
+		unsent = false
 	}
-	at := time.Now()
+	sentAt := time.Now()
 	if p.proxy.meter != nil && p.tenant != nil && !p.route.Stream {
-		p.proxy.meter.Sent(p.usageRun, p.proxy.window(at), p.tenant.Name)
+		p.proxy.meter.Sent(p.usageRun, p.proxy.window(sentAt), p.tenant.Name)
 	}
-	return p.readResponse(of, conn, attempt, at)
+	return p.readResponse(pl, conn, attemptID, sentAt)
 }
 
-// readResponse takes the answer to what was sent over a connection.
-func (p *exchange) readResponse(of *placement, conn *Conn, attempt string, at time.Time) *result {
-	u, pool := of.upstream, p.proxy.pool
-	resp, err := conn.answer(p.request.Method, attempt)
+// readResponse reads the response to a request sent over conn at the given time.
+func (p *exchange) readResponse(pl *placement, conn *Conn, attemptID string, sentAt time.Time) *result {
+	u, pool := pl.upstream, p.proxy.pool
+	resp, err := conn.answer(p.request.Method, attemptID)
 	if err != nil {
 		u.drop(conn)
-		how := failureOutcome(conn, err)
-		if ne := net.Error(nil); how == broken && errors.As(err, &ne) && ne.Timeout() {
-			how = silent
+		failure := failureOutcome(conn, err)
+		if ne := net.Error(nil); failure == broken && errors.As(err, &ne) && ne.Timeout() {
+			failure = silent
 		}
-		pool.done(of, how)
-		return &result{outcome: how, sentAt: at, sent: true, err: err}
+		pool.done(pl, failure)
+		return &result{outcome: failure, sentAt: sentAt, sent: true, err: err}
 	}
-	if l := resp.Header.Get(headerLoad); l != "" {
-		u.noteLoad(l)
+	if load := resp.Header.Get(headerLoad); load != "" {
+		u.noteLoad(load)
 	}
-	// Without this try's id, on a connection that has carried others, it may be a late
-	// word on one of those: nobody is shown it, and nothing is promised on it.
-	doubt := conn.used > 0 && resp.Header.Get(headerAttemptID) == ""
-	if doubt {
-		resp.Close = true // it is not used again
+	// Without this attempt's id, a response on a connection that has carried other requests may
+	// be a late one to an earlier request. It is not relayed, and it is no evidence that this
+	// request was not executed.
+	unverified := conn.used > 0 && resp.Header.Get(headerAttemptID) == ""
+	if unverified {
+		resp.Close = true // the connection is not reused
 	}
-	if p.route.Stream && !doubt && !unframed(resp) && resp.StatusCode/100 == 2 && resp.Header.Get(headerSeal) != "" {
-		return p.awaitFirstChunk(of, conn, resp, at)
+	if p.route.Stream && !unverified && !unframed(resp) && resp.StatusCode/100 == 2 && resp.Header.Get(headerSeal) != "" {
+		return p.awaitFirstChunk(pl, conn, resp, sentAt)
 	}
 	if resp.StatusCode/100 == 2 && unframed(resp) {
 		u.drop(conn)
-		pool.done(of, broken)
-		return &result{outcome: broken, sentAt: at, sent: true, err: errUnframed}
+		pool.done(pl, broken)
+		return &result{outcome: broken, sentAt: sentAt, sent: true, err: errUnframed}
 	}
 	body, err := readUpTo(resp.Body, constants.AnswerBuffer)
-	res := &result{outcome: served, sentAt: at, sent: true, resp: resp, body: body, unverified: doubt}
+	res := &result{outcome: served, sentAt: sentAt, sent: true, resp: resp, body: body, unverified: unverified}
 	switch {
 	case err == nil:
 		conn.exhausted(resp)
@@ -147,17 +148,17 @@
 		res.conn = conn
 	default:
 		u.drop(conn)
-		how := failureOutcome(conn, err)
-		pool.done(of, how)
-		return &result{outcome: how, sentAt: at, sent: true, err: err}
+		failure := failureOutcome(conn, err)
+		pool.done(pl, failure)
+		return &result{outcome: failure, sentAt: sentAt, sent: true, err: err}
 	}
 	res.classify()
-	pool.done(of, res.outcome)
+	pool.done(pl, res.outcome)
 	return res
 }
 
-// failureOutcome is how an offer that failed ended. What a client broke by leaving, or by
-// breaking its body off, is no failure of the upstream.
+// failureOutcome returns the outcome of an attempt that failed with err. A failure caused by the
+// client, which disconnected or broke off its body, is not held against the upstream.
 func failureOutcome(conn *Conn, err error) outcome {
 	switch {
 	case conn.cancellation.cancelled():
@@ -168,9 +169,10 @@
 	return broken
 }
 
-var errBodyTooLong = errors.New("longer than what is held")
+var errBodyTooLong = errors.New("body exceeds the buffer limit")
 
-// readUpTo reads a body whole, or says that it is longer than max.
+// readUpTo reads a whole body, or returns errBodyTooLong with its first max+1 bytes if it is
+// longer than max.
 func readUpTo(r io.Reader, max int) ([]byte, error) {
 	b, err := io.ReadAll(io.LimitReader(r, int64(max)+1))
 	if err == nil && len(b) > max {
--- a/internal/proxy/exchange.go
+++ b/internal/proxy/exchange.go
@@ -12,43 +12,44 @@
 	"slateridge/internal/usage"
 )
 
-// exchange is one client request on its way.
+// exchange is the state of one client request while it is being proxied.
 type exchange struct {
 	proxy    *Proxy
 	request  *http.Request
-	client   *clientConn // that the request came on; nil where it isn't known
+	client   *clientConn // connection the request arrived on; nil if unknown
 	arrived  time.Time
-	deadline time.Time // the end of the caller's budget or of the route's timeout
-	// The caller's budget may last beyond the timeout: it can be served elsewhere until then.
+	deadline time.Time // the earlier of the end of the client's time budget and the route's timeout
+	// The end of the client's time budget. It may be later than the route's timeout: the client
+	// can retry elsewhere until then.
 	callerDeadline    time.Time
 	config            *config.Config
 	route             *config.Route
 	tenant            *config.Tenant
 	priority          int
 	service           string
-	allowedRegions    string    // regions it may be served in
-	bufferedBody      []byte    // body held for another offer
-	streamedBody      io.Reader // what follows it, offered once
-	bodyLength        int64     // of the body; -1 unknown
-	executions        int       // upstream runs this request may have caused
-	attempts          int       // upstreams it was sent to
-	executedAt        time.Time // when the run that counts as usage was sent
+	allowedRegions    string    // regions that may serve the request
+	bufferedBody      []byte    // the whole body, if it was buffered and can be sent again
+	streamedBody      io.Reader // a body too long to buffer, which can be sent only once
+	bodyLength        int64     // -1 if unknown
+	executions        int       // executions at upstreams that this request may have caused
+	attempts          int       // upstreams the request was sent to
+	executedAt        time.Time // when the attempt that counts as usage was sent
 	usageRun          *usage.Run
-	account           *accounts.Request // nil where the tenant has no objective
-	executedResponses int               // upstreams that answered as having run it
+	account           *accounts.Request // nil if the tenant has no objective
+	executedResponses int               // responses from upstreams that executed the request
 }
 
-// newExchange is a request that came at a moment and matches a route, and a tenant where
-// there are any.
+// newExchange returns the exchange for a request that arrived at the given time and matches a
+// route, and a tenant if the configuration has any.
 func (s *Proxy) newExchange(r *http.Request, arrived time.Time, cfg *config.Config, route *config.Route, tenant *config.Tenant) *exchange {
-	callerUntil := arrived.Add(budget(r))
+	callerDeadline := arrived.Add(budget(r))
 	p := &exchange{
 		proxy:          s,
 		request:        r,
 		client:         clientConnOf(r),
 		arrived:        arrived,
-		deadline:       earlier(callerUntil, arrived.Add(route.Timeout)),
-		callerDeadline: callerUntil,
+		deadline:       earlier(callerDeadline, arrived.Add(route.Timeout)),
+		callerDeadline: callerDeadline,
 		config:         cfg,
 		route:          route,
 		tenant:         tenant,
@@ -63,8 +64,9 @@
 	return p
 }
 
-// forward offers the request until it is served or nothing more may be done,
-// and gives the result to hand to the client; nil with a status means refusal.
+// forward makes attempts until one succeeds or no further attempt is allowed, and returns the
+// result to relay to the client. A nil result means that the request is refused with the
+// returned status.
 func (p *exchange) forward() (*result, int) {
 	now := p.proxy.now()
 	p.proxy.retryBudget.Request(now, p.service)
@@ -75,12 +77,12 @@
 		if p.tooLate() {
 			return last, http.StatusServiceUnavailable
 		}
-		of := p.awaitPlacement(skip)
-		if of == nil {
+		pl := p.awaitPlacement(skip)
+		if pl == nil {
 			return last, http.StatusServiceUnavailable
 		}
-		skip[of.upstream] = true
-		res := p.dispatch(of, skip)
+		skip[pl.upstream] = true
+		res := p.dispatch(pl, skip)
 		if res.abandoned {
 			if last != nil {
 				return last, 0
@@ -101,8 +103,8 @@
 			last.release()
 			last = res
 		}
-		// Another upstream: always when nothing went out, as the request's kind
-		// and the budget allow when something did.
+		// If nothing was sent, another upstream may always be tried. Otherwise the route type
+		// and the retry budget decide.
 		if p.tooLate() || p.clientDisconnected() {
 			return last, 0
 		}
@@ -118,28 +120,31 @@
 	}
 }
 
-// awaitPlacement finds room for an offer, or nil; it waits for it while that is of use.
+// awaitPlacement returns a placement at an upstream, or nil. It waits for one as long as the
+// request can still be served in time.
 func (p *exchange) awaitPlacement(skip map[*Upstream]bool) *placement {
-	of := p.proxy.pool.Acquire(p.request.Context(), p.target(), p.priority, p.timing().latestStart(time.Now()), skip)
-	if of != nil && p.tooLate() { // by now, or by what has been learned of the work meanwhile
-		p.proxy.pool.done(of, unused)
+	pl := p.proxy.pool.Acquire(p.request.Context(), p.target(), p.priority, p.timing().latestStart(time.Now()), skip)
+	if pl != nil && p.tooLate() { // time has passed, or the latency estimate has risen meanwhile
+		p.proxy.pool.done(pl, unused)
 		return nil
 	}
-	return of
+	return pl
 }
 
-// dispatch makes one dispatch of the request, and a second beside it where it may be repeated.
-func (p *exchange) dispatch(of *placement, skip map[*Upstream]bool) *result {
+// dispatch makes one attempt, hedged by a second one if the route is idempotent and the body can
+// be sent again.
+func (p *exchange) dispatch(pl *placement, skip map[*Upstream]bool) *result {
 	if p.route.Idempotent && p.streamedBody == nil {
-		return p.hedged(of, skip)
+		return p.hedged(pl, skip)
 	}
-	res := p.attempt(of)
+	res := p.attempt(pl)
 	p.countAttempt(res)
 	return res
 }
 
-// revalidate looks at the request again after an offer was abandoned before anything was
-// sent, as when the configuration moved on; a status refuses it.
+// revalidate matches the request against the current configuration after an attempt was
+// abandoned before anything was sent, for example because the configuration has changed. A
+// status other than 0 refuses the request.
 func (p *exchange) revalidate() int {
 	if cfg := p.proxy.config.Load(); cfg != p.config {
 		route, tenant, code := match(cfg, p.request)
@@ -158,8 +163,8 @@
 	return 0
 }
 
-// mayRetry says whether a request that was sent may be sent once more, and takes that
-// from the retry budget.
+// mayRetry reports whether a request that was already sent may be sent once more, and if so
+// takes the retry from the retry budget.
 func (p *exchange) mayRetry(res *result) bool {
 	if !res.notExecuted && !p.route.Idempotent {
 		return false
@@ -172,13 +177,13 @@
 
 func (p *exchange) tooLate() bool { return p.timing().tooLate(time.Now()) }
 
-// capacityRetryAfter is what a caller is told that was refused for want of room.
+// capacityRetryAfter returns the Retry-After for a request refused for lack of capacity.
 func (p *exchange) capacityRetryAfter() time.Duration {
 	return p.timing().retryAfter(time.Now(), p.proxy.pool.expectedWait(p.target(), p.priority))
 }
 
-// maxAttempts is how many upstreams the request may be sent to: what its route allowed
-// when it came, and what the newest configuration allows.
+// maxAttempts returns how many upstreams the request may be sent to: the lower of the limit that
+// its route had on arrival and that of the current configuration.
 func (p *exchange) maxAttempts() int {
 	cfg := p.proxy.config.Load()
 	if cfg == p.config {
@@ -186,30 +191,30 @@
 	}
 	route, _, code := match(cfg, p.request)
 	if code != 0 {
-		return p.route.MaxAttempts // allowed stops it before bytes go out
+		return p.route.MaxAttempts // stillAllowed rejects the request before bytes are sent
 	}
 	return min(p.route.MaxAttempts, route.MaxAttempts)
 }
 
-// target is what this request asks of the pool.
+// target returns what the request requires of an upstream.
 func (p *exchange) target() target {
-	w := target{service: p.service, homes: p.allowedRegions}
+	t := target{service: p.service, homes: p.allowedRegions}
 	if p.route.Stream {
-		w.stream = true
+		t.stream = true
 		if p.route.Affinity {
-			w.prefix = p.request.Header.Get(headerPrefix)
+			t.prefix = p.request.Header.Get(headerPrefix)
 		}
 	}
-	return w
+	return t
 }
 
-func (p *exchange) countAttempt(r *result) {
-	p.countAnswer(r)
-	if r.sent {
+func (p *exchange) countAttempt(res *result) {
+	p.countAnswer(res)
+	if res.sent {
 		p.attempts++
-		if !r.notExecuted {
-			if p.executions++; p.executedAt.IsZero() || r.resp != nil && r.resp.StatusCode/100 == 2 {
-				p.executedAt = r.sentAt
+		if !res.notExecuted {
+			if p.executions++; p.executedAt.IsZero() || res.resp != nil && res.resp.StatusCode/100 == 2 {
+				p.executedAt = res.sentAt
 			}
 		}
 	}
--- a/internal/proxy/hedge.go
+++ b/internal/proxy/hedge.go
@@ -4,43 +4,43 @@
 	"time"
 )
 
-// hedged offers a repeatable request to one upstream and, when that stays silent for
-// unusually long, to a second beside it; the first good answer counts. The other is left
+// hedged sends a repeatable request to one upstream and, if that does not respond for unusually
+// long, to a second one as well. The first good response is returned; the other attempt is left
 // to finish.
-func (p *exchange) hedged(of *placement, skip map[*Upstream]bool) *result {
-	ch := make(chan *result, 2)
-	run := func(of *placement) {
-		c := p.clone() // before the goroutine begins: answers that come meanwhile change p
-		go func() { ch <- c.attempt(of) }()
+func (p *exchange) hedged(pl *placement, skip map[*Upstream]bool) *result {
+	results := make(chan *result, 2)
+	start := func(pl *placement) {
+		c := p.clone() // cloned before the goroutine starts: responses counted meanwhile change p
+		go func() { results <- c.attempt(pl) }()
 	}
-	run(of)
-	out := 1
-	asked := time.Now()
-	t := time.NewTimer(p.timing().hedgeAt(asked).Sub(asked))
-	defer t.Stop()
+	start(pl)
+	pending := 1
+	startedAt := time.Now()
+	timer := time.NewTimer(p.timing().hedgeAt(startedAt).Sub(startedAt))
+	defer timer.Stop()
 	var best *result
 	for {
 		select {
-		case r := <-ch:
-			out--
-			p.countAttempt(r)
-			if r.deliverable() && !r.retryable() && !r.notExecuted {
-				if out > 0 {
-					p.executions += out // it may well run; its cost is known too late
-					go releaseResults(ch, out)
+		case res := <-results:
+			pending--
+			p.countAttempt(res)
+			if res.deliverable() && !res.retryable() && !res.notExecuted {
+				if pending > 0 {
+					p.executions += pending // the other attempt may be executed too, but its outcome comes too late to be counted
+					go releaseResults(results, pending)
 				}
 				best.release()
-				return r
+				return res
 			}
-			if best == nil || !best.sent || r.resp != nil {
+			if best == nil || !best.sent || res.resp != nil {
 				best.release()
-				best = r
+				best = res
 			}
-			if out == 0 {
+			if pending == 0 {
 				return best
 			}
-		case <-t.C:
-			if p.attempts+out >= p.maxAttempts() || p.tooLate() || p.clientDisconnected() {
+		case <-timer.C:
+			if p.attempts+pending >= p.maxAttempts() || p.tooLate() || p.clientDisconnected() {
 				continue
 			}
 			second := p.proxy.pool.Place(p.target(), skip)
@@ -53,17 +53,17 @@
 			}
 			skip[second.upstream] = true
 			p.proxy.hedges.Add(1)
-			run(second)
-			out++
+			start(second)
+			pending++
 		}
 	}
 }
 
-// clone is a copy for an offer made beside another.
+// clone returns a copy for an attempt made concurrently with another.
 func (p *exchange) clone() *exchange { c := *p; return &c }
 
-func releaseResults(ch chan *result, n int) {
+func releaseResults(results chan *result, n int) {
 	for range n {
-		(<-ch).release()
+		(<-results).release()
 	}
 }
--- a/internal/proxy/result.go
+++ b/internal/proxy/result.go
@@ -5,22 +5,22 @@
 	"time"
 )
 
-// result is what came of one offer.
+// result holds the response or the failure of one attempt.
 type result struct {
 	outcome         outcome
-	sentAt          time.Time // when it had been sent
-	sent            bool      // a byte of the request went out
-	notExecuted     bool      // the upstream said so, or nothing went out
-	unverified      bool      // the answer has no id, and its connection has carried other requests
-	abandoned       bool      // the request may not be sent any more: deadline, route or key
+	sentAt          time.Time // when the request was sent
+	sent            bool      // at least one byte of the request was sent
+	notExecuted     bool      // the upstream declared it, or nothing was sent
+	unverified      bool      // the response has no attempt id, and its connection has carried other requests
+	abandoned       bool      // the request may not be sent any more because of its deadline, route or key
 	resp            *http.Response
 	body            []byte
-	conn            *Conn      // when the body is longer than what is held
-	streamPlacement *placement // of a stream under way: its place is taken until it ends
+	conn            *Conn      // set if the body has not been read to its end
+	streamPlacement *placement // of a stream in progress: held until the stream ends
 	err             error
 }
 
-// deliverable says whether the result can be given to the client as it is.
+// deliverable reports whether the response may be relayed to the client as it is.
 func (r *result) deliverable() bool {
 	if r.resp == nil || r.unverified {
 		return false
@@ -29,28 +29,28 @@
 	case c/100 == 2:
 		return r.resp.Header.Get(headerSeal) != ""
 	case c == http.StatusTooManyRequests, c == http.StatusServiceUnavailable, c == http.StatusRequestTimeout, c == http.StatusMisdirectedRequest:
-		return false // an upstream's own word is not a promise of ours
+		return false // only from this proxy do these statuses guarantee that the request was not executed
 	}
 	return true
 }
 
-// length is that of the answer's body as its client is told it, or -1 where it isn't known.
+// length returns the body length announced to the client, or -1 if it is unknown.
 func (r *result) length() int64 {
-	held := r.streamPlacement == nil && r.conn == nil
-	if held && r.resp.Request.Method != http.MethodHead {
+	buffered := r.streamPlacement == nil && r.conn == nil
+	if buffered && r.resp.Request.Method != http.MethodHead {
 		return int64(len(r.body))
 	}
 	return r.resp.ContentLength
 }
 
-// release ends the connection of an answer that nobody is to read to its end.
+// release closes the connection of a response that will not be read to its end.
 func (r *result) release() {
 	if r != nil && r.conn != nil {
 		r.conn.drop()
 	}
 }
 
-// retryable says whether another upstream might do better.
+// retryable reports whether another upstream might give a better response.
 func (r *result) retryable() bool {
 	if r.resp == nil || r.unverified {
 		return true
@@ -60,7 +60,7 @@
 		c/100 == 2 && r.resp.Header.Get(headerSeal) == ""
 }
 
-// classify sets what the answer's status and headers say of the run and of the upstream.
+// classify derives the outcome and notExecuted from the response's status and headers.
 func (r *result) classify() {
 	status := r.resp.StatusCode
 	switch {
