--- a/internal/proxy/grants.go
+++ b/internal/proxy/grants.go
@@ -10,122 +10,123 @@
 	"slateridge/internal/transport"
 )
 
-// trackerOf is where a key's questions go.
+// trackerOf returns the machine that tracks a shard, or "" if it is unknown.
 func (d *Daemon) trackerOf(shard int) string {
-	if t := *d.trackers.Load(); shard < len(t) {
-		return t[shard]
+	if trackers := *d.trackers.Load(); shard < len(trackers) {
+		return trackers[shard]
 	}
 	return ""
 }
 
-// shardsTrackedBy are those that a machine tracks.
+// shardsTrackedBy returns the shards that a machine tracks.
 func (d *Daemon) shardsTrackedBy(tracker string) []int {
-	var out []int
+	var shards []int
 	for i, t := range *d.trackers.Load() {
 		if t == tracker {
-			out = append(out, i)
+			shards = append(shards, i)
 		}
 	}
-	return out
+	return shards
 }
 
 func (d *Daemon) shardOf(key string) int { return admission.Shard(key, d.set.Load().Trackers()) }
 
-// requestTokens asks a key's tracker for tokens. It waits while an answer is of use to the
-// caller and the tracker's silence is not unusual. Only the latter says something of the
-// tracker, which those that come after need not wait for then.
+// requestTokens requests tokens from a key's tracker. It waits as long as a reply is useful to
+// the caller and the delay is not unusual for the tracker. Only an unusual delay counts against
+// the tracker, so that later callers need not wait for it.
 func (d *Daemon) requestTokens(key string, until time.Time) {
-	asked := d.now()
-	callersTime := time.Until(until)
-	if callersTime <= 0 {
+	sentAt := d.now()
+	callerTime := time.Until(until)
+	if callerTime <= 0 {
 		return
 	}
-	if to := d.trackerOf(d.shardOf(key)); to != "" {
-		patience := d.trackerTimeout(to)
-		cutShort := callersTime < patience
-		grants, err := d.sendGrantRequest(to, asked, d.latestTrackerTime(to), []admission.Want{d.limiter.Need(asked, key)}, min(patience, callersTime))
+	if tracker := d.trackerOf(d.shardOf(key)); tracker != "" {
+		timeout := d.trackerTimeout(tracker)
+		cutShort := callerTime < timeout
+		grants, err := d.sendGrantRequest(tracker, sentAt, d.latestTrackerTime(tracker), []admission.Want{d.limiter.Need(sentAt, key)}, min(timeout, callerTime))
 		if err == nil && !grants.Refused {
-			d.recordTrackerReply(to, grants.Stamp, d.shardOf(key))
-			d.applyGrants(asked, grants)
+			d.recordTrackerReply(tracker, grants.Stamp, d.shardOf(key))
+			d.applyGrants(sentAt, grants)
 			return
 		}
 		if errors.Is(err, transport.ErrRefused) {
-			for _, i := range d.shardsTrackedBy(to) {
+			for _, i := range d.shardsTrackedBy(tracker) {
 				d.limiter.TrackerDown(i)
 			}
 		}
 		if cutShort && errors.Is(err, transport.ErrTimeout) {
-			return // it was the caller's time that ended, not the tracker's
+			return // the caller's time ended before the tracker's timeout
 		}
 	}
 	d.limiter.Unanswered(d.now(), key)
 }
 
-// latestTrackerTime is a tracker's latest time that has come here.
-func (d *Daemon) latestTrackerTime(to string) admission.TrackerTime {
+// latestTrackerTime returns the latest time received from a tracker.
+func (d *Daemon) latestTrackerTime(tracker string) admission.TrackerTime {
 	d.trackerEchoesMu.Lock()
 	defer d.trackerEchoesMu.Unlock()
-	return d.trackerEchoes[to].time
+	return d.trackerEchoes[tracker].time
 }
 
-// sendGrantRequest sends a tracker wants that were reckoned with its time as echoed, and waits for its
-// answer.
-func (d *Daemon) sendGrantRequest(to string, asked time.Duration, echo admission.TrackerTime, wants []admission.Want, patience time.Duration) (admission.Grants, error) {
-	answer, err := d.subscriber.Ask(to, admission.GrantRequest{
+// sendGrantRequest sends a tracker wants that were computed against its echoed time, and waits
+// for the reply.
+func (d *Daemon) sendGrantRequest(tracker string, sentAt time.Duration, echo admission.TrackerTime, wants []admission.Want, timeout time.Duration) (admission.Grants, error) {
+	reply, err := d.subscriber.Ask(tracker, admission.GrantRequest{
 		Proxy:   d.set.Load().IPAddress,
 		Wants:   wants,
 		Echo:    echo,
 		Proxies: d.limiter.Proxies(),
 		Life:    d.limiter.Life(),
-		Sent:    asked,
-	}, patience)
+		Sent:    sentAt,
+	}, timeout)
 	if err != nil {
 		return admission.Grants{}, err
 	}
-	grants, ok := answer.(admission.Grants)
+	grants, ok := reply.(admission.Grants)
 	if !ok {
 		return admission.Grants{}, errUnexpectedReply
 	}
 	d.trackerEchoesMu.Lock()
 	defer d.trackerEchoesMu.Unlock()
-	if d.trackerAnswers[to] == nil {
-		d.trackerAnswers[to] = &latencyWindow{}
+	if d.trackerAnswers[tracker] == nil {
+		d.trackerAnswers[tracker] = &latencyWindow{}
 	}
-	d.trackerAnswers[to].observe(time.Now(), (d.now() - asked).Seconds())
+	d.trackerAnswers[tracker].observe(time.Now(), (d.now() - sentAt).Seconds())
 	return grants, nil
 }
 
-var errUnexpectedReply = errors.New("a tracker's answer is of another kind")
+var errUnexpectedReply = errors.New("unexpected reply type from tracker")
 
-// trackerTimeout is how long a tracker's silence is not unusual.
-func (d *Daemon) trackerTimeout(to string) time.Duration {
+// trackerTimeout returns after how long without a reply a tracker is unusually slow.
+func (d *Daemon) trackerTimeout(tracker string) time.Duration {
 	d.trackerEchoesMu.Lock()
 	defer d.trackerEchoesMu.Unlock()
-	usual := defaultLatency
-	if answers := d.trackerAnswers[to]; answers != nil {
-		usual = answers.estimate()
+	estimate := defaultLatency
+	if latency := d.trackerAnswers[tracker]; latency != nil {
+		estimate = latency.estimate()
 	}
-	return max(constants.TrackerBusy, usual.hedgeThreshold())
+	return max(constants.TrackerBusy, estimate.slowThreshold())
 }
 
-// applyGrants takes what a tracker answered to a question asked at a moment.
-func (d *Daemon) applyGrants(asked time.Duration, grants admission.Grants) {
-	for _, given := range grants.Given {
-		d.limiter.Take(d.now(), asked, given)
+// applyGrants applies a tracker's reply to a request that was sent at the given time.
+func (d *Daemon) applyGrants(sentAt time.Duration, grants admission.Grants) {
+	for _, grant := range grants.Given {
+		d.limiter.Take(d.now(), sentAt, grant)
 	}
 }
 
-// recordTrackerReply notes a tracker's answer for some shards.
-func (d *Daemon) recordTrackerReply(to string, s admission.TrackerTime, shards ...int) {
+// recordTrackerReply records a tracker's reply for some shards. If the tracker has restarted or
+// has started tracking anew, the reports of all its shards are sent again.
+func (d *Daemon) recordTrackerReply(tracker string, reported admission.TrackerTime, shards ...int) {
 	now := d.now()
 	d.trackerEchoesMu.Lock()
-	o := d.trackerEchoes[to]
-	if o.time.Life != s.Life || o.time.At < s.At {
-		d.trackerEchoes[to] = trackerEcho{s, now}
+	previous := d.trackerEchoes[tracker]
+	if previous.time.Life != reported.Life || previous.time.At < reported.At {
+		d.trackerEchoes[tracker] = trackerEcho{reported, now}
 	}
 	d.trackerEchoesMu.Unlock()
-	if o.time.Life != s.Life || o.time.Begun < s.Begun {
-		d.resendReports(d.shardsTrackedBy(to))
+	if previous.time.Life != reported.Life || previous.time.Begun < reported.Begun {
+		d.resendReports(d.shardsTrackedBy(tracker))
 		go d.renewGrants()
 	}
 	for _, i := range shards {
@@ -133,56 +134,57 @@
 	}
 }
 
-// trackerEcho is a tracker's latest time, and when it came here.
+// trackerEcho is the latest time received from a tracker, and when it was received here.
 type trackerEcho struct {
 	time       admission.TrackerTime
 	receivedAt time.Duration
 }
 
-// renewGrants tells the trackers this proxy's demand and loans, and takes their
-// leases.
+// renewGrants reports this proxy's demand and loans to the trackers, and applies the leases that
+// they return.
 func (d *Daemon) renewGrants() {
-	asked := d.now()
+	sentAt := d.now()
 	d.trackerEchoesMu.Lock()
-	echo := maps.Clone(d.trackerEchoes)
+	echoes := maps.Clone(d.trackerEchoes)
 	d.trackerEchoesMu.Unlock()
-	by := map[string][]admission.Want{}
-	for _, w := range d.limiter.Wants(asked, func(key string) (time.Duration, uint64, bool) {
-		h, ok := echo[d.trackerOf(d.shardOf(key))]
-		return h.receivedAt, h.time.Life, ok
+	wants := map[string][]admission.Want{}
+	for _, w := range d.limiter.Wants(sentAt, func(key string) (time.Duration, uint64, bool) {
+		echo, ok := echoes[d.trackerOf(d.shardOf(key))]
+		return echo.receivedAt, echo.time.Life, ok
 	}) {
-		if to := d.trackerOf(d.shardOf(w.Key)); to != "" {
-			by[to] = append(by[to], w)
+		if tracker := d.trackerOf(d.shardOf(w.Key)); tracker != "" {
+			wants[tracker] = append(wants[tracker], w)
 		}
 	}
 	shards := map[string][]int{}
-	for i, to := range *d.trackers.Load() {
-		if to != "" {
-			shards[to] = append(shards[to], i)
-			if _, ok := by[to]; !ok && asked-echo[to].receivedAt > constants.ContactEvery {
-				by[to] = nil // nothing to say but that it is heard
+	for i, tracker := range *d.trackers.Load() {
+		if tracker != "" {
+			shards[tracker] = append(shards[tracker], i)
+			if _, ok := wants[tracker]; !ok && sentAt-echoes[tracker].receivedAt > constants.ContactEvery {
+				wants[tracker] = nil // nothing to report: the message only confirms that the tracker's replies arrive
 			}
 		}
 	}
-	for to, ws := range by {
+	for tracker, trackerWants := range wants {
 		go func() {
-			grants, err := d.sendGrantRequest(to, asked, echo[to].time, ws, constants.CallTimeout)
+			grants, err := d.sendGrantRequest(tracker, sentAt, echoes[tracker].time, trackerWants, constants.CallTimeout)
 			if err != nil {
-				d.resendReports(shards[to])
+				d.resendReports(shards[tracker])
 				return
 			}
-			if !grants.Refused { // what does not track borrows nothing
-				d.recordTrackerReply(to, grants.Stamp, shards[to]...)
+			if !grants.Refused { // a machine that is not the tracker borrows nothing, so its reply is not recorded
+				d.recordTrackerReply(tracker, grants.Stamp, shards[tracker]...)
 			}
-			d.applyGrants(asked, grants)
+			d.applyGrants(sentAt, grants)
 			if grants.Retell {
-				d.resendReports(shards[to])
+				d.resendReports(shards[tracker])
 			}
 		}()
 	}
 }
 
-// resendReports notes that the tracker of some shards does not know what it was told.
+// resendReports has the reports of some shards sent again, because their tracker may not have
+// received them.
 func (d *Daemon) resendReports(shards []int) {
 	for _, i := range shards {
 		d.limiter.ReportAgain(i)
--- a/internal/proxy/latency.go
+++ b/internal/proxy/latency.go
@@ -8,127 +8,130 @@
 	"slateridge/internal/constants"
 )
 
-// latencyWindow knows how long each of the latest answers took, of a service or of one peer.
+// latencyWindow holds the latencies of the most recent responses, of a service or of one peer.
 type latencyWindow struct {
-	samples      []float64 // seconds; a ring once it is full
-	next         int       // the oldest of it, overwritten next
-	cachedMedian float64   // their median, unless stale: many ask for it between two answers
+	samples      []float64 // seconds; a ring buffer once it is full
+	next         int       // index of the oldest sample, which is overwritten next
+	cachedMedian float64   // median of the samples unless medianStale: it is read many times between two responses
 	medianStale  bool
-	updatedAt    time.Time // when the latest answer came; zero: none has
+	updatedAt    time.Time // when the latest response arrived; zero if none has
 }
 
-// observe takes one more answer, which took so many seconds.
-func (a *latencyWindow) observe(now time.Time, seconds float64) {
-	a.updatedAt, a.medianStale = now, true
-	if len(a.samples) < constants.RecentAnswers {
-		a.samples = append(a.samples, seconds)
+// observe records the latency of one more response, in seconds.
+func (w *latencyWindow) observe(now time.Time, seconds float64) {
+	w.updatedAt, w.medianStale = now, true
+	if len(w.samples) < constants.RecentAnswers {
+		w.samples = append(w.samples, seconds)
 		return
 	}
-	a.samples[a.next] = seconds
-	a.next = (a.next + 1) % len(a.samples)
+	w.samples[w.next] = seconds
+	w.next = (w.next + 1) % len(w.samples)
 }
 
-// hasSamples says whether there has been any answer.
-func (a *latencyWindow) hasSamples() bool { return len(a.samples) > 0 }
+// hasSamples reports whether any response has been observed.
+func (w *latencyWindow) hasSamples() bool { return len(w.samples) > 0 }
 
-// median is what half of the latest answers took no longer than, in seconds; 0 where there
-// has been none.
-func (a *latencyWindow) median() float64 {
-	if a.medianStale {
-		a.cachedMedian, a.medianStale = median(slices.Clone(a.samples)), false
+// median returns the median latency in seconds; 0 without samples.
+func (w *latencyWindow) median() float64 {
+	if w.medianStale {
+		w.cachedMedian, w.medianStale = median(slices.Clone(w.samples)), false
 	}
-	return a.cachedMedian
+	return w.cachedMedian
 }
 
-// estimate is what the answers tell of the estimate.
-func (a *latencyWindow) estimate() latencyEstimate {
-	return estimateLatency(slices.Clone(a.samples), a.updatedAt)
+// estimate returns the latency estimate for the current samples.
+func (w *latencyWindow) estimate() latencyEstimate {
+	return estimateLatency(slices.Clone(w.samples), w.updatedAt)
 }
 
-// latencyEstimate is how long the work on a request takes, until its answer or the first piece of
-// its stream: of the latest answers few came within least, half within usual and most within
-// likely. What a few took that were stuck does not count.
+// latencyEstimate describes how long a service takes to respond, or to send the first chunk of a
+// stream: few of the recent responses arrived within low, half within median and most within
+// high. A few outliers do not affect it.
 type latencyEstimate struct {
 	low, median, high time.Duration
-	updatedAt         time.Time // when the latest answer came; zero: none has
+	updatedAt         time.Time // when the latest response arrived; zero if none has
 }
 
-// defaultLatency is assumed until the first answer.
+// defaultLatency is assumed until the first response.
 var defaultLatency = latencyEstimate{median: constants.FirstDelay, high: 2 * constants.FirstDelay}
 
-// estimateLatency is what answers tell that took so many seconds each; it sorts them.
-func estimateLatency(answers []float64, learnedAt time.Time) latencyEstimate {
-	if len(answers) == 0 {
+// estimateLatency returns the estimate for response latencies in seconds, which it sorts.
+func estimateLatency(latencies []float64, updatedAt time.Time) latencyEstimate {
+	if len(latencies) == 0 {
 		return defaultLatency
 	}
-	slices.Sort(answers)
+	slices.Sort(latencies)
 	at := func(part float64) time.Duration {
-		return seconds(answers[int(math.Round(part*float64(len(answers)-1)))])
+		return seconds(latencies[int(math.Round(part*float64(len(latencies)-1)))])
 	}
-	return latencyEstimate{low: at(1 - constants.LikelyPart), median: at(0.5), high: at(constants.LikelyPart), updatedAt: learnedAt}
+	return latencyEstimate{low: at(1 - constants.LikelyPart), median: at(0.5), high: at(constants.LikelyPart), updatedAt: updatedAt}
 }
 
-// decayedLow is the time in which hardly any answer comes. What was learned long ago rules
-// nothing out: were it to, nobody would be sent who could show that it is wrong.
-func (w latencyEstimate) decayedLow(now time.Time) time.Duration {
-	age := now.Sub(w.updatedAt).Seconds() / constants.DelayFade.Seconds()
-	return time.Duration(float64(w.low) * math.Exp(-age))
+// decayedLow returns the time within which hardly any response arrives. It decays with the age
+// of the estimate: otherwise an outdated estimate could keep every request from being sent, and
+// no response could ever correct it.
+func (e latencyEstimate) decayedLow(now time.Time) time.Duration {
+	age := now.Sub(e.updatedAt).Seconds() / constants.DelayFade.Seconds()
+	return time.Duration(float64(e.low) * math.Exp(-age))
 }
 
-// hedgeThreshold is a silence that is out of the ordinary, for answers as even or uneven as these.
-func (w latencyEstimate) hedgeThreshold() time.Duration {
-	return max(constants.UnusualUsual*w.median, constants.UnusualLikely*w.high)
+// slowThreshold returns the delay above which a response is unusually late, given how much
+// latencies vary.
+func (e latencyEstimate) slowThreshold() time.Duration {
+	return max(constants.UnusualUsual*e.median, constants.UnusualLikely*e.high)
 }
 
-// spread is by how much answers usually vary.
-func (w latencyEstimate) spread() time.Duration { return w.high - w.median }
+// spread returns by how much latencies usually vary.
+func (e latencyEstimate) spread() time.Duration { return e.high - e.median }
 
 func seconds(s float64) time.Duration { return time.Duration(s * float64(time.Second)) }
 
-// serviceLatency are those of a service's requests from here. They outlast its upstreams, of
-// which each may be new.
+// serviceLatency holds the latencies of the requests of this proxy to one service. It outlives
+// the service's upstreams, each of which may be new.
 type serviceLatency struct {
-	responses   latencyWindow   // good ones, or the first pieces of streams
-	occupancy   latencyWindow   // for how long requests took a place
-	estimate    latencyEstimate // as reckoned last
+	responses   latencyWindow   // of successful responses, or of the first chunks of streams
+	occupancy   latencyWindow   // how long requests held their placements
+	estimate    latencyEstimate // as last computed
 	estimatedAt time.Time
 }
 
-// observeResponse takes a good answer, or the first piece of a stream, after so many seconds.
-func (t *serviceLatency) observeResponse(now time.Time, took float64) {
-	if !t.responses.hasSamples() {
-		t.estimatedAt = time.Time{} // the first answer is known at once
+// observeResponse records the latency in seconds of a successful response, or of the first chunk
+// of a stream.
+func (l *serviceLatency) observeResponse(now time.Time, latency float64) {
+	if !l.responses.hasSamples() {
+		l.estimatedAt = time.Time{} // so that the first response updates the estimate immediately
 	}
-	t.responses.observe(now, took)
+	l.responses.observe(now, latency)
 }
 
-// serviceLatencyLocked are the times of a service.
+// serviceLatencyLocked returns the latencies of a service.
 func (pool *Pool) serviceLatencyLocked(service string) *serviceLatency {
-	times := pool.times[service]
-	if times == nil {
-		times = &serviceLatency{}
-		pool.times[service] = times
+	latency := pool.times[service]
+	if latency == nil {
+		latency = &serviceLatency{}
+		pool.times[service] = latency
 	}
-	return times
+	return latency
 }
 
-// latencyEstimate is how long the work of a service takes.
+// latencyEstimate returns the latency estimate of a service.
 func (pool *Pool) latencyEstimate(service string) latencyEstimate {
 	pool.mu.Lock()
 	defer pool.mu.Unlock()
 	return pool.latencyEstimateLocked(service, time.Now())
 }
 
-// latencyEstimateLocked is reckoned anew every so often, not for each request.
+// latencyEstimateLocked returns the latency estimate of a service. It is recomputed at most once
+// every WorkTimeEvery, not for each request.
 func (pool *Pool) latencyEstimateLocked(service string, now time.Time) latencyEstimate {
-	times := pool.serviceLatencyLocked(service)
-	if now.Sub(times.estimatedAt) >= constants.WorkTimeEvery {
-		times.estimatedAt, times.estimate = now, times.responses.estimate()
+	latency := pool.serviceLatencyLocked(service)
+	if now.Sub(latency.estimatedAt) >= constants.WorkTimeEvery {
+		latency.estimatedAt, latency.estimate = now, latency.responses.estimate()
 	}
-	return times.estimate
+	return latency.estimate
 }
 
-// median sorts values and gives the middle one.
+// median sorts values and returns the middle one.
 func median(values []float64) float64 {
 	slices.Sort(values)
 	return values[len(values)/2]
--- a/internal/proxy/proxy.go
+++ b/internal/proxy/proxy.go
@@ -1,5 +1,5 @@
-// Package proxy takes clients' requests, matches them to routes, asks admission, offers them
-// to upstreams, and hands back what they answer.
+// Package proxy accepts client requests, matches them to routes, applies admission control,
+// forwards them to upstreams and relays the responses.
 package proxy
 
 import (
@@ -22,46 +22,46 @@
 	"slateridge/internal/usage"
 )
 
-// Proxy is the request path of one proxy.
+// Proxy handles the requests of one proxy process.
 type Proxy struct {
 	events         *eventlog.Log
 	startedAt      time.Time
 	config         atomic.Pointer[config.Config]
 	pool           *Pool
 	limiter        *admission.Limiter
-	meter          *usage.Meter // nil where usage is not reported
+	meter          *usage.Meter // nil if usage is not reported
 	window         func(at time.Time) uint64
-	accounts       *accounts.Meter // nil where tenants have no objectives
+	accounts       *accounts.Meter // nil if tenants have no objectives
 	retryBudget    *RetryBudget
-	requestTokens  func(key string, until time.Time) // one question to a key's tracker, answered by then or not
+	requestTokens  func(key string, until time.Time) // requests tokens from a key's tracker; returns by the given time, with or without a reply
 	shuttingDown   atomic.Bool
 	hedges         atomic.Uint64
 	openRequests   atomic.Int64
 	lag            lagDetector
 	outcomeCounts  [len(countNames)]atomic.Uint64
-	keyTrustPeriod time.Duration    // how long a key may be trusted unheard; 0: for ever
-	readIndexAt    func() time.Time // when what is in force here was last known to be the newest
+	keyTrustPeriod time.Duration    // how long a key is accepted without confirmation from the control plane; 0: forever
+	readIndexAt    func() time.Time // when the configuration in force was last confirmed to be the newest
 
-	streams          atomic.Int64  // under way
-	streamsCut       atomic.Uint64 // ended by their upstream before their end
+	streams          atomic.Int64  // in progress
+	streamsCut       atomic.Uint64 // ended early by their upstream
 	streamsAbandoned atomic.Uint64 // ended by their client
 	histograms       *histograms
 }
 
-// histograms are this proxy's histograms.
+// histograms holds the latency histograms of streams.
 type histograms struct {
 	set                       *metrics.Set
 	firstChunk, chunkInterval *metrics.Histogram
 }
 
 func newHistograms() *histograms {
-	m := &histograms{set: metrics.NewSet()}
-	m.firstChunk = m.set.NewHistogram("slateridge_stream_first_piece_seconds")
-	m.chunkInterval = m.set.NewHistogram("slateridge_stream_pause_seconds")
-	return m
+	h := &histograms{set: metrics.NewSet()}
+	h.firstChunk = h.set.NewHistogram("slateridge_stream_first_piece_seconds")
+	h.chunkInterval = h.set.NewHistogram("slateridge_stream_pause_seconds")
+	return h
 }
 
-// What became of requests, for the counters.
+// Request outcomes, used as indices into outcomeCounts and countNames.
 const (
 	countServed = iota
 	countKeyUnknown
@@ -77,8 +77,8 @@
 
 func (s *Proxy) now() time.Duration { return time.Since(s.startedAt) }
 
-// refuse answers without having sent the request anywhere, or without an
-// upstream having run it where the status is a promise.
+// refuse responds to a request that was not sent to any upstream, or that was not executed by
+// any if the status guarantees that.
 func (s *Proxy) refuse(w http.ResponseWriter, r *http.Request, code int, retry time.Duration) {
 	h := w.Header()
 	if id := r.Header.Get(headerAttemptID); id != "" {
@@ -92,7 +92,7 @@
 	w.WriteHeader(code)
 }
 
-// ServeHTTP is the path of every request.
+// ServeHTTP handles every client request.
 func (s *Proxy) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	s.openRequests.Add(1)
 	defer s.openRequests.Add(-1)
@@ -103,7 +103,7 @@
 	cfg := s.config.Load()
 	if cfg == nil {
 		s.outcomeCounts[countNoCapacity].Add(1)
-		s.refuse(w, r, http.StatusServiceUnavailable, missingConfigRetryAfter(arrived, r))
+		s.refuse(w, r, http.StatusServiceUnavailable, configRetryAfter(arrived, r))
 		return
 	}
 	route, tenant, code := match(cfg, r)
@@ -143,7 +143,8 @@
 	s.reply(w, p, res, code)
 }
 
-// settleCost debits the tenant's quota by what the request has cost, and counts its usage.
+// settleCost debits the tenant's quota by the number of executions, and counts the request's
+// usage.
 func (p *exchange) settleCost() {
 	if p.tenant == nil {
 		return
@@ -154,12 +155,12 @@
 		return
 	}
 	meter.Over(p.usageRun)
-	if p.executions > 0 && !p.route.Stream { // streams count with their first piece
+	if p.executions > 0 && !p.route.Stream { // streams are counted at their first chunk
 		meter.Count(p.proxy.window(p.executedAt), p.tenant.Name)
 	}
 }
 
-// tooLarge is the status that refuses a request over the client bounds, or 0.
+// tooLarge returns the status that refuses a request that exceeds the client limits, or 0.
 func tooLarge(cfg *config.Config, r *http.Request) int {
 	if cfg.Limits.BodyBytes > 0 && r.ContentLength > cfg.Limits.BodyBytes {
 		return http.StatusRequestEntityTooLarge
@@ -170,41 +171,41 @@
 	return 0
 }
 
-// admit says whether a tenant's request is admitted by its key and its quota, and
-// refuses it if not.
+// admit reports whether a tenant's request is admitted by its key and its quota, and refuses the
+// request if not.
 func (s *Proxy) admit(w http.ResponseWriter, p *exchange) bool {
 	if s.keyTrustPeriod > 0 && p.arrived.Sub(s.readIndexAt()) > s.keyTrustPeriod {
-		// The key may have been taken away, and nobody here would know.
+		// The key may have been revoked without this proxy having learned of it.
 		s.outcomeCounts[countKeyUnsure].Add(1)
-		s.refuse(w, p.request, http.StatusServiceUnavailable, missingConfigRetryAfter(p.arrived, p.request))
+		s.refuse(w, p.request, http.StatusServiceUnavailable, configRetryAfter(p.arrived, p.request))
 		return false
 	}
-	v := s.limiter.Admit(s.now(), p.tenant.Name, false)
-	if v.Ask {
+	decision := s.limiter.Admit(s.now(), p.tenant.Name, false)
+	if decision.Ask {
 		s.requestTokens(p.tenant.Name, p.timing().latestStart(time.Now()))
-		v = s.limiter.Admit(s.now(), p.tenant.Name, true)
+		decision = s.limiter.Admit(s.now(), p.tenant.Name, true)
 	}
-	if !v.OK {
+	if !decision.OK {
 		s.outcomeCounts[countOverQuota].Add(1)
 		p.account.Failure(accounts.Refused)
-		s.refuse(w, p.request, http.StatusTooManyRequests, v.Retry)
+		s.refuse(w, p.request, http.StatusTooManyRequests, decision.Retry)
 		return false
 	}
 	return true
 }
 
 func requestHeaderSize(r *http.Request) int {
-	n := len(r.Method) + len(r.RequestURI) + len(r.Host)
+	size := len(r.Method) + len(r.RequestURI) + len(r.Host)
 	for k, vs := range r.Header {
 		for _, v := range vs {
-			n += len(k) + len(v) + 4
+			size += len(k) + len(v) + 4
 		}
 	}
-	return n
+	return size
 }
 
-// timedBody reads a client's body until the request's time is over. The deadline is
-// taken away with the body's end, since the connection is read on for other purposes.
+// timedBody reads a client's body until the request's deadline. The read deadline is cleared at
+// the end of the body, since the connection continues to be read for other purposes.
 type timedBody struct {
 	body    io.Reader
 	control *http.ResponseController
@@ -224,7 +225,8 @@
 	return n, err
 }
 
-// readBody holds the body, or its beginning when it is long.
+// readBody buffers the body, or only its beginning if it is long. It returns a status that
+// refuses the request, or 0.
 func (p *exchange) readBody(w http.ResponseWriter) int {
 	r := p.request
 	p.bodyLength = r.ContentLength
@@ -233,34 +235,34 @@
 		return 0
 	}
 	body := io.Reader(r.Body)
-	if m := p.config.Limits.BodyBytes; m > 0 {
-		body = http.MaxBytesReader(w, r.Body, m)
+	if limit := p.config.Limits.BodyBytes; limit > 0 {
+		body = http.MaxBytesReader(w, r.Body, limit)
 	}
 	body = newTimedBody(w, body, p.deadline)
-	b, err := io.ReadAll(io.LimitReader(body, constants.BodyBuffer))
+	start, err := io.ReadAll(io.LimitReader(body, constants.BodyBuffer))
 	if err != nil {
 		if errors.Is(err, os.ErrDeadlineExceeded) {
-			w.Header().Set("Connection", "close") // what is left of the body may still come
+			w.Header().Set("Connection", "close") // the rest of the body may still arrive
 			return http.StatusRequestTimeout
 		}
-		if _, big := err.(*http.MaxBytesError); big {
+		if _, tooLong := err.(*http.MaxBytesError); tooLong {
 			return http.StatusRequestEntityTooLarge
 		}
 		return http.StatusBadRequest
 	}
-	if len(b) < constants.BodyBuffer {
-		p.bufferedBody, p.bodyLength = b, int64(len(b))
+	if len(start) < constants.BodyBuffer {
+		p.bufferedBody, p.bodyLength = start, int64(len(start))
 		return 0
 	}
-	if r.ContentLength == int64(len(b)) {
-		p.bufferedBody = b
+	if r.ContentLength == int64(len(start)) {
+		p.bufferedBody = start
 		return 0
 	}
-	p.streamedBody = io.MultiReader(bytes.NewReader(b), body)
+	p.streamedBody = io.MultiReader(bytes.NewReader(start), body)
 	return 0
 }
 
-// reply hands the client what came of the request.
+// reply sends the client the result of the request.
 func (s *Proxy) reply(w http.ResponseWriter, p *exchange, res *result, code int) {
 	r := p.request
 	if res == nil {
@@ -275,16 +277,16 @@
 		return
 	}
 	if res.deliverable() && !(res.notExecuted && res.resp.StatusCode >= 500) {
-		began := time.Since(p.arrived) // a stream is in time if its first piece is
+		responseTime := time.Since(p.arrived) // a stream meets the latency objective if its first chunk does
 		s.relay(w, p, res)
-		p.settleAnswered(res, began)
+		p.settleAnswered(res, responseTime)
 		return
 	}
 	res.release()
 	p.settleFailed()
 	switch {
 	case p.executions == 0 && p.attempts == 0 || p.executions == 0 && res.notExecuted:
-		// Nothing ran, and nothing will: the promise can be given.
+		// Nothing was executed, and nothing will be: the refusal may guarantee that.
 		p.countUnserved(countNoCapacity)
 		s.refuse(w, r, http.StatusServiceUnavailable, p.capacityRetryAfter())
 	case res.outcome == silent || !time.Now().Before(p.deadline):
@@ -296,7 +298,7 @@
 	}
 }
 
-// countUnserved counts a request that was not served, apart where its client had left.
+// countUnserved counts a request that was not served, separately if its client had disconnected.
 func (p *exchange) countUnserved(outcome int) {
 	if p.request.Context().Err() != nil {
 		outcome = countClientLeft
@@ -304,8 +306,8 @@
 	p.proxy.outcomeCounts[outcome].Add(1)
 }
 
-// relay gives the upstream's answer to the client unchanged. An answer that
-// breaks off is broken off here too, so that it cannot look complete.
+// relay sends the upstream's response to the client unchanged. A truncated response is also
+// truncated toward the client, so that it cannot look complete.
 func (s *Proxy) relay(w http.ResponseWriter, p *exchange, res *result) {
 	h := w.Header()
 	drop := connectionHeaders(res.resp.Header)
@@ -338,15 +340,15 @@
 		w.Write(res.body)
 		return
 	}
-	// A client that takes nothing any more doesn't hold the answer for ever.
+	// The deadline keeps a client that no longer reads from holding the response forever.
 	control := http.NewResponseController(w)
 	control.SetWriteDeadline(p.deadline.Add(constants.AnswerWriteGrace))
 	defer control.SetWriteDeadline(time.Time{})
 	p.writeLongBody(w, res)
 }
 
-// writeLongBody writes an answer that may not fit the connection's buffers, and breaks it off
-// where its rest doesn't come or isn't taken.
+// writeLongBody writes a body that may not fit the connection's buffers, and aborts the
+// connection if the rest of the body does not arrive or is not read.
 func (p *exchange) writeLongBody(w http.ResponseWriter, res *result) {
 	_, err := w.Write(res.body)
 	if err == nil && res.conn != nil {
--- a/internal/proxy/stream.go
+++ b/internal/proxy/stream.go
@@ -8,66 +8,66 @@
 	"slateridge/internal/constants"
 )
 
-// awaitFirstChunk waits for a stream's first bytes: until they come nothing has begun to
-// run, and the client has been told nothing.
-func (p *exchange) awaitFirstChunk(of *placement, conn *Conn, resp *http.Response, at time.Time) *result {
+// awaitFirstChunk waits for the first bytes of a stream. Until they arrive the stream has not
+// begun to run, and nothing has been sent to the client.
+func (p *exchange) awaitFirstChunk(pl *placement, conn *Conn, resp *http.Response, sentAt time.Time) *result {
 	buf := make([]byte, constants.StreamBuffer)
 	n, err := resp.Body.Read(buf)
 	for n == 0 && err == nil {
 		n, err = resp.Body.Read(buf)
 	}
-	if n == 0 { // an end after the first bytes is met again when more is read
+	if n == 0 { // an error after the first bytes is returned again by the next read
 		conn.drop()
-		how := failureOutcome(conn, err)
-		p.proxy.pool.done(of, how)
-		return &result{outcome: how, sentAt: at, sent: true, err: err}
+		failure := failureOutcome(conn, err)
+		p.proxy.pool.done(pl, failure)
+		return &result{outcome: failure, sentAt: sentAt, sent: true, err: err}
 	}
 	now := time.Now()
-	p.proxy.pool.began(of, now)
+	p.proxy.pool.began(pl, now)
 	p.proxy.histograms.firstChunk.Update(now.Sub(p.arrived).Seconds())
 	if p.proxy.meter != nil && p.tenant != nil {
 		p.proxy.meter.Count(p.proxy.window(now), p.tenant.Name)
 	}
-	return &result{outcome: served, sentAt: at, sent: true, resp: resp, body: buf[:n], conn: conn, streamPlacement: of}
+	return &result{outcome: served, sentAt: sentAt, sent: true, resp: resp, body: buf[:n], conn: conn, streamPlacement: pl}
 }
 
-// relayStream passes a relayStream on as it comes: what has been read is written and flushed
-// before more is read, so a slow client slows its upstream and nothing is gathered.
-// A client that takes nothing for long is given up. An end that is not the relayStream's
-// own is an end of the connection.
+// relayStream copies a stream to the client. Each chunk is written and flushed before the next
+// is read, so that a slow client slows its upstream and nothing accumulates in memory. A client
+// that accepts no data for StreamWriteTimeout is given up. If the stream does not end properly,
+// the client's connection is aborted.
 func (s *Proxy) relayStream(w http.ResponseWriter, r *http.Request, res *result) {
 	s.streams.Add(1)
 	defer s.streams.Add(-1)
 	rc := http.NewResponseController(w)
-	buf, piece := make([]byte, constants.StreamBuffer), res.body
-	var rerr, werr error
-	last := time.Now()
-	for werr == nil {
-		if len(piece) > 0 {
+	buf, chunk := make([]byte, constants.StreamBuffer), res.body
+	var readErr, writeErr error
+	lastRead := time.Now()
+	for writeErr == nil {
+		if len(chunk) > 0 {
 			rc.SetWriteDeadline(time.Now().Add(constants.StreamWriteTimeout))
-			if _, werr = w.Write(piece); werr == nil {
-				werr = rc.Flush()
+			if _, writeErr = w.Write(chunk); writeErr == nil {
+				writeErr = rc.Flush()
 			}
 		}
-		if rerr != nil || werr != nil {
+		if readErr != nil || writeErr != nil {
 			break
 		}
 		var n int
-		n, rerr = res.resp.Body.Read(buf)
-		piece = buf[:n]
+		n, readErr = res.resp.Body.Read(buf)
+		chunk = buf[:n]
 		if n > 0 {
 			now := time.Now()
-			s.histograms.chunkInterval.Update(now.Sub(last).Seconds())
-			last = now
+			s.histograms.chunkInterval.Update(now.Sub(lastRead).Seconds())
+			lastRead = now
 		}
 	}
 	rc.SetWriteDeadline(time.Time{})
 	switch {
-	case werr == nil && rerr == io.EOF:
+	case writeErr == nil && readErr == io.EOF:
 		res.conn.exhausted(res.resp)
 		s.pool.done(res.streamPlacement, served)
 		return
-	case werr != nil || r.Context().Err() != nil: // its leaving closes the upstream's end
+	case writeErr != nil || r.Context().Err() != nil: // a client that disconnects also closes the upstream connection
 		s.streamsAbandoned.Add(1)
 		s.pool.done(res.streamPlacement, unused)
 	default:
--- a/internal/proxy/timing.go
+++ b/internal/proxy/timing.go
@@ -7,23 +7,22 @@
 	"slateridge/internal/constants"
 )
 
-// timing decides how long a request waits, whether it is still sent, and when its caller is
-// told to come again. It goes by the time that the caller has and by the time that the work
-// takes, and by nothing else: whether the request was offered before, and what else its
-// route says, changes none of it.
+// timing decides how long a request waits, whether it is still sent, and the Retry-After of a
+// refusal. It depends only on the time the caller has and on the latency of the service: earlier
+// attempts and other settings of the route change nothing.
 type timing struct {
-	responseDeadline time.Time // the answer, or a stream's first piece, is of use until then
-	callerDeadline   time.Time // the caller tries again elsewhere until then
+	responseDeadline time.Time // until when a response, or a stream's first chunk, is of use
+	callerDeadline   time.Time // until when the caller retries elsewhere
 	latency          latencyEstimate
 }
 
-// timing is that of this request, as of now.
+// timing returns the request's timing with the current latency of its service.
 func (p *exchange) timing() timing {
 	return timing{responseDeadline: p.responseDeadline(), callerDeadline: p.callerDeadline, latency: p.proxy.pool.latencyEstimate(p.service)}
 }
 
-// responseDeadline is until when the caller waits for the answer or for a stream's first piece:
-// clients give up a stream that stays silent.
+// responseDeadline returns until when the caller waits for the response or for a stream's first
+// chunk: clients give up a stream that stays silent.
 func (p *exchange) responseDeadline() time.Time {
 	if !p.route.Stream {
 		return p.deadline
@@ -35,14 +34,14 @@
 	return p.deadline
 }
 
-// latestStart is until when it is of use to wait for room here: the work is likely to be
-// done in time, and a caller that is refused instead can still be served elsewhere, though
-// it may first wait for a part of its time. One that cannot be served elsewhere any more
-// loses nothing by waiting here.
+// latestStart returns until when it is useful to wait for capacity here: the request is still
+// likely to complete in time, and a caller that is refused instead can still be served
+// elsewhere, even if it first waits for the part of its time that Retry-After may ask for. A
+// caller that can no longer be served elsewhere loses nothing by waiting here.
 func (t timing) latestStart(now time.Time) time.Time {
 	elsewhere := t.callerDeadline.Add(-time.Duration(float64(t.latency.high) / (1 - constants.RetryAfterPart)))
 	here := t.responseDeadline
-	if !t.latency.updatedAt.IsZero() { // else nobody knows that it would come too late
+	if !t.latency.updatedAt.IsZero() { // without samples nothing shows that it would be too late
 		here = here.Add(-t.latency.high)
 	}
 	if elsewhere.After(now) {
@@ -51,46 +50,47 @@
 	return here
 }
 
-// tooLate says that the request would hardly be answered in time if it were sent now, while
-// a promise that it has not run could not be given any more.
+// tooLate reports whether the request, if sent now, could hardly be answered in time. Once it is
+// sent, the caller could no longer be guaranteed that it was not executed.
 func (t timing) tooLate(now time.Time) bool {
-	left := t.responseDeadline.Sub(now)
-	return left <= constants.AnswerReturn || left < t.latency.decayedLow(now)
+	remaining := t.responseDeadline.Sub(now)
+	return remaining <= constants.AnswerReturn || remaining < t.latency.decayedLow(now)
 }
 
-// connectDeadline is until when a connection to one upstream is waited for: until another can still
-// be asked, and to the end where there is no time for that anyway.
+// connectDeadline returns until when to wait for a connection to one upstream: as long as
+// another upstream can still be tried, or until the response deadline if there is no time for
+// that anyway.
 func (t timing) connectDeadline(now time.Time) time.Time {
-	if another := t.latestStart(now); another.After(now) {
-		return another
+	if tryAnotherBy := t.latestStart(now); tryAnotherBy.After(now) {
+		return tryAnotherBy
 	}
 	return t.responseDeadline
 }
 
-// hedgeAt is when another upstream is asked beside one that was asked at a moment and
-// stays silent: when that is unusual, or sooner if there would be no time left elsewhere,
-// but not before most answers have come.
-func (t timing) hedgeAt(asked time.Time) time.Time {
-	unusual := asked.Add(t.latency.hedgeThreshold())
-	last := t.responseDeadline.Add(-t.latency.high)
-	if last.After(unusual) {
-		return unusual
+// hedgeAt returns when to ask a second upstream if one that was asked at the given time has not
+// responded: once the delay is unusual, or earlier if too little time would be left for the
+// second, but never before most responses have arrived.
+func (t timing) hedgeAt(sentAt time.Time) time.Time {
+	slowAt := sentAt.Add(t.latency.slowThreshold())
+	latest := t.responseDeadline.Add(-t.latency.high)
+	if latest.After(slowAt) {
+		return slowAt
 	}
-	if most := asked.Add(t.latency.high); last.Before(most) {
-		return most
+	if highAt := sentAt.Add(t.latency.high); latest.Before(highAt) {
+		return highAt
 	}
-	return last
+	return latest
 }
 
-// retryAfter is what a refused caller is told, when that which it lacks is due after a time:
-// no more than the part of its time that it will wait.
+// retryAfter returns the Retry-After of a refusal if the missing resource is expected to be
+// available after due. It never exceeds the part of its time that the caller is willing to wait.
 func (t timing) retryAfter(now time.Time, due time.Duration) time.Duration {
 	return max(0, min(due, time.Duration(float64(t.callerDeadline.Sub(now))*constants.RetryAfterPart)))
 }
 
-// missingConfigRetryAfter is what a caller is told that was refused for want of news from control: a proxy
-// asks for it so often.
-func missingConfigRetryAfter(arrived time.Time, r *http.Request) time.Duration {
+// configRetryAfter returns the Retry-After of a refusal for lack of a configuration or of a
+// recent confirmation of it: a proxy asks the control plane every SubscribeEvery.
+func configRetryAfter(arrived time.Time, r *http.Request) time.Duration {
 	return timing{callerDeadline: arrived.Add(budget(r))}.retryAfter(arrived, constants.SubscribeEvery)
 }
 
--- a/internal/proxy/timing_test.go
+++ b/internal/proxy/timing_test.go
@@ -330,8 +330,8 @@
 	s := newProxyWithLatency(t, 5*time.Millisecond, newFastUpstream(t))
 	s.pool.times["svc"].responses.observe(time.Now(), 2)
 	work := s.pool.latencyEstimate("svc")
-	if work.high > 10*time.Millisecond || work.hedgeThreshold() > 30*time.Millisecond {
-		t.Errorf("many answers of 5 ms and one of 2 s: likely %v, unusual %v", work.high, work.hedgeThreshold())
+	if work.high > 10*time.Millisecond || work.slowThreshold() > 30*time.Millisecond {
+		t.Errorf("many answers of 5 ms and one of 2 s: likely %v, unusual %v", work.high, work.slowThreshold())
 	}
 	giveBack := occupyAll(s)
 	time.AfterFunc(30*time.Millisecond, func() {
