--- a/internal/proxy/delay.go
+++ b/internal/proxy/delay.go
@@ -7,8 +7,8 @@
 	"slateridge/internal/constants"
 )
 
-// expectedDelay is the delay to expectedDelay of an upstream: what was learned, fading
-// toward the service's usual as it ages.
+// expectedDelay returns the delay expected of an upstream, in seconds: the learned delay, which
+// decays toward the usual delay of the service as it ages.
 func (u *Upstream) expectedDelay(now time.Time, usual float64) float64 {
 	if u.delay == 0 {
 		return usual
@@ -17,8 +17,9 @@
 	return usual + (u.delay-usual)*fade
 }
 
-// medianDelay is the median delay of some upstreams, in seconds: one that is stuck does not
-// make the others look quick, however long the service's work takes.
+// medianDelay returns the median of the learned delays of some upstreams, in seconds. One
+// upstream that is stuck does not make the others look fast, however long the service's work
+// takes.
 func medianDelay(upstreams []*Upstream) float64 {
 	delays := make([]float64, 0, len(upstreams))
 	for _, u := range upstreams {
--- a/internal/proxy/queue.go
+++ b/internal/proxy/queue.go
@@ -7,14 +7,14 @@
 	"time"
 )
 
-// waiter is a request that waits for room at an upstream. Room goes to the lowest priority
-// number first, and among equals to the one that has to start soonest.
+// waiter is a request that is queued for capacity at an upstream. Capacity goes to the lowest
+// priority number first, and within a priority to the request with the earliest latest start.
 type waiter struct {
 	target      target
 	priority    int
 	latestStart time.Time
 	seq         uint64
-	granted     chan *placement // nil: there will be none in time
+	granted     chan *placement // receives nil if there will be no placement in time
 	skip        map[*Upstream]bool
 }
 
@@ -22,14 +22,14 @@
 	return cmp.Or(cmp.Compare(w.priority, o.priority), w.latestStart.Compare(o.latestStart), cmp.Compare(w.seq, o.seq))
 }
 
-// Acquire finds room, at once or until the latest moment at which it is of use; nil as soon as
-// it is plain that there will be none in time.
+// Acquire returns a placement, immediately or by latestStart, or nil as soon as it is clear that
+// there will be none in time.
 func (pool *Pool) Acquire(ctx context.Context, want target, priority int, latestStart time.Time, skip map[*Upstream]bool) *placement {
 	pool.mu.Lock()
 	if len(pool.waiting[want.service]) == 0 {
-		if p := pool.placeLocked(want, skip); p != nil {
+		if pl := pool.placeLocked(want, skip); pl != nil {
 			pool.mu.Unlock()
-			return p
+			return pl
 		}
 	}
 	if !pool.hasCandidateLocked(want, skip) {
@@ -39,7 +39,7 @@
 	}
 	latestStart = pool.limitToShutdownLocked(want, latestStart)
 	w := pool.enqueueLocked(want, priority, latestStart, skip)
-	pool.serveQueueLocked(want.service) // room may have come by itself
+	pool.serveQueueLocked(want.service) // capacity may have become available without an event, as at the end of an ejection
 	if len(w.granted) == 0 {
 		pool.Waited++
 	}
@@ -47,62 +47,65 @@
 	return pool.awaitGrant(ctx, w, latestStart)
 }
 
-// awaitGrant waits until room is granted, refused, or of no use any more.
+// awaitGrant waits until the waiter is granted a placement or refused, or until waiting is of no
+// more use.
 func (pool *Pool) awaitGrant(ctx context.Context, w *waiter, latestStart time.Time) *placement {
 	timer := time.NewTimer(time.Until(latestStart))
 	defer timer.Stop()
 	select {
-	case p := <-w.granted:
-		return p
+	case pl := <-w.granted:
+		return pl
 	case <-timer.C:
 	case <-ctx.Done():
 	}
 	pool.mu.Lock()
 	defer pool.mu.Unlock()
-	ws := pool.waiting[w.target.service]
-	if i := slices.Index(ws, w); i >= 0 {
-		pool.waiting[w.target.service] = slices.Concat(ws[:i], ws[i+1:])
+	queue := pool.waiting[w.target.service]
+	if i := slices.Index(queue, w); i >= 0 {
+		pool.waiting[w.target.service] = slices.Concat(queue[:i], queue[i+1:])
 		pool.Full++
 		return nil
 	}
-	return <-w.granted // decided at the last moment
+	return <-w.granted // granted or refused meanwhile
 }
 
-// hasCandidateLocked says whether any upstream is left that the request could be sent to.
+// hasCandidateLocked reports whether there is any upstream left that the request could be sent
+// to.
 func (pool *Pool) hasCandidateLocked(want target, skip map[*Upstream]bool) bool {
 	return slices.ContainsFunc(pool.candidates(want).all, func(u *Upstream) bool {
 		return !skip[u] && !u.draining && !pool.evacuated[u.instance.Zone]
 	})
 }
 
-// enqueueLocked puts a request among those that wait.
+// enqueueLocked adds a request to the queue of its service.
 func (pool *Pool) enqueueLocked(want target, priority int, latestStart time.Time, skip map[*Upstream]bool) *waiter {
 	pool.queued++
 	w := &waiter{target: want, priority: priority, latestStart: latestStart, seq: pool.queued, granted: make(chan *placement, 1), skip: skip}
-	ws := pool.waiting[want.service]
-	i, _ := slices.BinarySearchFunc(ws, w, (*waiter).compare)
-	pool.waiting[want.service] = slices.Insert(ws, i, w)
+	queue := pool.waiting[want.service]
+	i, _ := slices.BinarySearchFunc(queue, w, (*waiter).compare)
+	pool.waiting[want.service] = slices.Insert(queue, i, w)
 	return w
 }
 
-// serveQueueLocked gives the room there is to those that wait, in their order, and refuses those
-// that plainly come too late: even if room opens as fast as it has, those ahead take it.
+// serveQueueLocked grants the available capacity to queued requests in order. It refuses those
+// that cannot be placed in time: even if capacity keeps becoming available at the current rate,
+// the requests ahead of them use it up.
 func (pool *Pool) serveQueueLocked(service string) {
-	ws := pool.waiting[service]
-	if len(ws) == 0 {
+	queue := pool.waiting[service]
+	if len(queue) == 0 {
 		return
 	}
 	now := time.Now()
-	var still []*waiter
-	full := map[target]bool{}           // targets without room: those behind with the same find none either
-	ahead := map[target]time.Duration{} // until room has opened for those ahead, by group
-	for _, w := range ws {
+	var remaining []*waiter
+	full := map[target]bool{}           // targets without capacity: later waiters for the same target find none either
+	ahead := map[target]time.Duration{} // by group: the time until there is capacity for the waiters ahead
+	for _, w := range queue {
 		if !full[w.target] {
-			if p := pool.placeLocked(w.target, w.skip); p != nil {
-				w.granted <- p
+			if pl := pool.placeLocked(w.target, w.skip); pl != nil {
+				w.granted <- pl
 				continue
 			}
-			// One that may not go everywhere says nothing about the others.
+			// A waiter that skips some upstreams shows nothing about the others.
 			full[w.target] = len(w.skip) == 0
 		}
 		group := w.target.group()
@@ -112,14 +115,15 @@
 			continue
 		}
 		ahead[group] += pool.releaseIntervalLocked(group, now)
-		still = append(still, w)
+		remaining = append(remaining, w)
 	}
-	pool.waiting[service] = still
+	pool.waiting[service] = remaining
 	pool.scheduleQueueCheckLocked(service, now)
 }
 
-// releaseIntervalLocked is how long it takes until room opens for one more request of a group,
-// if all that are under way from here take a place for as long as is usual; 0 where none is.
+// releaseIntervalLocked returns the expected time between two releases of placements in a group,
+// if all requests in flight from this proxy hold theirs for as long as is usual; 0 if none is in
+// flight.
 func (pool *Pool) releaseIntervalLocked(group target, now time.Time) time.Duration {
 	active := 0
 	for _, u := range pool.candidates(group).all {
@@ -128,15 +132,15 @@
 	if active == 0 {
 		return 0
 	}
-	held := pool.latencyEstimateLocked(group.service, now).median
-	if times := pool.serviceLatencyLocked(group.service); times.occupancy.hasSamples() {
-		held = seconds(times.occupancy.median())
+	occupancy := pool.latencyEstimateLocked(group.service, now).median
+	if latency := pool.serviceLatencyLocked(group.service); latency.occupancy.hasSamples() {
+		occupancy = seconds(latency.occupancy.median())
 	}
-	return held / time.Duration(active)
+	return occupancy / time.Duration(active)
 }
 
-// expectedWait is how long it takes until room is likely to open for one more request behind
-// those that wait.
+// expectedWait returns how long it is likely to take until there is capacity for one more
+// request behind those that are queued.
 func (pool *Pool) expectedWait(want target, priority int) time.Duration {
 	pool.mu.Lock()
 	defer pool.mu.Unlock()
@@ -145,17 +149,17 @@
 	if interval == 0 {
 		return pool.latencyEstimateLocked(want.service, now).median
 	}
-	due := interval
+	wait := interval
 	for _, w := range pool.waiting[want.service] {
 		if w.target.group() == group && w.priority <= priority {
-			due += interval
+			wait += interval
 		}
 	}
-	return due
+	return wait
 }
 
-// scheduleQueueCheckLocked has those that wait looked after when the next upstream's pause ends: no
-// request that ends there would do it.
+// scheduleQueueCheckLocked has the queue served when the next ejection of an upstream ends,
+// because no completed request would trigger it.
 func (pool *Pool) scheduleQueueCheckLocked(service string, now time.Time) {
 	if len(pool.waiting[service]) == 0 {
 		return
@@ -181,8 +185,8 @@
 	})
 }
 
-// limitToShutdownLocked is the latest start of a request that has to be answered before this
-// process ends.
+// limitToShutdownLocked limits latestStart so that the request can be answered before this
+// process exits.
 func (pool *Pool) limitToShutdownLocked(want target, latestStart time.Time) time.Time {
 	if pool.leaveBy.IsZero() {
 		return latestStart
@@ -190,17 +194,17 @@
 	return earlier(latestStart, pool.leaveBy.Add(-pool.latencyEstimateLocked(want.service, time.Now()).high))
 }
 
-// Drain has all that wait answered in time for the process to end at a moment.
-func (pool *Pool) Drain(by time.Time) {
+// Drain has all queued requests answered in time for the process to exit at the given time.
+func (pool *Pool) Drain(exitAt time.Time) {
 	pool.mu.Lock()
 	defer pool.mu.Unlock()
-	pool.leaveBy = by
-	for service, ws := range pool.waiting {
-		for _, w := range ws {
+	pool.leaveBy = exitAt
+	for service, queue := range pool.waiting {
+		for _, w := range queue {
 			w.latestStart = pool.limitToShutdownLocked(w.target, w.latestStart)
 			time.AfterFunc(time.Until(w.latestStart), func() { pool.serveQueue(service) })
 		}
-		slices.SortFunc(ws, (*waiter).compare)
+		slices.SortFunc(queue, (*waiter).compare)
 		pool.serveQueueLocked(service)
 	}
 }
