--- a/internal/proxy/attempts_test.go
+++ b/internal/proxy/attempts_test.go
@@ -10,18 +10,18 @@
 	"slateridge/internal/config"
 )
 
-// A request whose route's maxAttempts is lowered while it is under way goes to no more
-// upstreams than the newest configuration allows.
-func TestLoweredMaxAttemptsBindsRequestsUnderWay(t *testing.T) {
+// If maxAttempts of a route is lowered while a request is in flight, the request is sent to no
+// more upstreams than the newest configuration allows.
+func TestLoweredMaxAttemptsAppliesToRequestsInFlight(t *testing.T) {
 	lowered, err := config.Read([]byte(strings.NewReplacer(`"maxAttempts":2`, `"maxAttempts":1`, `"maxAttempts":3`, `"maxAttempts":1`).
 		Replace(fmt.Sprintf(testConfig, 2))))
 	if err != nil {
 		t.Fatal(err)
 	}
 	for name, c := range map[string]struct{ method, path, status, more string }{
-		"fails, may repeat":     {"GET", "/safe/", "500 Oops", ""},
-		"turned away, may not":  {"POST", "/once/", "503 Full", "X-Slateridge-Not-Executed: 1\r\n"},
-		"turned away, a stream": {"POST", "/flow/", "503 Full", "X-Slateridge-Not-Executed: 1\r\n"},
+		"failed, idempotent":       {"GET", "/safe/", "500 Oops", ""},
+		"rejected, non-idempotent": {"POST", "/once/", "503 Full", "X-Slateridge-Not-Executed: 1\r\n"},
+		"rejected, stream":         {"POST", "/flow/", "503 Full", "X-Slateridge-Not-Executed: 1\r\n"},
 	} {
 		t.Run(name, func(t *testing.T) {
 			var s *Proxy
@@ -42,9 +42,9 @@
 	}
 }
 
-// A hedge carries the request as it was when the hedge was decided, also when its
-// goroutine begins only after the first answer has been counted. Shows with -race.
-func TestHedgeBesideAnAnswer(t *testing.T) {
+// A hedge carries the request as it was when the hedge was decided, even if its goroutine starts
+// only after the first response has been counted. The race detector reports a violation.
+func TestHedgeConcurrentWithResponse(t *testing.T) {
 	answer := func(n int, r *http.Request) (string, bool) {
 		time.Sleep(time.Millisecond + time.Duration(n%40)*25*time.Microsecond)
 		return okResponse(r, "x"), false
@@ -56,7 +56,7 @@
 	}
 	for range 400 {
 		s.pool.mu.Lock()
-		s.pool.times["svc"] = &serviceLatency{responses: *uniformLatency(500 * time.Microsecond)} // so that hedges come about when answers do
+		s.pool.times["svc"] = &serviceLatency{responses: *uniformLatency(500 * time.Microsecond)} // so that hedges start at about the time responses arrive
 		s.pool.mu.Unlock()
 		if w := sendRequest(s, "GET", "/safe/", ""); w.Code != http.StatusOK {
 			t.Fatalf("got %d", w.Code)
--- a/internal/proxy/deadline_test.go
+++ b/internal/proxy/deadline_test.go
@@ -11,9 +11,10 @@
 	"time"
 )
 
-// A client whose body does not come is answered when the request's time is over: a
-// promise where nothing was sent on, none where a part of it was.
-func TestBodyThatDoesNotComeIsNotHeld(t *testing.T) {
+// A client whose body does not arrive is answered at the request's deadline. The status
+// guarantees that the request was not executed if nothing was forwarded, and does not if a part
+// of it was.
+func TestIncompleteBodyIsAnsweredAtDeadline(t *testing.T) {
 	for name, c := range map[string]struct{ sent, length, code int }{
 		"short body": {100, 1000, http.StatusRequestTimeout},
 		"long body":  {100000, 500000, http.StatusGatewayTimeout},
@@ -38,9 +39,9 @@
 	}
 }
 
-// A body that came whole leaves no deadline behind: the connection serves the next
-// request after the first one's time is over, and one that takes long is not cut.
-func TestBodyThatCameLeavesNoDeadline(t *testing.T) {
+// A body that arrived completely leaves no read deadline behind: the connection serves the next
+// request after the first one's deadline, and a slow one is not aborted.
+func TestReadDeadlineIsClearedAfterBody(t *testing.T) {
 	for _, size := range []int{10, 65536, 200000} {
 		t.Run(fmt.Sprint(size, " bytes"), func(t *testing.T) {
 			t.Parallel()
@@ -61,30 +62,30 @@
 					t.Fatalf("request %d: %v %v", n+1, resp, err)
 				}
 				io.Copy(io.Discard, resp.Body)
-				time.Sleep(1600 * time.Millisecond) // the request's time is over
+				time.Sleep(1600 * time.Millisecond) // past the request's deadline
 			}
 		})
 	}
 }
 
-// A request with less time left than its upstreams ever take is not sent: it would hardly
-// be served, and having been sent it could not be refused with a promise.
-func TestTooLateToBeSent(t *testing.T) {
+// A request with less time left than its upstreams ever take is not sent. It would hardly be
+// served, and once sent, the refusal could not guarantee that it was not executed.
+func TestRequestWithTooLittleTimeIsNotSent(t *testing.T) {
 	u := newRawUpstream(t, func(_ int, r *http.Request) (string, bool) {
 		time.Sleep(60 * time.Millisecond)
 		return okResponse(r, "x"), false
 	})
 	s := newProxy(t, u.instance("i-1"))
-	const learned = 10
-	for range learned {
+	const warmups = 10
+	for range warmups {
 		sendRequest(s, "POST", "/once/", "")
 	}
 	for _, path := range []string{"/once/", "/safe/", "/flow/"} {
-		if w := sendRequest(s, "POST", path, "", headerBudget, "35"); w.Code != http.StatusServiceUnavailable || u.count() != learned {
-			t.Errorf("%s with 35 ms left: got %d after %d arrivals, want 503 after none", path, w.Code, u.count()-learned)
+		if w := sendRequest(s, "POST", path, "", headerBudget, "35"); w.Code != http.StatusServiceUnavailable || u.count() != warmups {
+			t.Errorf("%s with 35 ms left: got %d after %d arrivals, want 503 after none", path, w.Code, u.count()-warmups)
 		}
 	}
-	if w := sendRequest(s, "POST", "/once/", "", headerBudget, "90"); w.Code != http.StatusOK || u.count() != learned+1 {
-		t.Errorf("with 90 ms left: got %d after %d arrivals, want 200 after one", w.Code, u.count()-learned)
+	if w := sendRequest(s, "POST", "/once/", "", headerBudget, "90"); w.Code != http.StatusOK || u.count() != warmups+1 {
+		t.Errorf("with 90 ms left: got %d after %d arrivals, want 200 after one", w.Code, u.count()-warmups)
 	}
 }
--- a/internal/proxy/grants_test.go
+++ b/internal/proxy/grants_test.go
@@ -11,8 +11,8 @@
 	"slateridge/internal/transport"
 )
 
-// daemonWithSilentTracker is a daemon whose trackers take questions and answer none, and are
-// connected.
+// daemonWithSilentTracker returns a daemon that is connected to a tracker which accepts requests
+// but never replies.
 func daemonWithSilentTracker(t *testing.T, tracker string) *Daemon {
 	d, _ := daemonAt(t)
 	listener, err := transport.Listen(d.set.Load().PeerInternal(tracker, constants.PortControl))
@@ -23,7 +23,7 @@
 	go transport.Serve(listener, func(*transport.Conn, any) any { return nil })
 	all := slices.Repeat([]string{tracker}, d.set.Load().Trackers())
 	d.trackers.Store(&all)
-	for n := 0; timeTokenRequest(d, "k", time.Second) < constants.TrackerBusy/2; n++ { // until the connection stands
+	for n := 0; timeTokenRequest(d, "k", time.Second) < constants.TrackerBusy/2; n++ { // until the connection is established
 		if n > 100 {
 			t.Fatal("no connection to the tracker")
 		}
@@ -32,52 +32,52 @@
 	return d
 }
 
-// timeTokenRequest asks a key's tracker for a caller with so much time, and tells how long it
-// was waited for.
-func timeTokenRequest(d *Daemon, key string, callersTime time.Duration) time.Duration {
+// timeTokenRequest requests tokens for a caller with the given time, and returns how long the
+// request took.
+func timeTokenRequest(d *Daemon, key string, callerTime time.Duration) time.Duration {
 	began := time.Now()
-	d.requestTokens(key, began.Add(callersTime))
+	d.requestTokens(key, began.Add(callerTime))
 	return time.Since(began)
 }
 
-// A caller whose time ends before the tracker's silence is unusual leaves the next caller the
-// same chance; one that has waited for as long as that spares it the wait.
-func TestShortTimeIsNoSilence(t *testing.T) {
+// If a caller's time ends before the tracker is unusually slow, the next caller waits for the
+// tracker as well. Once a caller has waited longer than that, later callers do not wait.
+func TestShortCallerTimeDoesNotMarkTrackerSilent(t *testing.T) {
 	d := daemonWithSilentTracker(t, "127.0.0.66")
 	slow := strings.Replace(fmt.Sprintf(testConfig, 2), `"ratePerS":0.001,`, `"ratePerS":0.5,`, 1)
 	trackers := d.trackers.Load()
 	d.inForce(slow, 2, nil)
 	d.trackers.Store(trackers)
-	asks := func() bool { return d.limiter.Admit(d.now(), "tight", false).Ask }
+	waits := func() bool { return d.limiter.Admit(d.now(), "tight", false).Ask }
 	for d.limiter.Admit(d.now(), "tight", true).OK {
 	}
-	time.Sleep(1100 * time.Millisecond) // the bucket for bursts has a token again, the one for the rate has none
+	time.Sleep(1100 * time.Millisecond) // the burst bucket has a token again, the rate bucket has none
 	timeTokenRequest(d, "tight", 20*time.Millisecond)
 	timeTokenRequest(d, "tight", -time.Second)
-	if !asks() {
-		t.Error("the next caller does not wait for the tracker, after one that had no time")
+	if !waits() {
+		t.Error("the next caller does not wait for the tracker after a caller without time")
 	}
 	timeTokenRequest(d, "tight", time.Second)
-	if asks() {
-		t.Error("the next caller waits for a tracker that was silent for unusually long")
+	if waits() {
+		t.Error("the next caller waits for a tracker that was unusually slow")
 	}
 }
 
-// A caller waits for its key's tracker while an answer is of use to it, and no longer than
-// that tracker's silence is usual.
-func TestTrackerIsAwaitedByCallerAndTracker(t *testing.T) {
+// A caller waits for its key's tracker while a reply is useful to it, and no longer than until
+// the tracker is unusually slow.
+func TestTokenRequestTimeout(t *testing.T) {
 	const tracker = "127.0.0.65"
 	d := daemonWithSilentTracker(t, tracker)
-	waited := func(callersTime time.Duration) time.Duration { return timeTokenRequest(d, "k", callersTime) }
+	waited := func(callerTime time.Duration) time.Duration { return timeTokenRequest(d, "k", callerTime) }
 	assertDuration(t, "with 30 ms", waited(30*time.Millisecond), 25*time.Millisecond, 70*time.Millisecond)
-	usually := func(took time.Duration) {
+	setUsual := func(took time.Duration) {
 		d.trackerEchoesMu.Lock()
 		d.trackerAnswers[tracker] = uniformLatency(took)
 		d.trackerEchoesMu.Unlock()
 	}
-	usually(2 * time.Millisecond)
-	assertDuration(t, "of a tracker that usually takes 2 ms", waited(time.Second), constants.TrackerBusy, constants.TrackerBusy+50*time.Millisecond)
-	usually(100 * time.Millisecond)
-	assertDuration(t, "of a tracker that usually takes 100 ms", waited(time.Second), 300*time.Millisecond, 380*time.Millisecond)
-	assertDuration(t, "of the same with 200 ms", waited(200*time.Millisecond), 195*time.Millisecond, 260*time.Millisecond)
+	setUsual(2 * time.Millisecond)
+	assertDuration(t, "with a tracker that usually takes 2 ms", waited(time.Second), constants.TrackerBusy, constants.TrackerBusy+50*time.Millisecond)
+	setUsual(100 * time.Millisecond)
+	assertDuration(t, "with a tracker that usually takes 100 ms", waited(time.Second), 300*time.Millisecond, 380*time.Millisecond)
+	assertDuration(t, "with the same tracker and 200 ms", waited(200*time.Millisecond), 195*time.Millisecond, 260*time.Millisecond)
 }
--- a/internal/proxy/lag_test.go
+++ b/internal/proxy/lag_test.go
@@ -7,14 +7,14 @@
 	"slateridge/internal/constants"
 )
 
-// A process is late from the moment at which a beat is missing, whoever looks first after
-// it has stood still, and for some time after.
-func TestLagIsNoticed(t *testing.T) {
+// A process lags from the moment at which a tick is missing, even if it is asked before the
+// first tick after a suspension, and for some time afterwards.
+func TestLagDetector(t *testing.T) {
 	const step = constants.StepEvery
 	began := time.Now()
 	m := &lagDetector{startedAt: began}
 	if !m.lagging(began.Add(step)) {
-		t.Error("not late without a beat")
+		t.Error("not lagging without a tick")
 	}
 	at := began.Add(10 * time.Second)
 	m.tick(at)
@@ -23,20 +23,20 @@
 		m.tick(at)
 	}
 	if m.lagging(at.Add(step)) {
-		t.Error("late with regular beats")
+		t.Error("lagging with regular ticks")
 	}
 	woken := at.Add(3 * time.Second)
 	if !m.lagging(woken) {
-		t.Error("a standstill isn't noticed before the next beat")
+		t.Error("a suspension is not noticed before the next tick")
 	}
 	m.tick(woken)
 	if !m.lagging(woken.Add(step)) {
-		t.Error("a standstill is forgotten with the next beat")
+		t.Error("a suspension is forgotten at the next tick")
 	}
 	for at = woken; at.Before(woken.Add(constants.LagMemory)); at = at.Add(step) {
 		m.tick(at)
 	}
 	if m.lagging(at.Add(step)) {
-		t.Error("late for ever")
+		t.Error("lagging forever")
 	}
 }
--- a/internal/proxy/timing_test.go
+++ b/internal/proxy/timing_test.go
@@ -16,7 +16,8 @@
 	"slateridge/internal/discovery"
 )
 
-// Routes of one service that differ in nothing that a caller's time depends on.
+// sameTimeConfig has routes to one service that differ only in settings that must not affect
+// timing.
 const sameTimeConfig = `{"configVersion":"r9","resourceList":[
 {"resourceKind":"routes","metadata":{"name":"a"},"spec":{"host":"h.example","pathPrefix":"/a/","routeType":"idempotent","timeout":"5s","targetLatency":"100ms","priority":1,"targetService":"svc","maxAttempts":3}},
 {"resourceKind":"routes","metadata":{"name":"b"},"spec":{"host":"h.example","pathPrefix":"/b/","routeType":"idempotent","timeout":"5s","targetLatency":"2s","priority":1,"targetService":"svc","maxAttempts":3}},
@@ -24,19 +25,20 @@
 {"resourceKind":"routes","metadata":{"name":"once"},"spec":{"host":"h.example","pathPrefix":"/once/","routeType":"non_idempotent","timeout":"5s","targetLatency":"100ms","priority":1,"targetService":"svc","maxAttempts":3}},
 {"resourceKind":"services","metadata":{"name":"svc"},"spec":{"maxConnections":100}}]}`
 
-// sameTimePaths are those of routes that differ in their target latency, if they have one.
+// sameTimePaths are paths on routes that differ only in their target latency.
 var sameTimePaths = []string{"/a/", "/b/", "/c/"}
 
-// uniformLatency are of a peer that took the same time for each of its latest answers.
-func uniformLatency(took time.Duration) *latencyWindow {
-	a := &latencyWindow{}
+// uniformLatency returns the window of a peer whose recent responses all had the same latency.
+func uniformLatency(latency time.Duration) *latencyWindow {
+	w := &latencyWindow{}
 	for range constants.RecentAnswers {
-		a.observe(time.Now(), took.Seconds())
+		w.observe(time.Now(), latency.Seconds())
 	}
-	return a
+	return w
 }
 
-// newProxyWithLatency is a proxy whose upstreams have answered some requests within a usual time.
+// newProxyWithLatency returns a proxy whose upstreams have recently responded with the usual
+// latency.
 func newProxyWithLatency(t *testing.T, usual time.Duration, ups ...discovery.Instance) *Proxy {
 	s := newProxy(t, ups...)
 	cfg, err := config.Read([]byte(sameTimeConfig))
@@ -56,11 +58,12 @@
 	return s
 }
 
-// occupyAll takes all places there are, and gives them back one by one.
-func occupyAll(s *Proxy) (giveBack func() bool) {
+// occupyAll takes all available placements and returns a function that releases one of them per
+// call.
+func occupyAll(s *Proxy) (release func() bool) {
 	var taken []*placement
-	for of := s.pool.Place(target{service: "svc", homes: anywhere}, nil); of != nil; of = s.pool.Place(target{service: "svc", homes: anywhere}, nil) {
-		taken = append(taken, of)
+	for pl := s.pool.Place(target{service: "svc", homes: anywhere}, nil); pl != nil; pl = s.pool.Place(target{service: "svc", homes: anywhere}, nil) {
+		taken = append(taken, pl)
 	}
 	return func() bool {
 		if len(taken) == 0 {
@@ -78,7 +81,7 @@
 	return w, time.Since(began)
 }
 
-// unreachableUpstream is an upstream that nothing is sent to.
+// unreachableUpstream is an upstream to which nothing may be sent.
 var unreachableUpstream = discovery.Instance{ID: "i-1", Service: "svc", Address: "127.0.0.1:1", Zone: "z", Slots: 2}
 
 func newFastUpstream(t *testing.T) discovery.Instance {
@@ -92,9 +95,9 @@
 	}
 }
 
-// A request waits for room for as long as its caller can still be served, here or, after
-// the wait that a refusal asks for, elsewhere; its route's target latency changes nothing.
-func TestWaitForRoomFollowsTheCallersTime(t *testing.T) {
+// A request waits for capacity as long as its caller can still be served, here or, after the
+// wait that Retry-After asks for, elsewhere. The route's target latency makes no difference.
+func TestQueueWaitDependsOnCallerBudget(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		const usual = 40 * time.Millisecond
 		for _, budget := range []time.Duration{300 * time.Millisecond, 900 * time.Millisecond} {
@@ -109,16 +112,16 @@
 				if want := budget - usual*3/2; took != want {
 					t.Errorf("%s with %v is refused after %v, want %v", path, budget, took, want)
 				}
-				if told, _ := strconv.ParseFloat(w.Header().Get("Retry-After"), 64); told <= 0 || seconds(told) > left/3 {
-					t.Errorf("%s with %v: told to come again in %v s with %v left", path, budget, told, left)
+				if retryAfter, _ := strconv.ParseFloat(w.Header().Get("Retry-After"), 64); retryAfter <= 0 || seconds(retryAfter) > left/3 {
+					t.Errorf("%s with %v: Retry-After is %v s with %v left", path, budget, retryAfter, left)
 				}
 			}
 		}
 	})
 }
 
-// The longer the work, the sooner a caller hears that there was no room in time for it.
-func TestWaitForRoomFollowsTheWork(t *testing.T) {
+// The longer the latency of the service, the earlier a caller is refused for lack of capacity.
+func TestQueueWaitDependsOnServiceLatency(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		const budget = 900 * time.Millisecond
 		var waits []time.Duration
@@ -129,21 +132,22 @@
 			waits = append(waits, took)
 		}
 		if waits[0]-waits[1] < 250*time.Millisecond {
-			t.Errorf("waits of %v, the second should be shorter by the work and a half", waits)
+			t.Errorf("waits of %v, the second should be shorter by 1.5 times the difference in latency", waits)
 		}
 	})
 }
 
-// When those ahead take all the room that opens in a caller's time, it hears so at once.
-func TestNoRoomInTimeIsSaidAtOnce(t *testing.T) {
+// If earlier waiters use up all capacity that becomes available in a caller's time, the caller
+// is refused immediately.
+func TestRequestThatCannotBePlacedInTimeIsRefusedAtOnce(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		const usual, budget, most = 200 * time.Millisecond, time.Second, 60
+		const usual, budget, requests = 200 * time.Millisecond, time.Second, 60
 		s := newProxyWithLatency(t, usual, unreachableUpstream)
-		occupyAll(s) // two places: ten requests a second
+		occupyAll(s) // two placements: ten requests a second
 		var mu sync.Mutex
-		atOnce, waited := 0, 0
+		refusedAtOnce, waited := 0, 0
 		var group sync.WaitGroup
-		for range most {
+		for range requests {
 			time.Sleep(time.Millisecond)
 			group.Go(func() {
 				w, took := timedGet(s, "/a/", budget)
@@ -153,29 +157,28 @@
 				case w.Code != http.StatusServiceUnavailable:
 					t.Errorf("got %d", w.Code)
 				case took < 50*time.Millisecond:
-					atOnce++
+					refusedAtOnce++
 				default:
 					waited++
 				}
 			})
 		}
 		group.Wait()
-		if waited < 5 || waited > 9 || atOnce != most-waited {
-			t.Errorf("%d of %d waited, and %d heard at once: about seven places open in the time that is of use", waited, most, atOnce)
+		if waited < 5 || waited > 9 || refusedAtOnce != requests-waited {
+			t.Errorf("%d of %d waited, and %d were refused at once: about seven placements become free in time", waited, requests, refusedAtOnce)
 		}
 	})
 }
 
-// What is decided by time is the same on routes that differ in what no caller's time depends
-// on; the second upstream is asked once a silence is unusual for the service, or sooner
-// where the caller's time would not suffice.
-func TestSilenceIsJudgedByTheUsual(t *testing.T) {
+// A second upstream is asked once the first is unusually slow for the service, or earlier if too
+// little of the caller's time would be left. The route's target latency makes no difference.
+func TestHedgeDelayDependsOnServiceLatency(t *testing.T) {
 	arrived := time.Now()
-	for _, c := range []struct{ usual, budget, second time.Duration }{
+	for _, c := range []struct{ usual, budget, hedgeDelay time.Duration }{
 		{30 * time.Millisecond, time.Second, 90 * time.Millisecond},
 		{150 * time.Millisecond, time.Second, 450 * time.Millisecond},
-		{150 * time.Millisecond, 500 * time.Millisecond, 350 * time.Millisecond}, // 450 would leave 50 for 150
-		{150 * time.Millisecond, 200 * time.Millisecond, 150 * time.Millisecond}, // but not before the usual time
+		{150 * time.Millisecond, 500 * time.Millisecond, 350 * time.Millisecond}, // 450 ms would leave 50 ms for work of 150 ms
+		{150 * time.Millisecond, 200 * time.Millisecond, 150 * time.Millisecond}, // but not before the usual latency
 	} {
 		for _, path := range sameTimePaths {
 			s := newProxyWithLatency(t, c.usual, unreachableUpstream)
@@ -183,20 +186,20 @@
 			r := httptest.NewRequest("GET", path, nil)
 			r.Header.Set(headerBudget, strconv.FormatInt(c.budget.Milliseconds(), 10))
 			timing := s.newExchange(r, arrived, cfg, cfg.Match("h.example", path), nil).timing()
-			if second := timing.hedgeAt(arrived).Sub(arrived); second != c.second {
-				t.Errorf("%s, %+v: the second is asked after %v", path, c, second)
+			if hedgeDelay := timing.hedgeAt(arrived).Sub(arrived); hedgeDelay != c.hedgeDelay {
+				t.Errorf("%s, %+v: hedged after %v", path, c, hedgeDelay)
 			}
 		}
 	}
 }
 
-// With both upstreams silent the second is asked while the caller still has time.
-func TestSecondUpstreamIsAskedInTime(t *testing.T) {
+// If both upstreams stay silent, the second is asked while the caller still has time.
+func TestSecondUpstreamIsAskedBeforeDeadline(t *testing.T) {
 	const usual, budget = 30 * time.Millisecond, 2 * time.Second
 	for _, path := range sameTimePaths {
-		asked := make(chan time.Time, 8)
+		requestTimes := make(chan time.Time, 8)
 		silent := func(_ int, r *http.Request) (string, bool) {
-			asked <- time.Now()
+			requestTimes <- time.Now()
 			time.Sleep(budget)
 			return okResponse(r, "x"), false
 		}
@@ -204,26 +207,26 @@
 		s := newProxyWithLatency(t, usual, a.instance("i-1"), b.instance("i-2"))
 		began := time.Now()
 		timedGet(s, path, budget)
-		<-asked
-		if second := (<-asked).Sub(began); second < 3*usual || second > budget/2 {
-			t.Errorf("%s: the second is asked after %v of %v, a silence of %v is unusual", path, second, budget, 3*usual)
+		<-requestTimes
+		if hedgeDelay := (<-requestTimes).Sub(began); hedgeDelay < 3*usual || hedgeDelay > budget/2 {
+			t.Errorf("%s: the second upstream is asked after %v of %v; want a hedge after %v", path, hedgeDelay, budget, 3*usual)
 		}
 	}
 }
 
-// A request that an upstream turned away waits for room as one that comes for the first
-// time does: the time that is left counts the same.
-func TestTurnedAwayRequestsWaitToo(t *testing.T) {
+// A request that an upstream rejected waits for capacity in the same way as a new one: only the
+// remaining time counts.
+func TestRejectedRequestWaitsForCapacity(t *testing.T) {
 	full := newRawUpstream(t, func(_ int, _ *http.Request) (string, bool) {
 		return answerOf("503 Full", "id-1", "X-Slateridge-Not-Executed: 1\r\n", ""), false
 	})
 	free := newRawUpstream(t, func(_ int, r *http.Request) (string, bool) { return okResponse(r, "x"), false })
 	for _, path := range []string{"/a/", "/b/", "/once/"} {
 		s := newProxyWithLatency(t, 30*time.Millisecond, free.instance("i-free"))
-		giveBack := occupyAll(s)
+		release := occupyAll(s)
 		s.pool.Apply(time.Now(), []discovery.Instance{free.instance("i-free"), full.instance("i-full")})
 		time.AfterFunc(200*time.Millisecond, func() {
-			for giveBack() {
+			for release() {
 			}
 		})
 		before := full.count()
@@ -234,9 +237,9 @@
 	}
 }
 
-// Of requests of one priority the one that has to start soonest gets the room, whichever
-// came first.
-func TestRoomGoesToWhoHasLeastTime(t *testing.T) {
+// Among requests of one priority, the one that must start soonest gets the capacity, whichever
+// arrived first.
+func TestCapacityGoesToEarliestLatestStart(t *testing.T) {
 	const caller = "X-Caller"
 	var mu sync.Mutex
 	var order []string
@@ -248,7 +251,7 @@
 		return okResponse(r, "x"), false
 	})
 	s := newProxyWithLatency(t, 30*time.Millisecond, u.instance("i-1"))
-	giveBack := occupyAll(s)
+	release := occupyAll(s)
 	var group sync.WaitGroup
 	for _, budget := range []string{"3000", "2000", "1000"} {
 		group.Go(func() {
@@ -259,20 +262,20 @@
 		time.Sleep(30 * time.Millisecond)
 	}
 	s.pool.mu.Lock()
-	for of := range s.pool.upstreams["i-1"].active {
-		s.pool.upstreams["i-1"].active[of] = time.Now().Add(time.Hour) // one place stays taken, and does not grow old
+	for pl := range s.pool.upstreams["i-1"].active {
+		s.pool.upstreams["i-1"].active[pl] = time.Now().Add(time.Hour) // the other placement stays taken, and its request does not look slow
 	}
 	s.pool.mu.Unlock()
-	giveBack()
+	release()
 	group.Wait()
 	if want := "[1000 2000 3000]"; fmt.Sprint(order) != want {
 		t.Errorf("served %v, want %v", order, want)
 	}
 }
 
-// Room that comes by the end of an upstream's pause is given to those that wait then,
-// though no request ends or comes.
-func TestEndOfAPauseWakesWhoWaits(t *testing.T) {
+// Capacity that becomes available when an ejection ends is granted to the requests that are
+// queued then, even if no request completes or arrives.
+func TestEndOfEjectionServesQueue(t *testing.T) {
 	s := newProxyWithLatency(t, 20*time.Millisecond, newFastUpstream(t))
 	s.pool.mu.Lock()
 	for _, u := range s.pool.upstreams {
@@ -289,12 +292,12 @@
 	assertDuration(t, "served after", took, 150*time.Millisecond, 500*time.Millisecond)
 }
 
-// A caller refused for want of a configuration is told to come again within the part of its
-// time that it will wait, and when news may have come.
-func TestWithoutNewsTheCallersTimeCounts(t *testing.T) {
+// A caller that is refused for lack of a configuration gets a Retry-After within the part of its
+// time that it is willing to wait, and no longer than until the next update may arrive.
+func TestRetryAfterWithoutConfig(t *testing.T) {
 	s := newProxyWithLatency(t, 20*time.Millisecond)
 	s.config.Store(nil)
-	told := func(budget time.Duration) time.Duration {
+	retryAfter := func(budget time.Duration) time.Duration {
 		w, _ := timedGet(s, "/a/", budget)
 		retry, err := strconv.ParseFloat(w.Header().Get("Retry-After"), 64)
 		if w.Code != http.StatusServiceUnavailable || err != nil {
@@ -302,16 +305,16 @@
 		}
 		return seconds(retry)
 	}
-	if short := told(300 * time.Millisecond); short > 100*time.Millisecond {
-		t.Errorf("with 300 ms: told to come again after %v", short)
+	if short := retryAfter(300 * time.Millisecond); short > 100*time.Millisecond {
+		t.Errorf("with 300 ms: Retry-After is %v", short)
 	}
-	if long := told(10 * time.Second); long != constants.SubscribeEvery {
-		t.Errorf("with 10 s: told to come again after %v, control is asked every %v", long, constants.SubscribeEvery)
+	if long := retryAfter(10 * time.Second); long != constants.SubscribeEvery {
+		t.Errorf("with 10 s: Retry-After is %v, want the subscription interval %v", long, constants.SubscribeEvery)
 	}
 }
 
-// A process that is about to end answers those that wait while it is still there.
-func TestLeavingAnswersWhoWaits(t *testing.T) {
+// A process that is about to exit answers its queued requests before it exits.
+func TestDrainAnswersQueuedRequests(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		s := newProxyWithLatency(t, 20*time.Millisecond, unreachableUpstream)
 		occupyAll(s)
@@ -324,18 +327,18 @@
 	})
 }
 
-// A few answers that were stuck do not keep requests from waiting that have far more time
-// than most of the work takes, and do not put the second upstream off.
-func TestFewStuckAnswersAreNotTheWork(t *testing.T) {
+// A few very slow responses neither keep requests from waiting that have far more time than most
+// responses take, nor delay the second upstream.
+func TestOutliersDoNotRaiseLatencyEstimate(t *testing.T) {
 	s := newProxyWithLatency(t, 5*time.Millisecond, newFastUpstream(t))
 	s.pool.times["svc"].responses.observe(time.Now(), 2)
-	work := s.pool.latencyEstimate("svc")
-	if work.high > 10*time.Millisecond || work.slowThreshold() > 30*time.Millisecond {
-		t.Errorf("many answers of 5 ms and one of 2 s: likely %v, unusual %v", work.high, work.slowThreshold())
+	estimate := s.pool.latencyEstimate("svc")
+	if estimate.high > 10*time.Millisecond || estimate.slowThreshold() > 30*time.Millisecond {
+		t.Errorf("many responses of 5 ms and one of 2 s: high %v, slow threshold %v", estimate.high, estimate.slowThreshold())
 	}
-	giveBack := occupyAll(s)
+	release := occupyAll(s)
 	time.AfterFunc(30*time.Millisecond, func() {
-		for giveBack() {
+		for release() {
 		}
 	})
 	if w, took := timedGet(s, "/once/", 100*time.Millisecond); w.Code != http.StatusOK {
@@ -343,28 +346,29 @@
 	}
 }
 
-// What was learned long ago keeps nobody from being sent: if it did, nobody could show that
-// the work has become shorter.
-func TestOldKnowledgeRefusesNobody(t *testing.T) {
+// An old latency estimate does not keep requests from being sent: if it did, no response could
+// show that the latency has improved.
+func TestOldLatencyEstimateRefusesNothing(t *testing.T) {
 	now := time.Now()
-	work := latencyEstimate{low: 980 * time.Millisecond, median: time.Second, high: 1020 * time.Millisecond, updatedAt: now}
-	late := timing{responseDeadline: now.Add(500 * time.Millisecond), callerDeadline: now.Add(500 * time.Millisecond), latency: work}
+	estimate := latencyEstimate{low: 980 * time.Millisecond, median: time.Second, high: 1020 * time.Millisecond, updatedAt: now}
+	late := timing{responseDeadline: now.Add(500 * time.Millisecond), callerDeadline: now.Add(500 * time.Millisecond), latency: estimate}
 	if !late.tooLate(now) {
-		t.Error("sent with half of the time that the work takes")
+		t.Error("sent with half of the time that the service takes")
 	}
 	late.latency.updatedAt = now.Add(-10 * time.Second)
 	if late.tooLate(now) {
-		t.Error("refused for what was learned ten seconds ago")
+		t.Error("refused because of an estimate that is ten seconds old")
 	}
 	late.latency = defaultLatency
 	if late.tooLate(now) {
-		t.Error("refused for what nobody knows")
+		t.Error("refused because of the default estimate")
 	}
 }
 
-// An upstream in another zone is asked where it is faster by more than answers vary, be that
-// little or much: callers of a service with quick and even answers feel a few milliseconds.
-func TestDistanceIsWeighedAgainstTheSpread(t *testing.T) {
+// An upstream in another zone is chosen if it is faster by more than the spread of latencies,
+// however small or large that is: for a service with fast and uniform responses a few
+// milliseconds matter to callers.
+func TestRemoteZoneMustBeFasterByMoreThanSpread(t *testing.T) {
 	for _, c := range []struct {
 		near, far, spread time.Duration
 		goesFar           bool
@@ -381,17 +385,17 @@
 			u.delay, u.delayAt = usual.Seconds(), now
 			u.answers = 1
 		}
-		work := latencyEstimate{median: c.near, high: c.near + 2*c.spread, updatedAt: now}
-		s.pool.times["svc"] = &serviceLatency{estimate: work, estimatedAt: now.Add(time.Minute)}
-		if of := s.pool.Place(target{service: "svc", homes: anywhere}, nil); (of.upstream.instance.ID == "far") != c.goesFar {
-			t.Errorf("%+v, usually %v: %s was asked", c, work.median, of.upstream.instance.ID)
+		estimate := latencyEstimate{median: c.near, high: c.near + 2*c.spread, updatedAt: now}
+		s.pool.times["svc"] = &serviceLatency{estimate: estimate, estimatedAt: now.Add(time.Minute)}
+		if pl := s.pool.Place(target{service: "svc", homes: anywhere}, nil); (pl.upstream.instance.ID == "far") != c.goesFar {
+			t.Errorf("%+v, usual latency %v: %s was chosen", c, estimate.median, pl.upstream.instance.ID)
 		}
 	}
 }
 
-// An upstream is slow beside the others of its service, however long its work takes: what
-// may be under way there is the same where every answer takes three seconds.
-func TestLongWorkIsNotSlowness(t *testing.T) {
+// An upstream is slow relative to the others of its service, whatever the latency of the
+// service: the limit of active requests is the same if every response takes three seconds.
+func TestSlownessIsRelativeToService(t *testing.T) {
 	for _, usual := range []time.Duration{30 * time.Millisecond, 3 * time.Second} {
 		instances := []discovery.Instance{{ID: "i-1", Service: "svc", Zone: "z", Slots: 1}, {ID: "i-2", Service: "svc", Zone: "z", Slots: 1}, {ID: "i-slow", Service: "svc", Zone: "z", Slots: 1}}
 		s := newProxyWithLatency(t, usual, instances...)
@@ -405,7 +409,7 @@
 			got[id] = len(u.active)
 		}
 		if want := map[string]int{"i-1": 2, "i-2": 2, "i-slow": 1}; !maps.Equal(got, want) {
-			t.Errorf("usually %v: placed %v, want %v", usual, got, want)
+			t.Errorf("usual latency %v: placed %v, want %v", usual, got, want)
 		}
 	}
 }
