--- a/internal/proxy/proxy_test.go
+++ b/internal/proxy/proxy_test.go
@@ -23,19 +23,19 @@
 	"slateridge/internal/eventlog"
 )
 
-// rawUpstream is an upstream stand-in that speaks bytes: script is called for each
-// request on a connection, and what it returns is written; close ends the
-// connection after that.
+// rawUpstream is an upstream whose responses are raw bytes: script is called for each request,
+// and the answer that it returns is written. If close is true, the connection is closed
+// afterwards.
 type rawUpstream struct {
 	listener net.Listener
 	mu       sync.Mutex
-	requests []string // request line and body of each request that arrived
+	requests []string // method, path and body of each request that arrived
 	headers  []http.Header
 }
 
 type script func(n int, r *http.Request) (answer string, close bool)
 
-// serveConns listens until the test's end, and has each connection served and then closed.
+// serveConns listens until the end of the test, and has each connection served and then closed.
 func serveConns(t *testing.T, serve func(c net.Conn)) net.Listener {
 	l, err := net.Listen("tcp4", "127.0.0.1:0")
 	if err != nil {
@@ -57,8 +57,8 @@
 	return l
 }
 
-// serveRequests listens and has each request answered on its connection, until answer
-// says that the connection ends.
+// serveRequests listens and has each request answered on its connection, until answer returns
+// false.
 func serveRequests(t *testing.T, answer func(c net.Conn, r *http.Request, body string) (more bool)) net.Listener {
 	return serveConns(t, func(c net.Conn) {
 		br := bufio.NewReader(c)
@@ -113,7 +113,7 @@
 {"resourceKind":"tenants","metadata":{"name":"tight"},"spec":{"apiKeys":["k2"],"ratePerS":0.001,"burstSize":1}},
 {"resourceKind":"limits","metadata":{},"spec":{"maxHeaderBytes":16384,"maxBodyBytes":1000000,"headerTimeout":"3000ms","idleTimeout":"15000ms"}}]}`
 
-func newProxy(t *testing.T, ups ...discovery.Instance) *Proxy {
+func newProxy(t *testing.T, instances ...discovery.Instance) *Proxy {
 	cfg, err := config.Read([]byte(fmt.Sprintf(testConfig, 1)))
 	if err != nil {
 		t.Fatal(err)
@@ -126,19 +126,19 @@
 	s.limiter.SetProxies(0, 1)
 	s.limiter.SetQuotas(0, admission.Quotas(cfg))
 	s.config.Store(cfg)
-	s.pool.Apply(time.Now(), ups)
+	s.pool.Apply(time.Now(), instances)
 	return s
 }
 
-func sendRequest(s *Proxy, method, path, body string, hdr ...string) *httptest.ResponseRecorder {
+func sendRequest(s *Proxy, method, path, body string, headers ...string) *httptest.ResponseRecorder {
 	r := httptest.NewRequest(method, path, strings.NewReader(body))
 	r.RequestURI = path
 	r.Host = "h.example"
 	r.Header.Set(headerAttemptID, "id-1")
 	r.Header.Set(headerBudget, "1500")
 	r.Header.Set(headerAPIKey, "k1")
-	for i := 0; i+1 < len(hdr); i += 2 {
-		r.Header.Set(hdr[i], hdr[i+1])
+	for i := 0; i+1 < len(headers); i += 2 {
+		r.Header.Set(headers[i], headers[i+1])
 	}
 	w := httptest.NewRecorder()
 	func() {
@@ -152,7 +152,7 @@
 	return w
 }
 
-func TestForwardsByteForByte(t *testing.T) {
+func TestForwardsRequestUnchanged(t *testing.T) {
 	u := newRawUpstream(t, func(_ int, r *http.Request) (string, bool) { return okResponse(r, "the body"), false })
 	s := newProxy(t, u.instance("i-1"))
 	path := "/once/a//b/../%41%2f?x=%zz&y=1;2"
@@ -172,14 +172,16 @@
 	if n, err := strconv.Atoi(h.Get(headerBudget)); err != nil || n <= 0 || n > 1500 {
 		t.Errorf("time budget sent: %q", h.Get(headerBudget))
 	}
-	if len(h) != 5 { // X-Other and the protocol's four; Content-Length is read apart
+	if len(h) != 5 { // X-Other and the four headers that the proxy sets; Content-Length is checked separately
 		if _, cl := h["Content-Length"]; !(cl && len(h) == 6) {
 			t.Errorf("headers added: %v", h)
 		}
 	}
 }
 
-func TestRefusalsAreCheapAndApart(t *testing.T) {
+// Requests that match no route, have an unknown key or exceed their quota are refused with
+// different statuses and reach no upstream.
+func TestRefusalStatus(t *testing.T) {
 	u := newRawUpstream(t, func(_ int, r *http.Request) (string, bool) { return okResponse(r, ""), false })
 	s := newProxy(t, u.instance("i-1"))
 	for _, c := range []struct {
@@ -199,28 +201,29 @@
 	}
 }
 
-// What an upstream does, and what a client may then be told.
-// Where revoked keys may not be used even by a proxy out of touch, one that has not
-// known for long whether a key still holds refuses it, and sends nothing on; what
-// needs no key goes on.
-func TestUnheardKeysAreRefused(t *testing.T) {
+// If revoked keys must not be accepted even by a disconnected proxy, a proxy that has had no
+// confirmation of its configuration for too long refuses requests with a key and forwards
+// nothing. Public routes are still served.
+func TestUnconfirmedKeysAreRefused(t *testing.T) {
 	u := newRawUpstream(t, func(_ int, r *http.Request) (string, bool) { return okResponse(r, "x"), false })
 	s := newProxy(t, u.instance("i-1"))
-	known := time.Now()
-	s.keyTrustPeriod, s.readIndexAt = 4*time.Second, func() time.Time { return known }
+	confirmedAt := time.Now()
+	s.keyTrustPeriod, s.readIndexAt = 4*time.Second, func() time.Time { return confirmedAt }
 	if w := sendRequest(s, "GET", "/safe/x", ""); w.Code != 200 {
-		t.Errorf("a key known to hold: %d", w.Code)
+		t.Errorf("a confirmed key: %d", w.Code)
 	}
-	known = time.Now().Add(-5 * time.Second)
+	confirmedAt = time.Now().Add(-5 * time.Second)
 	if w := sendRequest(s, "GET", "/safe/x", ""); w.Code != 503 || w.Header().Get("Retry-After") == "" || u.count() != 1 {
-		t.Errorf("a key that may be gone: %d %v, %d sent", w.Code, w.Header(), u.count())
+		t.Errorf("a key that may be revoked: %d %v, %d sent", w.Code, w.Header(), u.count())
 	}
 	if w := sendRequest(s, "GET", "/open/x", ""); w.Code != 200 {
-		t.Errorf("no key needed: %d", w.Code)
+		t.Errorf("a public route: %d", w.Code)
 	}
 }
 
-func TestAmbiguityIsNotPromised(t *testing.T) {
+// Maps what an upstream does to the status that the client may get: a status which guarantees
+// that the request was not executed only if that is certain.
+func TestAmbiguousOutcomeIsNotReportedAsUnexecuted(t *testing.T) {
 	plain := func(status string) script {
 		return func(_ int, _ *http.Request) (string, bool) {
 			return "HTTP/1.1 " + status + "\r\nX-Slateridge-Attempt-Id: id-1\r\nContent-Length: 0\r\n\r\n", false
@@ -232,36 +235,36 @@
 		code     int
 		arrivals int
 	}{
-		"closed without an answer, once": {func(int, *http.Request) (string, bool) { return "", true }, "/once/", 502, 1},
-		"closed without an answer, safe": {func(int, *http.Request) (string, bool) { return "", true }, "/safe/", 502, 2},
-		"unmarked 503, once":             {plain("503 Full"), "/once/", 502, 1},
-		"unmarked 429, once":             {plain("429 Slow"), "/once/", 502, 1},
-		"unmarked 408, once":             {plain("408 Late"), "/once/", 502, 1},
-		"garbage, once":                  {func(int, *http.Request) (string, bool) { return "no answer at all\r\n\r\n", true }, "/once/", 502, 1},
-		"cut answer, once": {func(_ int, r *http.Request) (string, bool) {
+		"closed without a response, once": {func(int, *http.Request) (string, bool) { return "", true }, "/once/", 502, 1},
+		"closed without a response, safe": {func(int, *http.Request) (string, bool) { return "", true }, "/safe/", 502, 2},
+		"unmarked 503, once":              {plain("503 Full"), "/once/", 502, 1},
+		"unmarked 429, once":              {plain("429 Slow"), "/once/", 502, 1},
+		"unmarked 408, once":              {plain("408 Late"), "/once/", 502, 1},
+		"garbage, once":                   {func(int, *http.Request) (string, bool) { return "no answer at all\r\n\r\n", true }, "/once/", 502, 1},
+		"truncated response, once": {func(_ int, r *http.Request) (string, bool) {
 			return okResponse(r, "whole")[:len(okResponse(r, "whole"))-2], true
 		}, "/once/", 502, 1},
-		"cut answer, safe": {func(_ int, r *http.Request) (string, bool) {
+		"truncated response, safe": {func(_ int, r *http.Request) (string, bool) {
 			return okResponse(r, "whole")[:len(okResponse(r, "whole"))-2], true
 		}, "/safe/", 502, 2},
-		"no end to tell it whole, once": {func(int, *http.Request) (string, bool) {
+		"body without length or end, once": {func(int, *http.Request) (string, bool) {
 			return "HTTP/1.1 200 OK\r\nX-Slateridge-Attempt-Id: id-1\r\nX-Slateridge-Response-Seal: s\r\n\r\nperhaps cu", true
 		}, "/once/", 502, 1},
-		"no end to tell it whole, stream": {func(int, *http.Request) (string, bool) {
+		"body without length or end, stream": {func(int, *http.Request) (string, bool) {
 			return "HTTP/1.1 200 OK\r\nX-Slateridge-Attempt-Id: id-1\r\nX-Slateridge-Response-Seal: s\r\n\r\nid: 1\n", true
 		}, "/flow/", 502, 1},
-		"served, and yet not run, once": {func(_ int, r *http.Request) (string, bool) {
+		"served but marked as not executed, once": {func(_ int, r *http.Request) (string, bool) {
 			return strings.Replace(okResponse(r, "x"), "\r\n", "\r\nX-Slateridge-Not-Executed: 1\r\n", 1), false
 		}, "/once/", 200, 1},
-		"no status, once":           {plain("042 Odd"), "/once/", 502, 1},
-		"a status beyond all, once": {plain("777 Odd"), "/once/", 502, 1},
-		"switches unasked, once":    {plain("101 Switching Protocols"), "/once/", 502, 1},
-		"another request's answer, once": {func(_ int, r *http.Request) (string, bool) {
+		"invalid status 042, once": {plain("042 Odd"), "/once/", 502, 1},
+		"invalid status 777, once": {plain("777 Odd"), "/once/", 502, 1},
+		"unrequested 101, once":    {plain("101 Switching Protocols"), "/once/", 502, 1},
+		"response to another request, once": {func(_ int, r *http.Request) (string, bool) {
 			return strings.Replace(okResponse(r, "x"), "id-1", "id-2", 1), false
 		}, "/once/", 502, 1},
 		"success without the seal, once": {plain("200 OK"), "/once/", 502, 1},
-		"500 of its own, once":           {plain("500 Oops"), "/once/", 500, 1},
-		"turned away, once": {func(int, *http.Request) (string, bool) {
+		"500 from the upstream, once":    {plain("500 Oops"), "/once/", 500, 1},
+		"rejected, once": {func(int, *http.Request) (string, bool) {
 			return "HTTP/1.1 503 Full\r\nX-Slateridge-Not-Executed: 1\r\nContent-Length: 0\r\n\r\n", false
 		}, "/once/", 503, 2},
 		"misdirected, once": {plain("421 Misdirected"), "/once/", 503, 2},
@@ -269,7 +272,7 @@
 		t.Run(name, func(t *testing.T) {
 			a, b := newRawUpstream(t, c.s), newRawUpstream(t, c.s)
 			s := newProxy(t, a.instance("i-1"), b.instance("i-2"))
-			for range 400 { // budget for further tries
+			for range 400 { // budget for retries
 				s.retryBudget.Request(s.now(), "svc")
 			}
 			w := sendRequest(s, "POST", c.path, "x")
@@ -280,9 +283,9 @@
 	}
 }
 
-// Bytes after a whole answer belong to no request, and a connection that was
-// closed while idle costs nothing.
-func TestLeftoversNeverReachAnother(t *testing.T) {
+// Bytes after a complete response belong to no request, so the connection is not reused. A
+// connection that was closed while idle causes no failure.
+func TestExcessResponseBytesAreDiscarded(t *testing.T) {
 	u := newRawUpstream(t, func(n int, r *http.Request) (string, bool) {
 		if n == 1 {
 			return okResponse(r, "one") + "HTTP/1.1 200 OK\r\nX-Slateridge-Response-Seal: f\r\nContent-Length: 6\r\n\r\nforged", false
@@ -300,7 +303,7 @@
 	}
 }
 
-func TestDrainingUpstreamGetsNothing(t *testing.T) {
+func TestDrainingUpstreamGetsNoRequests(t *testing.T) {
 	u := newRawUpstream(t, func(_ int, r *http.Request) (string, bool) { return okResponse(r, "x"), false })
 	s := newProxy(t, u.instance("i-1"))
 	sendRequest(s, "GET", "/safe/", "")
@@ -312,8 +315,8 @@
 	}
 }
 
-// A long answer that breaks off is broken off toward the client too.
-func TestCutLongAnswerIsVisible(t *testing.T) {
+// A long response that is truncated by the upstream is also truncated toward the client.
+func TestTruncatedLongResponseIsAborted(t *testing.T) {
 	u := newRawUpstream(t, func(_ int, _ *http.Request) (string, bool) {
 		return fmt.Sprintf("HTTP/1.1 200 OK\r\nX-Slateridge-Attempt-Id: id-1\r\nX-Slateridge-Response-Seal: s\r\nContent-Length: %d\r\n\r\n%s", 900000, strings.Repeat("x", 600000)), true
 	})
@@ -327,13 +330,12 @@
 		t.Fatal(err)
 	}
 	if b, err := io.ReadAll(resp.Body); err == nil {
-		t.Fatalf("%d bytes of a cut answer looked complete", len(b))
+		t.Fatalf("%d bytes of a truncated response looked complete", len(b))
 	}
 }
 
-// Leaving finishes what is in flight: the process's group must not end when
-// the listener closes.
-func TestDrainFinishesInFlight(t *testing.T) {
+// Draining completes the requests in flight: serve must not return when the listener closes.
+func TestDrainCompletesRequestsInFlight(t *testing.T) {
 	release := make(chan struct{})
 	started := make(chan struct{})
 	u := newRawUpstream(t, func(_ int, r *http.Request) (string, bool) {
@@ -386,9 +388,9 @@
 	<-served
 }
 
-// A configuration that came while the request was on its way decides, right
-// before the bytes go out.
-func TestConfigurationIsCheckedAgain(t *testing.T) {
+// A configuration that arrives while a request is being processed applies to it until its bytes
+// are sent.
+func TestConfigIsCheckedAgainBeforeSending(t *testing.T) {
 	u := newRawUpstream(t, func(_ int, r *http.Request) (string, bool) { return okResponse(r, "x"), false })
 	s := newProxy(t, u.instance("i-1"))
 	r := httptest.NewRequest("POST", "/once/", nil)
@@ -398,23 +400,23 @@
 	cfg := s.config.Load()
 	route, tenant, _ := match(cfg, r)
 	p := s.newExchange(r, time.Now(), cfg, route, tenant)
-	gone, err := config.Read([]byte(strings.Replace(fmt.Sprintf(testConfig, 2), `"/once/"`, `"/elsewhere/"`, 1)))
+	withoutRoute, err := config.Read([]byte(strings.Replace(fmt.Sprintf(testConfig, 2), `"/once/"`, `"/elsewhere/"`, 1)))
 	if err != nil {
 		t.Fatal(err)
 	}
-	s.config.Store(gone)
+	s.config.Store(withoutRoute)
 	if res, code := p.forward(); res != nil || code != 404 || u.count() != 0 {
 		t.Errorf("got %v %d after %d arrivals, want 404 after none", res, code, u.count())
 	}
 	p.deadline = time.Now().Add(-time.Millisecond)
 	s.config.Store(cfg)
-	if of := s.pool.Place(target{service: "svc", homes: anywhere}, nil); of == nil || !p.attempt(of).notExecuted || u.count() != 0 {
+	if pl := s.pool.Place(target{service: "svc", homes: anywhere}, nil); pl == nil || !p.attempt(pl).notExecuted || u.count() != 0 {
 		t.Error("sent after its deadline")
 	}
 }
 
-// A connection whose last request's deadline has passed is as good as before.
-func TestIdleConnectionOutlivesLastDeadline(t *testing.T) {
+// A connection remains usable after the deadline of its last request has passed.
+func TestIdleConnectionSurvivesLastDeadline(t *testing.T) {
 	u := newRawUpstream(t, func(_ int, r *http.Request) (string, bool) { return okResponse(r, "x"), false })
 	s := newProxy(t, u.instance("i-1"))
 	sendRequest(s, "POST", "/once/", "", headerBudget, "40")
@@ -424,34 +426,34 @@
 	}
 }
 
-// An upstream that answers every request with a failure of its own is left alone
-// after one, and tried again sparingly; when all do, all are still tried.
-func TestFailingAnswersCount(t *testing.T) {
-	sick := newRawUpstream(t, func(_ int, r *http.Request) (string, bool) {
+// An upstream that answers every request with an error is ejected after the first, and then
+// tried sparingly. If all upstreams do so, all are still tried.
+func TestUpstreamRespondingWithErrorsIsEjected(t *testing.T) {
+	failing := newRawUpstream(t, func(_ int, r *http.Request) (string, bool) {
 		return "HTTP/1.1 500 Ill\r\nX-Slateridge-Attempt-Id: " + r.Header.Get(headerAttemptID) + "\r\nX-Slateridge-Response-Seal: s\r\nContent-Length: 0\r\n\r\n", false
 	})
-	well := newRawUpstream(t, func(_ int, r *http.Request) (string, bool) { return okResponse(r, "b"), false })
-	s := newProxy(t, sick.instance("i-1"), well.instance("i-2"))
+	healthy := newRawUpstream(t, func(_ int, r *http.Request) (string, bool) { return okResponse(r, "b"), false })
+	s := newProxy(t, failing.instance("i-1"), healthy.instance("i-2"))
 	for range 40 {
 		sendRequest(s, "POST", "/once/", "")
 	}
-	if n := sick.count(); n > 3 {
-		t.Errorf("the ill upstream got %d of 40 requests", n)
+	if n := failing.count(); n > 3 {
+		t.Errorf("the failing upstream got %d of 40 requests", n)
 	}
-	s = newProxy(t, sick.instance("i-1"))
-	before := sick.count()
+	s = newProxy(t, failing.instance("i-1"))
+	before := failing.count()
 	for range 5 {
 		sendRequest(s, "POST", "/once/", "")
 	}
-	if n := sick.count() - before; n != 5 {
+	if n := failing.count() - before; n != 5 {
 		t.Errorf("the only upstream got %d of 5 requests", n)
 	}
 }
 
-// A word without the try's id may be a late one on an earlier request of the
-// connection: it does not prove that this one has not run. On a new connection
-// there is no earlier request.
-func TestLateRefusalPromisesNothing(t *testing.T) {
+// A refusal without the attempt's id may be a late response to an earlier request on the
+// connection: it does not prove that this request was not executed. On a new connection there is
+// no earlier request.
+func TestUnverifiedRefusalIsNotTrusted(t *testing.T) {
 	const shed = "HTTP/1.1 503 Full\r\nX-Slateridge-Not-Executed: 1\r\nContent-Length: 0\r\n\r\n"
 	u := newRawUpstream(t, func(n int, r *http.Request) (string, bool) {
 		if n == 1 {
@@ -469,16 +471,16 @@
 		}
 	}
 	if w := sendRequest(s, "POST", "/once/", ""); w.Code != http.StatusBadGateway || other.count() != 0 {
-		t.Errorf("in doubt: got %d and %d tries elsewhere, want 502 and none", w.Code, other.count())
+		t.Errorf("on a reused connection: got %d and %d attempts elsewhere, want 502 and none", w.Code, other.count())
 	}
 	s = newProxy(t, other.instance("i-2"))
 	if w := sendRequest(s, "POST", "/once/", ""); w.Code != http.StatusServiceUnavailable {
-		t.Errorf("on a new connection: got %d, want the promise 503", w.Code)
+		t.Errorf("on a new connection: got %d, want 503", w.Code)
 	}
 }
 
-// connCounts is how many connections to upstreams are reckoned as open, and how many
-// of them are at rest.
+// connCounts returns how many connections to upstreams are counted as open, and how many of them
+// are idle.
 func connCounts(s *Proxy) (open, idle int) {
 	s.pool.mu.Lock()
 	defer s.pool.mu.Unlock()
@@ -488,12 +490,12 @@
 	return open, idle
 }
 
-// A long answer that another upstream's takes the place of gives its connection
-// back: an upstream bears few, and those lost here were lost for ever.
-func TestReplacedAnswersGiveConnectionsBack(t *testing.T) {
+// A long response that is replaced by that of another upstream releases its connection.
+// Otherwise the connection would be lost forever, and an upstream accepts only a few.
+func TestReplacedResponseReleasesConnection(t *testing.T) {
 	for name, c := range map[string]struct {
-		pause  time.Duration // of the first asked, before it fails
-		serves bool          // the second does
+		pause  time.Duration // of the first upstream, before it fails
+		serves bool          // the second upstream succeeds
 		code   int
 	}{
 		"the second serves": {0, true, 200},
@@ -524,40 +526,40 @@
 				t.Fatal("not hedged")
 			}
 			if open, idle := connCounts(s); open != idle {
-				t.Errorf("%d connections are reckoned as open and %d of them at rest, with no request under way", open, idle)
+				t.Errorf("%d connections are counted as open and %d of them as idle, with no request in flight", open, idle)
 			}
 		})
 	}
 }
 
-// An answer that may belong to an earlier caller of the connection is shown to
-// nobody, whatever its status. A request without an id of its own, whose answer
-// nothing but the connection tells, gets a connection of its own.
-func TestLateAnswerReachesNobodyElse(t *testing.T) {
+// A response that may belong to an earlier request on the connection is not relayed, whatever
+// its status. A request without an id, whose response only the connection identifies, gets a
+// connection of its own.
+func TestStaleResponseIsNotRelayed(t *testing.T) {
 	for _, c := range []struct {
-		late string // what comes in place of the second answer
+		late string // sent in place of the second response
 		id   string // of the second request
 		code int
 	}{
 		{"HTTP/1.1 404 Not Found\r\nContent-Length: 5\r\n\r\nother", "id-2", 502},
 		{"HTTP/1.1 500 Oops\r\nContent-Length: 5\r\n\r\nother", "id-2", 502},
 		{"HTTP/1.1 500 Oops\r\nX-Slateridge-Attempt-Id: id-1\r\nContent-Length: 5\r\n\r\nother", "id-2", 502},
-		{"HTTP/1.1 500 Oops\r\nX-Slateridge-Attempt-Id: id-2\r\nContent-Length: 5\r\n\r\nother", "id-2", 500}, // its own
+		{"HTTP/1.1 500 Oops\r\nX-Slateridge-Attempt-Id: id-2\r\nContent-Length: 5\r\n\r\nother", "id-2", 500}, // the response to this request
 		{"HTTP/1.1 500 Oops\r\nX-Slateridge-Attempt-Id: id-2\r\nX-Slateridge-Attempt-Id: id-1\r\nContent-Length: 5\r\n\r\nother", "id-2", 502},
 		{"HTTP/1.1 200 OK\r\nX-Slateridge-Attempt-Id: id-1\r\nX-Slateridge-Response-Seal: s\r\nContent-Length: 5\r\n\r\nother", "", 502},
-		{"HTTP/1.1 400 Bad Request\r\nX-Slateridge-Not-Executed: 1\r\nContent-Length: 5\r\n\r\nother", "", 400}, // on a connection of its own
+		{"HTTP/1.1 400 Bad Request\r\nX-Slateridge-Not-Executed: 1\r\nContent-Length: 5\r\n\r\nother", "", 400}, // on a new connection
 	} {
-		var to []string // remote addresses of requests
+		var addrs []string // remote addresses of requests
 		u := &rawUpstream{}
 		u.listener = serveRequests(t, func(conn net.Conn, r *http.Request, _ string) bool {
 			u.mu.Lock()
-			to = append(to, conn.RemoteAddr().String())
-			a := c.late
-			if len(to) == 1 {
-				a = okResponse(r, "one")
+			addrs = append(addrs, conn.RemoteAddr().String())
+			response := c.late
+			if len(addrs) == 1 {
+				response = okResponse(r, "one")
 			}
 			u.mu.Unlock()
-			io.WriteString(conn, a)
+			io.WriteString(conn, response)
 			return true
 		})
 		s := newProxy(t, u.instance("i-1"))
@@ -570,45 +572,45 @@
 		}
 		u.mu.Lock()
 		defer u.mu.Unlock()
-		if (c.id == "") == (to[0] == to[1]) {
-			t.Errorf("%q: sent over %v", c.late, to)
+		if (c.id == "") == (addrs[0] == addrs[1]) {
+			t.Errorf("%q: sent over %v", c.late, addrs)
 		}
 	}
 }
 
-// An upstream listed under the same id at another address, or for another service,
-// is another life: nothing goes over the connections of the one before.
-func TestMovedUpstreamIsAnother(t *testing.T) {
+// An instance that is listed under the same id at another address, or for another service, is a
+// new upstream: nothing is sent over connections to the previous one.
+func TestMovedInstanceIsNewUpstream(t *testing.T) {
 	a := newRawUpstream(t, func(_ int, r *http.Request) (string, bool) { return okResponse(r, "a"), false })
 	b := newRawUpstream(t, func(_ int, r *http.Request) (string, bool) { return okResponse(r, "b"), false })
 	s := newProxy(t, a.instance("i-1"))
 	sendRequest(s, "POST", "/once/", "")
 	s.pool.Apply(time.Now(), []discovery.Instance{b.instance("i-1")})
 	if w := sendRequest(s, "POST", "/once/", ""); w.Body.String() != "b" || a.count() != 1 {
-		t.Errorf("got %d %q, %d sent to where it was", w.Code, w.Body, a.count())
+		t.Errorf("got %d %q, %d sent to the previous address", w.Code, w.Body, a.count())
 	}
 }
 
-// A connection that was taken and put back unused has rested since its last
-// exchange, and is given up before its upstream closes it.
-func TestUnusedConnectionRestsOn(t *testing.T) {
+// A connection that was taken and put back unused stays idle since its last exchange, and is
+// closed before its upstream closes it.
+func TestUnusedConnectionKeepsIdleTime(t *testing.T) {
 	u := newRawUpstream(t, func(_ int, r *http.Request) (string, bool) { return okResponse(r, "x"), false })
 	s := newProxy(t, u.instance("i-1"))
 	sendRequest(s, "POST", "/once/", "")
 	conn := s.pool.upstreams["i-1"].idle[0]
 	conn.idleAt = conn.idleAt.Add(-conn.idleFor / 2)
-	rested := conn.idleAt
-	of := s.pool.Place(target{service: "svc", homes: anywhere}, nil)
+	idleAt := conn.idleAt
+	pl := s.pool.Place(target{service: "svc", homes: anywhere}, nil)
 	r := httptest.NewRequest("POST", "/once/", nil)
 	r.RequestURI, r.Host = "/once/", "h.example"
 	cfg := s.config.Load()
 	p := s.newExchange(r, time.Now(), cfg, cfg.Match("h.example", "/once/"), nil)
 	p.allowedRegions = "none"
 	r.Header.Set(headerAttemptID, "id-2")
-	if res := p.attempt(of); !res.abandoned || u.count() != 1 {
-		t.Fatalf("sent where it may not be: %+v", res)
+	if res := p.attempt(pl); !res.abandoned || u.count() != 1 {
+		t.Fatalf("sent although not allowed: %+v", res)
 	}
-	if idle := s.pool.upstreams["i-1"].idle; len(idle) != 1 || idle[0] != conn || !conn.idleAt.Equal(rested) {
-		t.Error("the connection's rest begins anew though nothing was exchanged")
+	if idle := s.pool.upstreams["i-1"].idle; len(idle) != 1 || idle[0] != conn || !conn.idleAt.Equal(idleAt) {
+		t.Error("the idle time starts anew although nothing was exchanged")
 	}
 }
--- a/internal/proxy/stream_test.go
+++ b/internal/proxy/stream_test.go
@@ -24,18 +24,19 @@
 	return fmt.Sprintf("%x\r\n%s\r\n", len(e), e)
 }
 
-// newStreamUpstream is an upstream stand-in whose answers are written by the test.
+// newStreamUpstream returns an upstream whose responses are written by the test, and the number
+// of requests that arrived there.
 func newStreamUpstream(t *testing.T, answer func(c net.Conn, r *http.Request)) (discovery.Instance, *atomic.Int64) {
-	runs := &atomic.Int64{}
+	requests := &atomic.Int64{}
 	l := serveRequests(t, func(c net.Conn, r *http.Request, _ string) bool {
-		runs.Add(1)
+		requests.Add(1)
 		answer(c, r)
 		return true
 	})
-	return discovery.Instance{ID: "i-" + l.Addr().String(), Service: "svc", Address: l.Addr().String(), Zone: "z", Slots: 4}, runs
+	return discovery.Instance{ID: "i-" + l.Addr().String(), Service: "svc", Address: l.Addr().String(), Zone: "z", Slots: 4}, requests
 }
 
-// dialProxy opens a stream through a real server.
+// dialProxy connects to the proxy through an HTTP server.
 func dialProxy(t *testing.T, s *Proxy) (net.Conn, *bufio.Reader) {
 	srv := httptest.NewServer(s)
 	t.Cleanup(srv.Close)
@@ -52,21 +53,21 @@
 	fmt.Fprintf(c, "POST %s HTTP/1.1\r\nHost: h.example\r\nX-Slateridge-Attempt-Id: id-1\r\nX-Slateridge-Time-Budget-Ms: 9000\r\nX-Api-Key: k1\r\nX-Slateridge-Prompt-Prefix: 17\r\nContent-Length: 2\r\n\r\nhi", path)
 }
 
-// Each event reaches the client before the upstream has made the next; the stream
-// counts as usage once, with its first; its connection serves another afterwards.
-func TestEventsComeAsTheyAreMade(t *testing.T) {
+// Each event reaches the client before the upstream has written the next. The stream counts as
+// usage once, at its first event, and its connection is reused afterwards.
+func TestStreamEventsAreFlushedImmediately(t *testing.T) {
 	seen := make(chan int)
-	up, runs := newStreamUpstream(t, func(c net.Conn, _ *http.Request) {
+	up, requests := newStreamUpstream(t, func(c net.Conn, _ *http.Request) {
 		io.WriteString(c, streamResponseHead)
 		for n := 1; n <= 5; n++ {
 			io.WriteString(c, eventChunk(n))
 			select {
 			case got := <-seen:
 				if got != n {
-					t.Errorf("the client has seen %d, made was %d", got, n)
+					t.Errorf("the client received event %d, want %d", got, n)
 				}
 			case <-time.After(10 * time.Second):
-				t.Error("an event waits for its successor")
+				t.Error("an event was not relayed before the next one was written")
 				return
 			}
 		}
@@ -95,21 +96,21 @@
 			t.Fatalf("round %d: the end: %v", round, err)
 		}
 	}
-	if told, _ := s.meter.Report("p", 41); told.Windows[40]["ten"] != 2 || runs.Load() != 2 {
-		t.Errorf("%d runs, counted %v", runs.Load(), told.Windows)
+	if report, _ := s.meter.Report("p", 41); report.Windows[40]["ten"] != 2 || requests.Load() != 2 {
+		t.Errorf("%d requests, counted %v", requests.Load(), report.Windows)
 	}
 	s.pool.mu.Lock()
 	defer s.pool.mu.Unlock()
 	if s.pool.NewConns != 1 {
-		t.Errorf("%d connections for two streams, one after the other", s.pool.NewConns)
+		t.Errorf("%d connections for two consecutive streams", s.pool.NewConns)
 	}
 }
 
-// A stream that its upstream cuts, between events or inside one, does not look
-// complete, and is not sent again.
-func TestCutStreamLooksCut(t *testing.T) {
+// A stream that its upstream truncates, between events or inside one, does not look complete to
+// the client and is not sent again.
+func TestTruncatedStreamIsAborted(t *testing.T) {
 	for _, last := range []string{"", "1c\r\nid: 2\ndata: pie"} {
-		up, runs := newStreamUpstream(t, func(c net.Conn, _ *http.Request) {
+		up, requests := newStreamUpstream(t, func(c net.Conn, _ *http.Request) {
 			io.WriteString(c, streamResponseHead+eventChunk(1)+last)
 			c.Close()
 		})
@@ -124,37 +125,36 @@
 		if err == nil || !strings.HasPrefix(string(b), "id: 1\ndata: piece 1\n\n") {
 			t.Errorf("after %q: %q, %v", last, b, err)
 		}
-		if runs.Load() != 1 || s.streamsCut.Load() != 1 {
-			t.Errorf("%d runs, %d cut", runs.Load(), s.streamsCut.Load())
+		if requests.Load() != 1 || s.streamsCut.Load() != 1 {
+			t.Errorf("%d requests, %d truncated", requests.Load(), s.streamsCut.Load())
 		}
 	}
 }
 
-// Before its first event a stream has been promised to nobody: a reset is answered
-// with 502 and not tried again, an upstream's word that it has not run is tried
-// elsewhere, and neither counts as usage.
-func TestStreamIsSentOnce(t *testing.T) {
-	reset, resets := newStreamUpstream(t, func(c net.Conn, _ *http.Request) { c.(*net.TCPConn).SetLinger(0); c.Close() })
+// Before its first event, a stream that is reset is answered with 502 and not sent again, and
+// one that its upstream declares not executed is tried elsewhere. Neither counts as usage.
+func TestStreamFailureBeforeFirstEvent(t *testing.T) {
+	reset, resetRequests := newStreamUpstream(t, func(c net.Conn, _ *http.Request) { c.(*net.TCPConn).SetLinger(0); c.Close() })
 	s := newProxy(t, reset)
 	s.meter, s.window = usage.NewMeter(1), func(time.Time) uint64 { return 40 }
-	if w := sendRequest(s, "POST", "/flow/x", "hi"); w.Code != 502 || resets.Load() != 1 {
-		t.Errorf("after a reset: %d, sent %d times", w.Code, resets.Load())
+	if w := sendRequest(s, "POST", "/flow/x", "hi"); w.Code != 502 || resetRequests.Load() != 1 {
+		t.Errorf("after a reset: %d, sent %d times", w.Code, resetRequests.Load())
 	}
-	full, fulls := newStreamUpstream(t, func(c net.Conn, _ *http.Request) {
+	full, fullRequests := newStreamUpstream(t, func(c net.Conn, _ *http.Request) {
 		io.WriteString(c, "HTTP/1.1 503 Service Unavailable\r\nX-Slateridge-Attempt-Id: id-1\r\nX-Slateridge-Not-Executed: 1\r\nContent-Length: 0\r\n\r\n")
 	})
 	s.pool.Apply(time.Now(), []discovery.Instance{full})
-	if w := sendRequest(s, "POST", "/flow/x", "hi"); w.Code != 503 || w.Header().Get("Retry-After") == "" || fulls.Load() != 1 {
-		t.Errorf("turned away: %d %v, sent %d times", w.Code, w.Header(), fulls.Load())
+	if w := sendRequest(s, "POST", "/flow/x", "hi"); w.Code != 503 || w.Header().Get("Retry-After") == "" || fullRequests.Load() != 1 {
+		t.Errorf("rejected: %d %v, sent %d times", w.Code, w.Header(), fullRequests.Load())
 	}
-	if told, _ := s.meter.Report("p", 41); len(told.Windows) > 0 {
-		t.Errorf("counted %v", told.Windows)
+	if report, _ := s.meter.Report("p", 41); len(report.Windows) > 0 {
+		t.Errorf("counted %v", report.Windows)
 	}
 }
 
-// A client that goes away, before the first event or in the middle, frees the
-// upstream's place.
-func TestLeavingClientFreesThePlace(t *testing.T) {
+// A client that disconnects, before the first event or during the stream, releases the placement
+// at the upstream.
+func TestClientDisconnectReleasesPlacement(t *testing.T) {
 	for _, first := range []string{"", streamResponseHead + eventChunk(1)} {
 		ended := make(chan bool, 1)
 		up, _ := newStreamUpstream(t, func(c net.Conn, _ *http.Request) {
@@ -171,13 +171,13 @@
 			for s.pool.Busy("svc") == 0 {
 				time.Sleep(time.Millisecond)
 			}
-			time.Sleep(20 * time.Millisecond) // sent on
+			time.Sleep(20 * time.Millisecond) // so that the request reaches the upstream
 		} else if _, err := http.ReadResponse(br, nil); err != nil {
 			t.Fatal(err)
 		}
 		c.Close()
 		if !<-ended {
-			t.Errorf("first %q: the upstream works on for nobody", first)
+			t.Errorf("first %q: the upstream connection stays open after the client has disconnected", first)
 		}
 		for s.pool.Busy("svc") > 0 {
 			time.Sleep(time.Millisecond)
@@ -185,13 +185,13 @@
 	}
 }
 
-// What a client breaks by leaving, or by breaking its body off, is not the
-// upstream's failure: it keeps its place among the others.
-func TestLeavingClientIsNoFailure(t *testing.T) {
+// A failure caused by a client that disconnects, or that breaks off its body, is not held
+// against the upstream.
+func TestClientDisconnectIsNotUpstreamFailure(t *testing.T) {
 	for name, c := range map[string]struct{ request, first string }{
 		"before the first event": {"POST /flow/x HTTP/1.1\r\nContent-Length: 2\r\n\r\nhi", ""},
-		"in a stream":            {"POST /flow/x HTTP/1.1\r\nContent-Length: 2\r\n\r\nhi", streamResponseHead + eventChunk(1)},
-		"in its body":            {"POST /once/x HTTP/1.1\r\nContent-Length: 200000\r\n\r\n" + strings.Repeat("x", 100000), ""},
+		"during the stream":      {"POST /flow/x HTTP/1.1\r\nContent-Length: 2\r\n\r\nhi", streamResponseHead + eventChunk(1)},
+		"during its body":        {"POST /once/x HTTP/1.1\r\nContent-Length: 200000\r\n\r\n" + strings.Repeat("x", 100000), ""},
 	} {
 		t.Run(name, func(t *testing.T) {
 			began := make(chan bool, 1)
@@ -221,83 +221,83 @@
 			s.pool.mu.Lock()
 			defer s.pool.mu.Unlock()
 			if u := s.pool.upstreams["i-1"]; u.fails > 0 || time.Now().Before(u.ejectedUntil) || s.streamsCut.Load() > 0 {
-				t.Errorf("%d failures, %d streams cut are held against the upstream", u.fails, s.streamsCut.Load())
+				t.Errorf("%d failures and %d truncated streams are held against the upstream", u.fails, s.streamsCut.Load())
 			}
 		})
 	}
 }
 
-// A client that reads nothing holds its upstream up; nothing is gathered here.
-func TestSlowReaderHoldsItsUpstream(t *testing.T) {
-	var made atomic.Int64
-	piece := eventChunk(1)
-	piece = strings.Repeat(piece, 100)
+// A client that does not read blocks its upstream: nothing accumulates in the proxy.
+func TestSlowClientAppliesBackpressure(t *testing.T) {
+	var written atomic.Int64
+	chunk := eventChunk(1)
+	chunk = strings.Repeat(chunk, 100)
 	up, _ := newStreamUpstream(t, func(c net.Conn, _ *http.Request) {
 		io.WriteString(c, streamResponseHead)
 		for {
-			if n, err := io.WriteString(c, piece); err != nil {
+			if n, err := io.WriteString(c, chunk); err != nil {
 				return
 			} else {
-				made.Add(int64(n))
+				written.Add(int64(n))
 			}
 		}
 	})
 	c, _ := dialProxy(t, newProxy(t, up))
 	sendStreamRequest(c, "/flow/x")
 	last := int64(-1)
-	for n := made.Load(); n != last || n == 0; n = made.Load() { // until it stands still
+	for n := written.Load(); n != last || n == 0; n = written.Load() { // until the upstream is blocked
 		last = n
 		time.Sleep(200 * time.Millisecond)
 		if n > 64<<20 {
-			t.Fatal("an endless stream is taken in for a client that reads nothing")
+			t.Fatal("the proxy keeps reading the stream for a client that does not read")
 		}
 	}
 }
 
-// Requests sent ahead are answered in their order, one by one, with failures between
-// them; what stands behind an answer that closes the connection goes to no upstream.
-func TestPipelinedInOrder(t *testing.T) {
+// Pipelined requests are answered one at a time and in order, even if some of them fail.
+// Requests behind a response that closes the connection are not sent to any upstream.
+func TestPipelinedRequestsAreAnsweredInOrder(t *testing.T) {
 	u := newRawUpstream(t, func(n int, r *http.Request) (string, bool) {
 		if strings.HasSuffix(r.RequestURI, "/3") {
 			return "HTTP/1.1 404 Not Found\r\nX-Slateridge-Attempt-Id: " + r.Header.Get(headerAttemptID) + "\r\nContent-Length: 4\r\n\r\nnone", false
 		}
 		if n == 1 {
-			time.Sleep(50 * time.Millisecond) // those behind it are there by now
+			time.Sleep(50 * time.Millisecond) // the requests behind it have arrived by then
 		}
 		return okResponse(r, r.RequestURI), false
 	})
 	s := newProxy(t, u.instance("i-1"))
 	c, br := dialProxy(t, s)
-	one := func(path string) string {
+	requestFor := func(path string) string {
 		return "GET " + path + " HTTP/1.1\r\nHost: h.example\r\nX-Slateridge-Attempt-Id: " + path[len(path)-1:] + "\r\nX-Slateridge-Time-Budget-Ms: 2000\r\nX-Api-Key: k1\r\n\r\n"
 	}
-	io.WriteString(c, one("/safe/1")+one("/safe/2")+one("/safe/3")+one("/nowhere/4")+one("/safe/5"))
+	io.WriteString(c, requestFor("/safe/1")+requestFor("/safe/2")+requestFor("/safe/3")+requestFor("/nowhere/4")+requestFor("/safe/5"))
 	for i, want := range []string{"/safe/1", "/safe/2", "none", "", "/safe/5"} {
 		resp, err := http.ReadResponse(br, nil)
 		if err != nil {
 			t.Fatal(err)
 		}
 		if b, _ := io.ReadAll(resp.Body); string(b) != want || resp.Header.Get(headerAttemptID) != fmt.Sprint(i+1) {
-			t.Fatalf("answer %d is %q for %s", i+1, b, resp.Header.Get(headerAttemptID))
+			t.Fatalf("response %d is %q for %s", i+1, b, resp.Header.Get(headerAttemptID))
 		}
 	}
 	before := u.count()
 	s.shuttingDown.Store(true)
-	io.WriteString(c, one("/safe/6")+one("/safe/7"))
+	io.WriteString(c, requestFor("/safe/6")+requestFor("/safe/7"))
 	resp, err := http.ReadResponse(br, nil)
 	if err != nil || !resp.Close {
 		t.Fatal(resp, err)
 	}
 	io.ReadAll(resp.Body)
 	if _, err := br.ReadByte(); err == nil || u.count() != before+1 {
-		t.Errorf("%d went on behind an answer that closes: %v", u.count()-before-1, err)
+		t.Errorf("%d requests were sent to the upstream after a response that closes the connection: %v", u.count()-before-1, err)
 	}
 }
 
-// Proxies that never speak to each other keep a prefix at the same upstreams, also
-// when their lists differ by a few; a change moves few prefixes; what is full is
-// passed over, so a prefix that everybody asks for spreads.
-func TestPrefixesKeepTheirPlaces(t *testing.T) {
+// Proxies that do not communicate with each other send a prefix to the same upstreams, even if
+// their upstream lists differ slightly. A change of the list moves few prefixes. Full upstreams
+// are skipped, so that a popular prefix spreads.
+func TestPrefixAffinity(t *testing.T) {
 	list := func(n int) (is []discovery.Instance) {
 		for i := range n {
 			is = append(is, discovery.Instance{ID: fmt.Sprintf("i-%03d", i), Service: "svc", Address: "127.0.0.1:9", Zone: []string{"z", "z2"}[i%2], Slots: 4})
@@ -306,64 +306,64 @@
 	}
 	a, b := newProxy(t, list(60)...), newProxy(t, list(60)...)
 	b.pool.self = "other"
-	b.pool.Apply(time.Now(), list(56)) // four are gone here already
+	b.pool.Apply(time.Now(), list(56)) // four of them are missing here
 	moved, seen := 0, map[string]int{}
 	for p := range 1000 {
 		w := target{service: "svc", homes: anywhere, stream: true, prefix: fmt.Sprint(p)}
-		x, y := a.pool.choose(w, nil, time.Now()), b.pool.choose(w, nil, time.Now())
-		if x.instance.Zone != "z" || y.instance.Zone != "z" {
-			t.Fatal("a prefix leaves its zone while there is room")
+		first, second := a.pool.choose(w, nil, time.Now()), b.pool.choose(w, nil, time.Now())
+		if first.instance.Zone != "z" || second.instance.Zone != "z" {
+			t.Fatal("a prefix leaves its zone although there is capacity")
 		}
-		if x.instance.ID != y.instance.ID {
+		if first.instance.ID != second.instance.ID {
 			moved++
-			if !slices.Contains([]string{"i-056", "i-058"}, x.instance.ID) {
-				t.Fatalf("prefix %d went from %s to %s, which are both there", p, x.instance.ID, y.instance.ID)
+			if !slices.Contains([]string{"i-056", "i-058"}, first.instance.ID) {
+				t.Fatalf("prefix %d moved from %s to %s, which are both listed", p, first.instance.ID, second.instance.ID)
 			}
 		}
-		seen[x.instance.ID]++
+		seen[first.instance.ID]++
 	}
 	if moved > 130 {
 		t.Errorf("%d of 1000 prefixes moved when 2 of 30 upstreams left", moved)
 	}
 	for id, n := range seen {
 		if n > 3*1000/30 {
-			t.Errorf("%s keeps %d of 1000 prefixes", id, n)
+			t.Errorf("%s has %d of 1000 prefixes", id, n)
 		}
 	}
-	tell := func(load float64, but string) {
+	setLoad := func(load float64, exception string) {
 		a.pool.mu.Lock()
 		for _, u := range a.pool.upstreams {
-			if u.load, u.loadAt, u.ownActive = load, time.Now(), 0; u.instance.ID == but {
+			if u.load, u.loadAt, u.ownActive = load, time.Now(), 0; u.instance.ID == exception {
 				u.load = 0.1
 			}
 		}
 		a.pool.mu.Unlock()
 	}
-	tell(3, "i-007")
+	setLoad(3, "i-007")
 	if u := a.pool.choose(target{service: "svc", homes: anywhere, stream: true, prefix: "5"}, nil, time.Now()); u == nil || u.instance.ID != "i-007" {
-		t.Errorf("the one upstream with room is not found: %v", u)
+		t.Errorf("the only upstream with capacity is not found: %v", u)
 	}
-	tell(3, "")
+	setLoad(3, "")
 	if w := sendRequest(a, "POST", "/flow/x", "hi"); w.Code != 503 || w.Header().Get("Retry-After") == "" {
-		t.Errorf("with no room anywhere: %d %v", w.Code, w.Header())
+		t.Errorf("without capacity anywhere: %d %v", w.Code, w.Header())
 	}
-	tell(0, "")
-	hot, most := target{service: "svc", homes: anywhere, stream: true, prefix: "hot"}, 0
+	setLoad(0, "")
+	popular, most := target{service: "svc", homes: anywhere, stream: true, prefix: "hot"}, 0
 	for range 60 {
-		of := a.pool.Place(hot, nil)
-		if of == nil {
-			t.Fatal("no room while most upstreams are idle")
+		pl := a.pool.Place(popular, nil)
+		if pl == nil {
+			t.Fatal("no placement while most upstreams are idle")
 		}
-		most = max(most, len(of.upstream.active))
+		most = max(most, len(pl.upstream.active))
 	}
 	if most > 4 {
-		t.Errorf("%d of one prefix at one upstream of four places", most)
+		t.Errorf("%d requests of one prefix at one upstream with four slots", most)
 	}
 }
 
-// A request is told as running from its send until its answer, and then counts once; a
-// refused one was told too, and doesn't count.
-func TestRunningIsTold(t *testing.T) {
+// A request is reported as running from when it is sent until it is answered, and then counts
+// once. A rejected request was reported as well, but does not count.
+func TestRunningRequestsAreReported(t *testing.T) {
 	for _, c := range []struct {
 		answer string
 		counts uint64
@@ -371,34 +371,34 @@
 		{"HTTP/1.1 200 OK\r\nX-Slateridge-Attempt-Id: id-1\r\nX-Slateridge-Response-Seal: s\r\nContent-Length: 2\r\n\r\nok", 1},
 		{"HTTP/1.1 503 Service Unavailable\r\nX-Slateridge-Attempt-Id: id-1\r\nX-Slateridge-Not-Executed: true\r\nContent-Length: 0\r\n\r\n", 0},
 	} {
-		came, release := make(chan bool, 10), make(chan bool)
+		arrived, release := make(chan bool, 10), make(chan bool)
 		up, _ := newStreamUpstream(t, func(conn net.Conn, _ *http.Request) {
-			came <- true
+			arrived <- true
 			<-release
 			io.WriteString(conn, c.answer)
 		})
 		s := newProxy(t, up)
 		s.meter, s.window = usage.NewMeter(1), func(time.Time) uint64 { return 40 }
-		y := usage.NewTally(1)
+		tally := usage.NewTally(1)
 		sum := func() uint64 {
-			told, _ := s.meter.Report("p", 41)
-			if h, ok := y.Take(0, 41, told); ok {
-				s.meter.Acknowledged(told, h)
+			report, _ := s.meter.Report("p", 41)
+			if ack, ok := tally.Take(0, 41, report); ok {
+				s.meter.Acknowledged(report, ack)
 			}
-			return uint64(y.Sum(40)["ten"])
+			return uint64(tally.Sum(40)["ten"])
 		}
 		done := make(chan bool)
 		go func() { sendRequest(s, "POST", "/once/x", "hi"); close(done) }()
-		<-came
+		<-arrived
 		for end := time.Now().Add(5 * time.Second); sum() != 1; time.Sleep(time.Millisecond) {
 			if time.Now().After(end) {
-				t.Fatal("what runs is not told")
+				t.Fatal("the running request is not reported")
 			}
 		}
 		close(release)
 		<-done
 		if got := sum(); got != c.counts {
-			t.Errorf("%d runs count after %.12s", got, c.answer)
+			t.Errorf("%d executions counted after %.12s", got, c.answer)
 		}
 	}
 }
--- a/internal/proxy/timing_test.go
+++ b/internal/proxy/timing_test.go
@@ -39,8 +39,8 @@
 
 // newProxyWithLatency returns a proxy whose upstreams have recently responded with the usual
 // latency.
-func newProxyWithLatency(t *testing.T, usual time.Duration, ups ...discovery.Instance) *Proxy {
-	s := newProxy(t, ups...)
+func newProxyWithLatency(t *testing.T, usual time.Duration, instances ...discovery.Instance) *Proxy {
+	s := newProxy(t, instances...)
 	cfg, err := config.Read([]byte(sameTimeConfig))
 	if err != nil {
 		t.Fatal(err)
