--- a/internal/proxy/accounting.go
+++ b/internal/proxy/accounting.go
@@ -36,10 +36,10 @@
 // countAnswer notes an upstream's answer to a request that may run once. A second one as
 // having run it shows that it was doubled.
 func (p *exchange) countAnswer(r *result) {
-	if p.account == nil || p.route.Idempotent || r.notRun || r.doubtful || r.resp == nil || r.resp.Header.Get(headerSeal) == "" {
+	if p.account == nil || p.route.Idempotent || r.notExecuted || r.unverified || r.resp == nil || r.resp.Header.Get(headerSeal) == "" {
 		return
 	}
-	if p.answered++; p.answered == 2 {
+	if p.executedResponses++; p.executedResponses == 2 {
 		p.account.Doubled()
 	}
 }
@@ -51,7 +51,7 @@
 		return
 	}
 	latency := time.Since(p.arrived)
-	if r.stream != nil {
+	if r.streamPlacement != nil {
 		latency = began
 	}
 	switch status := r.resp.StatusCode; {
@@ -69,7 +69,7 @@
 // settleFailed settles a request without an answer to give. Where it may run once and may
 // have run, nobody here knows whether it did.
 func (p *exchange) settleFailed() {
-	if !p.route.Idempotent && p.runs > 0 {
+	if !p.route.Idempotent && p.executions > 0 {
 		p.account.Failure(accounts.Unknown)
 	}
 }
--- a/internal/proxy/accounting_test.go
+++ b/internal/proxy/accounting_test.go
@@ -27,7 +27,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	instance, _ := source(t, answer)
+	instance, _ := newStreamUpstream(t, answer)
 	s := newProxy(t, instance)
 	s.accounts = accounts.NewMeter("p", 1, objectives, nil, nil)
 	return s
@@ -35,14 +35,14 @@
 
 // answers are what the stand-in upstream says, by the end of the path.
 var answers = map[string]func(c net.Conn, r *http.Request){
-	"fine":   func(c net.Conn, r *http.Request) { io.WriteString(c, ok(r, "hi")) },
+	"fine":   func(c net.Conn, r *http.Request) { io.WriteString(c, okResponse(r, "hi")) },
 	"broken": func(c net.Conn, _ *http.Request) { c.Close() },
 	"wrong": func(c net.Conn, _ *http.Request) {
 		io.WriteString(c, "HTTP/1.1 400 Bad Request\r\nX-Slateridge-Attempt-Id: id-1\r\nContent-Length: 0\r\n\r\n")
 	},
 	"late": func(c net.Conn, r *http.Request) {
 		time.Sleep(100 * time.Millisecond)
-		io.WriteString(c, ok(r, "hi"))
+		io.WriteString(c, okResponse(r, "hi"))
 	},
 	"cut": func(c net.Conn, _ *http.Request) {
 		io.WriteString(c, "HTTP/1.1 200 OK\r\nX-Slateridge-Attempt-Id: id-1\r\nX-Slateridge-Response-Seal: s\r\nTransfer-Encoding: chunked\r\n\r\n2\r\nhi\r\n")
@@ -71,7 +71,7 @@
 			bound = impossibleBound
 		}
 		s := accounted(t, bound, answers[c.upstream])
-		get(s, c.method, c.path, "")
+		sendRequest(s, c.method, c.path, "")
 		account := s.accounts.Of("ten")
 		if account.Taken != 1 || account.Open() != 0 || account.Settled[c.want] != 1 || account.Doubled != 0 {
 			t.Errorf("%s %s, upstream %s: %+v, should be one %v", c.method, c.path, c.upstream, account, c.want)
@@ -83,14 +83,14 @@
 func TestOutcomesWithoutUpstream(t *testing.T) {
 	s := accounted(t, easyBound, answers["fine"])
 	for range 3 {
-		get(s, "GET", "/safe/x", "", headerAPIKey, "k2")
+		sendRequest(s, "GET", "/safe/x", "", headerAPIKey, "k2")
 	}
 	account := s.accounts.Of("tight")
 	if account.Taken != 3 || account.Settled[accounts.Refused] == 0 || account.Settled[accounts.Refused]+account.Settled[accounts.InAim] != 3 {
 		t.Errorf("over the quota: %+v", account)
 	}
-	get(s, "GET", "/safe/x", "", headerAPIKey, "no key of anyone")
-	get(s, "GET", "/open/x", "")
+	sendRequest(s, "GET", "/safe/x", "", headerAPIKey, "no key of anyone")
+	sendRequest(s, "GET", "/open/x", "")
 	if account := s.accounts.Of("ten"); account.Taken != 0 {
 		t.Errorf("requests of no tenant: %+v", account)
 	}
@@ -118,9 +118,9 @@
 		p := &exchange{proxy: s, request: request, route: route, account: s.accounts.Begin("ten")}
 		ran := &result{sent: true, resp: &http.Response{StatusCode: http.StatusOK, Header: http.Header{headerSeal: {"s"}}}}
 		for range 3 {
-			p.count(ran)
+			p.countAttempt(ran)
 		}
-		p.count(&result{sent: true, notRun: true, resp: ran.resp})
+		p.countAttempt(&result{sent: true, notExecuted: true, resp: ran.resp})
 	}
 	if account := s.accounts.Of("ten"); account.Taken != 2 || account.Doubled != 1 {
 		t.Errorf("%+v, should be one doubled", account)
--- a/internal/proxy/admin.go
+++ b/internal/proxy/admin.go
@@ -64,7 +64,7 @@
 // Report returns the proxy's current state for operators.
 func (d *Daemon) Report() Report {
 	now := time.Now()
-	r := Report{Role: "proxy", Node: d.nodeSettings.Load().NodeName, Ready: d.ready.Load(), Leaving: d.leaving.Load(), InFlight: d.open.Load(),
+	r := Report{Role: "proxy", Node: d.nodeSettings.Load().NodeName, Ready: d.ready.Load(), Leaving: d.shuttingDown.Load(), InFlight: d.openRequests.Load(),
 		Subscriber: d.subscriber.State(now), Proxies: d.limiter.Proxies(), Requests: map[string]uint64{}, Upstreams: d.pool.States(now),
 		Hedges: d.hedges.Load(), Quotas: d.limiter.Reports(d.now()), Audit: d.audit.list(), Members: d.members.Members(),
 		Events: d.events.Latest(20), Tallies: d.events.Tallies()}
@@ -73,9 +73,9 @@
 	}
 	r.Zone, r.Region, r.Evacuated = d.nodeSettings.Load().Zone, d.nodeSettings.Load().Region, d.pool.Evacuated()
 	for i, name := range countNames {
-		r.Requests[name] = d.counts[i].Load()
+		r.Requests[name] = d.outcomeCounts[i].Load()
 	}
-	r.Streams.Open, r.Streams.Cut, r.Streams.Left = d.streams.Load(), d.streamsCut.Load(), d.streamsLeft.Load()
+	r.Streams.Open, r.Streams.Cut, r.Streams.Left = d.streams.Load(), d.streamsCut.Load(), d.streamsAbandoned.Load()
 	if d.meter != nil {
 		r.Usage.Windows, r.Usage.Dropped = d.meter.Held()
 		if holder := d.usageHolder.Load(); holder != nil {
--- a/internal/proxy/cancellation_test.go
+++ b/internal/proxy/cancellation_test.go
@@ -98,7 +98,7 @@
 	for d.pool.Busy("svc") > 0 {
 		time.Sleep(time.Millisecond)
 	}
-	if open, idle := connsOpen(d.Proxy); open != idle {
+	if open, idle := connCounts(d.Proxy); open != idle {
 		t.Errorf("%d connections are counted as open, %d are idle", open, idle)
 	}
 }
--- a/internal/proxy/choice.go
+++ b/internal/proxy/choice.go
@@ -80,8 +80,8 @@
 	c := choice{
 		skip:   skip,
 		now:    now,
-		usual:  usualDelay(set.preferred),
-		spread: pool.workTimeLocked(w.service, now).spread().Seconds(),
+		usual:  medianDelay(set.preferred),
+		spread: pool.latencyEstimateLocked(w.service, now).spread().Seconds(),
 		cold:   pool.cold(w.service),
 	}
 	if u := pool.chooseAmong(set.preferred, c); u != nil {
@@ -117,7 +117,7 @@
 		if !u.eligible(c) {
 			continue
 		}
-		delay := u.expect(c.now, c.usual)
+		delay := u.expectedDelay(c.now, c.usual)
 		oldest := u.oldestActive(c.now)
 		if len(u.active) >= u.activeLimit(delay, oldest, c.usual) {
 			continue
@@ -175,7 +175,7 @@
 		cost *= 1 + (u.load-1)*(1-age.Seconds()/constants.LoadFresh.Seconds())
 	}
 	cost += float64(u.distance) * c.spread
-	roundTrip := u.pool.connectTime[u.distance].usual()
+	roundTrip := u.pool.connectTime[u.distance].median()
 	if u.distance > 0 && u.answers == 0 {
 		cost += roundTrip // of those asked before it is in the delay
 	}
@@ -189,7 +189,7 @@
 func (pool *Pool) Place(w target, skip map[*Upstream]bool) *placement {
 	pool.mu.Lock()
 	defer pool.mu.Unlock()
-	pool.wakeLocked(w.service)
+	pool.serveQueueLocked(w.service)
 	return pool.placeLocked(w, skip)
 }
 
--- a/internal/proxy/clientheader_test.go
+++ b/internal/proxy/clientheader_test.go
@@ -25,7 +25,7 @@
 // newLimitedFrontend returns a frontend whose limits can be changed through limits. They are
 // also put into the configuration that requests are matched against.
 func newLimitedFrontend(t *testing.T) (limits *atomic.Pointer[config.Limits], connect func() *persistentClient) {
-	u := newRawUpstream(t, func(_ int, r *http.Request) (string, bool) { return ok(r, "x"), false })
+	u := newRawUpstream(t, func(_ int, r *http.Request) (string, bool) { return okResponse(r, "x"), false })
 	p := newProxy(t, u.instance("i-1"))
 	limits = &atomic.Pointer[config.Limits]{}
 	limits.Store(&config.Limits{})
--- a/internal/proxy/connections.go
+++ b/internal/proxy/connections.go
@@ -53,7 +53,7 @@
 		return nil, false, err
 	}
 	connected := time.Now()
-	pool.connectTime[u.distance].learn(connected, connected.Sub(dialStarted).Seconds())
+	pool.connectTime[u.distance].observe(connected, connected.Sub(dialStarted).Seconds())
 	return newUpstreamConn(u, netConn), false, nil
 }
 
--- a/internal/proxy/contract_test.go
+++ b/internal/proxy/contract_test.go
@@ -20,7 +20,7 @@
 	s := newProxy(t)
 	s.config.Store(nil)
 	for _, path := range []string{"/safe/", "/once/", "/none/"} {
-		if w := get(s, "POST", path, "x", headerAPIKey, "bad"); w.Code != http.StatusServiceUnavailable || w.Header().Get("Retry-After") == "" {
+		if w := sendRequest(s, "POST", path, "x", headerAPIKey, "bad"); w.Code != http.StatusServiceUnavailable || w.Header().Get("Retry-After") == "" {
 			t.Errorf("%s: %d %v", path, w.Code, w.Header())
 		}
 	}
@@ -34,9 +34,9 @@
 		w := httptest.NewRecorder()
 		d.serveReadiness(w, httptest.NewRequest("GET", "/api/readiness", nil))
 		if w.Code != want {
-			t.Errorf("leaving %v: %d", d.leaving.Load(), w.Code)
+			t.Errorf("leaving %v: %d", d.shuttingDown.Load(), w.Code)
 		}
-		d.leaving.Store(true)
+		d.shuttingDown.Store(true)
 	}
 }
 
@@ -54,25 +54,25 @@
 				return "", true
 			}
 			time.Sleep(3 * time.Second)
-			return ok(r, "x"), false
+			return okResponse(r, "x"), false
 		})
 		s := newProxy(t, u.instance("i-1"), u.instance("i-2"))
 		for range 400 {
 			s.retryBudget.Request(s.now(), "svc")
 		}
-		w := get(s, "GET", "/safe/x", "", headerBudget, c.budget)
+		w := sendRequest(s, "GET", "/safe/x", "", headerBudget, c.budget)
 		if took := time.Since(began); w.Code != http.StatusGatewayTimeout || took < c.held || took > c.held+schedulingSlack {
 			t.Errorf("%s: %d after %v", name, w.Code, took)
 		}
 		u.mu.Lock()
-		for n, head := range u.heads {
+		for n, head := range u.headers {
 			left, err := strconv.Atoi(head.Get(headerBudget))
 			passed := time.Duration(n) * 200 * time.Millisecond // the second offer goes out then at the earliest
 			if err != nil || time.Duration(left)*time.Millisecond > c.held-passed {
 				t.Errorf("%s: try %d is handed %q", name, n+1, head.Get(headerBudget))
 			}
 		}
-		if len(u.heads) < 2 {
+		if len(u.headers) < 2 {
 			t.Errorf("%s: no second try", name)
 		}
 		u.mu.Unlock()
@@ -84,13 +84,13 @@
 func TestEarlyAnswerIsFollowedByTheWholeBody(t *testing.T) {
 	const length = 600000
 	bodies := make(chan error, 4)
-	listener := listenEach(t, func(c net.Conn) {
+	listener := serveConns(t, func(c net.Conn) {
 		for br := bufio.NewReader(c); ; {
 			r, err := http.ReadRequest(br)
 			if err != nil {
 				return
 			}
-			io.WriteString(c, ok(r, "early"))
+			io.WriteString(c, okResponse(r, "early"))
 			time.Sleep(100 * time.Millisecond)
 			b, err := io.ReadAll(r.Body)
 			if err == nil && string(b) != strings.Repeat("x", length) {
@@ -101,7 +101,7 @@
 	})
 	s := newProxy(t, discovery.Instance{ID: "i-1", Service: "svc", Address: listener.Addr().String(), Zone: "z", Slots: 2})
 	for range 2 {
-		if w := get(s, "POST", "/once/x", strings.Repeat("x", length)); w.Code != http.StatusOK || w.Body.String() != "early" {
+		if w := sendRequest(s, "POST", "/once/x", strings.Repeat("x", length)); w.Code != http.StatusOK || w.Body.String() != "early" {
 			t.Errorf("%d %q", w.Code, w.Body)
 		}
 		if err := <-bodies; err != nil {
@@ -114,7 +114,7 @@
 // on its way is not taken for whole.
 func TestResetFailureIsNotWhole(t *testing.T) {
 	for _, reset := range []bool{false, true} {
-		up, _ := source(t, func(c net.Conn, _ *http.Request) {
+		up, _ := newStreamUpstream(t, func(c net.Conn, _ *http.Request) {
 			io.WriteString(c, "HTTP/1.1 500 Ill\r\nX-Slateridge-Attempt-Id: id-1\r\nX-Slateridge-Response-Seal: s\r\n\r\nthe cause")
 			time.Sleep(30 * time.Millisecond)
 			if reset {
@@ -122,7 +122,7 @@
 			}
 			c.Close()
 		})
-		w := get(newProxy(t, up), "POST", "/once/x", "x")
+		w := sendRequest(newProxy(t, up), "POST", "/once/x", "x")
 		if whole := w.Code == 500 && w.Body.String() == "the cause"; whole == reset || reset && w.Code != http.StatusBadGateway {
 			t.Errorf("reset %v: %d %q", reset, w.Code, w.Body)
 		}
@@ -133,7 +133,7 @@
 // became of it there, and the connection serves the next.
 func TestKeptConnectionIsAnswered(t *testing.T) {
 	u := newRawUpstream(t, func(n int, r *http.Request) (string, bool) {
-		return []string{"", "HTTP/1.1 200 OK\r\nContent-Le", ok(r, "x")}[n%3], n%3 < 2
+		return []string{"", "HTTP/1.1 200 OK\r\nContent-Le", okResponse(r, "x")}[n%3], n%3 < 2
 	})
 	_, front := daemonAt(t, u.instance("i-1"))
 	client := dialFrontend(t, front)
--- a/internal/proxy/daemon.go
+++ b/internal/proxy/daemon.go
@@ -49,9 +49,9 @@
 	audit               audit
 	members             *membership.Agent
 	trackerEchoesMu     sync.Mutex
-	trackerEchoes       map[string]trackerEcho // by tracker
-	trackerAnswerTimes  map[string]*answerTime // by tracker; under trackerEchoesMu
-	clock               *clock.Clock           // the fleet's agreed time, from control-plane updates
+	trackerEchoes       map[string]trackerEcho    // by tracker
+	trackerAnswerTimes  map[string]*latencyWindow // by tracker; under trackerEchoesMu
+	clock               *clock.Clock              // the fleet's agreed time, from control-plane updates
 	usageHolder         atomic.Pointer[string]
 	scalingHolder       atomic.Pointer[string]
 	usageReportMu       sync.Mutex      // held while usage is being reported
@@ -60,16 +60,16 @@
 
 // NewDaemon creates a proxy process from its settings, which it reloads from path.
 func NewDaemon(nodeSettings *settings.Settings, path string, events *eventlog.Log) *Daemon {
-	d := &Daemon{settingsPath: path, trackerEchoes: map[string]trackerEcho{}, trackerAnswerTimes: map[string]*answerTime{}, source: discovery.NewSource(nodeSettings.CloudAPI.Address)}
+	d := &Daemon{settingsPath: path, trackerEchoes: map[string]trackerEcho{}, trackerAnswerTimes: map[string]*latencyWindow{}, source: discovery.NewSource(nodeSettings.CloudAPI.Address)}
 	d.nodeSettings.Store(nodeSettings)
 	d.settingsFingerprint.Store(d.readSettingsFingerprint()) // only later changes cause a reload
 	bounds := nodeSettings.Bounds
-	p := &Proxy{events: events, histograms: newHistograms(), began: time.Now(), limiter: admission.New(bounds.QuotaSlack, nodeSettings.Trackers(), rand.Uint64())}
-	p.lag.began = p.began
+	p := &Proxy{events: events, histograms: newHistograms(), startedAt: time.Now(), limiter: admission.New(bounds.QuotaSlack, nodeSettings.Trackers(), rand.Uint64())}
+	p.lag.startedAt = p.startedAt
 	d.Proxy = p
 	p.retryBudget = NewRetryBudget(0, bounds.RetryWindow.D(), bounds.RetryBudgetRatio, bounds.RetryBudgetSlack)
 	p.pool = NewPool(nodeSettings.IPAddress, nodeSettings.Zone, nodeSettings.Zones, d.connCap, d.coldBound)
-	p.askFor = d.askTracker
+	p.requestTokens = d.requestTokens
 	d.clock = clock.New()
 	if nodeSettings.HasDuty(settings.DutyUsage) {
 		p.meter, p.window = usage.NewMeter(rand.Uint64()), d.usageWindowAt
@@ -92,7 +92,7 @@
 	}, d.apply)
 	d.subscriber.ReckonBy(func() int { return d.limiter.Settled(d.now()) })
 	if bounds.RevocationStrict {
-		p.trustFor, p.readIndexAt = bounds.Revoke.D()-constants.RevokeReserve, d.subscriber.ReadIndexAt
+		p.keyTrustPeriod, p.readIndexAt = bounds.Revoke.D()-constants.RevokeReserve, d.subscriber.ReadIndexAt
 	}
 	return d
 }
@@ -247,7 +247,7 @@
 		w.WriteHeader(http.StatusNotFound)
 		return
 	}
-	if d.ready.Load() && !d.leaving.Load() {
+	if d.ready.Load() && !d.shuttingDown.Load() {
 		w.WriteHeader(http.StatusOK)
 		return
 	}
@@ -270,7 +270,7 @@
 func (d *Daemon) SimulateRequest(tenant string) bool {
 	decision := d.limiter.Admit(d.now(), tenant, false)
 	if decision.Ask {
-		d.askTracker(tenant, time.Now().Add(constants.CallTimeout))
+		d.requestTokens(tenant, time.Now().Add(constants.CallTimeout))
 		decision = d.limiter.Admit(d.now(), tenant, true)
 	}
 	if !decision.OK {
@@ -289,12 +289,12 @@
 // connections, and requests in flight may finish within the grace period.
 func (d *Daemon) Leave() {
 	began := time.Now()
-	d.leaving.Store(true)
+	d.shuttingDown.Store(true)
 	d.events.Record("leaving", "readiness fails from now on")
 	d.subscriber.Announce()
 	nodeSettings := d.nodeSettings.Load()
 	grace := nodeSettings.Bounds.Grace.D() - constants.TermReserve
-	d.pool.Leave(began.Add(grace))
+	d.pool.Drain(began.Add(grace))
 	// Clients that use a directory may hold cached lookups that still name this proxy.
 	accept := min(constants.TermAccept, grace/2)
 	if nodeSettings.EntryMode == "directory" {
--- a/internal/proxy/dial_test.go
+++ b/internal/proxy/dial_test.go
@@ -43,14 +43,14 @@
 // count as a failure of the upstream.
 func TestConnectTimeoutLeavesTimeForAnotherUpstream(t *testing.T) {
 	const usual, budget = 20 * time.Millisecond, 200 * time.Millisecond
-	responsive := newRawUpstream(t, func(_ int, r *http.Request) (string, bool) { return ok(r, "x"), false })
+	responsive := newRawUpstream(t, func(_ int, r *http.Request) (string, bool) { return okResponse(r, "x"), false })
 	unresponsive := discovery.Instance{ID: "i-dark", Service: "svc", Address: unresponsiveAddress(t), Zone: "z", Slots: 2}
 	for _, path := range []string{"/a/", "/once/"} {
-		s := timedProxy(t, usual, unresponsive, responsive.instance("i-free"))
+		s := newProxyWithLatency(t, usual, unresponsive, responsive.instance("i-free"))
 		s.pool.mu.Lock()
 		s.pool.upstreams["i-free"].delay = 5 * usual.Seconds() // the unresponsive upstream is tried first
 		s.pool.mu.Unlock()
-		w, took := request(s, path, budget)
+		w, took := timedGet(s, path, budget)
 		if w.Code != http.StatusOK {
 			t.Errorf("%s: got %d after %v", path, w.Code, took)
 		}
--- a/internal/proxy/disconnect_test.go
+++ b/internal/proxy/disconnect_test.go
@@ -43,7 +43,7 @@
 
 func newSlowUpstream(t *testing.T, beforeWork, afterWork string) *slowUpstream {
 	u := &slowUpstream{beforeWork: beforeWork, afterWork: afterWork}
-	u.listener = upstream(t, func(c net.Conn, r *http.Request, _ string) bool { return u.serve(c, r) })
+	u.listener = serveRequests(t, func(c net.Conn, r *http.Request, _ string) bool { return u.serve(c, r) })
 	return u
 }
 
@@ -76,7 +76,7 @@
 	return true
 }
 
-func ok200(r *http.Request) string { return ok(r, "x") }
+func ok200(r *http.Request) string { return okResponse(r, "x") }
 
 func (u *slowUpstream) instance(id string, slots int) discovery.Instance {
 	return discovery.Instance{ID: id, Service: "svc", Address: u.listener.Addr().String(), Zone: "z", Slots: slots}
@@ -165,7 +165,7 @@
 		"both attempts of a hedge": {requests: clientRequest("GET", "/safe/1800ms", "a", 0), arrivals: 2},
 		"half-closed":              {requests: clientRequest("GET", "/safe/1900ms", "a", 0), arrivals: 1, disconnect: func(_ *Daemon, c net.Conn) { c.(*net.TCPConn).CloseWrite() }},
 		"reset":                    {requests: clientRequest("GET", "/safe/1900ms", "a", 0), arrivals: 1, disconnect: func(_ *Daemon, c net.Conn) { c.(*net.TCPConn).SetLinger(0); c.Close() }},
-		"while draining":           {requests: clientRequest("GET", "/safe/1900ms", "a", 0), arrivals: 1, disconnect: func(d *Daemon, c net.Conn) { d.leaving.Store(true); c.Close() }},
+		"while draining":           {requests: clientRequest("GET", "/safe/1900ms", "a", 0), arrivals: 1, disconnect: func(d *Daemon, c net.Conn) { d.shuttingDown.Store(true); c.Close() }},
 		"after a reload":           {requests: clientRequest("GET", "/safe/1900ms", "a", 0), arrivals: 1, disconnect: func(d *Daemon, c net.Conn) { d.Reload(); c.Close() }},
 		"next request pipelined": {requests: clientRequest("GET", "/safe/1900ms", "a", 0), arrivals: 1, disconnect: func(_ *Daemon, c net.Conn) {
 			io.WriteString(c, clientRequest("GET", "/safe/1ms", "b", 0))
@@ -239,7 +239,7 @@
 
 // An attempt whose hedge responded first is cancelled like a request whose client left.
 func TestLosingHedgeIsCancelled(t *testing.T) {
-	slow, quick := newSlowUpstream(t, "", ""), newRawUpstream(t, func(_ int, r *http.Request) (string, bool) { return ok(r, "x"), false })
+	slow, quick := newSlowUpstream(t, "", ""), newRawUpstream(t, func(_ int, r *http.Request) (string, bool) { return okResponse(r, "x"), false })
 	d, front := daemonAt(t, slow.instance("i-1", 2))
 	for range 400 {
 		d.retryBudget.Request(d.now(), "svc")
@@ -503,7 +503,7 @@
 func TestUnreadResponseIsAborted(t *testing.T) {
 	t.Parallel()
 	body := strings.Repeat("x", 32<<20)
-	u := newRawUpstream(t, func(_ int, r *http.Request) (string, bool) { return ok(r, body), false })
+	u := newRawUpstream(t, func(_ int, r *http.Request) (string, bool) { return okResponse(r, body), false })
 	d, front := daemonAt(t, u.instance("i-1"))
 	client := dialFrontend(t, front)
 	client.(*net.TCPConn).SetReadBuffer(4 << 10)
@@ -513,7 +513,7 @@
 			t.Fatal("request did not arrive at the upstream")
 		}
 	}
-	for end := time.Now().Add(constants.AnswerWriteGrace + 2*time.Second); d.open.Load() > 0; time.Sleep(10 * time.Millisecond) {
+	for end := time.Now().Add(constants.AnswerWriteGrace + 2*time.Second); d.openRequests.Load() > 0; time.Sleep(10 * time.Millisecond) {
 		if time.Now().After(end) {
 			t.Fatal("response is still held for a client that does not read")
 		}
@@ -550,7 +550,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	d.lag.beat(time.Now()) // the last heartbeat before the pause
+	d.lag.tick(time.Now()) // the last heartbeat before the pause
 	resumed := newFrontend(listener, d.Proxy, func() config.Limits { return config.Limits{} }, time.Second)
 	t.Cleanup(resumed.close)
 	for i := range 30 {
@@ -565,7 +565,7 @@
 	if resp, err := http.ReadResponse(bufio.NewReader(staying), nil); err != nil || resp.StatusCode != http.StatusOK {
 		t.Fatal(resp, err)
 	}
-	for end := time.Now().Add(3 * time.Second); d.open.Load() > 0 && time.Now().Before(end); {
+	for end := time.Now().Add(3 * time.Second); d.openRequests.Load() > 0 && time.Now().Before(end); {
 		time.Sleep(time.Millisecond)
 	}
 	for _, run := range u.recordedRuns() {
@@ -590,13 +590,13 @@
 	io.WriteString(client, clientRequest("POST", "/once/1ms", "a", 0))
 	<-dialling
 	client.Close()
-	for end := time.Now().Add(3 * time.Second); d.open.Load() > 0 && time.Now().Before(end); {
+	for end := time.Now().Add(3 * time.Second); d.openRequests.Load() > 0 && time.Now().Before(end); {
 		time.Sleep(time.Millisecond)
 	}
 	if n := len(u.recordedRuns()); n != 0 {
 		t.Errorf("%d requests arrived", n)
 	}
-	if open, idle := connsOpen(d.Proxy); open != 1 || idle != 1 {
+	if open, idle := connCounts(d.Proxy); open != 1 || idle != 1 {
 		t.Errorf("%d connections are counted as open, %d are idle; want the new one idle", open, idle)
 	}
 }
--- a/internal/proxy/ejection.go
+++ b/internal/proxy/ejection.go
@@ -56,26 +56,26 @@
 		took = p.first
 	}
 	usual := func() float64 {
-		return usualDelay(pool.candidates(target{service: u.instance.Service, homes: anywhere}).preferred)
+		return medianDelay(pool.candidates(target{service: u.instance.Service, homes: anywhere}).preferred)
 	}
 	learn := func(s float64) {
 		if u.delay == 0 {
 			u.delay = s
 		} else {
-			u.delay = u.expect(now, usual())
+			u.delay = u.expectedDelay(now, usual())
 			u.delay += constants.DelayWeight * (s - u.delay)
 		}
 		u.delayAt = now
 	}
-	times := pool.timesLocked(u.instance.Service)
+	times := pool.serviceLatencyLocked(u.instance.Service)
 	if how != atCapacity && how != unused {
-		times.held.learn(now, now.Sub(began).Seconds())
+		times.occupancy.observe(now, now.Sub(began).Seconds())
 	}
 	switch how {
 	case served:
 		u.fails = 0
 		u.answers++
-		times.answered(now, took)
+		times.observeResponse(now, took)
 		learn(took)
 	case errored:
 		// Few answers of a healthy upstream are failures, so one is evidence
@@ -89,7 +89,7 @@
 	case cancelled:
 		pool.Cancelled++
 		// No failure; but an answer would have taken longer still.
-		if took > u.expect(now, usual()) {
+		if took > u.expectedDelay(now, usual()) {
 			learn(took)
 		}
 	case broken, silent:
@@ -99,5 +99,5 @@
 		u.eject(now)
 		u.closeIdle()
 	}
-	pool.wakeLocked(u.instance.Service)
+	pool.serveQueueLocked(u.instance.Service)
 }
--- a/internal/proxy/exchange.go
+++ b/internal/proxy/exchange.go
@@ -12,50 +12,51 @@
 	"slateridge/internal/usage"
 )
 
-// exchange is one client request on its way.
+// exchange is the state of one client request while it is being proxied.
 type exchange struct {
 	proxy    *Proxy
 	request  *http.Request
-	client   *clientConn // that the request came on; nil where it isn't known
+	client   *clientConn // connection the request arrived on; nil if unknown
 	arrived  time.Time
-	deadline time.Time // the end of the caller's budget or of the route's timeout
-	// The caller's budget may last beyond the timeout: it can be served elsewhere until then.
-	callerUntil time.Time
-	config      *config.Config
-	route       *config.Route
-	tenant      *config.Tenant
-	priority    int
-	service     string
-	homes       string    // regions it may be served in
-	bodyStart   []byte    // body held for another offer
-	bodyRest    io.Reader // what follows it, offered once
-	length      int64     // of the body; -1 unknown
-	runs        int       // upstream runs this request may have caused
-	sends       int       // upstreams it was sent to
-	ranAt       time.Time // when the run that counts as usage was sent
-	usageRun    *usage.Run
-	account     *accounts.Request // nil where the tenant has no objective
-	answered    int               // upstreams that answered as having run it
+	deadline time.Time // the earlier of the end of the client's time budget and the route's timeout
+	// The end of the client's time budget. It may be later than the route's timeout: the client
+	// can retry elsewhere until then.
+	callerDeadline    time.Time
+	config            *config.Config
+	route             *config.Route
+	tenant            *config.Tenant
+	priority          int
+	service           string
+	allowedRegions    string    // regions that may serve the request
+	bufferedBody      []byte    // the whole body, if it was buffered and can be sent again
+	streamedBody      io.Reader // a body too long to buffer, which can be sent only once
+	bodyLength        int64     // -1 if unknown
+	executions        int       // executions at upstreams that this request may have caused
+	attempts          int       // upstreams the request was sent to
+	executedAt        time.Time // when the attempt that counts as usage was sent
+	usageRun          *usage.Run
+	account           *accounts.Request // nil if the tenant has no objective
+	executedResponses int               // responses from upstreams that executed the request
 }
 
-// newExchange is a request that came at a moment and matches a route, and a tenant where
-// there are any.
+// newExchange returns the exchange for a request that arrived at the given time and matches a
+// route, and a tenant if the configuration has any.
 func (s *Proxy) newExchange(r *http.Request, arrived time.Time, cfg *config.Config, route *config.Route, tenant *config.Tenant) *exchange {
-	callerUntil := arrived.Add(budget(r))
+	callerDeadline := arrived.Add(budget(r))
 	p := &exchange{
-		proxy:       s,
-		request:     r,
-		client:      clientConnFrom(r),
-		arrived:     arrived,
-		deadline:    earlier(callerUntil, arrived.Add(route.Timeout)),
-		callerUntil: callerUntil,
-		config:      cfg,
-		route:       route,
-		tenant:      tenant,
-		priority:    route.Priority,
-		service:     route.Pick(rand.Float64()),
-		homes:       homesOf(config.Homes(route, tenant)),
-		usageRun:    &usage.Run{},
+		proxy:          s,
+		request:        r,
+		client:         clientConnFrom(r),
+		arrived:        arrived,
+		deadline:       earlier(callerDeadline, arrived.Add(route.Timeout)),
+		callerDeadline: callerDeadline,
+		config:         cfg,
+		route:          route,
+		tenant:         tenant,
+		priority:       route.Priority,
+		service:        route.Pick(rand.Float64()),
+		allowedRegions: homesOf(config.Homes(route, tenant)),
+		usageRun:       &usage.Run{},
 	}
 	if tenant != nil && tenant.HasPriority {
 		p.priority = tenant.Priority
@@ -63,8 +64,9 @@
 	return p
 }
 
-// forward offers the request until it is served or nothing more may be done,
-// and gives the result to hand to the client; nil with a status means refusal.
+// forward makes attempts until one succeeds or no further attempt is allowed, and returns the
+// result to relay to the client. A nil result means that the request is refused with the
+// returned status.
 func (p *exchange) forward() (*result, int) {
 	now := p.proxy.now()
 	p.proxy.retryBudget.Request(now, p.service)
@@ -75,17 +77,17 @@
 		if p.tooLate() {
 			return last, http.StatusServiceUnavailable
 		}
-		of := p.place(skip)
-		if of == nil {
+		pl := p.awaitPlacement(skip)
+		if pl == nil {
 			return last, http.StatusServiceUnavailable
 		}
-		skip[of.upstream] = true
-		res := p.offer(of, skip)
+		skip[pl.upstream] = true
+		res := p.dispatch(pl, skip)
 		if res.abandoned {
 			if last != nil {
 				return last, 0
 			}
-			if code := p.resume(); code != 0 {
+			if code := p.revalidate(); code != 0 {
 				return nil, code
 			}
 			if dials++; dials > constants.MaxDials {
@@ -93,7 +95,7 @@
 			}
 			continue
 		}
-		if res.deliverable() && !(p.route.Idempotent && res.retryable()) && !res.notRun {
+		if res.deliverable() && !(p.route.Idempotent && res.retryable()) && !res.notExecuted {
 			last.release()
 			return res, 0
 		}
@@ -101,9 +103,9 @@
 			last.release()
 			last = res
 		}
-		// Another upstream: always when nothing went out, as the request's kind
-		// and the budget allow when something did.
-		if p.tooLate() || p.clientLeft() {
+		// If nothing was sent, another upstream may always be tried. Otherwise the route type
+		// and the retry budget decide.
+		if p.tooLate() || p.clientDisconnected() {
 			return last, 0
 		}
 		if !res.sent {
@@ -118,53 +120,56 @@
 	}
 }
 
-// place finds room for an offer, or nil; it waits for it while that is of use.
-func (p *exchange) place(skip map[*Upstream]bool) *placement {
-	of := p.proxy.pool.Wait(p.request.Context(), p.target(), p.priority, p.timing().latestStart(time.Now()), skip)
-	if of != nil && p.tooLate() { // by now, or by what has been learned of the work meanwhile
-		p.proxy.pool.done(of, unused)
+// awaitPlacement returns a placement at an upstream, or nil. It waits for one as long as the
+// request can still be served in time.
+func (p *exchange) awaitPlacement(skip map[*Upstream]bool) *placement {
+	pl := p.proxy.pool.Acquire(p.request.Context(), p.target(), p.priority, p.timing().latestStart(time.Now()), skip)
+	if pl != nil && p.tooLate() { // time has passed, or the latency estimate has risen meanwhile
+		p.proxy.pool.done(pl, unused)
 		return nil
 	}
-	return of
+	return pl
 }
 
-// offer makes one offer of the request, and a second beside it where it may be repeated.
-func (p *exchange) offer(of *placement, skip map[*Upstream]bool) *result {
-	if p.route.Idempotent && p.bodyRest == nil {
-		return p.hedged(of, skip)
+// dispatch makes one attempt, hedged by a second one if the route is idempotent and the body can
+// be sent again.
+func (p *exchange) dispatch(pl *placement, skip map[*Upstream]bool) *result {
+	if p.route.Idempotent && p.streamedBody == nil {
+		return p.hedged(pl, skip)
 	}
-	res := p.try(of)
-	p.count(res)
+	res := p.attempt(pl)
+	p.countAttempt(res)
 	return res
 }
 
-// resume looks at the request again after an offer was abandoned before anything was
-// sent, as when the configuration moved on; a status refuses it.
-func (p *exchange) resume() int {
+// revalidate matches the request against the current configuration after an attempt was
+// abandoned before anything was sent, for example because the configuration has changed. A
+// status other than 0 refuses the request.
+func (p *exchange) revalidate() int {
 	if cfg := p.proxy.config.Load(); cfg != p.config {
 		route, tenant, code := match(cfg, p.request)
 		if code != 0 {
 			return code
 		}
 		p.config, p.route, p.tenant = cfg, route, tenant
-		p.homes = homesOf(config.Homes(route, tenant))
+		p.allowedRegions = homesOf(config.Homes(route, tenant))
 		if !route.RoutesTo(p.service) {
 			p.service = route.Pick(rand.Float64())
 		}
 	}
-	if !time.Now().Before(p.deadline) || p.clientLeft() {
+	if !time.Now().Before(p.deadline) || p.clientDisconnected() {
 		return http.StatusServiceUnavailable
 	}
 	return 0
 }
 
-// mayRetry says whether a request that was sent may be sent once more, and takes that
-// from the retry budget.
+// mayRetry reports whether a request that was already sent may be sent once more, and if so
+// takes the retry from the retry budget.
 func (p *exchange) mayRetry(res *result) bool {
-	if !res.notRun && !p.route.Idempotent {
+	if !res.notExecuted && !p.route.Idempotent {
 		return false
 	}
-	if p.bodyRest != nil || p.sends >= p.maxAttempts() {
+	if p.streamedBody != nil || p.attempts >= p.maxAttempts() {
 		return false
 	}
 	return p.proxy.retryBudget.Take(p.proxy.now(), p.service)
@@ -172,13 +177,13 @@
 
 func (p *exchange) tooLate() bool { return p.timing().tooLate(time.Now()) }
 
-// capacityRetry is what a caller is told that was refused for want of room.
-func (p *exchange) capacityRetry() time.Duration {
-	return p.timing().retryAfter(time.Now(), p.proxy.pool.roomDue(p.target(), p.priority))
+// capacityRetryAfter returns the Retry-After for a request refused for lack of capacity.
+func (p *exchange) capacityRetryAfter() time.Duration {
+	return p.timing().retryAfter(time.Now(), p.proxy.pool.expectedWait(p.target(), p.priority))
 }
 
-// maxAttempts is how many upstreams the request may be sent to: what its route allowed
-// when it came, and what the newest configuration allows.
+// maxAttempts returns how many upstreams the request may be sent to: the lower of the limit that
+// its route had on arrival and that of the current configuration.
 func (p *exchange) maxAttempts() int {
 	cfg := p.proxy.config.Load()
 	if cfg == p.config {
@@ -186,30 +191,30 @@
 	}
 	route, _, code := match(cfg, p.request)
 	if code != 0 {
-		return p.route.MaxAttempts // allowed stops it before bytes go out
+		return p.route.MaxAttempts // stillAllowed rejects the request before bytes are sent
 	}
 	return min(p.route.MaxAttempts, route.MaxAttempts)
 }
 
-// target is what this request asks of the pool.
+// target returns what the request requires of an upstream.
 func (p *exchange) target() target {
-	w := target{service: p.service, homes: p.homes}
+	t := target{service: p.service, homes: p.allowedRegions}
 	if p.route.Stream {
-		w.stream = true
+		t.stream = true
 		if p.route.Affinity {
-			w.prefix = p.request.Header.Get(headerPrefix)
+			t.prefix = p.request.Header.Get(headerPrefix)
 		}
 	}
-	return w
+	return t
 }
 
-func (p *exchange) count(r *result) {
-	p.countAnswer(r)
-	if r.sent {
-		p.sends++
-		if !r.notRun {
-			if p.runs++; p.ranAt.IsZero() || r.resp != nil && r.resp.StatusCode/100 == 2 {
-				p.ranAt = r.sentAt
+func (p *exchange) countAttempt(res *result) {
+	p.countAnswer(res)
+	if res.sent {
+		p.attempts++
+		if !res.notExecuted {
+			if p.executions++; p.executedAt.IsZero() || res.resp != nil && res.resp.StatusCode/100 == 2 {
+				p.executedAt = res.sentAt
 			}
 		}
 	}
--- a/internal/proxy/frontend_test.go
+++ b/internal/proxy/frontend_test.go
@@ -17,7 +17,7 @@
 // newIdleClient opens a connection to a frontend that reads its idle timeout from idle. It
 // returns the frontend and a function that sends one request over the connection.
 func newIdleClient(t *testing.T, idle *atomic.Int64) (*frontend, func() error) {
-	u := newRawUpstream(t, func(_ int, r *http.Request) (string, bool) { return ok(r, "x"), false })
+	u := newRawUpstream(t, func(_ int, r *http.Request) (string, bool) { return okResponse(r, "x"), false })
 	p := newProxy(t, u.instance("i-1"))
 	listener, err := net.Listen("tcp4", "127.0.0.1:0")
 	if err != nil {
--- a/internal/proxy/grants.go
+++ b/internal/proxy/grants.go
@@ -10,122 +10,125 @@
 	"slateridge/internal/transport"
 )
 
-// tracker is where a key's questions go.
-func (d *Daemon) tracker(shard int) string {
-	if t := *d.trackers.Load(); shard < len(t) {
-		return t[shard]
+// trackerOf returns the machine that tracks a shard, or "" if it is unknown.
+func (d *Daemon) trackerOf(shard int) string {
+	if trackers := *d.trackers.Load(); shard < len(trackers) {
+		return trackers[shard]
 	}
 	return ""
 }
 
-// shardsOf are those that a machine tracks.
-func (d *Daemon) shardsOf(tracker string) []int {
-	var out []int
+// shardsTrackedBy returns the shards that a machine tracks.
+func (d *Daemon) shardsTrackedBy(tracker string) []int {
+	var shards []int
 	for i, t := range *d.trackers.Load() {
 		if t == tracker {
-			out = append(out, i)
+			shards = append(shards, i)
 		}
 	}
-	return out
+	return shards
 }
 
-func (d *Daemon) shard(key string) int { return admission.Shard(key, d.nodeSettings.Load().Trackers()) }
+func (d *Daemon) shardOf(key string) int {
+	return admission.Shard(key, d.nodeSettings.Load().Trackers())
+}
 
-// askTracker asks a key's tracker for tokens. It waits while an answer is of use to the
-// caller and the tracker's silence is not unusual. Only the latter says something of the
-// tracker, which those that come after need not wait for then.
-func (d *Daemon) askTracker(key string, until time.Time) {
-	asked := d.now()
-	callersTime := time.Until(until)
-	if callersTime <= 0 {
+// requestTokens requests tokens from a key's tracker. It waits as long as a reply is useful to
+// the caller and the delay is not unusual for the tracker. Only an unusual delay counts against
+// the tracker, so that later callers need not wait for it.
+func (d *Daemon) requestTokens(key string, until time.Time) {
+	sentAt := d.now()
+	callerTime := time.Until(until)
+	if callerTime <= 0 {
 		return
 	}
-	if to := d.tracker(d.shard(key)); to != "" {
-		patience := d.trackerPatience(to)
-		cutShort := callersTime < patience
-		grants, err := d.ask(to, asked, d.echoOf(to), []admission.Want{d.limiter.Need(asked, key)}, min(patience, callersTime))
+	if tracker := d.trackerOf(d.shardOf(key)); tracker != "" {
+		timeout := d.trackerTimeout(tracker)
+		cutShort := callerTime < timeout
+		grants, err := d.sendGrantRequest(tracker, sentAt, d.latestTrackerTime(tracker), []admission.Want{d.limiter.Need(sentAt, key)}, min(timeout, callerTime))
 		if err == nil && !grants.Refused {
-			d.heardTracker(to, grants.Stamp, d.shard(key))
-			d.takeGrants(asked, grants)
+			d.recordTrackerReply(tracker, grants.Stamp, d.shardOf(key))
+			d.applyGrants(sentAt, grants)
 			return
 		}
 		if errors.Is(err, transport.ErrRefused) {
-			for _, i := range d.shardsOf(to) {
+			for _, i := range d.shardsTrackedBy(tracker) {
 				d.limiter.TrackerDown(i)
 			}
 		}
 		if cutShort && errors.Is(err, transport.ErrTimeout) {
-			return // it was the caller's time that ended, not the tracker's
+			return // the caller's time ended before the tracker's timeout
 		}
 	}
 	d.limiter.Unanswered(d.now(), key)
 }
 
-// echoOf is a tracker's latest time that has come here.
-func (d *Daemon) echoOf(to string) admission.TrackerTime {
+// latestTrackerTime returns the latest time received from a tracker.
+func (d *Daemon) latestTrackerTime(tracker string) admission.TrackerTime {
 	d.trackerEchoesMu.Lock()
 	defer d.trackerEchoesMu.Unlock()
-	return d.trackerEchoes[to].time
+	return d.trackerEchoes[tracker].time
 }
 
-// ask sends a tracker wants that were reckoned with its time as echoed, and waits for its
-// answer.
-func (d *Daemon) ask(to string, asked time.Duration, echo admission.TrackerTime, wants []admission.Want, patience time.Duration) (admission.Grants, error) {
-	answer, err := d.subscriber.Ask(to, admission.GrantRequest{
+// sendGrantRequest sends a tracker wants that were computed against its echoed time, and waits
+// for the reply.
+func (d *Daemon) sendGrantRequest(tracker string, sentAt time.Duration, echo admission.TrackerTime, wants []admission.Want, timeout time.Duration) (admission.Grants, error) {
+	reply, err := d.subscriber.Ask(tracker, admission.GrantRequest{
 		Proxy:   d.nodeSettings.Load().IPAddress,
 		Wants:   wants,
 		Echo:    echo,
 		Proxies: d.limiter.Proxies(),
 		Life:    d.limiter.Life(),
-		Sent:    asked,
-	}, patience)
+		Sent:    sentAt,
+	}, timeout)
 	if err != nil {
 		return admission.Grants{}, err
 	}
-	grants, ok := answer.(admission.Grants)
+	grants, ok := reply.(admission.Grants)
 	if !ok {
-		return admission.Grants{}, errNoGrants
+		return admission.Grants{}, errUnexpectedReply
 	}
 	d.trackerEchoesMu.Lock()
 	defer d.trackerEchoesMu.Unlock()
-	if d.trackerAnswerTimes[to] == nil {
-		d.trackerAnswerTimes[to] = &answerTime{}
+	if d.trackerAnswerTimes[tracker] == nil {
+		d.trackerAnswerTimes[tracker] = &latencyWindow{}
 	}
-	d.trackerAnswerTimes[to].learn(time.Now(), (d.now() - asked).Seconds())
+	d.trackerAnswerTimes[tracker].observe(time.Now(), (d.now() - sentAt).Seconds())
 	return grants, nil
 }
 
-var errNoGrants = errors.New("a tracker's answer is of another kind")
+var errUnexpectedReply = errors.New("unexpected reply type from tracker")
 
-// trackerPatience is how long a tracker's silence is not unusual.
-func (d *Daemon) trackerPatience(to string) time.Duration {
+// trackerTimeout returns after how long without a reply a tracker is unusually slow.
+func (d *Daemon) trackerTimeout(tracker string) time.Duration {
 	d.trackerEchoesMu.Lock()
 	defer d.trackerEchoesMu.Unlock()
-	usual := unknownWork
-	if answers := d.trackerAnswerTimes[to]; answers != nil {
-		usual = answers.work()
+	estimate := defaultLatency
+	if latency := d.trackerAnswerTimes[tracker]; latency != nil {
+		estimate = latency.estimate()
 	}
-	return max(constants.TrackerBusy, usual.unusual())
+	return max(constants.TrackerBusy, estimate.slowThreshold())
 }
 
-// takeGrants takes what a tracker answered to a question asked at a moment.
-func (d *Daemon) takeGrants(asked time.Duration, grants admission.Grants) {
-	for _, given := range grants.Given {
-		d.limiter.Take(d.now(), asked, given)
+// applyGrants applies a tracker's reply to a request that was sent at the given time.
+func (d *Daemon) applyGrants(sentAt time.Duration, grants admission.Grants) {
+	for _, grant := range grants.Given {
+		d.limiter.Take(d.now(), sentAt, grant)
 	}
 }
 
-// heardTracker notes a tracker's answer for some shards.
-func (d *Daemon) heardTracker(to string, s admission.TrackerTime, shards ...int) {
+// recordTrackerReply records a tracker's reply for some shards. If the tracker has restarted or
+// has started tracking anew, the reports of all its shards are sent again.
+func (d *Daemon) recordTrackerReply(tracker string, reported admission.TrackerTime, shards ...int) {
 	now := d.now()
 	d.trackerEchoesMu.Lock()
-	o := d.trackerEchoes[to]
-	if o.time.Life != s.Life || o.time.At < s.At {
-		d.trackerEchoes[to] = trackerEcho{s, now}
+	previous := d.trackerEchoes[tracker]
+	if previous.time.Life != reported.Life || previous.time.At < reported.At {
+		d.trackerEchoes[tracker] = trackerEcho{reported, now}
 	}
 	d.trackerEchoesMu.Unlock()
-	if o.time.Life != s.Life || o.time.Begun < s.Begun {
-		d.untold(d.shardsOf(to))
+	if previous.time.Life != reported.Life || previous.time.Begun < reported.Begun {
+		d.resendReports(d.shardsTrackedBy(tracker))
 		go d.renewGrants()
 	}
 	for _, i := range shards {
@@ -133,57 +136,58 @@
 	}
 }
 
-// trackerEcho is a tracker's latest time, and when it came here.
+// trackerEcho is the latest time received from a tracker, and when it was received here.
 type trackerEcho struct {
-	time admission.TrackerTime
-	at   time.Duration
+	time       admission.TrackerTime
+	receivedAt time.Duration
 }
 
-// renewGrants tells the trackers this proxy's demand and loans, and takes their
-// leases.
+// renewGrants reports this proxy's demand and loans to the trackers, and applies the leases that
+// they return.
 func (d *Daemon) renewGrants() {
-	asked := d.now()
+	sentAt := d.now()
 	d.trackerEchoesMu.Lock()
-	echo := maps.Clone(d.trackerEchoes)
+	echoes := maps.Clone(d.trackerEchoes)
 	d.trackerEchoesMu.Unlock()
-	by := map[string][]admission.Want{}
-	for _, w := range d.limiter.Wants(asked, func(key string) (time.Duration, uint64, bool) {
-		h, ok := echo[d.tracker(d.shard(key))]
-		return h.at, h.time.Life, ok
+	wants := map[string][]admission.Want{}
+	for _, w := range d.limiter.Wants(sentAt, func(key string) (time.Duration, uint64, bool) {
+		echo, ok := echoes[d.trackerOf(d.shardOf(key))]
+		return echo.receivedAt, echo.time.Life, ok
 	}) {
-		if to := d.tracker(d.shard(w.Key)); to != "" {
-			by[to] = append(by[to], w)
+		if tracker := d.trackerOf(d.shardOf(w.Key)); tracker != "" {
+			wants[tracker] = append(wants[tracker], w)
 		}
 	}
 	shards := map[string][]int{}
-	for i, to := range *d.trackers.Load() {
-		if to != "" {
-			shards[to] = append(shards[to], i)
-			if _, ok := by[to]; !ok && asked-echo[to].at > constants.ContactEvery {
-				by[to] = nil // nothing to say but that it is heard
+	for i, tracker := range *d.trackers.Load() {
+		if tracker != "" {
+			shards[tracker] = append(shards[tracker], i)
+			if _, ok := wants[tracker]; !ok && sentAt-echoes[tracker].receivedAt > constants.ContactEvery {
+				wants[tracker] = nil // nothing to report: the message only confirms that the tracker's replies arrive
 			}
 		}
 	}
-	for to, ws := range by {
+	for tracker, trackerWants := range wants {
 		go func() {
-			grants, err := d.ask(to, asked, echo[to].time, ws, constants.CallTimeout)
+			grants, err := d.sendGrantRequest(tracker, sentAt, echoes[tracker].time, trackerWants, constants.CallTimeout)
 			if err != nil {
-				d.untold(shards[to])
+				d.resendReports(shards[tracker])
 				return
 			}
-			if !grants.Refused { // what does not track borrows nothing
-				d.heardTracker(to, grants.Stamp, shards[to]...)
+			if !grants.Refused { // a machine that is not the tracker borrows nothing, so its reply is not recorded
+				d.recordTrackerReply(tracker, grants.Stamp, shards[tracker]...)
 			}
-			d.takeGrants(asked, grants)
+			d.applyGrants(sentAt, grants)
 			if grants.Retell {
-				d.untold(shards[to])
+				d.resendReports(shards[tracker])
 			}
 		}()
 	}
 }
 
-// untold notes that the tracker of some shards does not know what it was told.
-func (d *Daemon) untold(shards []int) {
+// resendReports has the reports of some shards sent again, because their tracker may not have
+// received them.
+func (d *Daemon) resendReports(shards []int) {
 	for _, i := range shards {
 		d.limiter.ReportAgain(i)
 	}
--- a/internal/proxy/lag_test.go
+++ b/internal/proxy/lag_test.go
@@ -7,36 +7,36 @@
 	"slateridge/internal/constants"
 )
 
-// A process is late from the moment at which a beat is missing, whoever looks first after
-// it has stood still, and for some time after.
-func TestLagIsNoticed(t *testing.T) {
+// A process lags from the moment at which a tick is missing, even if it is asked before the
+// first tick after a suspension, and for some time afterwards.
+func TestLagDetector(t *testing.T) {
 	const step = constants.StepEvery
 	began := time.Now()
-	m := &lagMeter{began: began}
-	if !m.late(began.Add(step)) {
-		t.Error("not late without a beat")
+	m := &lagDetector{startedAt: began}
+	if !m.lagging(began.Add(step)) {
+		t.Error("not lagging without a tick")
 	}
 	at := began.Add(10 * time.Second)
-	m.beat(at)
+	m.tick(at)
 	for range 20 {
 		at = at.Add(step)
-		m.beat(at)
+		m.tick(at)
 	}
-	if m.late(at.Add(step)) {
-		t.Error("late with regular beats")
+	if m.lagging(at.Add(step)) {
+		t.Error("lagging with regular ticks")
 	}
 	woken := at.Add(3 * time.Second)
-	if !m.late(woken) {
-		t.Error("a standstill isn't noticed before the next beat")
+	if !m.lagging(woken) {
+		t.Error("a suspension is not noticed before the next tick")
 	}
-	m.beat(woken)
-	if !m.late(woken.Add(step)) {
-		t.Error("a standstill is forgotten with the next beat")
+	m.tick(woken)
+	if !m.lagging(woken.Add(step)) {
+		t.Error("a suspension is forgotten at the next tick")
 	}
 	for at = woken; at.Before(woken.Add(constants.LagMemory)); at = at.Add(step) {
-		m.beat(at)
+		m.tick(at)
 	}
-	if m.late(at.Add(step)) {
-		t.Error("late for ever")
+	if m.lagging(at.Add(step)) {
+		t.Error("lagging forever")
 	}
 }
--- a/internal/proxy/lists.go
+++ b/internal/proxy/lists.go
@@ -13,8 +13,8 @@
 // polls the platform's instance list directly while this proxy is out of contact.
 func (d *Daemon) step() {
 	now := time.Now()
-	d.lag.beat(now)
-	d.subscriber.Step(now, d.ready.Load() && !d.leaving.Load())
+	d.lag.tick(now)
+	d.subscriber.Step(now, d.ready.Load() && !d.shuttingDown.Load())
 	state := d.subscriber.State(now)
 	if !d.ready.Load() && d.config.Load() != nil && d.hasUpstreamList.Load() && state.ListAge < constants.UpdateCurrent && state.Current < constants.UpdateCurrent {
 		d.ready.Store(true)
@@ -45,7 +45,7 @@
 // control-plane nodes in contact with a majority count: the others may still send updates,
 // but their list dates from before they lost contact.
 func (d *Daemon) outOfContact(state distribution.State, now time.Time) bool {
-	return min(state.Current, now.Sub(d.began)) > constants.SelfPollAfter
+	return min(state.Current, now.Sub(d.startedAt)) > constants.SelfPollAfter
 }
 
 // selfPollInterval returns the interval at which a proxy without contact polls the instance
--- a/internal/proxy/places_test.go
+++ b/internal/proxy/places_test.go
@@ -65,7 +65,7 @@
 				case mood == 2 && n%2 == 0:
 					return "HTTP/1.1 503 Full\r\nX-Slateridge-Not-Executed: 1\r\nX-Slateridge-Attempt-Id: " + q.Header.Get(headerAttemptID) + "\r\nContent-Length: 0\r\n\r\n", false
 				}
-				return ok(q, "b"), false
+				return okResponse(q, "b"), false
 			})
 			in := u.instance(id)
 			in.Zone = z
@@ -102,7 +102,7 @@
 			}
 			mu.Unlock()
 			method := map[string]string{"/home/": "GET", "/any/": "POST"}[path]
-			w := get(s, method, path, "", headerAPIKey, key)
+			w := sendRequest(s, method, path, "", headerAPIKey, key)
 			for s.pool.Busy("svc") > 0 { // a hedge may still be on its way, and is judged by this request's homes
 				time.Sleep(100 * time.Microsecond)
 			}
@@ -186,7 +186,7 @@
 // Between the choice of an upstream and the first byte its zone may be evacuated,
 // or a new configuration may forbid its region.
 func TestPlacesAreCheckedAgain(t *testing.T) {
-	u := newRawUpstream(t, func(_ int, r *http.Request) (string, bool) { return ok(r, "b"), false })
+	u := newRawUpstream(t, func(_ int, r *http.Request) (string, bool) { return okResponse(r, "b"), false })
 	for name, change := range map[string]func(*Proxy){
 		"evacuated": func(s *Proxy) { s.pool.Evacuate(time.Now(), []string{"z"}) },
 		"forbidden": func(s *Proxy) {
@@ -204,10 +204,10 @@
 		r.RequestURI, r.Host = "/any/", "h.example"
 		r.Header.Set(headerAPIKey, "k1")
 		route, tenant, _ := match(cfg, r)
-		p := &exchange{proxy: s, request: r, config: cfg, route: route, tenant: tenant, service: "svc", homes: anywhere, deadline: time.Now().Add(time.Second)}
+		p := &exchange{proxy: s, request: r, config: cfg, route: route, tenant: tenant, service: "svc", allowedRegions: anywhere, deadline: time.Now().Add(time.Second)}
 		of := s.pool.Place(target{service: "svc", homes: anywhere}, nil)
 		change(s)
-		if of == nil || !p.try(of).notRun || u.count() != 0 {
+		if of == nil || !p.attempt(of).notExecuted || u.count() != 0 {
 			t.Errorf("%s: a request went out all the same", name)
 		}
 	}
--- a/internal/proxy/proxy.go
+++ b/internal/proxy/proxy.go
@@ -1,5 +1,5 @@
-// Package proxy takes clients' requests, matches them to routes, asks admission, offers them
-// to upstreams, and hands back what they answer.
+// Package proxy accepts client requests, matches them to routes, applies admission control,
+// forwards them to upstreams and relays the responses.
 package proxy
 
 import (
@@ -22,46 +22,46 @@
 	"slateridge/internal/usage"
 )
 
-// Proxy is the request path of one proxy.
+// Proxy handles the requests of one proxy process.
 type Proxy struct {
-	events      *eventlog.Log
-	began       time.Time
-	config      atomic.Pointer[config.Config]
-	pool        *Pool
-	limiter     *admission.Limiter
-	meter       *usage.Meter // nil where usage is not reported
-	window      func(at time.Time) uint64
-	accounts    *accounts.Meter // nil where tenants have no objectives
-	retryBudget *RetryBudget
-	askFor      func(key string, until time.Time) // one question to a key's tracker, answered by then or not
-	leaving     atomic.Bool
-	hedges      atomic.Uint64
-	open        atomic.Int64
-	lag         lagMeter
-	counts      [len(countNames)]atomic.Uint64
-	trustFor    time.Duration    // how long a key may be trusted unheard; 0: for ever
-	readIndexAt func() time.Time // when what is in force here was last known to be the newest
+	events         *eventlog.Log
+	startedAt      time.Time
+	config         atomic.Pointer[config.Config]
+	pool           *Pool
+	limiter        *admission.Limiter
+	meter          *usage.Meter // nil if usage is not reported
+	window         func(at time.Time) uint64
+	accounts       *accounts.Meter // nil if tenants have no objectives
+	retryBudget    *RetryBudget
+	requestTokens  func(key string, until time.Time) // requests tokens from a key's tracker; returns by the given time, with or without a reply
+	shuttingDown   atomic.Bool
+	hedges         atomic.Uint64
+	openRequests   atomic.Int64
+	lag            lagDetector
+	outcomeCounts  [len(countNames)]atomic.Uint64
+	keyTrustPeriod time.Duration    // how long a key is accepted without confirmation from the control plane; 0: forever
+	readIndexAt    func() time.Time // when the configuration in force was last confirmed to be the newest
 
-	streams     atomic.Int64  // under way
-	streamsCut  atomic.Uint64 // ended by their upstream before their end
-	streamsLeft atomic.Uint64 // ended by their client
-	histograms  *histograms
+	streams          atomic.Int64  // in progress
+	streamsCut       atomic.Uint64 // ended early by their upstream
+	streamsAbandoned atomic.Uint64 // ended by their client
+	histograms       *histograms
 }
 
-// histograms are this proxy's histograms.
+// histograms holds the latency histograms of streams.
 type histograms struct {
-	set                 *metrics.Set
-	firstPieces, pauses *metrics.Histogram
+	set                       *metrics.Set
+	firstChunk, chunkInterval *metrics.Histogram
 }
 
 func newHistograms() *histograms {
-	m := &histograms{set: metrics.NewSet()}
-	m.firstPieces = m.set.NewHistogram("slateridge_stream_first_piece_seconds")
-	m.pauses = m.set.NewHistogram("slateridge_stream_pause_seconds")
-	return m
+	h := &histograms{set: metrics.NewSet()}
+	h.firstChunk = h.set.NewHistogram("slateridge_stream_first_piece_seconds")
+	h.chunkInterval = h.set.NewHistogram("slateridge_stream_pause_seconds")
+	return h
 }
 
-// What became of requests, for the counters.
+// Request outcomes, used as indices into outcomeCounts and countNames.
 const (
 	countServed = iota
 	countKeyUnknown
@@ -75,10 +75,10 @@
 
 var countNames = [...]string{"served", "key_unknown", "no_route", "over_quota", "no_capacity", "failed", "key_unsure", "client_left"}
 
-func (s *Proxy) now() time.Duration { return time.Since(s.began) }
+func (s *Proxy) now() time.Duration { return time.Since(s.startedAt) }
 
-// refuse answers without having sent the request anywhere, or without an
-// upstream having run it where the status is a promise.
+// refuse responds to a request that was not sent to any upstream, or that was not executed by
+// any if the status guarantees that.
 func (s *Proxy) refuse(w http.ResponseWriter, r *http.Request, code int, retry time.Duration) {
 	h := w.Header()
 	if id := r.Header.Get(headerAttemptID); id != "" {
@@ -92,23 +92,23 @@
 	w.WriteHeader(code)
 }
 
-// ServeHTTP is the path of every request.
+// ServeHTTP handles every client request.
 func (s *Proxy) ServeHTTP(w http.ResponseWriter, r *http.Request) {
-	s.open.Add(1)
-	defer s.open.Add(-1)
-	if s.leaving.Load() {
+	s.openRequests.Add(1)
+	defer s.openRequests.Add(-1)
+	if s.shuttingDown.Load() {
 		w.Header().Set("Connection", "close")
 	}
 	arrived := time.Now()
 	cfg := s.config.Load()
 	if cfg == nil {
-		s.counts[countNoCapacity].Add(1)
-		s.refuse(w, r, http.StatusServiceUnavailable, newsRetry(arrived, r))
+		s.outcomeCounts[countNoCapacity].Add(1)
+		s.refuse(w, r, http.StatusServiceUnavailable, configRetryAfter(arrived, r))
 		return
 	}
 	route, tenant, code := match(cfg, r)
 	if code != 0 {
-		s.counts[map[int]int{http.StatusNotFound: countNoRoute, http.StatusUnauthorized: countKeyUnknown}[code]].Add(1)
+		s.outcomeCounts[map[int]int{http.StatusNotFound: countNoRoute, http.StatusUnauthorized: countKeyUnknown}[code]].Add(1)
 		s.refuse(w, r, code, 0)
 		return
 	}
@@ -143,68 +143,69 @@
 	s.reply(w, p, res, code)
 }
 
-// settleCost debits the tenant's quota by what the request has cost, and counts its usage.
+// settleCost debits the tenant's quota by the number of executions, and counts the request's
+// usage.
 func (p *exchange) settleCost() {
 	if p.tenant == nil {
 		return
 	}
-	p.proxy.limiter.Settle(p.proxy.now(), p.tenant.Name, p.runs)
+	p.proxy.limiter.Settle(p.proxy.now(), p.tenant.Name, p.executions)
 	meter := p.proxy.meter
 	if meter == nil {
 		return
 	}
 	meter.Over(p.usageRun)
-	if p.runs > 0 && !p.route.Stream { // streams count with their first piece
-		meter.Count(p.proxy.window(p.ranAt), p.tenant.Name)
+	if p.executions > 0 && !p.route.Stream { // streams are counted at their first chunk
+		meter.Count(p.proxy.window(p.executedAt), p.tenant.Name)
 	}
 }
 
-// tooLarge is the status that refuses a request over the client bounds, or 0.
+// tooLarge returns the status that refuses a request that exceeds the client limits, or 0.
 func tooLarge(cfg *config.Config, r *http.Request) int {
 	if cfg.Limits.BodyBytes > 0 && r.ContentLength > cfg.Limits.BodyBytes {
 		return http.StatusRequestEntityTooLarge
 	}
-	if cfg.Limits.HeaderBytes > 0 && headerSize(r) > cfg.Limits.HeaderBytes {
+	if cfg.Limits.HeaderBytes > 0 && requestHeaderSize(r) > cfg.Limits.HeaderBytes {
 		return http.StatusRequestHeaderFieldsTooLarge
 	}
 	return 0
 }
 
-// admit says whether a tenant's request is admitted by its key and its quota, and
-// refuses it if not.
+// admit reports whether a tenant's request is admitted by its key and its quota, and refuses the
+// request if not.
 func (s *Proxy) admit(w http.ResponseWriter, p *exchange) bool {
-	if s.trustFor > 0 && p.arrived.Sub(s.readIndexAt()) > s.trustFor {
-		// The key may have been taken away, and nobody here would know.
-		s.counts[countKeyUnsure].Add(1)
-		s.refuse(w, p.request, http.StatusServiceUnavailable, newsRetry(p.arrived, p.request))
+	if s.keyTrustPeriod > 0 && p.arrived.Sub(s.readIndexAt()) > s.keyTrustPeriod {
+		// The key may have been revoked without this proxy having learned of it.
+		s.outcomeCounts[countKeyUnsure].Add(1)
+		s.refuse(w, p.request, http.StatusServiceUnavailable, configRetryAfter(p.arrived, p.request))
 		return false
 	}
-	v := s.limiter.Admit(s.now(), p.tenant.Name, false)
-	if v.Ask {
-		s.askFor(p.tenant.Name, p.timing().latestStart(time.Now()))
-		v = s.limiter.Admit(s.now(), p.tenant.Name, true)
+	decision := s.limiter.Admit(s.now(), p.tenant.Name, false)
+	if decision.Ask {
+		s.requestTokens(p.tenant.Name, p.timing().latestStart(time.Now()))
+		decision = s.limiter.Admit(s.now(), p.tenant.Name, true)
 	}
-	if !v.OK {
-		s.counts[countOverQuota].Add(1)
+	if !decision.OK {
+		s.outcomeCounts[countOverQuota].Add(1)
 		p.account.Failure(accounts.Refused)
-		s.refuse(w, p.request, http.StatusTooManyRequests, v.Retry)
+		s.refuse(w, p.request, http.StatusTooManyRequests, decision.Retry)
 		return false
 	}
 	return true
 }
 
-func headerSize(r *http.Request) int {
-	n := len(r.Method) + len(r.RequestURI) + len(r.Host)
+func requestHeaderSize(r *http.Request) int {
+	size := len(r.Method) + len(r.RequestURI) + len(r.Host)
 	for k, vs := range r.Header {
 		for _, v := range vs {
-			n += len(k) + len(v) + 4
+			size += len(k) + len(v) + 4
 		}
 	}
-	return n
+	return size
 }
 
-// timedBody reads a client's body until the request's time is over. The deadline is
-// taken away with the body's end, since the connection is read on for other purposes.
+// timedBody reads a client's body until the request's deadline. The read deadline is cleared at
+// the end of the body, since the connection continues to be read for other purposes.
 type timedBody struct {
 	body    io.Reader
 	control *http.ResponseController
@@ -224,69 +225,70 @@
 	return n, err
 }
 
-// readBody holds the body, or its beginning when it is long.
+// readBody buffers the body, or only its beginning if it is long. It returns a status that
+// refuses the request, or 0.
 func (p *exchange) readBody(w http.ResponseWriter) int {
 	r := p.request
-	p.length = r.ContentLength
+	p.bodyLength = r.ContentLength
 	if r.Body == nil || r.Body == http.NoBody || r.ContentLength == 0 {
-		p.length = 0
+		p.bodyLength = 0
 		return 0
 	}
 	body := io.Reader(r.Body)
-	if m := p.config.Limits.BodyBytes; m > 0 {
-		body = http.MaxBytesReader(w, r.Body, m)
+	if limit := p.config.Limits.BodyBytes; limit > 0 {
+		body = http.MaxBytesReader(w, r.Body, limit)
 	}
 	body = newTimedBody(w, body, p.deadline)
-	b, err := io.ReadAll(io.LimitReader(body, constants.BodyBuffer))
+	start, err := io.ReadAll(io.LimitReader(body, constants.BodyBuffer))
 	if err != nil {
 		if errors.Is(err, os.ErrDeadlineExceeded) {
-			w.Header().Set("Connection", "close") // what is left of the body may still come
+			w.Header().Set("Connection", "close") // the rest of the body may still arrive
 			return http.StatusRequestTimeout
 		}
-		if _, big := err.(*http.MaxBytesError); big {
+		if _, tooLong := err.(*http.MaxBytesError); tooLong {
 			return http.StatusRequestEntityTooLarge
 		}
 		return http.StatusBadRequest
 	}
-	if len(b) < constants.BodyBuffer {
-		p.bodyStart, p.length = b, int64(len(b))
+	if len(start) < constants.BodyBuffer {
+		p.bufferedBody, p.bodyLength = start, int64(len(start))
 		return 0
 	}
-	if r.ContentLength == int64(len(b)) {
-		p.bodyStart = b
+	if r.ContentLength == int64(len(start)) {
+		p.bufferedBody = start
 		return 0
 	}
-	p.bodyRest = io.MultiReader(bytes.NewReader(b), body)
+	p.streamedBody = io.MultiReader(bytes.NewReader(start), body)
 	return 0
 }
 
-// reply hands the client what came of the request.
+// reply sends the client the result of the request.
 func (s *Proxy) reply(w http.ResponseWriter, p *exchange, res *result, code int) {
 	r := p.request
 	if res == nil {
 		if code == http.StatusServiceUnavailable {
 			p.countUnserved(countNoCapacity)
-			s.refuse(w, r, code, p.capacityRetry())
+			s.refuse(w, r, code, p.capacityRetryAfter())
 			return
 		}
-		s.counts[map[int]int{http.StatusNotFound: countNoRoute, http.StatusUnauthorized: countKeyUnknown}[code]].Add(1)
+		s.outcomeCounts[map[int]int{http.StatusNotFound: countNoRoute, http.StatusUnauthorized: countKeyUnknown}[code]].Add(1)
 		p.account.Failure(accounts.Refused)
 		s.refuse(w, r, code, 0)
 		return
 	}
-	if res.deliverable() && !(res.notRun && res.resp.StatusCode >= 500) {
-		began := time.Since(p.arrived) // a stream is in time if its first piece is
+	if res.deliverable() && !(res.notExecuted && res.resp.StatusCode >= 500) {
+		responseTime := time.Since(p.arrived) // a stream meets the latency objective if its first chunk does
 		s.relay(w, p, res)
-		p.settleAnswered(res, began)
+		p.settleAnswered(res, responseTime)
 		return
 	}
 	res.release()
 	p.settleFailed()
 	switch {
-	case p.runs == 0 && p.sends == 0 || p.runs == 0 && res.notRun:
-		// Nothing ran, and nothing will: the promise can be given.
+	case p.executions == 0 && p.attempts == 0 || p.executions == 0 && res.notExecuted:
+		// Nothing was executed, and nothing will be: the refusal may guarantee that.
 		p.countUnserved(countNoCapacity)
-		s.refuse(w, r, http.StatusServiceUnavailable, p.capacityRetry())
+		s.refuse(w, r, http.StatusServiceUnavailable, p.capacityRetryAfter())
 	case res.outcome == silent || !time.Now().Before(p.deadline):
 		p.countUnserved(countFailed)
 		s.refuse(w, r, http.StatusGatewayTimeout, 0)
@@ -296,16 +298,16 @@
 	}
 }
 
-// countUnserved counts a request that was not served, apart where its client had left.
+// countUnserved counts a request that was not served, separately if its client had disconnected.
 func (p *exchange) countUnserved(outcome int) {
 	if p.request.Context().Err() != nil {
 		outcome = countClientLeft
 	}
-	p.proxy.counts[outcome].Add(1)
+	p.proxy.outcomeCounts[outcome].Add(1)
 }
 
-// relay gives the upstream's answer to the client unchanged. An answer that
-// breaks off is broken off here too, so that it cannot look complete.
+// relay sends the upstream's response to the client unchanged. A truncated response is also
+// truncated toward the client, so that it cannot look complete.
 func (s *Proxy) relay(w http.ResponseWriter, p *exchange, res *result) {
 	h := w.Header()
 	drop := connectionHeaders(res.resp.Header)
@@ -325,29 +327,29 @@
 		h.Set("Content-Length", strconv.FormatInt(length, 10))
 	}
 	if res.resp.StatusCode/100 == 2 {
-		s.counts[countServed].Add(1)
+		s.outcomeCounts[countServed].Add(1)
 	} else {
-		s.counts[countFailed].Add(1)
+		s.outcomeCounts[countFailed].Add(1)
 	}
 	w.WriteHeader(res.resp.StatusCode)
-	if res.stream != nil {
-		s.stream(w, p.request, res)
+	if res.streamPlacement != nil {
+		s.relayStream(w, p.request, res)
 		return
 	}
 	if len(res.body) <= constants.WriteUnbounded && res.conn == nil {
 		w.Write(res.body)
 		return
 	}
-	// A client that takes nothing any more doesn't hold the answer for ever.
+	// The deadline keeps a client that no longer reads from holding the response forever.
 	control := http.NewResponseController(w)
 	control.SetWriteDeadline(p.deadline.Add(constants.AnswerWriteGrace))
 	defer control.SetWriteDeadline(time.Time{})
-	p.writeLong(w, res)
+	p.writeLongBody(w, res)
 }
 
-// writeLong writes an answer that may not fit the connection's buffers, and breaks it off
-// where its rest doesn't come or isn't taken.
-func (p *exchange) writeLong(w http.ResponseWriter, res *result) {
+// writeLongBody writes a body that may not fit the connection's buffers, and aborts the
+// connection if the rest of the body does not arrive or is not read.
+func (p *exchange) writeLongBody(w http.ResponseWriter, res *result) {
 	_, err := w.Write(res.body)
 	if err == nil && res.conn != nil {
 		_, err = io.Copy(w, res.resp.Body)
--- a/internal/proxy/settings_test.go
+++ b/internal/proxy/settings_test.go
@@ -65,9 +65,9 @@
 // its first seconds, before the first update can have arrived.
 func TestSelfPollOutOfContact(t *testing.T) {
 	now := time.Now()
-	d := &Daemon{Proxy: &Proxy{began: now.Add(-time.Minute)}}
+	d := &Daemon{Proxy: &Proxy{startedAt: now.Add(-time.Minute)}}
 	outOfContact := func(current, silent, age time.Duration) bool {
-		d.began = now.Add(-age)
+		d.startedAt = now.Add(-age)
 		return d.outOfContact(distribution.State{Current: current, Silent: silent}, now)
 	}
 	never := now.Sub(time.Time{})
