--- a/internal/controlplane/daemon.go
+++ b/internal/controlplane/daemon.go
@@ -359,7 +359,7 @@
 		return d.takeUsage(m)
 	case autoscale.Report:
 		return d.takeLoad(m)
-	case Roster:
+	case RosterUpdate:
 		d.roster.take(m)
 	case ListUpdate:
 		if !d.list.take(m) {
--- a/internal/controlplane/roster.go
+++ b/internal/controlplane/roster.go
@@ -15,11 +15,11 @@
 	"slateridge/internal/transport"
 )
 
-// Roster tells the other control machines of the proxies that spoke here: how
+// RosterUpdate tells the other control machines of the proxies that spoke here: how
 // long ago, the count they said they use, where they stand, and which share in
 // the split quotas. It tells what has changed at once, and the rest by turns.
 // Gone are those whose connections have just ended.
-type Roster struct {
+type RosterUpdate struct {
 	Words  map[string]ProxyStatus
 	Shares []string
 	Gone   []string
@@ -32,7 +32,7 @@
 	Place directory.Location
 }
 
-func init() { transport.Register(transport.NameRoster, Roster{}) }
+func init() { transport.Register(transport.NameRoster, RosterUpdate{}) }
 
 // proxyEntry is a proxy on the roster. shares says that it has been told a
 // count, so that it may be using a share of the split quotas.
@@ -126,7 +126,7 @@
 	if r.directory != nil {
 		place = directory.Location{Front: subscription.Front, Zone: subscription.Zone, Region: subscription.Region, Ready: subscription.Ready}
 		if r.directory.Report(r.now(), node, place, subscription.Full) {
-			r.sendAll(Roster{Words: map[string]ProxyStatus{node: {Count: count, Place: place}}})
+			r.sendAll(RosterUpdate{Words: map[string]ProxyStatus{node: {Count: count, Place: place}}})
 		}
 	}
 	r.mu.Lock()
@@ -154,12 +154,12 @@
 // disconnected takes the end of a proxy's last connection.
 func (r *roster) disconnected(node string) {
 	if r.directory != nil && r.directory.Disconnected(r.now(), node, true) {
-		r.sendAll(Roster{Gone: []string{node}})
+		r.sendAll(RosterUpdate{Gone: []string{node}})
 	}
 }
 
 // sendAll sends a message to all other control machines.
-func (r *roster) sendAll(m Roster) {
+func (r *roster) sendAll(m RosterUpdate) {
 	for _, p := range r.peers() {
 		r.send(p, m)
 	}
@@ -270,8 +270,8 @@
 
 // statuses are the messages on the proxies that spoke here lately: near has what has changed
 // or not been told for a while, far all. mu is held.
-func (r *roster) statuses() (near, far Roster) {
-	near, far = Roster{Words: map[string]ProxyStatus{}}, Roster{Words: map[string]ProxyStatus{}}
+func (r *roster) statuses() (near, far RosterUpdate) {
+	near, far = RosterUpdate{Words: map[string]ProxyStatus{}}, RosterUpdate{Words: map[string]ProxyStatus{}}
 	for a, e := range r.entries {
 		age := time.Since(e.heardHereAt)
 		if age >= constants.SubscriptionSilence {
@@ -288,7 +288,7 @@
 }
 
 // take takes what another control machine tells.
-func (r *roster) take(m Roster) {
+func (r *roster) take(m RosterUpdate) {
 	r.mu.Lock()
 	grew := r.takeStatuses(m.Words)
 	if r.directory != nil {
--- a/internal/transport/compatibility_test.go
+++ b/internal/transport/compatibility_test.go
@@ -35,7 +35,7 @@
 		chain.Accept{}, chain.Accepted{}, chain.Decide{}, chain.Pass{}, chain.Lack{}, chain.Ack{},
 		chain.Higher{}, chain.Retire{}, chain.Forward{}, chain.EvacuationOrder{}, chain.Confirm{}, chain.Confirmed{},
 		chain.Read{}, chain.ReadAnswer{}, chain.Fetch{}, chain.Fetched{},
-		controlplane.Roster{}, controlplane.ListUpdate{}, controlplane.ListRequest{},
+		controlplane.RosterUpdate{}, controlplane.ListUpdate{}, controlplane.ListRequest{},
 		distribution.Subscription{}, distribution.Update{},
 		duty.Order{}, lease.Request{}, lease.Grant{}, lease.Release{},
 		usage.Handover{}, usage.Report{}, usage.Ack{}, autoscale.Report{}, autoscale.Ack{},
