--- a/internal/controlplane/admin.go
+++ b/internal/controlplane/admin.go
@@ -38,7 +38,7 @@
 	Evacuated []string
 	Zone      string
 	Region    string
-	Directory *Directory // where this machine serves it
+	Directory *DirectoryReport // where this machine serves it
 	Live      int
 	Proxies   []distribution.ProxyState
 	Acked     int
@@ -89,8 +89,8 @@
 	unavailable(w, "no view without "+addr+" was agreed in time; it may still come")
 }
 
-// Directory is what the directory knows and has answered.
-type Directory struct {
+// DirectoryReport is what the directory knows and has answered.
+type DirectoryReport struct {
 	Places                []directory.LocationState
 	Asked, Empty, Spilled uint64
 }
@@ -106,7 +106,7 @@
 	r.Platform, r.Scaling = d.dutyReports(), d.scalingReports()
 	r.Zone, r.Region = d.settings.Zone, d.settings.Region
 	if d.settings.ListenAddresses.Directory != "" {
-		r.Directory = &Directory{Places: d.proxyDirectory.States(d.now())}
+		r.Directory = &DirectoryReport{Places: d.proxyDirectory.States(d.now())}
 		r.Directory.Asked, r.Directory.Empty, r.Directory.Spilled = d.proxyDirectory.Counts()
 	}
 	if f.Upstreams != nil {
@@ -183,7 +183,7 @@
 }
 
 // writeMetrics gives what the directory knows and has answered.
-func (d *Directory) writeMetrics(w io.Writer) {
+func (d *DirectoryReport) writeMetrics(w io.Writer) {
 	metrics.WriteCounterUint64(w, "slateridge_directory_lookups_total", d.Asked)
 	metrics.WriteCounterUint64(w, "slateridge_directory_unanswered_total", d.Empty)
 	metrics.WriteCounterUint64(w, "slateridge_directory_spilled_answers_total", d.Spilled)
