--- a/cmd/slateridge/status.go
+++ b/cmd/slateridge/status.go
@@ -162,7 +162,7 @@
 	showView(t, r)
 	showVoters(t, r)
 	fmt.Fprintf(t, "  configuration\tr%d in force (state %d/%d, held %d/%d); %d of %d connected proxies hold it\n", r.Chain.Version, r.Chain.Committed.View, r.Chain.Committed.Seq, r.Chain.Held.View, r.Chain.Held.Seq, r.Acked, len(r.Proxies))
-	if late := r.Late(); len(late) > 0 {
+	if late := r.LaggingProxies(); len(late) > 0 {
 		fmt.Fprintf(t, "  behind\t%s\n", names(all, late))
 	}
 	showEvacuated(t, r.Evacuated)
--- a/internal/controlplane/admin.go
+++ b/internal/controlplane/admin.go
@@ -197,8 +197,8 @@
 	}
 }
 
-// Late lists the proxies that do not hold what is in force.
-func (r Report) Late() []string {
+// LaggingProxies lists the proxies that do not hold what is in force.
+func (r Report) LaggingProxies() []string {
 	var out []string
 	for _, p := range r.Proxies {
 		if p.Version < r.Chain.Version && p.Silent < constants.ProxyForget {
