--- a/internal/controlplane/accounts.go
+++ b/internal/controlplane/accounts.go
@@ -10,9 +10,9 @@
 	"slateridge/internal/storage"
 )
 
-// accountsFolder is where a control machine's copy of the accounts stands, in its data
+// accountsDirectory is where a control machine's copy of the accounts stands, in its data
 // directory.
-const accountsFolder = "accounts"
+const accountsDirectory = "accounts"
 
 // openAccounts takes up the accounts where tenants have objectives, and gives the duties
 // that their shards are.
@@ -21,7 +21,7 @@
 	if err != nil || objectives == nil || d.replica.relay {
 		return nil, err
 	}
-	directory := filepath.Join(d.settings.DataDirectory, accountsFolder)
+	directory := filepath.Join(d.settings.DataDirectory, accountsDirectory)
 	if err := os.MkdirAll(directory, 0o700); err != nil {
 		return nil, fmt.Errorf("accounts: %w", err)
 	}
@@ -31,8 +31,8 @@
 	}
 	founding := isNew && (d.settings.Bootstrap || objectives.Founding)
 	holder := accounts.NewHolder(d.settings.IPAddress, objectives, accounts.DefaultOptions, store, founding, rand.Uint64()|1, d.events.Record)
-	d.accounts = accounts.NewService(holder, accounts.ServiceOptions{Machine: d.settings.IPAddress, Leads: d.leadsAccounts,
-		HolderOf: d.accountsHolder, Replicas: d.replica.controls, Send: d.connections.send, Now: d.now})
+	d.accounts = accounts.NewService(holder, accounts.ServiceOptions{Machine: d.settings.IPAddress, Leads: d.holdsAccountsLease,
+		HolderOf: d.accountsLeaseHolder, Replicas: d.replica.controlAddresses, Send: d.connections.send, Now: d.now})
 	var duties []string
 	for shard := range objectives.Shards {
 		duties = append(duties, accounts.DutyName(shard))
@@ -40,13 +40,13 @@
 	return duties, nil
 }
 
-// leadsAccounts reports whether this machine holds a shard's lease.
-func (d *Daemon) leadsAccounts(shard int) bool {
+// holdsAccountsLease reports whether this machine holds a shard's lease.
+func (d *Daemon) holdsAccountsLease(shard int) bool {
 	until, _ := d.leases.term(accounts.DutyName(shard))
 	return until > d.now()
 }
 
-// accountsHolder is the machine that holds a shard's lease, as far as is known here.
-func (d *Daemon) accountsHolder(shard int) string {
+// accountsLeaseHolder is the machine that holds a shard's lease, as far as is known here.
+func (d *Daemon) accountsLeaseHolder(shard int) string {
 	return d.leases.holder(accounts.DutyName(shard))
 }
--- a/internal/controlplane/activestate.go
+++ b/internal/controlplane/activestate.go
@@ -11,9 +11,9 @@
 	"slateridge/internal/eventlog"
 )
 
-// pendingLimits are the limits of a version that is not in force yet, as far as is known
+// pendingQuotas are the limits of a version that is not in force yet, as far as is known
 // here; they are evaluated until it is.
-type pendingLimits struct {
+type pendingQuotas struct {
 	version uint64
 	quotas  map[string]admission.Quota
 }
@@ -25,23 +25,23 @@
 	config *config.Config // nil while no configuration has been committed
 }
 
-// inForce is the newest committed state known here. Commits come by several goroutines in
+// activeState is the newest committed state known here. Commits come by several goroutines in
 // any order: the state is replaced as a whole and only by a newer one, and whoever hands
 // it on hands on the newest there is.
-type inForce struct {
-	events  *eventlog.Log
-	quotas  func(map[string]admission.Quota) // takes the limits of a new configuration
-	publish func()                           // has the proxies told
+type activeState struct {
+	events    *eventlog.Log
+	setQuotas func(map[string]admission.Quota) // takes the limits of a new configuration
+	publish   func()                           // has the proxies told
 
 	state   atomic.Pointer[committedState]
-	pending atomic.Pointer[pendingLimits] // the newest that arrived here, perhaps not in force
+	pending atomic.Pointer[pendingQuotas] // the newest that arrived here, perhaps not in force
 
-	handOver     sync.Mutex // one hand-over of limits after the other; no I/O under it
-	limitVersion uint64     // of the limits handed over last; under handOver
+	quotasMu      sync.Mutex // one hand-over of limits after the other; no I/O under it
+	quotasVersion uint64     // of the limits handed over last; under handOver
 }
 
 // Load is the newest committed state; nil while there is none. It is not written after.
-func (f *inForce) Load() *config.Doc {
+func (f *activeState) Load() *config.Doc {
 	if state := f.state.Load(); state != nil {
 		return &state.doc
 	}
@@ -49,31 +49,31 @@
 }
 
 // Config is the configuration in force; nil while there is none.
-func (f *inForce) Config() *config.Config {
+func (f *activeState) Config() *config.Config {
 	if state := f.state.Load(); state != nil {
 		return state.config
 	}
 	return nil
 }
 
-// commit puts a state in force here, for the proxies and for the trackers; false when it
+// apply puts a state in force here, for the proxies and for the trackers; false when it
 // is not newer than what is.
-func (f *inForce) commit(doc config.Doc) bool {
+func (f *activeState) apply(doc config.Doc) bool {
 	before, replaced := f.replace(doc)
 	if !replaced {
 		return false
 	}
-	f.handOverLimits()
-	if was, is := fmt.Sprint(before.Evacuated()), fmt.Sprint(doc.Evacuated()); was != is {
-		f.events.Record("evacuations", is)
+	f.updateQuotas()
+	if evacuatedBefore, evacuatedNow := fmt.Sprint(before.Evacuated()), fmt.Sprint(doc.Evacuated()); evacuatedBefore != evacuatedNow {
+		f.events.Record("evacuations", evacuatedNow)
 	}
 	f.publish()
 	return true
 }
 
 // replace makes a state the newest if it is, and tells the one before.
-func (f *inForce) replace(doc config.Doc) (before *config.Doc, replaced bool) {
-	var read *config.Config
+func (f *activeState) replace(doc config.Doc) (before *config.Doc, replaced bool) {
+	var parsed *config.Config
 	for {
 		old := f.state.Load()
 		next := &committedState{doc: doc}
@@ -85,10 +85,10 @@
 			before, next.config = &old.doc, old.config
 		}
 		if doc.Raw != nil && (old == nil || old.doc.Version < doc.Version) {
-			if read == nil {
-				read = readCommitted(doc.Raw)
+			if parsed == nil {
+				parsed = parseCommitted(doc.Raw)
 			}
-			next.config = read
+			next.config = parsed
 		}
 		if f.state.CompareAndSwap(old, next) {
 			return before, true
@@ -96,8 +96,8 @@
 	}
 }
 
-// readCommitted reads a configuration that was checked before it was committed.
-func readCommitted(raw []byte) *config.Config {
+// parseCommitted reads a configuration that was checked before it was committed.
+func parseCommitted(raw []byte) *config.Config {
 	cfg, err := config.Read(raw)
 	if err != nil {
 		panic("controlplane: an invalid configuration was committed: " + err.Error())
@@ -105,24 +105,24 @@
 	return cfg
 }
 
-// handOverLimits hands on the limits of the configuration in force, unless they have been.
+// updateQuotas hands on the limits of the configuration in force, unless they have been.
 // On its return they have, or newer ones.
-func (f *inForce) handOverLimits() {
-	f.handOver.Lock()
-	defer f.handOver.Unlock()
+func (f *activeState) updateQuotas() {
+	f.quotasMu.Lock()
+	defer f.quotasMu.Unlock()
 	cfg := f.Config()
-	if cfg == nil || cfg.Version <= f.limitVersion {
+	if cfg == nil || cfg.Version <= f.quotasVersion {
 		return
 	}
-	f.limitVersion = cfg.Version
-	f.quotas(admission.Quotas(cfg))
+	f.quotasVersion = cfg.Version
+	f.setQuotas(admission.Quotas(cfg))
 	f.events.Record("config", fmt.Sprintf("r%d in force", cfg.Version))
 }
 
-// announce takes the limits of a configuration that may come into force, unless a newer
+// addPending takes the limits of a configuration that may come into force, unless a newer
 // one has come or is in force.
-func (f *inForce) announce(cfg *config.Config) {
-	next := &pendingLimits{cfg.Version, admission.Quotas(cfg)}
+func (f *activeState) addPending(cfg *config.Config) {
+	next := &pendingQuotas{cfg.Version, admission.Quotas(cfg)}
 	for {
 		old := f.pending.Load()
 		if old != nil && old.version >= cfg.Version || chain.VersionOf(f.Load()) >= cfg.Version {
--- a/internal/controlplane/activestate_test.go
+++ b/internal/controlplane/activestate_test.go
@@ -14,9 +14,9 @@
 	"slateridge/internal/eventlog"
 )
 
-// orderOf is a configuration that limits tenant t to as many requests a second as its
+// configWithQuota is a configuration that limits tenant t to as many requests a second as its
 // version says, with so many routes.
-func orderOf(version, routes int) []byte {
+func configWithQuota(version, routes int) []byte {
 	var body strings.Builder
 	fmt.Fprintf(&body, `{"configVersion":"r%d","resourceList":[`, version)
 	for n := range routes {
@@ -27,13 +27,13 @@
 	return []byte(body.String())
 }
 
-// limitRecorder keeps what a tracker would have been given last.
-type limitRecorder struct {
+// quotaRecorder keeps what a tracker would have been given last.
+type quotaRecorder struct {
 	mu    sync.Mutex
 	rates []float64
 }
 
-func (l *limitRecorder) take(quotas map[string]admission.Quota) {
+func (l *quotaRecorder) record(quotas map[string]admission.Quota) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.rates = append(l.rates, quotas["t"].Rate)
@@ -42,51 +42,51 @@
 // Of commits by several goroutines at once, the newest stays in force for all that take
 // something from it: limits never go back to an overtaken version, however long its
 // configuration takes to read.
-func TestCommitsAtOnceTakeEffectInOrder(t *testing.T) {
-	const rounds, atOnce = 12, 4
-	limits := &limitRecorder{}
-	f := &inForce{events: eventlog.New(zerolog.Nop()), quotas: limits.take, publish: func() {}}
+func TestConcurrentCommitsTakeEffectInOrder(t *testing.T) {
+	const rounds, commitsPerRound = 12, 4
+	recorder := &quotaRecorder{}
+	f := &activeState{events: eventlog.New(zerolog.Nop()), setQuotas: recorder.record, publish: func() {}}
 	for round := range rounds {
 		var group sync.WaitGroup
-		newest := (round + 1) * atOnce
-		for n := range atOnce {
-			version := newest - atOnce + 1 + n
-			doc := config.Doc{Version: uint64(version), Raw: orderOf(version, 300*(atOnce-1-n)), Stamp: config.Revision{View: 1, Seq: uint64(version)}}
+		newest := (round + 1) * commitsPerRound
+		for n := range commitsPerRound {
+			version := newest - commitsPerRound + 1 + n
+			doc := config.Doc{Version: uint64(version), Raw: configWithQuota(version, 300*(commitsPerRound-1-n)), Stamp: config.Revision{View: 1, Seq: uint64(version)}}
 			group.Go(func() {
 				time.Sleep(time.Duration(n) * time.Millisecond)
-				f.commit(doc)
+				f.apply(doc)
 				if in := f.Config(); in == nil || in.Version < doc.Version {
 					t.Errorf("r%d was committed and %v is in force", doc.Version, in)
 				}
 			})
 		}
 		group.Wait()
-		limits.mu.Lock()
-		for i := 1; i < len(limits.rates); i++ {
-			if limits.rates[i] <= limits.rates[i-1] {
-				t.Fatalf("round %d: limits went back: rates given one after the other %v", round, limits.rates)
+		recorder.mu.Lock()
+		for i := 1; i < len(recorder.rates); i++ {
+			if recorder.rates[i] <= recorder.rates[i-1] {
+				t.Fatalf("round %d: limits went back: rates given one after the other %v", round, recorder.rates)
 			}
 		}
-		if last := limits.rates[len(limits.rates)-1]; int(last) != newest || f.Config().Version != uint64(newest) || f.Load().Version != uint64(newest) {
+		if last := recorder.rates[len(recorder.rates)-1]; int(last) != newest || f.Config().Version != uint64(newest) || f.Load().Version != uint64(newest) {
 			t.Fatalf("round %d: limits of r%v, routes and keys of r%d, state r%d; want r%d", round, last, f.Config().Version, f.Load().Version, newest)
 		}
-		limits.mu.Unlock()
+		recorder.mu.Unlock()
 	}
 }
 
 // Of orders that arrive at once the limits of the newest are evaluated.
-func TestOrdersAtOnceAreEvaluatedInOrder(t *testing.T) {
-	const orders, rounds = 8, 200
-	f := &inForce{events: eventlog.New(zerolog.Nop()), quotas: func(map[string]admission.Quota) {}, publish: func() {}}
+func TestConcurrentPendingConfigsKeepNewest(t *testing.T) {
+	const configsPerRound, rounds = 8, 200
+	f := &activeState{events: eventlog.New(zerolog.Nop()), setQuotas: func(map[string]admission.Quota) {}, publish: func() {}}
 	for round := range rounds {
 		var group sync.WaitGroup
-		first := round * orders
-		for n := range orders {
+		first := round * configsPerRound
+		for n := range configsPerRound {
 			cfg := &config.Config{Version: uint64(first + n + 1)}
-			group.Go(func() { f.announce(cfg) })
+			group.Go(func() { f.addPending(cfg) })
 		}
 		group.Wait()
-		if got, want := f.pending.Load().version, uint64(first+orders); got != want {
+		if got, want := f.pending.Load().version, uint64(first+configsPerRound); got != want {
 			t.Fatalf("round %d: r%d is evaluated, want r%d", round, got, want)
 		}
 	}
--- a/internal/controlplane/admin.go
+++ b/internal/controlplane/admin.go
@@ -57,36 +57,36 @@
 func (d *Daemon) adminAPI() http.Handler {
 	m := http.NewServeMux()
 	m.Handle("/", adminhttp.Handler(d.Report))
-	m.HandleFunc("POST /retire", d.retire)
+	m.HandleFunc("POST /retire", d.retireVoter)
 	if d.accounts != nil {
 		m.Handle("GET /accounts", d.accounts)
 	}
 	return m
 }
 
-// retire tries for a view whose electorate does without a machine. It is decided as any
+// retireVoter tries for a view whose electorate does without a machine. It is decided as any
 // view is; the answer says whether it was, or why it cannot be.
-func (d *Daemon) retire(w http.ResponseWriter, r *http.Request) {
+func (d *Daemon) retireVoter(w http.ResponseWriter, r *http.Request) {
 	addr := r.URL.Query().Get("machine")
-	var refused string
+	var refusal string
 	d.replica.step(func() (out []chain.Effect) {
-		out, refused = d.replica.machine.Retire(d.now(), addr)
+		out, refusal = d.replica.chain.Retire(d.now(), addr)
 		return out
 	})
-	if refused != "" {
-		d.events.Record("retire_refused", addr+": "+refused)
-		fail(w, http.StatusConflict, errorBody(refused))
+	if refusal != "" {
+		d.events.Record("retire_refused", addr+": "+refusal)
+		writeError(w, http.StatusConflict, errorBody(refusal))
 		return
 	}
 	for end := d.now() + constants.RetireRequestLife/2; d.now() < end; time.Sleep(constants.ChainTick) {
-		if !slices.Contains(d.replica.standing.Load().voters, addr) {
+		if !slices.Contains(d.replica.viewState.Load().voters, addr) {
 			d.events.Record("retired", addr)
 			w.Header().Set("Content-Type", "application/json")
-			json.NewEncoder(w).Encode(map[string]any{"retired": addr, "voters": d.replica.standing.Load().voters})
+			json.NewEncoder(w).Encode(map[string]any{"retired": addr, "voters": d.replica.viewState.Load().voters})
 			return
 		}
 	}
-	unavailable(w, "no view without "+addr+" was agreed in time; it may still come")
+	writeUnavailable(w, "no view without "+addr+" was agreed in time; it may still come")
 }
 
 // DirectoryReport is what the directory knows and has answered.
@@ -97,10 +97,10 @@
 
 // Report describes this machine for operators.
 func (d *Daemon) Report() Report {
-	f := d.pushes.snapshot()
-	r := Report{accounts: d.accounts, Role: "control", Node: d.settings.NodeName, Chain: d.replica.status(), Current: f.Current,
-		ListNum: f.ListNum, ListAge: f.ListAge, Live: f.Proxies, Proxies: d.pushes.publisher.Proxies(), Leased: d.quotaTracker.Held(d.now()),
-		Members: d.members.Members(), Evacuated: f.Evacuated, Events: d.events.Latest(20), Tallies: d.events.Tallies()}
+	snapshot := d.proxyPublisher.snapshot()
+	r := Report{accounts: d.accounts, Role: "control", Node: d.settings.NodeName, Chain: d.replica.status(), Current: snapshot.Current,
+		ListNum: snapshot.ListNum, ListAge: snapshot.ListAge, Live: snapshot.Proxies, Proxies: d.proxyPublisher.publisher.Proxies(), Leased: d.quotaTracker.Held(d.now()),
+		Members: d.members.Members(), Evacuated: snapshot.Evacuated, Events: d.events.Latest(20), Tallies: d.events.Tallies()}
 	r.Contact = d.replica.contactAge()
 	r.Voters, r.Margin = d.replica.electorate()
 	r.Platform, r.Scaling = d.dutyReports(), d.scalingReports()
@@ -109,64 +109,64 @@
 		r.Directory = &DirectoryReport{Places: d.proxyDirectory.States(d.now())}
 		r.Directory.Asked, r.Directory.Empty, r.Directory.Spilled = d.proxyDirectory.Counts()
 	}
-	if f.Upstreams != nil {
-		r.Upstreams = len(f.Upstreams.Instances)
+	if snapshot.Upstreams != nil {
+		r.Upstreams = len(snapshot.Upstreams.Instances)
 	}
 	for _, p := range r.Proxies {
-		if p.Version >= f.Version {
+		if p.Version >= snapshot.Version {
 			r.Acked++
 		}
 	}
-	r.Pushes = d.pushes.publisher.Pushed()
+	r.Pushes = d.proxyPublisher.publisher.Pushed()
 	r.Duties, r.Dropped = d.leases.holders()
 	return r
 }
 
 // WriteMetrics gives the report in the text format that scrapers read.
 func (r Report) WriteMetrics(w io.Writer) {
-	g := func(name string, v uint64) { metrics.WriteGaugeUint64(w, "slateridge_"+name, v) }
-	g("view_number", r.Chain.View.Num)
-	g("view_members", uint64(len(r.Chain.View.Members)))
-	g("view_member", adminhttp.Flag(r.Chain.View.Has(r.Chain.Me)))
-	g("view_sealed", adminhttp.Flag(r.Chain.Sealed))
-	g("disk_failed", adminhttp.Flag(r.Chain.Sick))
-	g("majority_heard", adminhttp.Flag(r.Current))
+	gauge := func(name string, v uint64) { metrics.WriteGaugeUint64(w, "slateridge_"+name, v) }
+	gauge("view_number", r.Chain.View.Num)
+	gauge("view_members", uint64(len(r.Chain.View.Members)))
+	gauge("view_member", adminhttp.Flag(r.Chain.View.Has(r.Chain.Me)))
+	gauge("view_sealed", adminhttp.Flag(r.Chain.Sealed))
+	gauge("disk_failed", adminhttp.Flag(r.Chain.Sick))
+	gauge("majority_heard", adminhttp.Flag(r.Current))
 	metrics.WriteGaugeFloat64(w, "slateridge_majority_contact_age_seconds", r.Contact.Seconds())
 	metrics.WriteGaugeFloat64(w, "slateridge_electorate_margin", float64(r.Margin))
 	for _, v := range r.Voters {
-		g(fmt.Sprintf("voter{machine=%q,state=%q}", v.Addr, v.State), 1)
-	}
-	g("config_version", r.Chain.Version)
-	g("state_committed", r.Chain.Committed.Num())
-	g("state_held", r.Chain.Held.Num())
-	g("view_voters", uint64(len(r.Chain.View.Voters)))
-	g("zones_evacuated", uint64(len(r.Evacuated)))
-	g("relay", adminhttp.Flag(r.Chain.Relay))
-	g("config_acknowledged_proxies", uint64(r.Acked))
-	g("connected_proxies", uint64(len(r.Proxies)))
-	g("live_proxies", uint64(r.Live))
-	g("upstream_list_number", r.ListNum)
-	g("upstreams_listed", uint64(r.Upstreams))
+		gauge(fmt.Sprintf("voter{machine=%q,state=%q}", v.Addr, v.State), 1)
+	}
+	gauge("config_version", r.Chain.Version)
+	gauge("state_committed", r.Chain.Committed.Num())
+	gauge("state_held", r.Chain.Held.Num())
+	gauge("view_voters", uint64(len(r.Chain.View.Voters)))
+	gauge("zones_evacuated", uint64(len(r.Evacuated)))
+	gauge("relay", adminhttp.Flag(r.Chain.Relay))
+	gauge("config_acknowledged_proxies", uint64(r.Acked))
+	gauge("connected_proxies", uint64(len(r.Proxies)))
+	gauge("live_proxies", uint64(r.Live))
+	gauge("upstream_list_number", r.ListNum)
+	gauge("upstreams_listed", uint64(r.Upstreams))
 	metrics.WriteGaugeFloat64(w, "slateridge_upstream_list_age_seconds", r.ListAge.Seconds())
-	for duty, who := range r.Duties {
-		g(fmt.Sprintf("duty_assigned{duty=%q}", duty), adminhttp.Flag(who != ""))
-		g(fmt.Sprintf("duty_held{duty=%q}", duty), adminhttp.Flag(who == r.Chain.Me.Addr))
+	for duty, holder := range r.Duties {
+		gauge(fmt.Sprintf("duty_assigned{duty=%q}", duty), adminhttp.Flag(holder != ""))
+		gauge(fmt.Sprintf("duty_held{duty=%q}", duty), adminhttp.Flag(holder == r.Chain.Me.Addr))
 	}
 	for _, s := range r.Scaling {
-		l := fmt.Sprintf("{service=%q,zone=%q}", s.Service, s.Zone)
-		g("upstreams_ordered"+l, uint64(max(0, s.Ordered)))
-		g("upstreams_present"+l, uint64(max(0, s.Present)))
-	}
-	for name, p := range r.Platform {
-		l := fmt.Sprintf("{duty=%q}", name)
-		g("platform_duty_fence"+l, p.Fence)
-		g("platform_duty_decided"+l, p.Decided)
-		g("platform_duty_mine"+l, adminhttp.Flag(p.Mine))
-		g("platform_duty_backlog"+l, adminhttp.Flag(p.Backlog))
-		metrics.WriteGaugeFloat64(w, "slateridge_platform_duty_held_seconds"+l, p.Held.Seconds())
-		metrics.WriteCounterUint64(w, "slateridge_platform_duty_accepted_total"+l, p.Accepted)
-		metrics.WriteCounterUint64(w, "slateridge_platform_duty_refused_total"+l, p.Refused)
-		metrics.WriteCounterUint64(w, "slateridge_platform_duty_failed_total"+l, p.Failed)
+		labels := fmt.Sprintf("{service=%q,zone=%q}", s.Service, s.Zone)
+		gauge("upstreams_ordered"+labels, uint64(max(0, s.Ordered)))
+		gauge("upstreams_present"+labels, uint64(max(0, s.Present)))
+	}
+	for name, report := range r.Platform {
+		labels := fmt.Sprintf("{duty=%q}", name)
+		gauge("platform_duty_fence"+labels, report.Fence)
+		gauge("platform_duty_decided"+labels, report.Decided)
+		gauge("platform_duty_mine"+labels, adminhttp.Flag(report.Mine))
+		gauge("platform_duty_backlog"+labels, adminhttp.Flag(report.Backlog))
+		metrics.WriteGaugeFloat64(w, "slateridge_platform_duty_held_seconds"+labels, report.Held.Seconds())
+		metrics.WriteCounterUint64(w, "slateridge_platform_duty_accepted_total"+labels, report.Accepted)
+		metrics.WriteCounterUint64(w, "slateridge_platform_duty_refused_total"+labels, report.Refused)
+		metrics.WriteCounterUint64(w, "slateridge_platform_duty_failed_total"+labels, report.Failed)
 	}
 	for key, rate := range r.Leased {
 		metrics.WriteGaugeFloat64(w, fmt.Sprintf("slateridge_quota_leased_rate{key=%q}", key), rate)
@@ -187,10 +187,10 @@
 	metrics.WriteCounterUint64(w, "slateridge_directory_lookups_total", d.Asked)
 	metrics.WriteCounterUint64(w, "slateridge_directory_unanswered_total", d.Empty)
 	metrics.WriteCounterUint64(w, "slateridge_directory_spilled_answers_total", d.Spilled)
-	type group struct{ region, zone, state string }
-	counts := map[group]uint64{}
+	type labels struct{ region, zone, state string }
+	counts := map[labels]uint64{}
 	for _, p := range d.Places {
-		counts[group{p.Region, p.Zone, p.State()}]++
+		counts[labels{p.Region, p.Zone, p.State()}]++
 	}
 	for k, n := range counts {
 		metrics.WriteGaugeUint64(w, fmt.Sprintf("slateridge_directory_proxies{region=%q,zone=%q,state=%q}", k.region, k.zone, k.state), n)
--- a/internal/controlplane/api.go
+++ b/internal/controlplane/api.go
@@ -16,192 +16,192 @@
 	"slateridge/internal/controlplane/chain"
 )
 
-func fail(w http.ResponseWriter, code int, body any) {
+func writeError(w http.ResponseWriter, code int, body any) {
 	w.Header().Set("Content-Type", "application/json")
 	w.WriteHeader(code)
 	json.NewEncoder(w).Encode(body)
 }
 
-func errorBody(s string) any { return map[string]string{"error": s} }
+func errorBody(message string) any { return map[string]string{"error": message} }
 
-const notAcknowledged = "not acknowledged by every member in time; it may or may not come into force"
+const notAcknowledgedMessage = "not acknowledged by every member in time; it may or may not come into force"
 
-// unavailable asks the caller to come back in a second.
-func unavailable(w http.ResponseWriter, s string) {
+// writeUnavailable asks the caller to come back in a second.
+func writeUnavailable(w http.ResponseWriter, message string) {
 	w.Header().Set("Retry-After", "1")
-	fail(w, http.StatusServiceUnavailable, errorBody(s))
+	writeError(w, http.StatusServiceUnavailable, errorBody(message))
 }
 
 // operatorAPI answers the operator; any control machine takes any call.
 func (d *Daemon) operatorAPI() http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		if r.URL.Path != "/api/rpc" {
-			fail(w, http.StatusNotFound, errorBody("no such path; calls go to /api/rpc?call=NAME"))
+			writeError(w, http.StatusNotFound, errorBody("no such path; calls go to /api/rpc?call=NAME"))
 			return
 		}
 		var call func(http.ResponseWriter, *http.Request)
 		name := r.URL.Query().Get("call")
 		switch name {
 		case "configuration.replace":
-			call = d.replace
+			call = d.replaceConfig
 		case "configuration.describe":
-			call = d.describe
+			call = d.describeConfig
 		case "evacuations.start", "evacuations.stop":
-			call = d.evacuate
+			call = d.handleEvacuation
 		default:
-			fail(w, http.StatusNotFound, errorBody(fmt.Sprintf("call %q is not known", name)))
+			writeError(w, http.StatusNotFound, errorBody(fmt.Sprintf("call %q is not known", name)))
 			return
 		}
 		if r.Method != http.MethodPost {
 			w.Header().Set("Allow", http.MethodPost)
-			fail(w, http.StatusMethodNotAllowed, errorBody("calls are made with POST"))
+			writeError(w, http.StatusMethodNotAllowed, errorBody("calls are made with POST"))
 			return
 		}
 		if d.replica.relay {
-			d.sendOn(w, r)
+			d.redirect(w, r)
 			return
 		}
 		call(w, r)
 	})
 }
 
-// sendOn names a caller the control machine that this relay heard last. The
+// redirect names a caller the control machine that this relay heard last. The
 // configuration does not pass through here: the link of such a machine is narrow
 // and carries requests.
-func (d *Daemon) sendOn(w http.ResponseWriter, r *http.Request) {
-	to, ok := d.replica.ahead()
+func (d *Daemon) redirect(w http.ResponseWriter, r *http.Request) {
+	target, ok := d.replica.redirectTarget()
 	if !ok {
-		unavailable(w, "no control machine with a say is known here now")
+		writeUnavailable(w, "no control machine with a say is known here now")
 		return
 	}
 	_, port, _ := net.SplitHostPort(d.settings.ListenAddresses.ControlPlane) // alike on all machines
-	w.Header().Set("Location", "http://"+net.JoinHostPort(to, port)+r.URL.RequestURI())
+	w.Header().Set("Location", "http://"+net.JoinHostPort(target, port)+r.URL.RequestURI())
 	w.Header().Set("Content-Length", "0")
 	w.WriteHeader(http.StatusTemporaryRedirect)
 	d.events.Count("sent_on", 1)
 }
 
-func (d *Daemon) replace(w http.ResponseWriter, r *http.Request) {
+func (d *Daemon) replaceConfig(w http.ResponseWriter, r *http.Request) {
 	raw, err := io.ReadAll(http.MaxBytesReader(w, r.Body, constants.ConfigMax))
 	if err != nil {
-		var big *http.MaxBytesError
-		if errors.As(err, &big) {
-			fail(w, http.StatusRequestEntityTooLarge, errorBody(fmt.Sprintf("a configuration has at most %d bytes", constants.ConfigMax)))
+		var tooLarge *http.MaxBytesError
+		if errors.As(err, &tooLarge) {
+			writeError(w, http.StatusRequestEntityTooLarge, errorBody(fmt.Sprintf("a configuration has at most %d bytes", constants.ConfigMax)))
 			return
 		}
-		fail(w, http.StatusBadRequest, errorBody("the body did not come whole: "+err.Error()))
+		writeError(w, http.StatusBadRequest, errorBody("the body did not come whole: "+err.Error()))
 		return
 	}
-	s, err := config.Read(raw)
+	cfg, err := config.Read(raw)
 	if err != nil {
 		d.events.Record("config_refused", err.Error())
-		fail(w, http.StatusBadRequest, err)
+		writeError(w, http.StatusBadRequest, err)
 		return
 	}
-	if !chain.Settled(d.inForce.Load(), s.Version) {
-		d.inForce.announce(s)
-		done, stop := d.waits.version(s.Version)
+	if !chain.Settled(d.activeState.Load(), cfg.Version) {
+		d.activeState.addPending(cfg)
+		done, stop := d.pendingCalls.awaitVersion(cfg.Version)
 		defer stop()
-		if !chain.Settled(d.inForce.Load(), s.Version) {
+		if !chain.Settled(d.activeState.Load(), cfg.Version) {
 			d.replica.step(func() []chain.Effect {
-				return d.replica.machine.Submit(d.now(), config.Doc{Version: s.Version, Raw: raw})
+				return d.replica.chain.Submit(d.now(), config.Doc{Version: cfg.Version, Raw: raw})
 			})
 			if !d.await(r.Context(), done) {
-				unavailable(w, notAcknowledged)
+				writeUnavailable(w, notAcknowledgedMessage)
 				return
 			}
 		}
 	}
 	// What was committed under a number stays so: no contact is needed to say it.
-	in := d.inForce.Load()
-	switch sum, known := in.Ledger.Find(s.Version); {
+	current := d.activeState.Load()
+	switch sum, known := current.Ledger.Find(cfg.Version); {
 	case !known:
 		d.events.Count("order_forgotten", 1)
-		unavailable(w, fmt.Sprintf("r%d lies below r%d, and what was taken up to there is not remembered", s.Version, in.Ledger.Floor+1))
+		writeUnavailable(w, fmt.Sprintf("r%d lies below r%d, and what was taken up to there is not remembered", cfg.Version, current.Ledger.Floor+1))
 	case sum != config.SumOf(raw):
-		d.events.Record("number_taken", fmt.Sprintf("r%d has been taken with another content", s.Version))
-		d.numberTaken(w, s.Version)
+		d.events.Record("number_taken", fmt.Sprintf("r%d has been taken with another content", cfg.Version))
+		d.writeVersionConflict(w, cfg.Version)
 	default:
 		w.Header().Set("Content-Type", "application/json")
-		fmt.Fprintf(w, "{\"configVersion\":\"r%d\",\"inForce\":\"r%d\"}\n", s.Version, in.Version)
+		fmt.Fprintf(w, "{\"configVersion\":\"r%d\",\"inForce\":\"r%d\"}\n", cfg.Version, current.Version)
 	}
 }
 
-// numberTaken answers an order whose number stands for another content.
-func (d *Daemon) numberTaken(w http.ResponseWriter, version uint64) {
-	fail(w, http.StatusConflict, errorBody(fmt.Sprintf("r%d has been taken with another content: send this one under a higher number", version)))
+// writeVersionConflict answers an order whose number stands for another content.
+func (d *Daemon) writeVersionConflict(w http.ResponseWriter, version uint64) {
+	writeError(w, http.StatusConflict, errorBody(fmt.Sprintf("r%d has been taken with another content: send this one under a higher number", version)))
 }
 
 // await waits for what an order or a read depends on; false when it did not come in the
 // time that callers wait, or when this machine is out of contact with a majority and so
 // cannot bring it about: others may. A caller that has gone is not waited for.
-func (d *Daemon) await(ctx context.Context, ch <-chan struct{}) bool {
-	t := time.NewTimer(constants.SubmitWait)
-	defer t.Stop()
-	look := time.NewTicker(constants.ContactWait)
-	defer look.Stop()
+func (d *Daemon) await(ctx context.Context, done <-chan struct{}) bool {
+	timeout := time.NewTimer(constants.SubmitWait)
+	defer timeout.Stop()
+	contactCheck := time.NewTicker(constants.ContactWait)
+	defer contactCheck.Stop()
 	for {
 		select {
-		case <-ch:
+		case <-done:
 			return true
-		case <-t.C:
+		case <-timeout.C:
 			return false
 		case <-ctx.Done():
 			return false
-		case <-look.C:
-			if !d.replica.current() {
+		case <-contactCheck.C:
+			if !d.replica.hasMajorityContact() {
 				return false
 			}
 		}
 	}
 }
 
-func (d *Daemon) describe(w http.ResponseWriter, r *http.Request) {
-	id, got, stop := d.waits.read()
+func (d *Daemon) describeConfig(w http.ResponseWriter, r *http.Request) {
+	id, result, stop := d.pendingCalls.startRead()
 	defer stop()
-	d.replica.step(func() []chain.Effect { return d.replica.machine.Read(d.now(), id) })
+	d.replica.step(func() []chain.Effect { return d.replica.chain.Read(d.now(), id) })
 	switch {
-	case !d.await(r.Context(), got.done):
-		unavailable(w, "the chain's tail did not confirm in time")
-	case got.doc == nil || got.doc.Raw == nil:
-		fail(w, http.StatusNotFound, errorBody("no configuration has been sent yet"))
+	case !d.await(r.Context(), result.done):
+		writeUnavailable(w, "the chain's tail did not confirm in time")
+	case result.doc == nil || result.doc.Raw == nil:
+		writeError(w, http.StatusNotFound, errorBody("no configuration has been sent yet"))
 	default:
 		w.Header().Set("Content-Type", "application/json")
-		w.Write(got.doc.Raw)
+		w.Write(result.doc.Raw)
 	}
 }
 
-// evacuate takes the order to send nothing more to a zone's upstreams, or to
+// handleEvacuation takes the order to send nothing more to a zone's upstreams, or to
 // take the zone back. It is acknowledged once the state that holds it is
 // committed; a repeat is a new order with the same effect.
-func (d *Daemon) evacuate(w http.ResponseWriter, r *http.Request) {
+func (d *Daemon) handleEvacuation(w http.ResponseWriter, r *http.Request) {
 	zone := r.URL.Query().Get("of")
 	if zone == "" {
-		fail(w, http.StatusBadRequest, errorBody("of=ZONE is missing"))
+		writeError(w, http.StatusBadRequest, errorBody("of=ZONE is missing"))
 		return
 	}
 	if _, ok := d.settings.Zones[zone]; !ok && zone != d.settings.Zone {
-		fail(w, http.StatusBadRequest, errorBody(fmt.Sprintf("zone %q is not known", zone)))
+		writeError(w, http.StatusBadRequest, errorBody(fmt.Sprintf("zone %q is not known", zone)))
 		return
 	}
 	// Orders have no numbers: one read late, by a process that stood still or over a path
 	// that was cut, must not undo what was ordered since. Its caller has gone by then.
 	time.Sleep(constants.CallerCheck)
-	if d.replica.stalled() || r.Context().Err() != nil {
+	if d.replica.recentlyStalled() || r.Context().Err() != nil {
 		d.events.Count("order_too_late", 1)
-		unavailable(w, "this machine stood still: the order may be an old one")
+		writeUnavailable(w, "this machine stood still: the order may be an old one")
 		return
 	}
 	id := rand.Uint64()
-	done, stop := d.waits.evacuation(id)
+	done, stop := d.pendingCalls.awaitEvacuation(id)
 	defer stop()
-	on := r.URL.Query().Get("call") == "evacuations.start"
-	d.replica.step(func() []chain.Effect { return d.replica.machine.Evacuate(d.now(), id, zone, on) })
+	evacuated := r.URL.Query().Get("call") == "evacuations.start"
+	d.replica.step(func() []chain.Effect { return d.replica.chain.Evacuate(d.now(), id, zone, evacuated) })
 	if !d.await(r.Context(), done) {
-		d.replica.step(func() []chain.Effect { return d.replica.machine.Abandon(d.now(), id) })
-		unavailable(w, notAcknowledged)
+		d.replica.step(func() []chain.Effect { return d.replica.chain.Abandon(d.now(), id) })
+		writeUnavailable(w, notAcknowledgedMessage)
 		return
 	}
 	w.Header().Set("Content-Type", "application/json")
-	json.NewEncoder(w).Encode(map[string]any{"zone": zone, "evacuated": on})
+	json.NewEncoder(w).Encode(map[string]any{"zone": zone, "evacuated": evacuated})
 }
--- a/internal/controlplane/connections.go
+++ b/internal/controlplane/connections.go
@@ -15,12 +15,12 @@
 	settings *settings.Settings
 	receive  transport.Handler // takes what comes back
 
-	mu        sync.Mutex
-	byAddress map[string]*transport.Peer
+	mu    sync.Mutex
+	peers map[string]*transport.Peer
 }
 
-func newConnections(set *settings.Settings, receive transport.Handler) *connections {
-	return &connections{settings: set, receive: receive, byAddress: map[string]*transport.Peer{}}
+func newConnections(nodeSettings *settings.Settings, receive transport.Handler) *connections {
+	return &connections{settings: nodeSettings, receive: receive, peers: map[string]*transport.Peer{}}
 }
 
 // send puts a message on its way to a machine; to this one itself nothing is sent.
@@ -29,14 +29,14 @@
 		return
 	}
 	c.mu.Lock()
-	p := c.byAddress[to]
-	if p == nil {
+	peer := c.peers[to]
+	if peer == nil {
 		address := c.settings.PeerInternal(to, constants.PortControl)
-		p = transport.NewPeer(address, c.settings.IPAddress, c.receive)
-		c.byAddress[to] = p
+		peer = transport.NewPeer(address, c.settings.IPAddress, c.receive)
+		c.peers[to] = peer
 	}
 	c.mu.Unlock()
-	p.Send(message)
+	peer.Send(message)
 }
 
 // sendAll sends a message to several machines.
--- a/internal/controlplane/daemon.go
+++ b/internal/controlplane/daemon.go
@@ -36,72 +36,72 @@
 // Daemon is the control process. It builds the parts, connects them, and hands each message
 // to the part it concerns; each part owns its locks, as its type says.
 type Daemon struct {
-	settings *settings.Settings
-	events   *eventlog.Log
-	began    time.Time
+	settings  *settings.Settings
+	events    *eventlog.Log
+	startedAt time.Time
 
 	connections    *connections
 	replica        *replica
-	inForce        *inForce
-	waits          *waits
+	activeState    *activeState
+	pendingCalls   *pendingCalls
 	leases         *leases
-	list           *upstreamList
+	upstreamList   *upstreamList
 	roster         *roster
 	locations      *locations
-	pushes         *pushes
+	proxyPublisher *proxyPublisher
 	quotaTracker   *admission.Tracker
 	proxyDirectory *directory.Directory
 	members        *membership.Agent
 
 	clock       *clock.Clock  // agreed among the control machines
 	dutyRunners []*dutyRunner // duties at the platform
-	tally       *usage.Tally
-	keeper      *usage.Keeper // used by keepUsage only
+	usageTally  *usage.Tally
+	usageKeeper *usage.Keeper // used by keepUsage only
 
-	load      *autoscale.LoadSum
-	scaler    *autoscale.Controller
-	zonesOfMu sync.Mutex
-	zonesOf   map[autoscale.Subject]int // slots of an upstream, where any was seen; under zonesOfMu
+	loadSum        *autoscale.LoadSum
+	scaler         *autoscale.Controller
+	subjectSlotsMu sync.Mutex
+	subjectSlots   map[autoscale.Subject]int // slots of an upstream, where any was seen; under zonesOfMu
 
 	accounts *accounts.Service // nil where tenants have no objectives
 }
 
 // NewDaemon opens the store and builds the machines.
-func NewDaemon(set *settings.Settings, events *eventlog.Log) (*Daemon, error) {
+func NewDaemon(nodeSettings *settings.Settings, events *eventlog.Log) (*Daemon, error) {
 	d := &Daemon{
-		settings:       set,
+		settings:       nodeSettings,
 		events:         events,
-		began:          time.Now(),
+		startedAt:      time.Now(),
 		clock:          clock.New(),
-		tally:          usage.NewTally(rand.Uint64()),
-		load:           autoscale.NewLoadSum(),
+		usageTally:     usage.NewTally(rand.Uint64()),
+		loadSum:        autoscale.NewLoadSum(),
 		scaler:         autoscale.NewController(),
-		zonesOf:        map[autoscale.Subject]int{},
+		subjectSlots:   map[autoscale.Subject]int{},
 		locations:      newLocations(),
-		proxyDirectory: directory.New(0, set.Zones),
+		proxyDirectory: directory.New(0, nodeSettings.Zones),
 	}
-	d.connections = newConnections(set, d.onMessage)
-	d.quotaTracker = admission.NewTracker(rand.Uint64(), set.Trackers(), d.quotaIsTiny)
-	d.inForce = &inForce{
-		events:  events,
-		publish: d.publish,
-		quotas:  func(quotas map[string]admission.Quota) { d.quotaTracker.SetQuotas(d.now(), quotas) },
+	d.connections = newConnections(nodeSettings, d.onMessage)
+	d.quotaTracker = admission.NewTracker(rand.Uint64(), nodeSettings.Trackers(), d.quotaIsTiny)
+	d.activeState = &activeState{
+		events:    events,
+		publish:   d.publish,
+		setQuotas: func(quotas map[string]admission.Quota) { d.quotaTracker.SetQuotas(d.now(), quotas) },
 	}
-	store, fresh, err := d.openStore()
+	store, isNew, err := d.openStore()
 	if err != nil {
 		return nil, err
 	}
-	d.keeper = usage.NewKeeper(d.tally, store.Get)
-	name := fnv.New64a()
-	name.Write([]byte(set.NodeName))
-	rng := rand.New(rand.NewPCG(name.Sum64(), uint64(time.Now().UnixNano())))
-	if err := d.buildReplica(store, fresh, rng); err != nil {
+	d.usageKeeper = usage.NewKeeper(d.usageTally, store.Get)
+	nameHash := fnv.New64a()
+	nameHash.Write([]byte(nodeSettings.NodeName))
+	rng := rand.New(rand.NewPCG(nameHash.Sum64(), uint64(time.Now().UnixNano())))
+	if err := d.buildReplica(store, isNew, rng); err != nil {
 		return nil, err
 	}
-	d.waits = newWaits(rng.Uint64())
+	d.pendingCalls = newPendingCalls(rng.Uint64())
 	d.buildRoster(store)
-	d.list = &upstreamList{
-		source:    discovery.NewSource(set.CloudAPI.Address),
+	d.upstreamList = &upstreamList{
+		source:    discovery.NewSource(nodeSettings.CloudAPI.Address),
 		events:    events,
 		now:       d.now,
 		holdsPoll: func() (time.Duration, bool) { return d.leases.holds(d.now(), dutyPoll) },
@@ -113,52 +113,52 @@
 		return nil, err
 	}
 	duties := append(d.buildDuties(), accountDuties...)
-	d.leases = newLeases(lease.New(0, rng.Uint64(), set.IPAddress, duties), d.now, d.connections.send, events)
+	d.leases = newLeases(lease.New(0, rng.Uint64(), nodeSettings.IPAddress, duties), d.now, d.connections.send, events)
 	d.replica.leases = d.leases
-	d.buildPushes()
+	d.buildProxyPublisher()
 	d.replica.publish()
 	return d, nil
 }
 
 // openStore opens the store; fresh says that it was empty. A relay has none on disk.
-func (d *Daemon) openStore() (store *storage.Store, fresh bool, err error) {
+func (d *Daemon) openStore() (store *storage.Store, isNew bool, err error) {
 	if d.settings.DataDirectory == "" || !d.settings.QuorumMember {
 		d.events.Record("relay", "no disk of its own that counts: callers are sent on, nothing is decided here")
 		return storage.Volatile(), false, nil
 	}
-	if store, fresh, err = storage.Open(d.settings.DataDirectory); err != nil {
+	if store, isNew, err = storage.Open(d.settings.DataDirectory); err != nil {
 		return nil, false, fmt.Errorf("store in %s: %w", d.settings.DataDirectory, err)
 	}
-	return store, fresh, nil
+	return store, isNew, nil
 }
 
 // buildReplica makes the chain machine from its store, and what drives it.
-func (d *Daemon) buildReplica(store *storage.Store, fresh bool, rng *rand.Rand) error {
-	set := d.settings
-	seeds := set.SeedIPs()
+func (d *Daemon) buildReplica(store *storage.Store, isNew bool, rng *rand.Rand) error {
+	nodeSettings := d.settings
+	seeds := nodeSettings.SeedIPs()
 	// The seeds found the first view; the other machines are taken in by views.
-	founding := set.Bootstrap && fresh && slices.Contains(seeds, set.IPAddress)
-	machine, err := chain.New(0, set.IPAddress, seeds, founding, store, rng)
+	founding := nodeSettings.Bootstrap && isNew && slices.Contains(seeds, nodeSettings.IPAddress)
+	chainMachine, err := chain.New(0, nodeSettings.IPAddress, seeds, founding, store, rng)
 	if err != nil {
 		return err
 	}
-	machine.Relay = set.DataDirectory == "" || !set.QuorumMember
-	machine.Original = set.Bootstrap && fresh && !founding && !machine.Relay
-	machine.Tolerate = set.FaultTolerance.MachineFailures
-	machine.Zones, machine.Regions = set.FaultTolerance.Zones, set.FaultTolerance.RegionFailures
-	machine.Zone, machine.Region = set.Zone, set.Region
-	machine.Wall = d.wall
+	chainMachine.Relay = nodeSettings.DataDirectory == "" || !nodeSettings.QuorumMember
+	chainMachine.Original = nodeSettings.Bootstrap && isNew && !founding && !chainMachine.Relay
+	chainMachine.Tolerate = nodeSettings.FaultTolerance.MachineFailures
+	chainMachine.Zones, chainMachine.Regions = nodeSettings.FaultTolerance.Zones, nodeSettings.FaultTolerance.RegionFailures
+	chainMachine.Zone, chainMachine.Region = nodeSettings.Zone, nodeSettings.Region
+	chainMachine.Wall = d.wall
 	d.replica = &replica{
-		address: set.IPAddress,
-		seeds:   seeds,
-		relay:   machine.Relay,
-		now:     d.now,
-		events:  d.events,
-		machine: machine,
-		store:   store,
-		send:    d.connections.send,
-		commit:  d.committed,
-		read:    func(id uint64, doc *config.Doc) { d.waits.readDone(id, doc) },
+		address:    nodeSettings.IPAddress,
+		seeds:      seeds,
+		relay:      chainMachine.Relay,
+		now:        d.now,
+		events:     d.events,
+		chain:      chainMachine,
+		store:      store,
+		send:       d.connections.send,
+		onCommit:   d.applyCommitted,
+		onReadDone: func(id uint64, doc *config.Doc) { d.pendingCalls.finishRead(id, doc) },
 	}
 	return nil
 }
@@ -168,7 +168,7 @@
 	d.roster = &roster{
 		settings:  d.settings,
 		events:    d.events,
-		began:     d.began,
+		startedAt: d.startedAt,
 		now:       d.now,
 		entries:   map[string]*proxyEntry{},
 		locations: d.locations,
@@ -176,7 +176,7 @@
 		peers:     d.replica.peers,
 		send:      d.connections.send,
 		publish:   d.publish,
-		keep:      d.replica.keep,
+		put:       d.replica.put,
 	}
 	if d.settings.ListenAddresses.Directory != "" {
 		d.roster.directory = d.proxyDirectory
@@ -206,25 +206,25 @@
 	return duties
 }
 
-// buildPushes makes what tells the proxies.
-func (d *Daemon) buildPushes() {
-	d.pushes = &pushes{
-		settings:  d.settings,
-		now:       d.now,
-		clock:     d.clock,
-		inForce:   d.inForce,
-		replica:   d.replica,
-		leases:    d.leases,
-		list:      d.list,
-		roster:    d.roster,
-		locations: d.locations,
-	}
-	d.pushes.publisher = distribution.New(d.pushes.snapshot, d.roster.sharing)
-	d.pushes.publisher.OnClosed = d.roster.disconnected
+// buildProxyPublisher makes what tells the proxies.
+func (d *Daemon) buildProxyPublisher() {
+	d.proxyPublisher = &proxyPublisher{
+		settings:     d.settings,
+		now:          d.now,
+		clock:        d.clock,
+		activeState:  d.activeState,
+		replica:      d.replica,
+		leases:       d.leases,
+		upstreamList: d.upstreamList,
+		roster:       d.roster,
+		locations:    d.locations,
+	}
+	d.proxyPublisher.publisher = distribution.New(d.proxyPublisher.snapshot, d.roster.hasShare)
+	d.proxyPublisher.publisher.OnClosed = d.roster.handleDisconnect
 }
 
 // now is the steady time since this process began.
-func (d *Daemon) now() time.Duration { return time.Since(d.began) }
+func (d *Daemon) now() time.Duration { return time.Since(d.startedAt) }
 
 // wall is the time of day to tell the others, in nanoseconds: the agreed one where there is
 // one.
@@ -235,23 +235,23 @@
 	return time.Now().UnixNano()
 }
 
-func (d *Daemon) publish() { d.pushes.publish() }
+func (d *Daemon) publish() { d.proxyPublisher.publish() }
 
 // quotaIsTiny says whether a quota is too small to be split among the proxies.
 func (d *Daemon) quotaIsTiny(proxies int, quota admission.Quota) bool {
 	return admission.Tiny(max(proxies, d.roster.size()), d.settings.Bounds.QuotaSlack, quota)
 }
 
-// committed puts a state in force here, and answers the calls that wait for it.
-func (d *Daemon) committed(doc config.Doc) {
-	if d.inForce.commit(doc) {
-		d.waits.committed(doc)
+// applyCommitted puts a state in force here, and answers the calls that wait for it.
+func (d *Daemon) applyCommitted(doc config.Doc) {
+	if d.activeState.apply(doc) {
+		d.pendingCalls.resolve(doc)
 	}
 }
 
 // Add puts the daemon's actors into the process's group.
 func (d *Daemon) Add(g *run.Group) error {
-	l, err := transport.Listen(d.settings.Internal(constants.PortControl))
+	internal, err := transport.Listen(d.settings.Internal(constants.PortControl))
 	if err != nil {
 		return err
 	}
@@ -263,8 +263,8 @@
 	if err != nil {
 		return err
 	}
-	g.Add(func() error { return transport.Serve(l, d.onMessage) }, func(error) { l.Close() })
-	if err := d.joinMembers(); err != nil {
+	g.Add(func() error { return transport.Serve(internal, d.onMessage) }, func(error) { internal.Close() })
+	if err := d.startMembership(); err != nil {
 		return err
 	}
 	g.Add(d.members.Serve, func(error) { d.members.Close() })
@@ -282,11 +282,11 @@
 	return nil
 }
 
-// joinMembers starts the membership agent of the control machines.
-func (d *Daemon) joinMembers() (err error) {
+// startMembership starts the membership agent of the control machines.
+func (d *Daemon) startMembership() (err error) {
 	var seeds []string
-	for _, p := range d.replica.seeds {
-		seeds = append(seeds, d.settings.PeerInternal(p, constants.PortControlMembership))
+	for _, seed := range d.replica.seeds {
+		seeds = append(seeds, d.settings.PeerInternal(seed, constants.PortControlMembership))
 	}
 	address := d.settings.Internal(constants.PortControlMembership)
 	d.members, err = membership.Listen(address, d.settings.NodeName+"/control", seeds, func(f membership.Fact) {
@@ -302,7 +302,7 @@
 		group.Every(constants.RelayEvery, d.replica.tick)
 		return
 	}
-	group.Every(constants.ChainTick, d.replica.advance)
+	group.Every(constants.ChainTick, d.replica.tickAndReport)
 	group.Every(constants.LeaseTick, func() {
 		d.leases.tick()
 		d.publish()
@@ -313,22 +313,22 @@
 	if len(d.dutyRunners) > 0 {
 		group.Every(constants.DutyTick, d.stepDuties)
 		if d.settings.HasDuty(settings.DutyUsage) {
-			group.Every(constants.UsageSave, d.keepUsage)
+			group.Every(constants.UsageSave, d.saveUsage)
 		}
 	}
-	turn := max(0, slices.Index(d.replica.controls(), d.settings.IPAddress))
-	d.list.waitForTurn(time.Duration(turn) * constants.BootStagger)
-	go d.list.boot(group.Context())
+	position := max(0, slices.Index(d.replica.controlAddresses(), d.settings.IPAddress))
+	d.upstreamList.delayBootRead(time.Duration(position) * constants.BootStagger)
+	go d.upstreamList.readAtBoot(group.Context())
 	pollEvery := time.Duration(constants.PollShare * float64(d.settings.Bounds.Drain.D()))
-	group.Every(pollEvery, func() { d.list.poll(group.Context()) })
-	group.Every(constants.RosterEvery, d.roster.share)
+	group.Every(pollEvery, func() { d.upstreamList.poll(group.Context()) })
+	group.Every(constants.RosterEvery, d.roster.broadcast)
 }
 
 // Leave hands duties over before a planned stop, and waits for a view in which the
 // others go on without this machine: they need not find it silent first, and what it
 // holds is on as many disks as before.
 func (d *Daemon) Leave() {
-	d.leases.leave()
+	d.leases.release()
 	if !d.replica.relay {
 		d.replica.leave()
 	}
@@ -337,15 +337,15 @@
 // onMessage takes what other processes send.
 func (d *Daemon) onMessage(conn *transport.Conn, body any) any {
 	if d.accounts != nil {
-		if answer, mine := d.accounts.Message(conn.Remote, body); mine {
-			return answer
+		if reply, handled := d.accounts.Message(conn.Remote, body); handled {
+			return reply
 		}
 	}
 	switch m := body.(type) {
 	case transport.Incompatible:
 		d.events.Record("protocol_incompatible", m.String())
 	case distribution.Subscription:
-		return d.subscribed(conn, m)
+		return d.handleSubscription(conn, m)
 	case admission.GrantRequest:
 		now := d.now()
 		return d.quotaTracker.Ask(now, m, func(shard int) (time.Duration, bool) {
@@ -354,19 +354,19 @@
 	case lease.Request, lease.Grant, lease.Release:
 		d.leases.receive(conn.Remote, m)
 	case usage.Handover:
-		d.takeHandover(m)
+		d.handleUsageHandover(m)
 	case usage.Report:
-		return d.takeUsage(m)
+		return d.handleUsageReport(m)
 	case autoscale.Report:
-		return d.takeLoad(m)
+		return d.handleLoadReport(m)
 	case RosterUpdate:
-		d.roster.take(m)
+		d.roster.merge(m)
 	case ListUpdate:
-		if !d.list.take(m) {
+		if !d.upstreamList.applyUpdate(m) {
 			d.connections.send(conn.Remote, ListRequest{})
 		}
 	case ListRequest:
-		if update, ok := d.list.whole(); ok {
+		if update, ok := d.upstreamList.fullUpdate(); ok {
 			d.connections.send(conn.Remote, update)
 		}
 	case chain.Heartbeat:
@@ -381,15 +381,15 @@
 	return nil
 }
 
-// subscribed takes a proxy's subscription, and answers with what has changed for it.
-func (d *Daemon) subscribed(conn *transport.Conn, m distribution.Subscription) distribution.Update {
+// handleSubscription takes a proxy's subscription, and answers with what has changed for it.
+func (d *Daemon) handleSubscription(conn *transport.Conn, m distribution.Subscription) distribution.Update {
 	if d.replica.relay {
 		// Where to turn is all it can tell.
-		return distribution.Update{Zone: d.settings.Zone, Peers: d.pushes.controls()}
+		return distribution.Update{Zone: d.settings.Zone, Peers: d.proxyPublisher.controlPeers()}
 	}
-	d.roster.subscribed(m)
-	d.list.heardOf(m.ListNum)
-	return d.pushes.publisher.Subscribed(conn, m)
+	d.roster.handleSubscription(m)
+	d.upstreamList.observeNumber(m.ListNum)
+	return d.proxyPublisher.publisher.Subscribed(conn, m)
 }
 
 // Reload reads the settings file again. A control machine takes nothing from
--- a/internal/controlplane/daemon_test.go
+++ b/internal/controlplane/daemon_test.go
@@ -9,13 +9,13 @@
 // list last; were they to give two lists one number, a proxy that has the first
 // would never ask for the second. Nor may two that read it at their start without
 // the duty: a difference from the one would be put on the other.
-func TestHoldersNumberApart(t *testing.T) {
+func TestUpstreamListNumbersDifferBetweenReaders(t *testing.T) {
 	r := rand.New(rand.NewPCG(1, 1))
 	for range 1000 {
-		heard := r.Uint64N(1 << 50)
-		a, b := firstNumber(heard, r.Uint64()), firstNumber(heard, r.Uint64())
-		if a <= heard || b <= heard || a == b {
-			t.Fatalf("after %d two holders begin at %d and %d", heard, a, b)
+		highest := r.Uint64N(1 << 50)
+		a, b := firstNumber(highest, r.Uint64()), firstNumber(highest, r.Uint64())
+		if a <= highest || b <= highest || a == b {
+			t.Fatalf("after %d two holders begin at %d and %d", highest, a, b)
 		}
 		if x, y := bootNumber(r.Uint64()), bootNumber(r.Uint64()); x == y || x == 0 || firstNumber(x, r.Uint64()) <= x || firstNumber(0, r.Uint64()) <= x {
 			t.Fatalf("lists read at the start are numbered %d and %d", x, y)
--- a/internal/controlplane/duties.go
+++ b/internal/controlplane/duties.go
@@ -24,38 +24,38 @@
 
 // dutyRunner is one duty at this machine: its holder, and the calls it makes.
 type dutyRunner struct {
-	name    string
-	path    string // at the platform
-	plan    func(now time.Duration, after uint64) (key uint64, body []byte, ok bool)
-	mu      sync.Mutex
-	holder  *duty.Holder
-	client  *http.Client
-	cancel  context.CancelFunc
-	calling uint64
-	since   time.Duration // start of the unbroken holding
+	name      string
+	path      string // at the platform
+	plan      func(now time.Duration, after uint64) (key uint64, body []byte, ok bool)
+	mu        sync.Mutex
+	holder    *duty.Holder
+	client    *http.Client
+	cancel    context.CancelFunc
+	callID    uint64
+	heldSince time.Duration // start of the unbroken holding
 	// split makes several calls of one act, by subject; nil: it is one call. Those
 	// the platform has taken under the present fence are not made again.
-	split  func(body []byte) map[string][]byte
-	acting sync.Mutex // a call that has been cut may still be on its way out
-	taken  map[string]string
-	under  uint64
+	split         func(body []byte) map[string][]byte
+	sendMu        sync.Mutex // a call that has been cut may still be on its way out
+	accepted      map[string]string
+	acceptedFence uint64
 }
 
-var errNotHeld = errors.New("the duty is not held any more")
+var errLeaseNotHeld = errors.New("the duty is not held any more")
 
-// guarded is a connection on which nothing is written once the lease is over: a
+// leaseGuardedConn is a connection on which nothing is written once the lease is over: a
 // process that was frozen between its last look and the write looks again.
-type guarded struct {
+type leaseGuardedConn struct {
 	net.Conn
 	held func() bool
 }
 
-func (g guarded) Write(b []byte) (int, error) {
-	if !g.held() {
-		g.Close()
-		return 0, errNotHeld
+func (c leaseGuardedConn) Write(b []byte) (int, error) {
+	if !c.held() {
+		c.Close()
+		return 0, errLeaseNotHeld
 	}
-	return g.Conn.Write(b)
+	return c.Conn.Write(b)
 }
 
 func (d *Daemon) newDutyRunner(name, path string, plan func(time.Duration, uint64) (uint64, []byte, bool)) *dutyRunner {
@@ -67,15 +67,15 @@
 			if err != nil {
 				return nil, err
 			}
-			return guarded{c, func() bool { until, _ := d.leases.term(name); return until > d.now() }}, nil
+			return leaseGuardedConn{c, func() bool { until, _ := d.leases.term(name); return until > d.now() }}, nil
 		}}}
 	return p
 }
 
-// record is the newest committed state of a duty.
-func (d *Daemon) record(name string) duty.Record {
-	if in := d.inForce.Load(); in != nil {
-		return in.Duties[name]
+// dutyRecord is the newest committed state of a duty.
+func (d *Daemon) dutyRecord(name string) duty.Record {
+	if doc := d.activeState.Load(); doc != nil {
+		return doc.Duties[name]
 	}
 	return duty.Record{}
 }
@@ -86,40 +86,40 @@
 	for _, p := range d.dutyRunners {
 		until, since := d.leases.term(p.name)
 		p.mu.Lock()
-		was := p.holder.Fence()
-		p.since = since
-		out := p.holder.Step(d.now(), until, d.record(p.name), func(after uint64) (uint64, []byte, bool) { return p.plan(d.now(), after) })
-		is := p.holder.Fence()
+		fenceBefore := p.holder.Fence()
+		p.heldSince = since
+		effects := p.holder.Step(d.now(), until, d.dutyRecord(p.name), func(after uint64) (uint64, []byte, bool) { return p.plan(d.now(), after) })
+		fenceAfter := p.holder.Fence()
 		p.mu.Unlock()
-		if was != is {
-			d.events.Record(map[bool]string{true: "duty_fence_taken", false: "duty_fence_left"}[is > 0], p.name+" "+strconv.FormatUint(max(was, is), 10))
+		if fenceBefore != fenceAfter {
+			d.events.Record(map[bool]string{true: "duty_fence_taken", false: "duty_fence_left"}[fenceAfter > 0], p.name+" "+strconv.FormatUint(max(fenceBefore, fenceAfter), 10))
 		}
-		d.carryOut(p, out)
+		d.runDutyEffects(p, effects)
 	}
 }
 
-func (d *Daemon) carryOut(p *dutyRunner, out []duty.Effect) {
-	for _, o := range out {
-		switch o := o.(type) {
+func (d *Daemon) runDutyEffects(p *dutyRunner, effects []duty.Effect) {
+	for _, effect := range effects {
+		switch o := effect.(type) {
 		case duty.Order:
-			d.replica.step(func() []chain.Effect { return d.replica.machine.Act(d.now(), o) })
+			d.replica.step(func() []chain.Effect { return d.replica.chain.Act(d.now(), o) })
 		case duty.Cancel:
 			p.mu.Lock()
-			if p.cancel != nil && p.calling == o.ID {
+			if p.cancel != nil && p.callID == o.ID {
 				p.cancel()
 			}
 			p.mu.Unlock()
 		case duty.Yield:
 			d.events.Record("duty_refused", p.name+": the platform has seen a higher fence")
-			d.leases.leave(p.name)
+			d.leases.release(p.name)
 		case duty.Act:
 			ctx, cancel := context.WithTimeout(context.Background(), constants.DutyTimeout)
 			p.mu.Lock()
-			p.cancel, p.calling = cancel, o.ID
+			p.cancel, p.callID = cancel, o.ID
 			p.mu.Unlock()
 			go func() {
 				defer cancel()
-				status := d.act(ctx, p, o)
+				status := d.perform(ctx, p, o)
 				p.mu.Lock()
 				more := p.holder.Answered(d.now(), o.ID, status)
 				p.mu.Unlock()
@@ -129,38 +129,38 @@
 						d.events.Record("duty_answer", p.name+": the platform answered "+strconv.Itoa(status))
 					}
 				}
-				d.carryOut(p, more)
+				d.runDutyEffects(p, more)
 			}()
 		}
 	}
 }
 
-// act sends what was decided, in as many calls as it takes; status 0 is no answer.
-func (d *Daemon) act(ctx context.Context, p *dutyRunner, o duty.Act) int {
+// perform sends what was decided, in as many calls as it takes; status 0 is no answer.
+func (d *Daemon) perform(ctx context.Context, p *dutyRunner, act duty.Act) int {
 	if p.split == nil {
-		return d.call(ctx, p, o.Fence, o.Body)
+		return d.post(ctx, p, act.Fence, act.Body)
 	}
-	p.acting.Lock()
-	defer p.acting.Unlock()
-	if p.under != o.Fence {
-		p.under, p.taken = o.Fence, map[string]string{}
+	p.sendMu.Lock()
+	defer p.sendMu.Unlock()
+	if p.acceptedFence != act.Fence {
+		p.acceptedFence, p.accepted = act.Fence, map[string]string{}
 	}
-	parts := p.split(o.Body)
-	for _, s := range slices.Sorted(maps.Keys(parts)) {
-		if p.taken[s] == string(parts[s]) {
+	parts := p.split(act.Body)
+	for _, subject := range slices.Sorted(maps.Keys(parts)) {
+		if p.accepted[subject] == string(parts[subject]) {
 			continue
 		}
-		if status := d.call(ctx, p, o.Fence, parts[s]); status != http.StatusOK {
+		if status := d.post(ctx, p, act.Fence, parts[subject]); status != http.StatusOK {
 			return status
 		}
-		p.taken[s] = string(parts[s])
+		p.accepted[subject] = string(parts[subject])
 		time.Sleep(constants.DutySpacing)
 	}
 	return http.StatusOK
 }
 
-// call makes one call to the platform.
-func (d *Daemon) call(ctx context.Context, p *dutyRunner, fence uint64, body []byte) int {
+// post makes one post to the platform.
+func (d *Daemon) post(ctx context.Context, p *dutyRunner, fence uint64, body []byte) int {
 	req, err := http.NewRequestWithContext(ctx, http.MethodPost, "http://"+d.settings.CloudAPI.Address+p.path, bytes.NewReader(body))
 	if err != nil {
 		return 0
@@ -179,43 +179,43 @@
 
 // ---- usage
 
-// takeUsage merges what a proxy tells, while this machine holds the duty.
-func (d *Daemon) takeUsage(m usage.Report) any {
+// handleUsageReport merges what a proxy tells, while this machine holds the duty.
+func (d *Daemon) handleUsageReport(m usage.Report) any {
 	until, _ := d.leases.term(settings.DutyUsage)
 	at, ok := d.clock.Now(d.now())
 	if until == 0 || !ok {
 		return usage.Ack{}
 	}
-	h, _ := d.tally.Take(d.now(), usage.Window(at, d.settings.Bounds.UsageWindow.D()), m)
-	return h
+	ack, _ := d.usageTally.Take(d.now(), usage.Window(at, d.settings.Bounds.UsageWindow.D()), m)
+	return ack
 }
 
-// keepUsage has what is gathered here outlast this process, and hands on what another
+// saveUsage has what is gathered here outlast this process, and hands on what another
 // holder should know.
-func (d *Daemon) keepUsage() {
+func (d *Daemon) saveUsage() {
 	until, _ := d.leases.term(settings.DutyUsage)
 	holder := d.leases.holder(settings.DutyUsage)
-	for _, o := range d.keeper.Step(until > 0, holder) {
-		switch o := o.(type) {
+	for _, effect := range d.usageKeeper.Step(until > 0, holder) {
+		switch o := effect.(type) {
 		case usage.HandOn:
 			if o.To == d.settings.IPAddress {
-				d.takeHandover(o.Handover)
+				d.handleUsageHandover(o.Handover)
 			} else {
 				d.connections.send(o.To, o.Handover)
 			}
 			d.events.Record("usage_handed_on", strconv.Itoa(len(o.Words))+" words to "+o.To)
 		case usage.Save:
-			d.replica.keep(o.Key, func() any { return o.Words }) // one that cannot be kept is told by its proxies while they live
+			d.replica.put(o.Key, func() any { return o.Words }) // one that cannot be kept is told by its proxies while they live
 		}
 	}
 }
 
-func (d *Daemon) takeHandover(m usage.Handover) {
-	for _, t := range m.Words {
-		d.takeUsage(t)
+func (d *Daemon) handleUsageHandover(m usage.Handover) {
+	for _, report := range m.Words {
+		d.handleUsageReport(report)
 	}
 	if m.Last {
-		d.tally.HandedOver(d.now())
+		d.usageTally.HandedOver(d.now())
 	}
 }
 
@@ -226,67 +226,67 @@
 		return 0, nil, false
 	}
 	_, since := d.leases.term(settings.DutyUsage)
-	b := d.settings.Bounds
-	return d.tally.Next(usage.Moment{Steady: now, Agreed: at, Held: now - since}, after, b.UsageWindow.D(), b.UsageDelay.D(), d.roster.fresh())
+	bounds := d.settings.Bounds
+	return d.usageTally.Next(usage.Moment{Steady: now, Agreed: at, Held: now - since}, after, bounds.UsageWindow.D(), bounds.UsageDelay.D(), d.roster.recentProxies())
 }
 
 // ---- scaling
 
-// takeLoad keeps what a proxy tells, while this machine holds the duty.
-func (d *Daemon) takeLoad(t autoscale.Report) any {
+// handleLoadReport keeps what a proxy tells, while this machine holds the duty.
+func (d *Daemon) handleLoadReport(report autoscale.Report) any {
 	if until, _ := d.leases.term(settings.DutyScaling); until == 0 {
 		return autoscale.Ack{}
 	}
-	return autoscale.Ack{OK: d.load.Take(d.now(), t)}
+	return autoscale.Ack{OK: d.loadSum.Take(d.now(), report)}
 }
 
-// scalable lists what may be ordered: each service with bounds, in each zone where
+// scalableSubjects lists what may be ordered: each service with bounds, in each zone where
 // the platform's list has ever shown it here.
-func (d *Daemon) scalable() map[autoscale.Subject]autoscale.Bound {
-	cfg := d.inForce.Config()
-	list, _ := d.list.current()
-	d.zonesOfMu.Lock()
-	defer d.zonesOfMu.Unlock()
+func (d *Daemon) scalableSubjects() map[autoscale.Subject]autoscale.Bound {
+	cfg := d.activeState.Config()
+	list, _ := d.upstreamList.current()
+	d.subjectSlotsMu.Lock()
+	defer d.subjectSlotsMu.Unlock()
 	out := map[autoscale.Subject]autoscale.Bound{}
 	if cfg == nil || list == nil {
 		return out
 	}
-	for _, i := range list.Instances {
-		s := autoscale.Subject{Service: i.Service, Zone: i.Zone}
-		if sv := cfg.Services[i.Service]; sv != nil && sv.Scaling != nil {
-			if d.zonesOf[s] == 0 {
-				d.zonesOf[s] = i.Slots
+	for _, instance := range list.Instances {
+		subject := autoscale.Subject{Service: instance.Service, Zone: instance.Zone}
+		if service := cfg.Services[instance.Service]; service != nil && service.Scaling != nil {
+			if d.subjectSlots[subject] == 0 {
+				d.subjectSlots[subject] = instance.Slots
 			}
-			b := out[s]
-			if !i.Draining {
-				b.Present++
+			bound := out[subject]
+			if !instance.Draining {
+				bound.Present++
 			}
-			out[s] = b
+			out[subject] = bound
 		}
 	}
-	for s, slots := range d.zonesOf {
-		sv := cfg.Services[s.Service]
-		if sv == nil || sv.Scaling == nil {
+	for subject, slots := range d.subjectSlots {
+		service := cfg.Services[subject.Service]
+		if service == nil || service.Scaling == nil {
 			continue
 		}
-		b := out[s]
-		b.Min, b.Max, b.Boot, b.Slots = sv.Scaling.Min, sv.Scaling.Max, sv.Scaling.Boot, slots
-		out[s] = b
+		bound := out[subject]
+		bound.Min, bound.Max, bound.Boot, bound.Slots = service.Scaling.Min, service.Scaling.Max, service.Scaling.Boot, slots
+		out[subject] = bound
 	}
 	return out
 }
 
 // planScaling names the next orders, once they differ from those decided before.
 func (d *Daemon) planScaling(now time.Duration, after uint64) (uint64, []byte, bool) {
-	sum, whole := d.load.Sum(now, d.roster.fresh())
-	had := autoscale.Read(d.record(settings.DutyScaling).Body)
-	wanted, changed := d.scaler.Step(now, sum, whole, d.scalable(), had)
+	sum, complete := d.loadSum.Sum(now, d.roster.recentProxies())
+	decided := autoscale.Read(d.dutyRecord(settings.DutyScaling).Body)
+	wanted, changed := d.scaler.Step(now, sum, complete, d.scalableSubjects(), decided)
 	if !changed {
 		return 0, nil, false
 	}
 	for _, o := range wanted {
-		if was, ok := had.Of(autoscale.Subject{Service: o.TargetService, Zone: o.Zone}); !ok || was != o.DesiredCount {
-			d.events.Record("scale", o.TargetService+" in "+o.Zone+": "+strconv.Itoa(was)+" -> "+strconv.Itoa(o.DesiredCount)+" ("+d.scaler.Why(autoscale.Subject{Service: o.TargetService, Zone: o.Zone})+")")
+		if previous, ok := decided.Of(autoscale.Subject{Service: o.TargetService, Zone: o.Zone}); !ok || previous != o.DesiredCount {
+			d.events.Record("scale", o.TargetService+" in "+o.Zone+": "+strconv.Itoa(previous)+" -> "+strconv.Itoa(o.DesiredCount)+" ("+d.scaler.Why(autoscale.Subject{Service: o.TargetService, Zone: o.Zone})+")")
 		}
 	}
 	return after + 1, wanted.Bytes(), true
@@ -319,13 +319,13 @@
 	if !d.settings.HasDuty(settings.DutyScaling) {
 		return nil
 	}
-	orders := autoscale.Read(d.record(settings.DutyScaling).Body)
-	for s, b := range d.scalable() {
-		n, ok := orders.Of(s)
+	orders := autoscale.Read(d.dutyRecord(settings.DutyScaling).Body)
+	for subject, bound := range d.scalableSubjects() {
+		ordered, ok := orders.Of(subject)
 		if !ok {
-			n = -1
+			ordered = -1
 		}
-		out = append(out, ScalingReport{s.Service, s.Zone, n, b.Present, d.scaler.Why(s)})
+		out = append(out, ScalingReport{subject.Service, subject.Zone, ordered, bound.Present, d.scaler.Why(subject)})
 	}
 	slices.SortFunc(out, func(a, b ScalingReport) int {
 		return autoscale.Subject{Service: a.Service, Zone: a.Zone}.Compare(autoscale.Subject{Service: b.Service, Zone: b.Zone})
@@ -337,20 +337,20 @@
 func (d *Daemon) dutyReports() map[string]DutyReport {
 	out := map[string]DutyReport{}
 	for _, p := range d.dutyRunners {
-		rec := d.record(p.name)
+		rec := d.dutyRecord(p.name)
 		p.mu.Lock()
-		h := p.holder
-		r := DutyReport{Fence: rec.Fence, Holder: rec.Holder, Mine: h.Fence() > 0, Decided: rec.Key, Accepted: h.Accepted,
-			Refused: h.Refused, Failed: h.Failed, LastStatus: h.LastStatus}
+		holder := p.holder
+		r := DutyReport{Fence: rec.Fence, Holder: rec.Holder, Mine: holder.Fence() > 0, Decided: rec.Key, Accepted: holder.Accepted,
+			Refused: holder.Refused, Failed: holder.Failed, LastStatus: holder.LastStatus}
 		if r.Mine {
-			r.Held, r.Backlog = d.now()-p.since, h.Backlog(rec) != 0
+			r.Held, r.Backlog = d.now()-p.heldSince, holder.Backlog(rec) != 0
 		}
-		if h.AcceptedAt > 0 {
-			r.SinceOK = d.now() - h.AcceptedAt
+		if holder.AcceptedAt > 0 {
+			r.SinceOK = d.now() - holder.AcceptedAt
 		}
 		p.mu.Unlock()
 		if p.name == settings.DutyUsage {
-			r.Tellers = d.tally.Reporters()
+			r.Tellers = d.usageTally.Reporters()
 		}
 		out[p.name] = r
 	}
--- a/internal/controlplane/leases.go
+++ b/internal/controlplane/leases.go
@@ -26,29 +26,29 @@
 	mu      sync.Mutex
 	manager *lease.Manager
 
-	held map[string]bool // as last recorded; used by tick only
+	recordedHeld map[string]bool // as last recorded; used by tick only
 }
 
 func newLeases(manager *lease.Manager, now func() time.Duration, send func(to string, message any), events *eventlog.Log) *leases {
-	return &leases{manager: manager, now: now, send: send, events: events, held: map[string]bool{}}
+	return &leases{manager: manager, now: now, send: send, events: events, recordedHeld: map[string]bool{}}
 }
 
 // tick claims and renews leases, and records which duties began or ended here.
 func (l *leases) tick() {
 	l.mu.Lock()
 	messages := l.manager.Tick(l.now())
-	var moved []string
+	var changed []string
 	for _, duty := range l.manager.Duties() {
-		if _, ok := l.manager.Holds(l.now(), duty); ok != l.held[duty] {
-			l.held[duty] = ok
-			moved = append(moved, duty)
+		if _, ok := l.manager.Holds(l.now(), duty); ok != l.recordedHeld[duty] {
+			l.recordedHeld[duty] = ok
+			changed = append(changed, duty)
 		}
 	}
 	l.mu.Unlock()
 	l.sendAll(messages)
-	for _, duty := range moved {
+	for _, duty := range changed {
 		event := "duty_ended"
-		if l.held[duty] {
+		if l.recordedHeld[duty] {
 			event = "duty_taken"
 		}
 		l.events.Record(event, duty)
@@ -63,10 +63,10 @@
 	l.sendAll(messages)
 }
 
-// leave gives up all leases before a planned stop, or only those named.
-func (l *leases) leave(only ...string) {
+// release gives up all leases before a planned stop, or only those named.
+func (l *leases) release(duties ...string) {
 	l.mu.Lock()
-	messages := l.manager.Leave(l.now(), only...)
+	messages := l.manager.Leave(l.now(), duties...)
 	l.mu.Unlock()
 	l.sendAll(messages)
 }
@@ -79,10 +79,10 @@
 
 // setElectorate tells the manager who grants leases from now on, and whether this machine
 // must not grant any.
-func (l *leases) setElectorate(epoch uint64, voters []string, leaves bool) {
+func (l *leases) setElectorate(epoch uint64, voters []string, leavesElectorate bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.manager.SetElectorate(l.now(), epoch, voters, leaves)
+	l.manager.SetElectorate(l.now(), epoch, voters, leavesElectorate)
 }
 
 // holds says whether this machine holds a duty at a moment, and since when without a break.
--- a/internal/controlplane/locations.go
+++ b/internal/controlplane/locations.go
@@ -24,11 +24,11 @@
 	l.byAddress[address] = distribution.Peer{Addr: address, Zone: zone, Region: region}
 }
 
-// of is where a machine stands; zone and region are empty while it is not known.
-func (l *locations) of(address string) distribution.Peer {
+// lookup is where a machine stands; zone and region are empty while it is not known.
+func (l *locations) lookup(address string) distribution.Peer {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	p := l.byAddress[address]
-	p.Addr = address
-	return p
+	location := l.byAddress[address]
+	location.Addr = address
+	return location
 }
--- a/internal/controlplane/pendingcalls.go
+++ b/internal/controlplane/pendingcalls.go
@@ -6,31 +6,31 @@
 	"slateridge/internal/config"
 )
 
-// waits are the operators' calls that wait for the chain: for a configuration's number to
+// pendingCalls are the operators' calls that wait for the chain: for a configuration's number to
 // be settled, for an evacuation to be committed, or for a read to be answered. mu guards
 // all fields; a call's channel is closed under it, once.
-type waits struct {
+type pendingCalls struct {
 	mu          sync.Mutex
 	evacuations map[uint64]chan struct{} // by the order's number
 	versions    map[chan struct{}]uint64 // until a committed state settles the number
-	reads       map[uint64]*reader
-	lastRead    uint64
+	reads       map[uint64]*pendingRead
+	lastReadID  uint64
 }
 
-// reader is a read under way; doc is set before done is closed.
-type reader struct {
+// pendingRead is a read under way; doc is set before done is closed.
+type pendingRead struct {
 	done chan struct{}
 	doc  *config.Doc
 }
 
-// newWaits numbers reads from firstRead on. Reads are known by numbers of this life alone:
+// newPendingCalls numbers reads from firstRead on. Reads are known by numbers of this life alone:
 // an answer to an earlier life's may still be under way.
-func newWaits(firstRead uint64) *waits {
-	return &waits{evacuations: map[uint64]chan struct{}{}, versions: map[chan struct{}]uint64{}, reads: map[uint64]*reader{}, lastRead: firstRead}
+func newPendingCalls(firstReadID uint64) *pendingCalls {
+	return &pendingCalls{evacuations: map[uint64]chan struct{}{}, versions: map[chan struct{}]uint64{}, reads: map[uint64]*pendingRead{}, lastReadID: firstReadID}
 }
 
-// version waits for a configuration's number; stop ends the wait.
-func (w *waits) version(version uint64) (done <-chan struct{}, stop func()) {
+// awaitVersion waits for a configuration's number; stop ends the wait.
+func (w *pendingCalls) awaitVersion(version uint64) (done <-chan struct{}, stop func()) {
 	ch := make(chan struct{})
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -42,8 +42,8 @@
 	}
 }
 
-// evacuation waits for an order on a zone; stop ends the wait.
-func (w *waits) evacuation(id uint64) (done <-chan struct{}, stop func()) {
+// awaitEvacuation waits for an order on a zone; stop ends the wait.
+func (w *pendingCalls) awaitEvacuation(id uint64) (done <-chan struct{}, stop func()) {
 	ch := make(chan struct{})
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -55,13 +55,13 @@
 	}
 }
 
-// read begins a read under a number of its own; stop ends the wait.
-func (w *waits) read() (id uint64, r *reader, stop func()) {
-	r = &reader{done: make(chan struct{})}
+// startRead begins a startRead under a number of its own; stop ends the wait.
+func (w *pendingCalls) startRead() (id uint64, r *pendingRead, stop func()) {
+	r = &pendingRead{done: make(chan struct{})}
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	w.lastRead++
-	id = w.lastRead
+	w.lastReadID++
+	id = w.lastReadID
 	w.reads[id] = r
 	return id, r, func() {
 		w.mu.Lock()
@@ -70,8 +70,8 @@
 	}
 }
 
-// readDone answers a read.
-func (w *waits) readDone(id uint64, doc *config.Doc) {
+// finishRead answers a read.
+func (w *pendingCalls) finishRead(id uint64, doc *config.Doc) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	if r := w.reads[id]; r != nil {
@@ -81,8 +81,8 @@
 	}
 }
 
-// committed ends the waits that a committed state fulfils.
-func (w *waits) committed(doc config.Doc) {
+// resolve ends the waits that a resolve state fulfils.
+func (w *pendingCalls) resolve(doc config.Doc) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	for ch, version := range w.versions {
--- a/internal/controlplane/roster.go
+++ b/internal/controlplane/roster.go
@@ -37,13 +37,13 @@
 // proxyEntry is a proxy on the roster. shares says that it has been told a
 // count, so that it may be using a share of the split quotas.
 type proxyEntry struct {
-	heardAt     time.Time
-	heardHereAt time.Time // when it last spoke here
-	location    directory.Location
-	shares      bool
-	count       int // the live count it last said it uses, here or to another
-	sentStatus  ProxyStatus
-	sentAt      time.Time // when the others nearby were last told
+	seenAt     time.Time
+	seenHereAt time.Time // when it last spoke here
+	location   directory.Location
+	hasShare   bool
+	count      int // the live count it last said it uses, here or to another
+	sentStatus ProxyStatus
+	sentAt     time.Time // when the others nearby were last told
 }
 
 // roster knows the live proxies and which of them share in the split quotas, and tells the
@@ -52,7 +52,7 @@
 type roster struct {
 	settings  *settings.Settings
 	events    *eventlog.Log
-	began     time.Time
+	startedAt time.Time
 	now       func() time.Duration
 	directory *directory.Directory // nil where no directory is served
 	locations *locations           // of the control machines
@@ -60,12 +60,12 @@
 	peers     func() []string // the other control machines
 	send      func(to string, message any)
 	publish   func()                             // has the proxies told
-	keep      func(key string, value func() any) // stores a value; takes the replica's lock
+	put       func(key string, value func() any) // stores a value; takes the replica's lock
 
 	mu         sync.Mutex
 	entries    map[string]*proxyEntry // by address
 	complete   bool                   // all proxies with a share are on it
-	turn       int
+	round      int
 	sharesSent []string
 }
 
@@ -75,7 +75,7 @@
 	defer r.mu.Unlock()
 	r.complete = true
 	for _, a := range addresses {
-		r.entries[a] = &proxyEntry{heardAt: r.began, shares: true}
+		r.entries[a] = &proxyEntry{seenAt: r.startedAt, hasShare: true}
 	}
 }
 
@@ -86,8 +86,8 @@
 	return len(r.entries)
 }
 
-// live is how many proxies there are; 0 while the roster is not complete.
-func (r *roster) live() int {
+// liveCount is how many proxies there are; 0 while the roster is not complete.
+func (r *roster) liveCount() int {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if !r.complete {
@@ -96,37 +96,37 @@
 	return len(r.entries)
 }
 
-// fresh are the proxies that have spoken lately, to any control machine.
-func (r *roster) fresh() []string {
+// recentProxies are the proxies that have spoken lately, to any control machine.
+func (r *roster) recentProxies() []string {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	var out []string
 	for a, e := range r.entries {
-		if time.Since(e.heardAt) < constants.UsageSilent {
+		if time.Since(e.seenAt) < constants.UsageSilent {
 			out = append(out, a)
 		}
 	}
 	return out
 }
 
-// sharing says whether a proxy may be told the live count.
-func (r *roster) sharing(node string) bool {
+// hasShare says whether a proxy may be told the live count.
+func (r *roster) hasShare(node string) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	e := r.entries[node]
-	return e != nil && e.shares
+	return e != nil && e.hasShare
 }
 
-// subscribed takes a proxy's message. A newcomer gets a share of the split quotas only
+// handleSubscription takes a proxy's message. A newcomer gets a share of the split quotas only
 // after every other proxy that has one has said that it reckons with the larger
 // count, so that the shares in use never add up to more than the whole.
-func (r *roster) subscribed(subscription distribution.Subscription) {
+func (r *roster) handleSubscription(subscription distribution.Subscription) {
 	node, count := subscription.Node, subscription.Proxies
-	var place directory.Location
+	var location directory.Location
 	if r.directory != nil {
-		place = directory.Location{Front: subscription.Front, Zone: subscription.Zone, Region: subscription.Region, Ready: subscription.Ready}
-		if r.directory.Report(r.now(), node, place, subscription.Full) {
-			r.sendAll(RosterUpdate{Words: map[string]ProxyStatus{node: {Count: count, Place: place}}})
+		location = directory.Location{Front: subscription.Front, Zone: subscription.Zone, Region: subscription.Region, Ready: subscription.Ready}
+		if r.directory.Report(r.now(), node, location, subscription.Full) {
+			r.sendAll(RosterUpdate{Words: map[string]ProxyStatus{node: {Count: count, Place: location}}})
 		}
 	}
 	r.mu.Lock()
@@ -136,23 +136,23 @@
 		e = &proxyEntry{}
 		r.entries[node] = e
 	}
-	e.heardAt, e.count, e.location = time.Now(), count, place
-	e.heardHereAt = e.heardAt
-	grew := r.admitNewcomers()
+	e.seenAt, e.count, e.location = time.Now(), count, location
+	e.seenHereAt = e.seenAt
+	granted := r.grantShares()
 	r.mu.Unlock()
 	if !known {
 		r.events.Record("proxy", node+" joined")
 	}
-	if grew {
+	if granted {
 		r.persist()
 	}
-	if !known || grew {
+	if !known || granted {
 		r.publish()
 	}
 }
 
-// disconnected takes the end of a proxy's last connection.
-func (r *roster) disconnected(node string) {
+// handleDisconnect takes the end of a proxy's last connection.
+func (r *roster) handleDisconnect(node string) {
 	if r.directory != nil && r.directory.Disconnected(r.now(), node, true) {
 		r.sendAll(RosterUpdate{Gone: []string{node}})
 	}
@@ -165,28 +165,28 @@
 	}
 }
 
-// admitNewcomers lets newcomers share once that is safe; true when any did. mu is held.
-func (r *roster) admitNewcomers() bool {
+// grantShares lets newcomers share once that is safe; true when any did. mu is held.
+func (r *roster) grantShares() bool {
 	if !r.complete {
 		// The very first start: nobody has been told a count yet.
-		if !r.settings.Bootstrap || time.Since(r.began) < constants.RosterQuiet || len(r.entries) == 0 {
+		if !r.settings.Bootstrap || time.Since(r.startedAt) < constants.RosterQuiet || len(r.entries) == 0 {
 			return false
 		}
 		r.complete = true
 	} else {
-		waiting := false
+		withoutShare := false
 		for _, e := range r.entries {
-			if e.shares && e.count < len(r.entries) {
+			if e.hasShare && e.count < len(r.entries) {
 				return false
 			}
-			waiting = waiting || !e.shares
+			withoutShare = withoutShare || !e.hasShare
 		}
-		if !waiting {
+		if !withoutShare {
 			return false
 		}
 	}
 	for _, e := range r.entries {
-		e.shares = true
+		e.hasShare = true
 	}
 	return true
 }
@@ -194,21 +194,21 @@
 // persist stores which proxies have a share, in a goroutine of its own since the disk may
 // take long. What cannot be kept is told again by the others.
 func (r *roster) persist() {
-	go r.keep(rosterKey, func() any {
+	go r.put(rosterKey, func() any {
 		r.mu.Lock()
 		defer r.mu.Unlock()
-		return r.withShares()
+		return r.shareHolders()
 	})
 }
 
 // rosterKey names the roster in the store.
 const rosterKey = "roster"
 
-// withShares lists the proxies that have a share, sorted. mu is held.
-func (r *roster) withShares() []string {
+// shareHolders lists the proxies that have a share, sorted. mu is held.
+func (r *roster) shareHolders() []string {
 	var out []string
 	for a, e := range r.entries {
-		if e.shares {
+		if e.hasShare {
 			out = append(out, a)
 		}
 	}
@@ -216,42 +216,42 @@
 	return out
 }
 
-// share tells the other control machines, and drops proxies that have long been silent.
-func (r *roster) share() {
+// broadcast tells the other control machines, and drops proxies that have long been silent.
+func (r *roster) broadcast() {
 	facts := r.members()
 	r.mu.Lock()
-	r.turn++
-	r.noteAlive(facts)
+	r.round++
+	r.markAlive(facts)
 	changed := r.dropSilent()
-	near, far := r.statuses()
-	shares := r.withShares()
-	if r.turn%constants.RosterWhole == 0 || !slices.Equal(shares, r.sharesSent) {
-		near.Shares, far.Shares, r.sharesSent = shares, shares, shares
+	sameRegion, otherRegions := r.statuses()
+	shares := r.shareHolders()
+	if r.round%constants.RosterWhole == 0 || !slices.Equal(shares, r.sharesSent) {
+		sameRegion.Shares, otherRegions.Shares, r.sharesSent = shares, shares, shares
 	}
-	farToo := r.turn%constants.RosterFar == 0 || far.Shares != nil
-	changed = r.admitNewcomers() || changed
+	sendOtherRegions := r.round%constants.RosterFar == 0 || otherRegions.Shares != nil
+	changed = r.grantShares() || changed
 	r.mu.Unlock()
 	if changed {
 		r.persist()
 		r.publish()
 	}
 	for _, p := range r.peers() {
-		if r.locations.of(p).Region == r.settings.Region {
-			r.send(p, near)
-		} else if farToo {
-			r.send(p, far)
+		if r.locations.lookup(p).Region == r.settings.Region {
+			r.send(p, sameRegion)
+		} else if sendOtherRegions {
+			r.send(p, otherRegions)
 		}
 	}
 }
 
-// noteAlive keeps proxies on the roster that cannot reach this machine but live, as others
+// markAlive keeps proxies on the roster that cannot reach this machine but live, as others
 // vouch. mu is held.
-func (r *roster) noteAlive(facts []membership.Fact) {
+func (r *roster) markAlive(facts []membership.Fact) {
 	for _, f := range facts {
 		host, _, _ := net.SplitHostPort(f.Addr)
 		e := r.entries[host]
 		if e != nil && f.State == membership.Alive && f.Addr == r.settings.PeerInternal(host, constants.PortProxyMembership) {
-			e.heardAt = time.Now()
+			e.seenAt = time.Now()
 		}
 	}
 }
@@ -260,7 +260,7 @@
 func (r *roster) dropSilent() bool {
 	dropped := false
 	for a, e := range r.entries {
-		if time.Since(e.heardAt) > constants.ProxyForget {
+		if time.Since(e.seenAt) > constants.ProxyForget {
 			delete(r.entries, a)
 			dropped = true
 		}
@@ -270,69 +270,69 @@
 
 // statuses are the messages on the proxies that spoke here lately: near has what has changed
 // or not been told for a while, far all. mu is held.
-func (r *roster) statuses() (near, far RosterUpdate) {
-	near, far = RosterUpdate{Words: map[string]ProxyStatus{}}, RosterUpdate{Words: map[string]ProxyStatus{}}
+func (r *roster) statuses() (sameRegion, otherRegions RosterUpdate) {
+	sameRegion, otherRegions = RosterUpdate{Words: map[string]ProxyStatus{}}, RosterUpdate{Words: map[string]ProxyStatus{}}
 	for a, e := range r.entries {
-		age := time.Since(e.heardHereAt)
+		age := time.Since(e.seenHereAt)
 		if age >= constants.SubscriptionSilence {
 			continue // the others' own proxies are theirs to tell of
 		}
 		status := ProxyStatus{age, e.count, e.location}
-		far.Words[a] = status
+		otherRegions.Words[a] = status
 		sent := e.sentStatus
 		if sent.Count != status.Count || sent.Place != status.Place || time.Since(e.sentAt) >= constants.RosterRefresh {
-			near.Words[a], e.sentStatus, e.sentAt = status, status, time.Now()
+			sameRegion.Words[a], e.sentStatus, e.sentAt = status, status, time.Now()
 		}
 	}
-	return near, far
+	return sameRegion, otherRegions
 }
 
-// take takes what another control machine tells.
-func (r *roster) take(m RosterUpdate) {
+// merge takes what another control machine tells.
+func (r *roster) merge(m RosterUpdate) {
 	r.mu.Lock()
-	grew := r.takeStatuses(m.Words)
+	changed := r.mergeStatuses(m.Words)
 	if r.directory != nil {
 		for _, a := range m.Gone {
 			r.directory.Disconnected(r.now(), a, false)
 		}
 	}
-	grew = r.takeShares(m.Shares) || grew
+	changed = r.mergeShares(m.Shares) || changed
 	r.mu.Unlock()
-	if grew {
+	if changed {
 		r.persist()
 		r.publish()
 	}
 }
 
-// takeStatuses is true when a proxy is new here. mu is held.
-func (r *roster) takeStatuses(statuses map[string]ProxyStatus) bool {
-	grew := false
+// mergeStatuses is true when a proxy is new here. mu is held.
+func (r *roster) mergeStatuses(statuses map[string]ProxyStatus) bool {
+	added := false
 	for a, s := range statuses {
 		at := time.Now().Add(-s.Age)
 		if e := r.entries[a]; e == nil {
-			r.entries[a] = &proxyEntry{heardAt: at, count: s.Count, location: s.Place}
-			grew = true
-		} else if at.After(e.heardAt) {
-			e.heardAt, e.count, e.location = at, s.Count, s.Place
+			r.entries[a] = &proxyEntry{seenAt: at, count: s.Count, location: s.Place}
+			added = true
+		} else if at.After(e.seenAt) {
+			e.seenAt, e.count, e.location = at, s.Count, s.Place
 		}
 		if r.directory != nil {
 			r.directory.Relay(r.now(), a, s.Place, s.Age)
 		}
 	}
-	return grew
+	return added
 }
 
-// takeShares is true when a proxy has a share that had none here. mu is held.
-func (r *roster) takeShares(shares []string) bool {
+// mergeShares is true when a proxy has a share that had none here. mu is held.
+func (r *roster) mergeShares(shares []string) bool {
 	if len(shares) == 0 {
 		return false
 	}
-	grew := false
+	changed := false
 	r.complete = true
 	for _, a := range shares {
-		if e := r.entries[a]; e != nil && !e.shares {
-			e.shares, grew = true, true
+		if e := r.entries[a]; e != nil && !e.hasShare {
+			e.hasShare, changed = true, true
 		}
 	}
-	return grew
+	return changed
 }
--- a/internal/controlplane/step_bench_test.go
+++ b/internal/controlplane/step_bench_test.go
@@ -24,7 +24,7 @@
 	if err != nil {
 		b.Fatal(err)
 	}
-	r := &replica{machine: c, send: func(string, any) {}}
+	r := &replica{chain: c, send: func(string, any) {}}
 	r.leases = newLeases(lease.New(0, 1, names[0], []string{dutyPoll}), func() time.Duration { return 0 }, nil, nil)
 	// The base of the machine's own moments shows in the first heartbeat it sends.
 	var base uint64
@@ -35,7 +35,7 @@
 			}
 		}
 	}
-	heard := func(now time.Duration) {
+	receiveHeartbeats := func(now time.Duration) {
 		for _, n := range names[1:] {
 			g := c.Status()
 			g.Me = chain.Member{Addr: n, Incarnation: 1}
@@ -49,7 +49,7 @@
 		now += constants.ChainTick
 		if i%int(constants.HeartbeatEvery/constants.ChainTick) == 0 {
 			b.StopTimer()
-			heard(now)
+			receiveHeartbeats(now)
 			b.StartTimer()
 		}
 		r.step(func() []chain.Effect { c.Tick(now); return nil })
--- a/internal/controlplane/upstreamlist.go
+++ b/internal/controlplane/upstreamlist.go
@@ -44,13 +44,13 @@
 
 	polling sync.Mutex
 
-	mu         sync.Mutex
-	list       *discovery.List
-	currentAt  time.Time
-	highestNum uint64        // highest number heard of
-	bootRead   bool          // the list has been read without the duty, once
-	bootTurn   time.Duration // not before: machines that start together read one after the other
-	pollSince  time.Duration // start of the holding under which it was last read
+	mu           sync.Mutex
+	list         *discovery.List
+	currentAt    time.Time
+	highestNum   uint64        // highest number heard of
+	bootReadDone bool          // the list has been read without the duty, once
+	bootReadAt   time.Duration // not before: machines that start together read one after the other
+	heldSince    time.Duration // start of the holding under which it was last read
 }
 
 // current is the list as known here, nil while there is none, and its age.
@@ -60,15 +60,15 @@
 	return u.list, time.Since(u.currentAt)
 }
 
-// heardOf notes the number of a list that another process has.
-func (u *upstreamList) heardOf(num uint64) {
+// observeNumber notes the number of a list that another process has.
+func (u *upstreamList) observeNumber(num uint64) {
 	u.mu.Lock()
 	defer u.mu.Unlock()
 	u.highestNum = max(u.highestNum, num)
 }
 
-// whole is the message that brings all of the list; false while there is none.
-func (u *upstreamList) whole() (ListUpdate, bool) {
+// fullUpdate is the message that brings all of the list; false while there is none.
+func (u *upstreamList) fullUpdate() (ListUpdate, bool) {
 	list, age := u.current()
 	if list == nil {
 		return ListUpdate{}, false
@@ -76,17 +76,17 @@
 	return ListUpdate{list.Num, discovery.Diff(nil, list), age}, true
 }
 
-// waitForTurn keeps this machine from reading without the duty before its turn. Were all
+// delayBootRead keeps this machine from reading without the duty before its turn. Were all
 // that start together to read at once, long lists would use up the platform's rate before
 // anyone had the whole.
-func (u *upstreamList) waitForTurn(turn time.Duration) {
+func (u *upstreamList) delayBootRead(until time.Duration) {
 	u.mu.Lock()
 	defer u.mu.Unlock()
-	u.bootTurn = turn
+	u.bootReadAt = until
 }
 
-// boot reads the list at the start until there is one.
-func (u *upstreamList) boot(ctx context.Context) {
+// readAtBoot reads the list at the start until there is one.
+func (u *upstreamList) readAtBoot(ctx context.Context) {
 	u.broadcast(ListRequest{}) // whoever has started before may have one
 	for {
 		u.poll(ctx)
@@ -106,23 +106,23 @@
 		return
 	}
 	defer u.polling.Unlock()
-	since, held := u.holdsPoll()
-	first := !held && u.takeBootTurn()
-	if !held && !first {
+	heldSince, held := u.holdsPoll()
+	bootRead := !held && u.claimBootRead()
+	if !held && !bootRead {
 		return
 	}
 	instances, err := u.source.Read(ctx)
 	if err != nil {
 		u.events.Count("poll_failed", 1)
-		if first {
-			u.retryBoot()
+		if bootRead {
+			u.rescheduleBootRead()
 		}
 		return
 	}
-	if s, still := u.holdsPoll(); held && (!still || s != since) {
+	if s, still := u.holdsPoll(); held && (!still || s != heldSince) {
 		return // the list may be old by now, and another reads
 	}
-	update, ok := u.adopt(instances, since, first)
+	update, ok := u.install(instances, heldSince, bootRead)
 	if !ok {
 		return
 	}
@@ -133,55 +133,55 @@
 	}
 }
 
-// takeBootTurn says whether the list is to be read without the duty now, and notes that
+// claimBootRead says whether the list is to be read without the duty now, and notes that
 // it has been.
-func (u *upstreamList) takeBootTurn() bool {
+func (u *upstreamList) claimBootRead() bool {
 	u.mu.Lock()
 	defer u.mu.Unlock()
-	first := u.list == nil && !u.bootRead && u.now() >= u.bootTurn
-	u.bootRead = u.bootRead || first
-	return first
+	due := u.list == nil && !u.bootReadDone && u.now() >= u.bootReadAt
+	u.bootReadDone = u.bootReadDone || due
+	return due
 }
 
-// retryBoot gives the reading without the duty another turn.
-func (u *upstreamList) retryBoot() {
+// rescheduleBootRead gives the reading without the duty another turn.
+func (u *upstreamList) rescheduleBootRead() {
 	u.mu.Lock()
 	defer u.mu.Unlock()
-	u.bootRead, u.bootTurn = false, u.now()+constants.BootRetry
+	u.bootReadDone, u.bootReadAt = false, u.now()+constants.BootRetry
 }
 
-// adopt takes up what has been read under a holding of the duty, or first without it; ok
+// install takes up what has been read under a holding of the duty, or first without it; ok
 // is false when another list came before a first one. The update has a Change when the
 // list has another number than before.
-func (u *upstreamList) adopt(instances []discovery.Instance, since time.Duration, first bool) (update ListUpdate, ok bool) {
+func (u *upstreamList) install(instances []discovery.Instance, heldSince time.Duration, bootRead bool) (update ListUpdate, ok bool) {
 	u.mu.Lock()
 	defer u.mu.Unlock()
-	if first && u.list != nil {
+	if bootRead && u.list != nil {
 		return ListUpdate{}, false
 	}
-	num, changed := u.nextNumber(instances, since, first)
-	u.pollSince = since
-	before := u.list
+	num, changed := u.nextNumber(instances, heldSince, bootRead)
+	u.heldSince = heldSince
+	previous := u.list
 	// A list that is the same keeps its number; how long its upstreams stay cold
 	// is taken anew, to notice one that turns cold again.
 	u.list, u.highestNum = &discovery.List{Num: num, Instances: instances}, max(num, u.highestNum)
 	u.currentAt = time.Now()
 	update.Num = num
 	if changed {
-		update.Change = discovery.Diff(before, u.list)
+		update.Change = discovery.Diff(previous, u.list)
 	}
 	return update, true
 }
 
 // nextNumber is the number of a list just read, and whether it is another than before. mu
 // is held.
-func (u *upstreamList) nextNumber(instances []discovery.Instance, since time.Duration, first bool) (num uint64, changed bool) {
+func (u *upstreamList) nextNumber(instances []discovery.Instance, heldSince time.Duration, bootRead bool) (num uint64, changed bool) {
 	switch {
-	case first:
+	case bootRead:
 		// Below every list that a holder of the duty has numbered, and apart from
 		// what others read so: a difference must not fit another list than its own.
 		return bootNumber(rand.Uint64()), true
-	case u.list == nil || since != u.pollSince:
+	case u.list == nil || heldSince != u.heldSince:
 		// Others numbered before, and two that take over one after the other may
 		// have heard of the same number: each begins at one of its own.
 		return firstNumber(u.highestNum, rand.Uint64()), true
@@ -193,31 +193,31 @@
 
 // firstNumber is where a new holder of the poll duty begins to number its lists:
 // above all it has heard of, and apart from another that has heard the same.
-func firstNumber(heard, lot uint64) uint64 {
-	return (heard/constants.ListStride+1)*constants.ListStride + lot%(constants.ListStride/2)
+func firstNumber(highest, random uint64) uint64 {
+	return (highest/constants.ListStride+1)*constants.ListStride + random%(constants.ListStride/2)
 }
 
 // bootNumber is the number of a list read without the duty.
-func bootNumber(lot uint64) uint64 { return 1 + lot%(constants.ListStride-1) }
+func bootNumber(random uint64) uint64 { return 1 + random%(constants.ListStride-1) }
 
-// take takes another machine's update; false when it does not fit what is held here.
-func (u *upstreamList) take(m ListUpdate) bool {
+// applyUpdate takes another machine's update; false when it does not fit what is held here.
+func (u *upstreamList) applyUpdate(m ListUpdate) bool {
 	u.mu.Lock()
 	u.highestNum = max(u.highestNum, m.Num)
-	took := false
+	applied := false
 	if m.Change != nil && (u.list == nil || m.Num > u.list.Num) {
 		if list, fits := m.Change.Apply(u.list); fits {
-			u.list, took = list, true
+			u.list, applied = list, true
 		}
 	}
-	same := u.list != nil && u.list.Num == m.Num
-	missed := u.list == nil || u.list.Num < m.Num
-	if at := time.Now().Add(-m.Age); same && at.After(u.currentAt) {
+	sameNumber := u.list != nil && u.list.Num == m.Num
+	behind := u.list == nil || u.list.Num < m.Num
+	if at := time.Now().Add(-m.Age); sameNumber && at.After(u.currentAt) {
 		u.currentAt = at
 	}
 	u.mu.Unlock()
-	if took {
+	if applied {
 		u.publish()
 	}
-	return !missed
+	return !behind
 }
