--- a/internal/controlplane/accounts.go
+++ b/internal/controlplane/accounts.go
@@ -10,12 +10,12 @@
 	"slateridge/internal/storage"
 )
 
-// accountsDirectory is where a control machine's copy of the accounts stands, in its data
-// directory.
+// accountsDirectory is the subdirectory of the data directory that holds this machine's
+// replica of the accounts.
 const accountsDirectory = "accounts"
 
-// openAccounts takes up the accounts where tenants have objectives, and gives the duties
-// that their shards are.
+// openAccounts opens the accounts store if tenants have objectives, and returns the names of
+// the duties of the account shards.
 func (d *Daemon) openAccounts() ([]string, error) {
 	objectives, err := accounts.LoadObjectives(os.Getenv(accounts.EnvFile))
 	if err != nil || objectives == nil || d.replica.relay {
@@ -46,7 +46,8 @@
 	return until > d.now()
 }
 
-// accountsLeaseHolder is the machine that holds a shard's lease, as far as is known here.
+// accountsLeaseHolder returns the machine that holds a shard's lease, according to this
+// machine's latest information.
 func (d *Daemon) accountsLeaseHolder(shard int) string {
 	return d.leases.holder(accounts.DutyName(shard))
 }
--- a/internal/controlplane/admin.go
+++ b/internal/controlplane/admin.go
@@ -20,17 +20,17 @@
 	"slateridge/internal/membership"
 )
 
-// Report is what `slateridge status` shows of a control machine.
+// Report is the state of a control machine that `slateridge status` shows.
 type Report struct {
 	Role      string
 	Node      string
 	Chain     chain.Heartbeat
 	Current   bool
-	Contact   time.Duration // since it was last in contact with a majority both ways; negative: never
+	Contact   time.Duration // time since the last two-way contact with a majority; negative if there was none
 	Voters    []chain.Voter
-	Margin    int // voters beyond a majority that are left if as many were lost as may be
+	Margin    int // voters beyond a majority that remain after the largest tolerated loss
 	Duties    map[string]string
-	Platform  map[string]DutyReport // duties at the platform, with their fences
+	Platform  map[string]DutyReport // duties performed at the platform, with their fencing tokens
 	Scaling   []ScalingReport
 	ListNum   uint64
 	ListAge   time.Duration
@@ -38,22 +38,22 @@
 	Evacuated []string
 	Zone      string
 	Region    string
-	Directory *DirectoryReport // where this machine serves it
+	Directory *DirectoryReport // nil if this machine serves no directory
 	Live      int
 	Proxies   []distribution.ProxyState
 	Acked     int
 	Pushes    uint64
-	Dropped   uint64 // words on leases and duties from who has no vote, or of an older view
+	Dropped   uint64 // lease and duty messages dropped because the sender has no vote or their view is outdated
 	Leased    map[string]float64
 	Members   []membership.Fact
 	Events    []eventlog.Event
 	Tallies   []eventlog.Tally
 
-	accounts *accounts.Service // for metrics; nil where tenants have no objectives
+	accounts *accounts.Service // for metrics; nil if no tenant has objectives
 }
 
-// adminAPI is the admin interface of a control machine: the report, and the operator's
-// word on voters that are gone for good.
+// adminAPI returns the admin interface of a control machine. It serves the report and the
+// accounts, and lets operators retire voters that are permanently lost.
 func (d *Daemon) adminAPI() http.Handler {
 	m := http.NewServeMux()
 	m.Handle("/", adminhttp.Handler(d.Report))
@@ -64,8 +64,8 @@
 	return m
 }
 
-// retireVoter tries for a view whose electorate does without a machine. It is decided as any
-// view is; the answer says whether it was, or why it cannot be.
+// retireVoter proposes a view whose electorate excludes the given machine. The view needs
+// the usual agreement; the response reports whether it was reached or why it is refused.
 func (d *Daemon) retireVoter(w http.ResponseWriter, r *http.Request) {
 	addr := r.URL.Query().Get("machine")
 	var refusal string
@@ -89,13 +89,13 @@
 	writeUnavailable(w, "no view without "+addr+" was agreed in time; it may still come")
 }
 
-// DirectoryReport is what the directory knows and has answered.
+// DirectoryReport lists the proxies known to the directory and counts its lookups.
 type DirectoryReport struct {
 	Places                []directory.LocationState
 	Asked, Empty, Spilled uint64
 }
 
-// Report describes this machine for operators.
+// Report returns the current state of this machine.
 func (d *Daemon) Report() Report {
 	snapshot := d.proxyPublisher.snapshot()
 	r := Report{accounts: d.accounts, Role: "control", Node: d.settings.NodeName, Chain: d.replica.status(), Current: snapshot.Current,
@@ -122,7 +122,7 @@
 	return r
 }
 
-// WriteMetrics gives the report in the text format that scrapers read.
+// WriteMetrics writes the report in the Prometheus text format.
 func (r Report) WriteMetrics(w io.Writer) {
 	gauge := func(name string, v uint64) { metrics.WriteGaugeUint64(w, "slateridge_"+name, v) }
 	gauge("view_number", r.Chain.View.Num)
@@ -182,7 +182,8 @@
 	adminhttp.WriteCommon(w, r.Members, r.Tallies)
 }
 
-// writeMetrics gives what the directory knows and has answered.
+// writeMetrics writes the lookup counters and the number of proxies by region, zone and
+// state.
 func (d *DirectoryReport) writeMetrics(w io.Writer) {
 	metrics.WriteCounterUint64(w, "slateridge_directory_lookups_total", d.Asked)
 	metrics.WriteCounterUint64(w, "slateridge_directory_unanswered_total", d.Empty)
@@ -197,7 +198,8 @@
 	}
 }
 
-// LaggingProxies lists the proxies that do not hold what is in force.
+// LaggingProxies lists the proxies with an older configuration than the active one. Proxies
+// that have been silent for constants.ProxyForget or longer are left out.
 func (r Report) LaggingProxies() []string {
 	var out []string
 	for _, p := range r.Proxies {
--- a/internal/controlplane/api.go
+++ b/internal/controlplane/api.go
@@ -26,13 +26,14 @@
 
 const notAcknowledgedMessage = "not acknowledged by every member in time; it may or may not come into force"
 
-// writeUnavailable asks the caller to come back in a second.
+// writeUnavailable responds with status 503 and asks the caller to retry after a second.
 func writeUnavailable(w http.ResponseWriter, message string) {
 	w.Header().Set("Retry-After", "1")
 	writeError(w, http.StatusServiceUnavailable, errorBody(message))
 }
 
-// operatorAPI answers the operator; any control machine takes any call.
+// operatorAPI returns the handler of the operators' API. Every control machine accepts every
+// call; a relay redirects it.
 func (d *Daemon) operatorAPI() http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		if r.URL.Path != "/api/rpc" {
@@ -65,16 +66,15 @@
 	})
 }
 
-// redirect names a caller the control machine that this relay heard last. The
-// configuration does not pass through here: the link of such a machine is narrow
-// and carries requests.
+// redirect sends the caller to the voter that this relay heard from last. A relay does not
+// forward configurations because its link has little bandwidth and carries requests.
 func (d *Daemon) redirect(w http.ResponseWriter, r *http.Request) {
 	target, ok := d.replica.redirectTarget()
 	if !ok {
 		writeUnavailable(w, "no control machine with a say is known here now")
 		return
 	}
-	_, port, _ := net.SplitHostPort(d.settings.ListenAddresses.ControlPlane) // alike on all machines
+	_, port, _ := net.SplitHostPort(d.settings.ListenAddresses.ControlPlane) // the port is the same on all machines
 	w.Header().Set("Location", "http://"+net.JoinHostPort(target, port)+r.URL.RequestURI())
 	w.Header().Set("Content-Length", "0")
 	w.WriteHeader(http.StatusTemporaryRedirect)
@@ -112,14 +112,14 @@
 			}
 		}
 	}
-	// What was committed under a number stays so: no contact is needed to say it.
+	// A committed version never changes, so the response needs no contact with a majority.
 	current := d.activeState.Load()
 	switch sum, known := current.Ledger.Find(cfg.Version); {
 	case !known:
 		d.events.Count("order_forgotten", 1)
 		writeUnavailable(w, fmt.Sprintf("r%d lies below r%d, and what was taken up to there is not remembered", cfg.Version, current.Ledger.Floor+1))
 	case sum != config.SumOf(raw):
-		d.events.Record("number_taken", fmt.Sprintf("r%d has been taken with another content", cfg.Version))
+		d.events.Record("number_taken", fmt.Sprintf("r%d is already committed with different content", cfg.Version))
 		d.writeVersionConflict(w, cfg.Version)
 	default:
 		w.Header().Set("Content-Type", "application/json")
@@ -127,14 +127,15 @@
 	}
 }
 
-// writeVersionConflict answers an order whose number stands for another content.
+// writeVersionConflict responds to a configuration whose version is already committed with
+// different content.
 func (d *Daemon) writeVersionConflict(w http.ResponseWriter, version uint64) {
 	writeError(w, http.StatusConflict, errorBody(fmt.Sprintf("r%d has been taken with another content: send this one under a higher number", version)))
 }
 
-// await waits for what an order or a read depends on; false when it did not come in the
-// time that callers wait, or when this machine is out of contact with a majority and so
-// cannot bring it about: others may. A caller that has gone is not waited for.
+// await waits until done is closed. It returns false after constants.SubmitWait, when the
+// caller has disconnected, or when this machine has lost contact with a majority: it cannot
+// complete the call then, while another machine may be able to.
 func (d *Daemon) await(ctx context.Context, done <-chan struct{}) bool {
 	timeout := time.NewTimer(constants.SubmitWait)
 	defer timeout.Stop()
@@ -171,9 +172,9 @@
 	}
 }
 
-// handleEvacuation takes the order to send nothing more to a zone's upstreams, or to
-// take the zone back. It is acknowledged once the state that holds it is
-// committed; a repeat is a new order with the same effect.
+// handleEvacuation stops or resumes traffic to a zone's upstreams. It responds with success
+// once a state with the order is committed. A repeated call is a new order with the same
+// effect.
 func (d *Daemon) handleEvacuation(w http.ResponseWriter, r *http.Request) {
 	zone := r.URL.Query().Get("of")
 	if zone == "" {
@@ -184,8 +185,9 @@
 		writeError(w, http.StatusBadRequest, errorBody(fmt.Sprintf("zone %q is not known", zone)))
 		return
 	}
-	// Orders have no numbers: one read late, by a process that stood still or over a path
-	// that was cut, must not undo what was ordered since. Its caller has gone by then.
+	// Evacuation orders have no version numbers. An order that is read late, after a stall
+	// of this process or a network partition, must not undo newer orders. Its caller has
+	// disconnected by then, so a short wait detects it.
 	time.Sleep(constants.CallerCheck)
 	if d.replica.recentlyStalled() || r.Context().Err() != nil {
 		d.events.Count("order_too_late", 1)
--- a/internal/controlplane/connections.go
+++ b/internal/controlplane/connections.go
@@ -8,22 +8,22 @@
 	"slateridge/internal/transport"
 )
 
-// connections sends messages to the other control machines, each over a connection of its
-// own that is made with the first message. mu guards byAddress and is not held while a
+// connections sends messages to the other control machines. Each machine has its own
+// connection, which is opened for the first message. mu guards peers and is not held while a
 // message is sent.
 type connections struct {
 	settings *settings.Settings
-	receive  transport.Handler // takes what comes back
+	receive  transport.Handler // handles messages that arrive over these connections
 
 	mu    sync.Mutex
-	peers map[string]*transport.Peer
+	peers map[string]*transport.Peer // by address
 }
 
 func newConnections(nodeSettings *settings.Settings, receive transport.Handler) *connections {
 	return &connections{settings: nodeSettings, receive: receive, peers: map[string]*transport.Peer{}}
 }
 
-// send puts a message on its way to a machine; to this one itself nothing is sent.
+// send queues a message for a machine. Messages to this machine itself are dropped.
 func (c *connections) send(to string, message any) {
 	if to == c.settings.IPAddress {
 		return
@@ -39,7 +39,6 @@
 	peer.Send(message)
 }
 
-// sendAll sends a message to several machines.
 func (c *connections) sendAll(to []string, message any) {
 	for _, address := range to {
 		c.send(address, message)
--- a/internal/controlplane/daemon.go
+++ b/internal/controlplane/daemon.go
@@ -1,5 +1,6 @@
-// Package controlplane is the control process: the operators' API, the duties, and what the
-// proxies are told. Package chain, below it, decides what is in force.
+// Package controlplane implements the control process: the operators' API, the duties that
+// one machine at a time performs, and the updates to the proxies. Its subpackage chain
+// replicates the state and decides which one is committed.
 package controlplane
 
 import (
@@ -33,8 +34,8 @@
 	"slateridge/internal/usage"
 )
 
-// Daemon is the control process. It builds the parts, connects them, and hands each message
-// to the part it concerns; each part owns its locks, as its type says.
+// Daemon is the control process. It creates the components, connects them, and dispatches
+// messages to them. Each component has its own locks, which its type documents.
 type Daemon struct {
 	settings  *settings.Settings
 	events    *eventlog.Log
@@ -53,20 +54,20 @@
 	proxyDirectory *directory.Directory
 	members        *membership.Agent
 
-	clock       *clock.Clock  // agreed among the control machines
-	dutyRunners []*dutyRunner // duties at the platform
+	clock       *clock.Clock  // synchronized among the control machines
+	dutyRunners []*dutyRunner // duties performed at the platform
 	usageTally  *usage.Tally
-	usageKeeper *usage.Keeper // used by keepUsage only
+	usageKeeper *usage.Keeper // used by saveUsage only
 
 	loadSum        *autoscale.LoadSum
 	scaler         *autoscale.Controller
 	subjectSlotsMu sync.Mutex
-	subjectSlots   map[autoscale.Subject]int // slots of an upstream, where any was seen; under zonesOfMu
+	subjectSlots   map[autoscale.Subject]int // slots per upstream, for every subject seen in the list; guarded by subjectSlotsMu
 
-	accounts *accounts.Service // nil where tenants have no objectives
+	accounts *accounts.Service // nil if no tenant has objectives
 }
 
-// NewDaemon opens the store and builds the machines.
+// NewDaemon opens the store and creates the components.
 func NewDaemon(nodeSettings *settings.Settings, events *eventlog.Log) (*Daemon, error) {
 	d := &Daemon{
 		settings:       nodeSettings,
@@ -120,23 +121,24 @@
 	return d, nil
 }
 
-// openStore opens the store; fresh says that it was empty. A relay has none on disk.
+// openStore opens the store and reports whether it was empty. The store of a relay is not on
+// disk.
 func (d *Daemon) openStore() (store *storage.Store, isNew bool, err error) {
 	if d.settings.DataDirectory == "" || !d.settings.QuorumMember {
 		d.events.Record("relay", "no disk of its own that counts: callers are sent on, nothing is decided here")
 		return storage.Volatile(), false, nil
 	}
 	if store, isNew, err = storage.Open(d.settings.DataDirectory); err != nil {
-		return nil, false, fmt.Errorf("store in %s: %w", d.settings.DataDirectory, err)
+		return nil, false, fmt.Errorf("open store in %s: %w", d.settings.DataDirectory, err)
 	}
 	return store, isNew, nil
 }
 
-// buildReplica makes the chain machine from its store, and what drives it.
+// buildReplica creates the chain state machine from the store, and the replica that runs it.
 func (d *Daemon) buildReplica(store *storage.Store, isNew bool, rng *rand.Rand) error {
 	nodeSettings := d.settings
 	seeds := nodeSettings.SeedIPs()
-	// The seeds found the first view; the other machines are taken in by views.
+	// The seeds form the first view; later views add the other machines.
 	founding := nodeSettings.Bootstrap && isNew && slices.Contains(seeds, nodeSettings.IPAddress)
 	chainMachine, err := chain.New(0, nodeSettings.IPAddress, seeds, founding, store, rng)
 	if err != nil {
@@ -163,7 +165,7 @@
 	return nil
 }
 
-// buildRoster makes the roster, with the proxies that the store knows.
+// buildRoster creates the roster and restores the proxies saved in the store.
 func (d *Daemon) buildRoster(store *storage.Store) {
 	d.roster = &roster{
 		settings:  d.settings,
@@ -187,7 +189,8 @@
 	}
 }
 
-// buildDuties makes the runners of the duties at the platform, and lists all duties.
+// buildDuties creates the runners of the platform duties and returns the names of all duties
+// except those of the accounts.
 func (d *Daemon) buildDuties() []string {
 	duties := []string{dutyPoll}
 	for shard := range d.settings.Trackers() {
@@ -206,7 +209,7 @@
 	return duties
 }
 
-// buildProxyPublisher makes what tells the proxies.
+// buildProxyPublisher creates the publisher of updates to the proxies.
 func (d *Daemon) buildProxyPublisher() {
 	d.proxyPublisher = &proxyPublisher{
 		settings:     d.settings,
@@ -223,11 +226,11 @@
 	d.proxyPublisher.publisher.OnClosed = d.roster.handleDisconnect
 }
 
-// now is the steady time since this process began.
+// now returns the monotonic time since this process started.
 func (d *Daemon) now() time.Duration { return time.Since(d.startedAt) }
 
-// wall is the time of day to tell the others, in nanoseconds: the agreed one where there is
-// one.
+// wall returns the time of day to send to other machines, in Unix nanoseconds: the
+// synchronized clock if available, the local clock otherwise.
 func (d *Daemon) wall() int64 {
 	if at, ok := d.clock.Now(d.now()); ok {
 		return at.UnixNano()
@@ -237,19 +240,19 @@
 
 func (d *Daemon) publish() { d.proxyPublisher.publish() }
 
-// quotaIsTiny says whether a quota is too small to be split among the proxies.
+// quotaIsTiny reports whether a quota is too small to be split among the proxies.
 func (d *Daemon) quotaIsTiny(proxies int, quota admission.Quota) bool {
 	return admission.Tiny(max(proxies, d.roster.size()), d.settings.Bounds.QuotaSlack, quota)
 }
 
-// applyCommitted puts a state in force here, and answers the calls that wait for it.
+// applyCommitted activates a committed state and completes the calls that wait for it.
 func (d *Daemon) applyCommitted(doc config.Doc) {
 	if d.activeState.apply(doc) {
 		d.pendingCalls.resolve(doc)
 	}
 }
 
-// Add puts the daemon's actors into the process's group.
+// Add opens the listeners and adds the daemon's servers and loops to the run group.
 func (d *Daemon) Add(g *run.Group) error {
 	internal, err := transport.Listen(d.settings.Internal(constants.PortControl))
 	if err != nil {
@@ -295,7 +298,7 @@
 	return err
 }
 
-// addLoops adds what runs at regular intervals.
+// addLoops adds the periodic tasks. A relay only runs the membership agent and its chain.
 func (d *Daemon) addLoops(group *rungroup.Group) {
 	group.Every(membership.TickEvery, d.members.Tick)
 	if d.replica.relay {
@@ -324,9 +327,9 @@
 	group.Every(constants.RosterEvery, d.roster.broadcast)
 }
 
-// Leave hands duties over before a planned stop, and waits for a view in which the
-// others go on without this machine: they need not find it silent first, and what it
-// holds is on as many disks as before.
+// Leave releases all duties before a planned stop and waits for a view without this machine.
+// The other machines then need not detect a failure first, and the state that this machine
+// holds stays on the same number of disks.
 func (d *Daemon) Leave() {
 	d.leases.release()
 	if !d.replica.relay {
@@ -334,7 +337,7 @@
 	}
 }
 
-// onMessage takes what other processes send.
+// onMessage dispatches a message from another process and returns the reply, or nil.
 func (d *Daemon) onMessage(conn *transport.Conn, body any) any {
 	if d.accounts != nil {
 		if reply, handled := d.accounts.Message(conn.Remote, body); handled {
@@ -381,10 +384,10 @@
 	return nil
 }
 
-// handleSubscription takes a proxy's subscription, and answers with what has changed for it.
+// handleSubscription processes a proxy's subscription and returns the changes since its last
+// update. A relay returns only the addresses of the control machines.
 func (d *Daemon) handleSubscription(conn *transport.Conn, m distribution.Subscription) distribution.Update {
 	if d.replica.relay {
-		// Where to turn is all it can tell.
 		return distribution.Update{Zone: d.settings.Zone, Peers: d.proxyPublisher.controlPeers()}
 	}
 	d.roster.handleSubscription(m)
@@ -392,8 +395,8 @@
 	return d.proxyPublisher.publisher.Subscribed(conn, m)
 }
 
-// Reload reads the settings file again. A control machine takes nothing from
-// it while it runs; the file is checked and the finding noted.
+// Reload returns a function that validates the settings file again and records the result. A
+// running control machine does not apply changed settings.
 func (d *Daemon) Reload(path string) func() {
 	return func() {
 		if _, err := settings.Load(path, "controlPlane"); err != nil {
--- a/internal/controlplane/directory.go
+++ b/internal/controlplane/directory.go
@@ -10,7 +10,7 @@
 	"slateridge/internal/constants"
 )
 
-// directoryAPI answers clients that ask where to connect.
+// directoryAPI returns the handler of lookups by clients that want to connect to a proxy.
 func (d *Daemon) directoryAPI() http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		if r.URL.Path != "/api/lookup" {
@@ -22,7 +22,7 @@
 			writeError(w, http.StatusMethodNotAllowed, errorBody("lookups are made with GET"))
 			return
 		}
-		query, err := url.ParseQuery(r.URL.RawQuery) // garbled parts are a fault, not left out
+		query, err := url.ParseQuery(r.URL.RawQuery) // unlike URL.Query, reports malformed pairs instead of dropping them
 		if err != nil {
 			writeError(w, http.StatusBadRequest, errorBody("the query cannot be read: "+err.Error()))
 			return
@@ -43,7 +43,7 @@
 	})
 }
 
-// ttl is how long an answer may be used, as the wire writes it.
+// ttl returns how long clients may cache a lookup response, formatted for the response.
 func (d *Daemon) ttl() string {
 	ttl := constants.LookupTTL
 	if limit := d.settings.Bounds.TTLMax.D(); limit > 0 && limit < ttl {
--- a/internal/controlplane/leases.go
+++ b/internal/controlplane/leases.go
@@ -9,15 +9,14 @@
 	"slateridge/internal/lease"
 )
 
-// dutyPoll is the duty of reading the platform's list of upstreams.
+// dutyPoll is the duty to poll the platform's list of upstreams.
 const dutyPoll = "poll"
 
-// dutyTrack is the duty of tracking one shard of the quotas.
+// dutyTrack returns the name of the duty to track one shard of the quotas.
 func dutyTrack(shard int) string { return fmt.Sprintf("track/%d", shard) }
 
-// leases is this machine's part in the leases of the duties: it drives the lease manager
-// and sends its messages. mu guards manager; it is released before anything is sent, and
-// may be taken while the replica's lock is held, never the other way round.
+// leases runs the manager of the duty leases and sends its messages. mu guards manager and
+// is released before messages are sent. Lock order: the replica's lock before mu.
 type leases struct {
 	now    func() time.Duration
 	send   func(to string, message any)
@@ -26,14 +25,14 @@
 	mu      sync.Mutex
 	manager *lease.Manager
 
-	recordedHeld map[string]bool // as last recorded; used by tick only
+	recordedHeld map[string]bool // by duty, as last recorded in the event log; used by tick only
 }
 
 func newLeases(manager *lease.Manager, now func() time.Duration, send func(to string, message any), events *eventlog.Log) *leases {
 	return &leases{manager: manager, now: now, send: send, events: events, recordedHeld: map[string]bool{}}
 }
 
-// tick claims and renews leases, and records which duties began or ended here.
+// tick claims and renews leases, and records duties that this machine took or lost.
 func (l *leases) tick() {
 	l.mu.Lock()
 	messages := l.manager.Tick(l.now())
@@ -55,7 +54,7 @@
 	}
 }
 
-// receive takes another machine's message on leases.
+// receive handles a lease message from another machine.
 func (l *leases) receive(from string, message any) {
 	l.mu.Lock()
 	messages := l.manager.Recv(l.now(), from, message)
@@ -63,7 +62,7 @@
 	l.sendAll(messages)
 }
 
-// release gives up all leases before a planned stop, or only those named.
+// release gives up the leases of the given duties, or all leases if none is given.
 func (l *leases) release(duties ...string) {
 	l.mu.Lock()
 	messages := l.manager.Leave(l.now(), duties...)
@@ -77,23 +76,24 @@
 	}
 }
 
-// setElectorate tells the manager who grants leases from now on, and whether this machine
-// must not grant any.
+// setElectorate sets the voters that grant leases from now on. If leavesElectorate is true,
+// this machine must not grant any.
 func (l *leases) setElectorate(epoch uint64, voters []string, leavesElectorate bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.manager.SetElectorate(l.now(), epoch, voters, leavesElectorate)
 }
 
-// holds says whether this machine holds a duty at a moment, and since when without a break.
+// holds reports whether this machine holds a duty at time now, and since when without
+// interruption.
 func (l *leases) holds(now time.Duration, duty string) (since time.Duration, ok bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.manager.Holds(now, duty)
 }
 
-// term is the end of this machine's lease of a duty, 0 without one, and the start of its
-// holding.
+// term returns when this machine's lease on a duty ends, 0 if it holds none, and since when it
+// has held the duty.
 func (l *leases) term(duty string) (until, since time.Duration) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -102,14 +102,14 @@
 	return l.manager.Until(now, duty), since
 }
 
-// holder is who holds a duty as far as is known here; empty when nobody does.
+// holder returns the known holder of a duty, or "" if there is none.
 func (l *leases) holder(duty string) string {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.manager.Holder(l.now(), duty)
 }
 
-// holders gives the holder of each duty, and how many messages on leases were dropped.
+// holders returns the known holder of each duty and the number of dropped lease messages.
 func (l *leases) holders() (byDuty map[string]string, dropped uint64) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
--- a/internal/controlplane/locations.go
+++ b/internal/controlplane/locations.go
@@ -6,8 +6,8 @@
 	"slateridge/internal/distribution"
 )
 
-// locations remembers where the control machines stand, as their heartbeats say. mu guards
-// byAddress.
+// locations records the zone and region of each control machine, taken from its heartbeats.
+// mu guards byAddress.
 type locations struct {
 	mu        sync.Mutex
 	byAddress map[string]distribution.Peer
@@ -17,14 +17,13 @@
 	return &locations{byAddress: map[string]distribution.Peer{}}
 }
 
-// observe notes where a machine stands.
 func (l *locations) observe(address, zone, region string) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.byAddress[address] = distribution.Peer{Addr: address, Zone: zone, Region: region}
 }
 
-// lookup is where a machine stands; zone and region are empty while it is not known.
+// lookup returns the location of a machine. Zone and region are empty if they are unknown.
 func (l *locations) lookup(address string) distribution.Peer {
 	l.mu.Lock()
 	defer l.mu.Unlock()
--- a/internal/controlplane/pendingcalls.go
+++ b/internal/controlplane/pendingcalls.go
@@ -6,30 +6,31 @@
 	"slateridge/internal/config"
 )
 
-// pendingCalls are the operators' calls that wait for the chain: for a configuration's number to
-// be settled, for an evacuation to be committed, or for a read to be answered. mu guards
-// all fields; a call's channel is closed under it, once.
+// pendingCalls tracks operator calls that wait for the chain: until a configuration version
+// is settled, an evacuation is committed, or a read is answered. mu guards all fields. The
+// channel of a call is closed at most once, with mu held.
 type pendingCalls struct {
 	mu          sync.Mutex
-	evacuations map[uint64]chan struct{} // by the order's number
-	versions    map[chan struct{}]uint64 // until a committed state settles the number
+	evacuations map[uint64]chan struct{} // by order ID
+	versions    map[chan struct{}]uint64 // version that each call waits for
 	reads       map[uint64]*pendingRead
 	lastReadID  uint64
 }
 
-// pendingRead is a read under way; doc is set before done is closed.
+// pendingRead is a read in progress. doc is set before done is closed.
 type pendingRead struct {
 	done chan struct{}
 	doc  *config.Doc
 }
 
-// newPendingCalls numbers reads from firstRead on. Reads are known by numbers of this life alone:
-// an answer to an earlier life's may still be under way.
+// newPendingCalls creates an empty set of calls whose read IDs follow firstReadID. Each
+// process needs a random start, because a reply to a read of an earlier process on this
+// machine may still arrive.
 func newPendingCalls(firstReadID uint64) *pendingCalls {
 	return &pendingCalls{evacuations: map[uint64]chan struct{}{}, versions: map[chan struct{}]uint64{}, reads: map[uint64]*pendingRead{}, lastReadID: firstReadID}
 }
 
-// awaitVersion waits for a configuration's number; stop ends the wait.
+// awaitVersion returns a channel that is closed once version is settled. stop ends the wait.
 func (w *pendingCalls) awaitVersion(version uint64) (done <-chan struct{}, stop func()) {
 	ch := make(chan struct{})
 	w.mu.Lock()
@@ -42,7 +43,8 @@
 	}
 }
 
-// awaitEvacuation waits for an order on a zone; stop ends the wait.
+// awaitEvacuation returns a channel that is closed once the evacuation order is committed.
+// stop ends the wait.
 func (w *pendingCalls) awaitEvacuation(id uint64) (done <-chan struct{}, stop func()) {
 	ch := make(chan struct{})
 	w.mu.Lock()
@@ -55,7 +57,7 @@
 	}
 }
 
-// startRead begins a startRead under a number of its own; stop ends the wait.
+// startRead registers a read with a new ID. stop ends the wait.
 func (w *pendingCalls) startRead() (id uint64, r *pendingRead, stop func()) {
 	r = &pendingRead{done: make(chan struct{})}
 	w.mu.Lock()
@@ -70,7 +72,7 @@
 	}
 }
 
-// finishRead answers a read.
+// finishRead completes a read with its result.
 func (w *pendingCalls) finishRead(id uint64, doc *config.Doc) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -81,7 +83,7 @@
 	}
 }
 
-// resolve ends the waits that a resolve state fulfils.
+// resolve completes the calls whose condition the committed state satisfies.
 func (w *pendingCalls) resolve(doc config.Doc) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
--- a/internal/controlplane/proxypublisher.go
+++ b/internal/controlplane/proxypublisher.go
@@ -8,8 +8,8 @@
 	"slateridge/internal/settings"
 )
 
-// proxyPublisher tells the proxies what this machine knows. It has no lock of its own: a snapshot
-// is gathered part by part under each part's lock, and the publisher guards its connections.
+// proxyPublisher sends updates to the proxies. It has no lock of its own: a snapshot reads
+// each component under that component's lock, and the publisher guards its connections.
 type proxyPublisher struct {
 	settings     *settings.Settings
 	now          func() time.Duration
@@ -23,10 +23,10 @@
 	publisher    *distribution.Publisher
 }
 
-// publish has the proxies told what has changed.
+// publish sends pending changes to the proxies.
 func (p *proxyPublisher) publish() { p.publisher.Publish() }
 
-// snapshot is what proxies are told.
+// snapshot returns the current state to publish to the proxies.
 func (p *proxyPublisher) snapshot() distribution.Snapshot {
 	s := distribution.Snapshot{ConfigDoc: p.activeState.Load()}
 	s.Current, s.Zone = p.replica.hasMajorityContact(), p.settings.Zone
@@ -52,7 +52,7 @@
 	return s
 }
 
-// addDutyHolders names the machines that hold the duties which proxies speak to.
+// addDutyHolders adds the holders of the duties that proxies send messages to.
 func (p *proxyPublisher) addDutyHolders(s *distribution.Snapshot) {
 	holders, _ := p.leases.holders()
 	for shard := range p.settings.Trackers() {
@@ -66,7 +66,7 @@
 	}
 }
 
-// controlPeers are the control machines and where they stand.
+// controlPeers returns the control machines with their locations.
 func (p *proxyPublisher) controlPeers() []distribution.Peer {
 	var out []distribution.Peer
 	for _, address := range p.replica.controlAddresses() {
