--- a/internal/controlplane/activestate.go
+++ b/internal/controlplane/activestate.go
@@ -11,78 +11,78 @@
 	"slateridge/internal/eventlog"
 )
 
-// pendingQuotas are the limits of a version that is not in force yet, as far as is known
-// here; they are evaluated until it is.
+// pendingQuotas are the quotas of a configuration version that is not known to be committed.
+// Proxies evaluate them until it is active.
 type pendingQuotas struct {
 	version uint64
 	quotas  map[string]admission.Quota
 }
 
-// committedState is a committed state with the configuration that it holds, read. It is
-// never written after it was made.
+// committedState is a committed state with its parsed configuration. It is immutable.
 type committedState struct {
 	doc    config.Doc
 	config *config.Config // nil while no configuration has been committed
 }
 
-// activeState is the newest committed state known here. Commits come by several goroutines in
-// any order: the state is replaced as a whole and only by a newer one, and whoever hands
-// it on hands on the newest there is.
+// activeState holds the newest committed state known to this machine. Several goroutines may
+// apply commits in any order: the state is replaced as a whole and only by a newer one, and
+// quotas and updates to the proxies are always taken from the newest state.
 type activeState struct {
 	events    *eventlog.Log
-	setQuotas func(map[string]admission.Quota) // takes the limits of a new configuration
-	publish   func()                           // has the proxies told
+	setQuotas func(map[string]admission.Quota) // receives the quotas of a new configuration
+	publish   func()                           // sends the change to the proxies
 
 	state   atomic.Pointer[committedState]
-	pending atomic.Pointer[pendingQuotas] // the newest that arrived here, perhaps not in force
+	pending atomic.Pointer[pendingQuotas] // newest configuration received by this machine; it may never be committed
 
-	quotasMu      sync.Mutex // one hand-over of limits after the other; no I/O under it
-	quotasVersion uint64     // of the limits handed over last; under handOver
+	quotasMu      sync.Mutex // serializes updateQuotas; no I/O while it is held
+	quotasVersion uint64     // version of the last quotas passed to setQuotas; guarded by quotasMu
 }
 
-// Load is the newest committed state; nil while there is none. It is not written after.
-func (f *activeState) Load() *config.Doc {
-	if state := f.state.Load(); state != nil {
+// Load returns the newest committed state, or nil if there is none. The caller must not
+// modify it.
+func (s *activeState) Load() *config.Doc {
+	if state := s.state.Load(); state != nil {
 		return &state.doc
 	}
 	return nil
 }
 
-// Config is the configuration in force; nil while there is none.
-func (f *activeState) Config() *config.Config {
-	if state := f.state.Load(); state != nil {
+// Config returns the active configuration, or nil if there is none.
+func (s *activeState) Config() *config.Config {
+	if state := s.state.Load(); state != nil {
 		return state.config
 	}
 	return nil
 }
 
-// apply puts a state in force here, for the proxies and for the trackers; false when it
-// is not newer than what is.
-func (f *activeState) apply(doc config.Doc) bool {
-	before, replaced := f.replace(doc)
+// apply activates a committed state for the proxies and the quota trackers. It returns false
+// if the state is not newer than the active one.
+func (s *activeState) apply(doc config.Doc) bool {
+	previous, replaced := s.replace(doc)
 	if !replaced {
 		return false
 	}
-	f.updateQuotas()
-	if evacuatedBefore, evacuatedNow := fmt.Sprint(before.Evacuated()), fmt.Sprint(doc.Evacuated()); evacuatedBefore != evacuatedNow {
-		f.events.Record("evacuations", evacuatedNow)
+	s.updateQuotas()
+	if evacuatedBefore, evacuatedNow := fmt.Sprint(previous.Evacuated()), fmt.Sprint(doc.Evacuated()); evacuatedBefore != evacuatedNow {
+		s.events.Record("evacuations", evacuatedNow)
 	}
-	f.publish()
+	s.publish()
 	return true
 }
 
-// replace makes a state the newest if it is, and tells the one before.
-func (f *activeState) replace(doc config.Doc) (before *config.Doc, replaced bool) {
+// replace stores a state if it is newer than the current one, and returns the previous state.
+func (s *activeState) replace(doc config.Doc) (previous *config.Doc, replaced bool) {
 	var parsed *config.Config
 	for {
-		old := f.state.Load()
+		old := s.state.Load()
 		next := &committedState{doc: doc}
-		before = nil
+		previous = nil
 		if old != nil {
 			if !old.doc.Stamp.Less(doc.Stamp) {
 				return nil, false
 			}
-			before, next.config = &old.doc, old.config
+			previous, next.config = &old.doc, old.config
 		}
 		if doc.Raw != nil && (old == nil || old.doc.Version < doc.Version) {
 			if parsed == nil {
@@ -90,47 +90,48 @@
 			}
 			next.config = parsed
 		}
-		if f.state.CompareAndSwap(old, next) {
-			return before, true
+		if s.state.CompareAndSwap(old, next) {
+			return previous, true
 		}
 	}
 }
 
-// parseCommitted reads a configuration that was checked before it was committed.
+// parseCommitted parses a committed configuration. It panics on errors, because
+// configurations are validated before they are committed.
 func parseCommitted(raw []byte) *config.Config {
 	cfg, err := config.Read(raw)
 	if err != nil {
-		panic("controlplane: an invalid configuration was committed: " + err.Error())
+		panic("controlplane: committed configuration is invalid: " + err.Error())
 	}
 	return cfg
 }
 
-// updateQuotas hands on the limits of the configuration in force, unless they have been.
-// On its return they have, or newer ones.
-func (f *activeState) updateQuotas() {
-	f.quotasMu.Lock()
-	defer f.quotasMu.Unlock()
-	cfg := f.Config()
-	if cfg == nil || cfg.Version <= f.quotasVersion {
+// updateQuotas passes the quotas of the active configuration to setQuotas, unless they were
+// passed before. When it returns, these quotas or newer ones have been set.
+func (s *activeState) updateQuotas() {
+	s.quotasMu.Lock()
+	defer s.quotasMu.Unlock()
+	cfg := s.Config()
+	if cfg == nil || cfg.Version <= s.quotasVersion {
 		return
 	}
-	f.quotasVersion = cfg.Version
-	f.setQuotas(admission.Quotas(cfg))
-	f.events.Record("config", fmt.Sprintf("r%d in force", cfg.Version))
+	s.quotasVersion = cfg.Version
+	s.setQuotas(admission.Quotas(cfg))
+	s.events.Record("config", fmt.Sprintf("r%d in force", cfg.Version))
 }
 
-// addPending takes the limits of a configuration that may come into force, unless a newer
-// one has come or is in force.
-func (f *activeState) addPending(cfg *config.Config) {
+// addPending publishes the quotas of a configuration that may be committed, unless the same or
+// a newer version is already pending or active.
+func (s *activeState) addPending(cfg *config.Config) {
 	next := &pendingQuotas{cfg.Version, admission.Quotas(cfg)}
 	for {
-		old := f.pending.Load()
-		if old != nil && old.version >= cfg.Version || chain.VersionOf(f.Load()) >= cfg.Version {
+		old := s.pending.Load()
+		if old != nil && old.version >= cfg.Version || chain.VersionOf(s.Load()) >= cfg.Version {
 			return
 		}
-		if f.pending.CompareAndSwap(old, next) {
+		if s.pending.CompareAndSwap(old, next) {
 			break
 		}
 	}
-	f.publish()
+	s.publish()
 }
--- a/internal/controlplane/duties.go
+++ b/internal/controlplane/duties.go
@@ -22,29 +22,29 @@
 	"slateridge/internal/usage"
 )
 
-// dutyRunner is one duty at this machine: its holder, and the calls it makes.
+// dutyRunner runs one platform duty on this machine: its holder and its calls to the platform.
 type dutyRunner struct {
 	name      string
-	path      string // at the platform
+	path      string // path of the platform call
 	plan      func(now time.Duration, after uint64) (key uint64, body []byte, ok bool)
 	mu        sync.Mutex
 	holder    *duty.Holder
 	client    *http.Client
 	cancel    context.CancelFunc
 	callID    uint64
-	heldSince time.Duration // start of the unbroken holding
-	// split makes several calls of one act, by subject; nil: it is one call. Those
-	// the platform has taken under the present fence are not made again.
+	heldSince time.Duration // start of the current uninterrupted hold
+	// split divides an act into several calls, keyed by subject; nil sends it as one call.
+	// Calls that the platform has accepted under the current fence are not repeated.
 	split         func(body []byte) map[string][]byte
-	sendMu        sync.Mutex // a call that has been cut may still be on its way out
+	sendMu        sync.Mutex // serializes acts: a canceled call may still be returning
 	accepted      map[string]string
 	acceptedFence uint64
 }
 
-var errLeaseNotHeld = errors.New("the duty is not held any more")
+var errLeaseNotHeld = errors.New("duty lease is no longer held")
 
-// leaseGuardedConn is a connection on which nothing is written once the lease is over: a
-// process that was frozen between its last look and the write looks again.
+// leaseGuardedConn is a connection that rejects writes once the lease has expired. It checks
+// the lease at each write, because the process may have been frozen since an earlier check.
 type leaseGuardedConn struct {
 	net.Conn
 	held func() bool
@@ -59,9 +59,9 @@
 }
 
 func (d *Daemon) newDutyRunner(name, path string, plan func(time.Duration, uint64) (uint64, []byte, bool)) *dutyRunner {
-	p := &dutyRunner{name: name, path: path, plan: plan, holder: duty.NewHolder(name, d.settings.NodeName, d.settings.Bounds.Lease.D(), d.settings.CloudAPI.DutiesPerS, rand.New(rand.NewPCG(rand.Uint64(), 1)))}
+	runner := &dutyRunner{name: name, path: path, plan: plan, holder: duty.NewHolder(name, d.settings.NodeName, d.settings.Bounds.Lease.D(), d.settings.CloudAPI.DutiesPerS, rand.New(rand.NewPCG(rand.Uint64(), 1)))}
 	dial := net.Dialer{Timeout: constants.DutyTimeout}
-	p.client = &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: 1, DisableCompression: true, IdleConnTimeout: constants.DutyTimeout,
+	runner.client = &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: 1, DisableCompression: true, IdleConnTimeout: constants.DutyTimeout,
 		DialContext: func(ctx context.Context, _, addr string) (net.Conn, error) {
 			c, err := dial.DialContext(ctx, "tcp4", addr)
 			if err != nil {
@@ -69,10 +69,10 @@
 			}
 			return leaseGuardedConn{c, func() bool { until, _ := d.leases.term(name); return until > d.now() }}, nil
 		}}}
-	return p
+	return runner
 }
 
-// dutyRecord is the newest committed state of a duty.
+// dutyRecord returns the newest committed record of a duty.
 func (d *Daemon) dutyRecord(name string) duty.Record {
 	if doc := d.activeState.Load(); doc != nil {
 		return doc.Duties[name]
@@ -80,106 +80,107 @@
 	return duty.Record{}
 }
 
-// stepDuties drives the duties.
+// stepDuties advances all platform duties and runs their effects.
 func (d *Daemon) stepDuties() {
 	d.clock.Observe(d.settings.IPAddress, time.Now().UnixNano(), d.now())
-	for _, p := range d.dutyRunners {
-		until, since := d.leases.term(p.name)
-		p.mu.Lock()
-		fenceBefore := p.holder.Fence()
-		p.heldSince = since
-		effects := p.holder.Step(d.now(), until, d.dutyRecord(p.name), func(after uint64) (uint64, []byte, bool) { return p.plan(d.now(), after) })
-		fenceAfter := p.holder.Fence()
-		p.mu.Unlock()
+	for _, runner := range d.dutyRunners {
+		until, since := d.leases.term(runner.name)
+		runner.mu.Lock()
+		fenceBefore := runner.holder.Fence()
+		runner.heldSince = since
+		effects := runner.holder.Step(d.now(), until, d.dutyRecord(runner.name), func(after uint64) (uint64, []byte, bool) { return runner.plan(d.now(), after) })
+		fenceAfter := runner.holder.Fence()
+		runner.mu.Unlock()
 		if fenceBefore != fenceAfter {
-			d.events.Record(map[bool]string{true: "duty_fence_taken", false: "duty_fence_left"}[fenceAfter > 0], p.name+" "+strconv.FormatUint(max(fenceBefore, fenceAfter), 10))
+			d.events.Record(map[bool]string{true: "duty_fence_taken", false: "duty_fence_left"}[fenceAfter > 0], runner.name+" "+strconv.FormatUint(max(fenceBefore, fenceAfter), 10))
 		}
-		d.runDutyEffects(p, effects)
+		d.runDutyEffects(runner, effects)
 	}
 }
 
-func (d *Daemon) runDutyEffects(p *dutyRunner, effects []duty.Effect) {
+func (d *Daemon) runDutyEffects(runner *dutyRunner, effects []duty.Effect) {
 	for _, effect := range effects {
-		switch o := effect.(type) {
+		switch effect := effect.(type) {
 		case duty.Order:
-			d.replica.step(func() []chain.Effect { return d.replica.chain.Act(d.now(), o) })
+			d.replica.step(func() []chain.Effect { return d.replica.chain.Act(d.now(), effect) })
 		case duty.Cancel:
-			p.mu.Lock()
-			if p.cancel != nil && p.callID == o.ID {
-				p.cancel()
+			runner.mu.Lock()
+			if runner.cancel != nil && runner.callID == effect.ID {
+				runner.cancel()
 			}
-			p.mu.Unlock()
+			runner.mu.Unlock()
 		case duty.Yield:
-			d.events.Record("duty_refused", p.name+": the platform has seen a higher fence")
-			d.leases.release(p.name)
+			d.events.Record("duty_refused", runner.name+": the platform has seen a higher fencing token")
+			d.leases.release(runner.name)
 		case duty.Act:
 			ctx, cancel := context.WithTimeout(context.Background(), constants.DutyTimeout)
-			p.mu.Lock()
-			p.cancel, p.callID = cancel, o.ID
-			p.mu.Unlock()
+			runner.mu.Lock()
+			runner.cancel, runner.callID = cancel, effect.ID
+			runner.mu.Unlock()
 			go func() {
 				defer cancel()
-				status := d.perform(ctx, p, o)
-				p.mu.Lock()
-				more := p.holder.Answered(d.now(), o.ID, status)
-				p.mu.Unlock()
+				status := d.perform(ctx, runner, effect)
+				runner.mu.Lock()
+				more := runner.holder.Answered(d.now(), effect.ID, status)
+				runner.mu.Unlock()
 				if status != http.StatusOK {
 					d.events.Count("duty_call_failed", 1)
 					if status != 0 && status != http.StatusConflict && status != http.StatusTooManyRequests {
-						d.events.Record("duty_answer", p.name+": the platform answered "+strconv.Itoa(status))
+						d.events.Record("duty_answer", runner.name+": platform returned status "+strconv.Itoa(status))
 					}
 				}
-				d.runDutyEffects(p, more)
+				d.runDutyEffects(runner, more)
 			}()
 		}
 	}
 }
 
-// perform sends what was decided, in as many calls as it takes; status 0 is no answer.
-func (d *Daemon) perform(ctx context.Context, p *dutyRunner, act duty.Act) int {
-	if p.split == nil {
-		return d.post(ctx, p, act.Fence, act.Body)
+// perform sends a decided act to the platform, in one or more calls. It returns the status of
+// the last call, 0 if there was no response.
+func (d *Daemon) perform(ctx context.Context, runner *dutyRunner, act duty.Act) int {
+	if runner.split == nil {
+		return d.post(ctx, runner, act.Fence, act.Body)
 	}
-	p.sendMu.Lock()
-	defer p.sendMu.Unlock()
-	if p.acceptedFence != act.Fence {
-		p.acceptedFence, p.accepted = act.Fence, map[string]string{}
+	runner.sendMu.Lock()
+	defer runner.sendMu.Unlock()
+	if runner.acceptedFence != act.Fence {
+		runner.acceptedFence, runner.accepted = act.Fence, map[string]string{}
 	}
-	parts := p.split(act.Body)
+	parts := runner.split(act.Body)
 	for _, subject := range slices.Sorted(maps.Keys(parts)) {
-		if p.accepted[subject] == string(parts[subject]) {
+		if runner.accepted[subject] == string(parts[subject]) {
 			continue
 		}
-		if status := d.post(ctx, p, act.Fence, parts[subject]); status != http.StatusOK {
+		if status := d.post(ctx, runner, act.Fence, parts[subject]); status != http.StatusOK {
 			return status
 		}
-		p.accepted[subject] = string(parts[subject])
+		runner.accepted[subject] = string(parts[subject])
 		time.Sleep(constants.DutySpacing)
 	}
 	return http.StatusOK
 }
 
-// post makes one post to the platform.
-func (d *Daemon) post(ctx context.Context, p *dutyRunner, fence uint64, body []byte) int {
-	req, err := http.NewRequestWithContext(ctx, http.MethodPost, "http://"+d.settings.CloudAPI.Address+p.path, bytes.NewReader(body))
+// post makes one call to the platform and returns the status, 0 if there was no response.
+func (d *Daemon) post(ctx context.Context, runner *dutyRunner, fence uint64, body []byte) int {
+	req, err := http.NewRequestWithContext(ctx, http.MethodPost, "http://"+d.settings.CloudAPI.Address+runner.path, bytes.NewReader(body))
 	if err != nil {
 		return 0
 	}
 	req.Header.Set("Content-Type", "application/json")
 	req.Header.Set("X-Slateridge-Duty-Holder", d.settings.NodeName)
 	req.Header.Set("X-Slateridge-Fence-Token", strconv.FormatUint(fence, 10))
-	resp, err := p.client.Do(req)
+	resp, err := runner.client.Do(req)
 	if err != nil {
-		return 0 // counted by the caller, and tried again
+		return 0 // the caller counts the failure and retries
 	}
 	defer resp.Body.Close()
 	io.Copy(io.Discard, io.LimitReader(resp.Body, constants.HeaderBytes))
 	return resp.StatusCode
 }
 
-// ---- usage
+// Usage duty.
 
-// handleUsageReport merges what a proxy tells, while this machine holds the duty.
+// handleUsageReport merges a proxy's usage report if this machine holds the duty.
 func (d *Daemon) handleUsageReport(m usage.Report) any {
 	until, _ := d.leases.term(settings.DutyUsage)
 	at, ok := d.clock.Now(d.now())
@@ -190,22 +191,23 @@
 	return ack
 }
 
-// saveUsage has what is gathered here outlast this process, and hands on what another
-// holder should know.
+// saveUsage persists the collected usage so that it survives a restart, and sends reports to
+// another holder if the duty has moved.
 func (d *Daemon) saveUsage() {
 	until, _ := d.leases.term(settings.DutyUsage)
 	holder := d.leases.holder(settings.DutyUsage)
 	for _, effect := range d.usageKeeper.Step(until > 0, holder) {
-		switch o := effect.(type) {
+		switch effect := effect.(type) {
 		case usage.HandOn:
-			if o.To == d.settings.IPAddress {
-				d.handleUsageHandover(o.Handover)
+			if effect.To == d.settings.IPAddress {
+				d.handleUsageHandover(effect.Handover)
 			} else {
-				d.connections.send(o.To, o.Handover)
+				d.connections.send(effect.To, effect.Handover)
 			}
-			d.events.Record("usage_handed_on", strconv.Itoa(len(o.Words))+" words to "+o.To)
+			d.events.Record("usage_handed_on", strconv.Itoa(len(effect.Words))+" reports to "+effect.To)
 		case usage.Save:
-			d.replica.put(o.Key, func() any { return o.Words }) // one that cannot be kept is told by its proxies while they live
+			// If the write fails, the proxies send their reports again while they run.
+			d.replica.put(effect.Key, func() any { return effect.Words })
 		}
 	}
 }
@@ -219,7 +221,7 @@
 	}
 }
 
-// planUsage names the next window's report.
+// planUsage returns the key and body of the next window's report, if it is due.
 func (d *Daemon) planUsage(now time.Duration, after uint64) (uint64, []byte, bool) {
 	at, ok := d.clock.Now(now)
 	if !ok {
@@ -230,9 +232,9 @@
 	return d.usageTally.Next(usage.Moment{Steady: now, Agreed: at, Held: now - since}, after, bounds.UsageWindow.D(), bounds.UsageDelay.D(), d.roster.recentProxies())
 }
 
-// ---- scaling
+// Scaling duty.
 
-// handleLoadReport keeps what a proxy tells, while this machine holds the duty.
+// handleLoadReport records a proxy's load report if this machine holds the duty.
 func (d *Daemon) handleLoadReport(report autoscale.Report) any {
 	if until, _ := d.leases.term(settings.DutyScaling); until == 0 {
 		return autoscale.Ack{}
@@ -240,8 +242,8 @@
 	return autoscale.Ack{OK: d.loadSum.Take(d.now(), report)}
 }
 
-// scalableSubjects lists what may be ordered: each service with bounds, in each zone where
-// the platform's list has ever shown it here.
+// scalableSubjects returns the bounds of each service with scaling settings, in each zone where
+// this process has seen the service in the platform's list.
 func (d *Daemon) scalableSubjects() map[autoscale.Subject]autoscale.Bound {
 	cfg := d.activeState.Config()
 	list, _ := d.upstreamList.current()
@@ -276,7 +278,7 @@
 	return out
 }
 
-// planScaling names the next orders, once they differ from those decided before.
+// planScaling returns the next scaling orders if they differ from the last decided ones.
 func (d *Daemon) planScaling(now time.Duration, after uint64) (uint64, []byte, bool) {
 	sum, complete := d.loadSum.Sum(now, d.roster.recentProxies())
 	decided := autoscale.Read(d.dutyRecord(settings.DutyScaling).Body)
@@ -292,27 +294,27 @@
 	return after + 1, wanted.Bytes(), true
 }
 
-// DutyReport is one duty for operators.
+// DutyReport describes one platform duty for operators.
 type DutyReport struct {
 	Fence      uint64
 	Holder     string
 	Mine       bool
-	Held       time.Duration // how long without a break
-	Decided    uint64        // key of the last act decided: for usage, the window
-	Backlog    bool          // it is not known to have been accepted
-	Accepted   uint64        // counts of this life
+	Held       time.Duration // how long this machine has held the duty without interruption
+	Decided    uint64        // key of the last decided act; for usage, the window
+	Backlog    bool          // the last decided act is not known to be accepted
+	Accepted   uint64        // counted since this process started, as are Refused and Failed
 	Refused    uint64
 	Failed     uint64
 	LastStatus int
 	SinceOK    time.Duration
-	Tellers    int // lives of proxies that told their usage here
+	Tellers    int // proxy processes that have reported usage to this machine
 }
 
-// ScalingReport is one service in one zone.
+// ScalingReport describes the scaling of one service in one zone.
 type ScalingReport struct {
 	Service, Zone    string
-	Ordered, Present int    // ordered -1: nothing has been
-	Why              string // of the last change by this machine
+	Ordered, Present int    // Ordered is -1 if nothing has been ordered
+	Why              string // reason of the last change by this machine
 }
 
 func (d *Daemon) scalingReports() (out []ScalingReport) {
@@ -333,26 +335,26 @@
 	return out
 }
 
-// dutyReports describes the duties at the platform.
+// dutyReports returns the reports of the platform duties by name.
 func (d *Daemon) dutyReports() map[string]DutyReport {
 	out := map[string]DutyReport{}
-	for _, p := range d.dutyRunners {
-		rec := d.dutyRecord(p.name)
-		p.mu.Lock()
-		holder := p.holder
+	for _, runner := range d.dutyRunners {
+		rec := d.dutyRecord(runner.name)
+		runner.mu.Lock()
+		holder := runner.holder
 		r := DutyReport{Fence: rec.Fence, Holder: rec.Holder, Mine: holder.Fence() > 0, Decided: rec.Key, Accepted: holder.Accepted,
 			Refused: holder.Refused, Failed: holder.Failed, LastStatus: holder.LastStatus}
 		if r.Mine {
-			r.Held, r.Backlog = d.now()-p.heldSince, holder.Backlog(rec) != 0
+			r.Held, r.Backlog = d.now()-runner.heldSince, holder.Backlog(rec) != 0
 		}
 		if holder.AcceptedAt > 0 {
 			r.SinceOK = d.now() - holder.AcceptedAt
 		}
-		p.mu.Unlock()
-		if p.name == settings.DutyUsage {
+		runner.mu.Unlock()
+		if runner.name == settings.DutyUsage {
 			r.Tellers = d.usageTally.Reporters()
 		}
-		out[p.name] = r
+		out[runner.name] = r
 	}
 	return out
 }
--- a/internal/controlplane/replica.go
+++ b/internal/controlplane/replica.go
@@ -14,35 +14,35 @@
 	"slateridge/internal/storage"
 )
 
-// readIndex says that no version above one had been committed at a moment.
+// readIndex states that no configuration above version was committed at time at.
 type readIndex struct {
 	at      time.Duration
 	version uint64
 }
 
-// viewState is what the rest of the process asks of the chain's view. It is made anew when
-// that changes, not with each step, and never written after.
+// viewState is the part of the chain's view that other components read. It is immutable and
+// replaced only when it changes, not at each step.
 type viewState struct {
 	view, epoch      uint64
 	voters           []string // addresses, sorted
-	joined           bool     // the view names this machine's disk a voter
-	leavesElectorate bool     // no lease is granted: see chain.Chain.LeavesElectorate
+	joined           bool     // the view lists this machine, with its current disk, as a voter
+	leavesElectorate bool     // this machine grants no leases; see chain.Chain.LeavesElectorate
 }
 
-// replica runs this machine's Chain: it steps it, carries out the effects, and publishes
-// what the rest of the process reads without a lock. mu guards machine and store, and is held
-// while the disk works; the locks of leases and of the roster may be taken under it, and
-// none is held when it is taken. Effects are carried out after it is released.
+// replica runs this machine's chain: it steps the state machine, executes the effects, and
+// publishes the state that other components read without a lock. mu guards chain and store
+// and is held during disk writes. The locks of leases and roster may be taken while mu is
+// held; no lock may be held when mu is taken. Effects are executed after mu is released.
 type replica struct {
 	address    string
-	seeds      []string // control machines named in the settings
-	relay      bool     // has no say, and only knows who has
+	seeds      []string // control machines listed in the settings
+	relay      bool     // has no vote and only redirects callers to voters
 	now        func() time.Duration
 	events     *eventlog.Log
 	leases     *leases
 	send       func(to string, message any)
 	onCommit   func(doc config.Doc)
-	onReadDone func(id uint64, doc *config.Doc) // answers a read
+	onReadDone func(id uint64, doc *config.Doc) // receives the result of a read
 
 	mu    sync.Mutex
 	chain *chain.Chain
@@ -50,13 +50,13 @@
 
 	viewState      atomic.Pointer[viewState]
 	readIndex      atomic.Pointer[readIndex]
-	contactAt      atomic.Int64  // nanoseconds since this process began, at which it was last in contact with a majority; 0 never
-	lastTickAt     atomic.Int64  // likewise, at which the chain last advanced
-	stalledAt      atomic.Int64  // likewise, at which it was last seen to have stood still
-	joinReportedAt time.Duration // when it was last said that this machine waits to be taken in; used by advance only
+	contactAt      atomic.Int64  // last contact with a majority, in nanoseconds since this process started; 0 if never
+	lastTickAt     atomic.Int64  // last call of tickAndReport, in the same unit
+	stalledAt      atomic.Int64  // last detected stall of this process, in the same unit
+	joinReportedAt time.Duration // last report that this machine waits to join; used by tickAndReport only
 }
 
-// step runs the chain machine and carries out what comes of it.
+// step runs one transition of the chain, publishes the new state and executes the effects.
 func (r *replica) step(run func() []chain.Effect) {
 	r.mu.Lock()
 	effects := run()
@@ -89,7 +89,8 @@
 	return out
 }
 
-// publish makes known what changed with a step, before any message of it leaves. mu is held.
+// publish publishes the state after a step, before any message of that step is sent. The
+// caller must hold mu.
 func (r *replica) publish() {
 	r.publishViewState()
 	if at, ok := r.chain.ReadIndexAt(); ok {
@@ -113,13 +114,14 @@
 	}
 	next := &viewState{view: view.Num, epoch: view.Epoch, voters: view.VoterAddrs(), joined: joined, leavesElectorate: leaves}
 	r.viewState.Store(next)
-	// An acceptance of a view with another electorate is told to the leases before it
-	// is told to anyone else, so that no lease is granted after it, however long the
-	// process stands still in between.
+	// When this machine accepts a view with another electorate, the lease manager must know
+	// before any other machine does. No lease is granted after the acceptance then, however
+	// long the process stalls in between.
 	r.leases.setElectorate(next.epoch, next.voters, leaves)
 }
 
-// tickAndReport is the chain's regular step.
+// tickAndReport advances the chain at regular intervals. It also detects stalls of this
+// process and periodically reports that the machine has not joined a view yet.
 func (r *replica) tickAndReport() {
 	now := r.now()
 	if previous := time.Duration(r.lastTickAt.Swap(int64(now))); previous > 0 && now-previous > constants.StallGap {
@@ -129,29 +131,30 @@
 	r.tick()
 	if state := r.viewState.Load(); !state.joined && now-r.joinReportedAt > constants.JoinReport {
 		r.joinReportedAt = now
-		r.events.Record("waiting", fmt.Sprintf("no view has taken this machine in; known: view %d of %d voters, asked: %v. If no control machine has a view, a first start was cut short before a majority of the seeds had written: start those with empty disks and bootstrap true",
+		r.events.Record("waiting", fmt.Sprintf("this machine is not a voter of any view yet; newest known view: %d with %d voters; contacting: %v. If no control machine has a view, the initial bootstrap was interrupted before a majority of the seeds wrote their state: restart the seeds with empty disks and bootstrap true",
 			state.view, len(state.voters), r.peers()))
 	}
 }
 
-// tick advances the chain's time.
+// tick advances the chain's timers.
 func (r *replica) tick() {
 	r.step(func() []chain.Effect { return r.chain.Tick(r.now()) })
 }
 
-// receive hands another machine's message to the chain.
+// receive passes a message from another machine to the chain.
 func (r *replica) receive(from string, message any) {
 	r.step(func() []chain.Effect { return r.chain.Recv(r.now(), from, message) })
 }
 
-// hasMajorityContact says whether this machine is in contact with a majority of the voters, both
-// ways: what is hearsay only may be old.
+// hasMajorityContact reports whether this machine has recently had two-way contact with a
+// majority of the voters. Without it, its information may be outdated.
 func (r *replica) hasMajorityContact() bool {
 	at := time.Duration(r.contactAt.Load())
 	return at > 0 && r.now()-at <= constants.ContactFresh
 }
 
-// contactAge is how long ago it was last in contact with a majority; negative: never.
+// contactAge returns the time since the last contact with a majority, or a negative value if
+// there was none.
 func (r *replica) contactAge() time.Duration {
 	if at := r.contactAt.Load(); at > 0 {
 		return r.now() - time.Duration(at)
@@ -159,15 +162,16 @@
 	return -1
 }
 
-// recentlyStalled says whether this process has just been frozen, or starved of its
-// processor: what it reads now may have been sent long ago, by callers that have gone.
+// recentlyStalled reports whether this process was recently frozen or starved of CPU time.
+// Requests that it reads now may be old, and their callers may have disconnected.
 func (r *replica) recentlyStalled() bool {
 	now := r.now()
 	tickedAt, stalledAt := time.Duration(r.lastTickAt.Load()), time.Duration(r.stalledAt.Load())
 	return tickedAt > 0 && now-tickedAt > constants.StallGap || stalledAt > 0 && now-stalledAt < constants.StallQuiet
 }
 
-// peers are the other control machines that agree on the view, as known here.
+// peers returns the addresses of the other voters of the known view, or of the other seeds
+// before any view is known.
 func (r *replica) peers() []string {
 	addresses := slices.Clone(r.viewState.Load().voters)
 	if len(addresses) == 0 {
@@ -176,7 +180,8 @@
 	return slices.DeleteFunc(addresses, func(a string) bool { return a == r.address })
 }
 
-// controlAddresses are all of them, this one too unless it only relays.
+// controlAddresses returns the sorted addresses of the peers and, unless this machine is a
+// relay, of this machine.
 func (r *replica) controlAddresses() []string {
 	addresses := r.peers()
 	if !r.relay {
@@ -186,53 +191,55 @@
 	return addresses
 }
 
-// put stores a value that value makes while the lock is held.
+// put stores the result of makeValue, which is called with mu held. Write errors are ignored
+// because other machines send the value again.
 func (r *replica) put(key string, makeValue func() any) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.store.Put(key, makeValue()) // what cannot be kept is told again by others
+	r.store.Put(key, makeValue())
 }
 
-// redirectTarget is the machine with a say that was heard last; see chain.Chain.Ahead.
+// redirectTarget returns the voter that this relay heard from last; see chain.Chain.Ahead.
 func (r *replica) redirectTarget() (address string, ok bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return r.chain.Ahead()
 }
 
-// status is the chain's state at this moment. It waits for the disk.
+// status returns the chain's current state. It may wait for a disk write in progress.
 func (r *replica) status() chain.Heartbeat {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return r.chain.Status()
 }
 
-// electorate describes the voters; see chain.Chain.Electorate.
+// electorate returns the voters and the failure margin; see chain.Chain.Electorate.
 func (r *replica) electorate() ([]chain.Voter, int) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return r.chain.Electorate()
 }
 
-// leave waits for a view in which the others go on without this machine.
+// leave announces a planned stop and waits up to constants.LeaveWait for a view without this
+// machine.
 func (r *replica) leave() {
 	startedAt := r.now()
-	left, can := r.leaveState()
+	left, canLeave := r.leaveState()
 	r.step(func() []chain.Effect { return r.chain.Leave(r.now()) })
-	for end := startedAt + constants.LeaveWait; !left && can && r.now() < end; left, can = r.leaveState() {
+	for end := startedAt + constants.LeaveWait; !left && canLeave && r.now() < end; left, canLeave = r.leaveState() {
 		time.Sleep(constants.ChainTick / 2)
 	}
 	switch {
 	case left:
-		r.events.Record("left", fmt.Sprintf("the others go on without this machine, after %v", (r.now()-startedAt).Round(time.Millisecond)))
-	case !can:
+		r.events.Record("left", fmt.Sprintf("the other machines agreed on a view without this machine after %v", (r.now()-startedAt).Round(time.Millisecond)))
+	case !canLeave:
 		r.events.Record("left_members", "too few others are there to go on without this machine: they wait for it or for a successor")
 	default:
-		r.events.Record("left_unanswered", fmt.Sprintf("no view without this machine within %v: the others will find it silent", constants.LeaveWait))
+		r.events.Record("left_unanswered", fmt.Sprintf("no view without this machine within %v: the other machines have to detect that it stopped", constants.LeaveWait))
 	}
 }
 
-func (r *replica) leaveState() (left, can bool) {
+func (r *replica) leaveState() (left, canLeave bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return r.chain.Left(), r.chain.CanLeave()
--- a/internal/controlplane/roster.go
+++ b/internal/controlplane/roster.go
@@ -15,17 +15,18 @@
 	"slateridge/internal/transport"
 )
 
-// RosterUpdate tells the other control machines of the proxies that spoke here: how
-// long ago, the count they said they use, where they stand, and which share in
-// the split quotas. It tells what has changed at once, and the rest by turns.
-// Gone are those whose connections have just ended.
+// RosterUpdate informs the other control machines about the proxies that report to the sender.
+// Words holds their status by address. Changes are sent at once, the rest periodically. Shares
+// lists the proxies with a share of the split quotas, Gone those whose connections have just
+// ended.
 type RosterUpdate struct {
 	Words  map[string]ProxyStatus
 	Shares []string
 	Gone   []string
 }
 
-// ProxyStatus is one proxy's latest.
+// ProxyStatus is the latest status of a proxy: the time since its last message, the live count
+// that it uses, and its location.
 type ProxyStatus struct {
 	Age   time.Duration
 	Count int
@@ -34,42 +35,43 @@
 
 func init() { transport.Register(transport.NameRoster, RosterUpdate{}) }
 
-// proxyEntry is a proxy on the roster. shares says that it has been told a
-// count, so that it may be using a share of the split quotas.
+// proxyEntry is a proxy on the roster. hasShare means that the proxy may have been sent a live
+// count and may use a share of the split quotas.
 type proxyEntry struct {
-	seenAt     time.Time
-	seenHereAt time.Time // when it last spoke here
+	seenAt     time.Time // last sign of life on any machine
+	seenHereAt time.Time // last message to this machine
 	location   directory.Location
 	hasShare   bool
-	count      int // the live count it last said it uses, here or to another
+	count      int // live count that the proxy last reported to any control machine
 	sentStatus ProxyStatus
-	sentAt     time.Time // when the others nearby were last told
+	sentAt     time.Time // when sentStatus was last sent to the machines of this region
 }
 
-// roster knows the live proxies and which of them share in the split quotas, and tells the
-// other control machines. mu guards the fields below it. It is released before messages are
-// sent or the proxies are told; the directory's lock may be taken under it.
+// roster tracks the live proxies and which of them have a share of the split quotas, and shares
+// this information with the other control machines. mu guards the fields below it and is
+// released before messages are sent or updates are published. The directory's lock may be
+// taken while mu is held.
 type roster struct {
 	settings  *settings.Settings
 	events    *eventlog.Log
 	startedAt time.Time
 	now       func() time.Duration
-	directory *directory.Directory // nil where no directory is served
+	directory *directory.Directory // nil if this machine serves no directory
 	locations *locations           // of the control machines
 	members   func() []membership.Fact
 	peers     func() []string // the other control machines
 	send      func(to string, message any)
-	publish   func()                             // has the proxies told
-	put       func(key string, value func() any) // stores a value; takes the replica's lock
+	publish   func()                                 // sends the change to the proxies
+	put       func(key string, makeValue func() any) // stores a value; takes the replica's lock
 
 	mu         sync.Mutex
 	entries    map[string]*proxyEntry // by address
-	complete   bool                   // all proxies with a share are on it
+	complete   bool                   // entries contains all proxies with a share
 	round      int
 	sharesSent []string
 }
 
-// restore takes up the proxies that had a share when this process last ran.
+// restore adds the proxies that had a share when the roster was last saved.
 func (r *roster) restore(addresses []string) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -79,14 +81,14 @@
 	}
 }
 
-// size is how many proxies are on the roster.
+// size returns the number of proxies on the roster.
 func (r *roster) size() int {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return len(r.entries)
 }
 
-// liveCount is how many proxies there are; 0 while the roster is not complete.
+// liveCount returns the number of live proxies, or 0 if the roster is not complete.
 func (r *roster) liveCount() int {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -96,7 +98,7 @@
 	return len(r.entries)
 }
 
-// recentProxies are the proxies that have spoken lately, to any control machine.
+// recentProxies returns the proxies that any control machine has heard from recently.
 func (r *roster) recentProxies() []string {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -109,7 +111,8 @@
 	return out
 }
 
-// hasShare says whether a proxy may be told the live count.
+// hasShare reports whether a proxy has a share of the split quotas and may be sent the live
+// count.
 func (r *roster) hasShare(node string) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -117,9 +120,9 @@
 	return e != nil && e.hasShare
 }
 
-// handleSubscription takes a proxy's message. A newcomer gets a share of the split quotas only
-// after every other proxy that has one has said that it reckons with the larger
-// count, so that the shares in use never add up to more than the whole.
+// handleSubscription processes a proxy's subscription. A new proxy gets a share of the split
+// quotas only after every proxy with a share has confirmed that it uses the larger count. The
+// shares in use then never add up to more than the whole quota.
 func (r *roster) handleSubscription(subscription distribution.Subscription) {
 	node, count := subscription.Node, subscription.Proxies
 	var location directory.Location
@@ -151,24 +154,24 @@
 	}
 }
 
-// handleDisconnect takes the end of a proxy's last connection.
+// handleDisconnect processes the end of a proxy's last connection to this machine.
 func (r *roster) handleDisconnect(node string) {
 	if r.directory != nil && r.directory.Disconnected(r.now(), node, true) {
 		r.sendAll(RosterUpdate{Gone: []string{node}})
 	}
 }
 
-// sendAll sends a message to all other control machines.
 func (r *roster) sendAll(m RosterUpdate) {
 	for _, p := range r.peers() {
 		r.send(p, m)
 	}
 }
 
-// grantShares lets newcomers share once that is safe; true when any did. mu is held.
+// grantShares gives all proxies a share once that is safe, and reports whether any proxy got a
+// new one. The caller must hold mu.
 func (r *roster) grantShares() bool {
 	if !r.complete {
-		// The very first start: nobody has been told a count yet.
+		// At the first bootstrap no proxy has been sent a count yet.
 		if !r.settings.Bootstrap || time.Since(r.startedAt) < constants.RosterQuiet || len(r.entries) == 0 {
 			return false
 		}
@@ -191,8 +194,8 @@
 	return true
 }
 
-// persist stores which proxies have a share, in a goroutine of its own since the disk may
-// take long. What cannot be kept is told again by the others.
+// persist saves the proxies that have a share, in a separate goroutine because the disk may be
+// slow. Write errors are ignored because the other machines send the list again.
 func (r *roster) persist() {
 	go r.put(rosterKey, func() any {
 		r.mu.Lock()
@@ -201,10 +204,11 @@
 	})
 }
 
-// rosterKey names the roster in the store.
+// rosterKey is the key of the roster in the store.
 const rosterKey = "roster"
 
-// shareHolders lists the proxies that have a share, sorted. mu is held.
+// shareHolders returns the sorted addresses of the proxies that have a share. The caller must
+// hold mu.
 func (r *roster) shareHolders() []string {
 	var out []string
 	for a, e := range r.entries {
@@ -216,7 +220,7 @@
 	return out
 }
 
-// broadcast tells the other control machines, and drops proxies that have long been silent.
+// broadcast sends the roster to the other control machines and drops silent proxies.
 func (r *roster) broadcast() {
 	facts := r.members()
 	r.mu.Lock()
@@ -244,8 +248,8 @@
 	}
 }
 
-// markAlive keeps proxies on the roster that cannot reach this machine but live, as others
-// vouch. mu is held.
+// markAlive keeps proxies on the roster that cannot reach this machine but are alive according
+// to the membership protocol. The caller must hold mu.
 func (r *roster) markAlive(facts []membership.Fact) {
 	for _, f := range facts {
 		host, _, _ := net.SplitHostPort(f.Addr)
@@ -256,7 +260,8 @@
 	}
 }
 
-// dropSilent forgets proxies that have long been silent; true when any was. mu is held.
+// dropSilent removes proxies not seen for constants.ProxyForget and reports whether there were
+// any. The caller must hold mu.
 func (r *roster) dropSilent() bool {
 	dropped := false
 	for a, e := range r.entries {
@@ -268,14 +273,15 @@
 	return dropped
 }
 
-// statuses are the messages on the proxies that spoke here lately: near has what has changed
-// or not been told for a while, far all. mu is held.
+// statuses returns updates about the proxies that recently sent messages to this machine. The
+// update for the same region contains only entries that have changed or are due for a refresh,
+// the one for other regions all of them. The caller must hold mu.
 func (r *roster) statuses() (sameRegion, otherRegions RosterUpdate) {
 	sameRegion, otherRegions = RosterUpdate{Words: map[string]ProxyStatus{}}, RosterUpdate{Words: map[string]ProxyStatus{}}
 	for a, e := range r.entries {
 		age := time.Since(e.seenHereAt)
 		if age >= constants.SubscriptionSilence {
-			continue // the others' own proxies are theirs to tell of
+			continue // another control machine reports this proxy
 		}
 		status := ProxyStatus{age, e.count, e.location}
 		otherRegions.Words[a] = status
@@ -287,7 +293,7 @@
 	return sameRegion, otherRegions
 }
 
-// merge takes what another control machine tells.
+// merge applies an update from another control machine.
 func (r *roster) merge(m RosterUpdate) {
 	r.mu.Lock()
 	changed := r.mergeStatuses(m.Words)
@@ -304,7 +310,8 @@
 	}
 }
 
-// mergeStatuses is true when a proxy is new here. mu is held.
+// mergeStatuses updates the entries and reports whether a proxy was added. The caller must hold
+// mu.
 func (r *roster) mergeStatuses(statuses map[string]ProxyStatus) bool {
 	added := false
 	for a, s := range statuses {
@@ -322,7 +329,8 @@
 	return added
 }
 
-// mergeShares is true when a proxy has a share that had none here. mu is held.
+// mergeShares records the proxies that have a share and reports whether any of them had none on
+// this roster. The caller must hold mu.
 func (r *roster) mergeShares(shares []string) bool {
 	if len(shares) == 0 {
 		return false
--- a/internal/controlplane/upstreamlist.go
+++ b/internal/controlplane/upstreamlist.go
@@ -13,15 +13,15 @@
 )
 
 type (
-	// ListUpdate brings the list from the machine that polls to the other control
-	// machines, as its difference from the one before; without a change it says that
-	// the numbered one still holds.
+	// ListUpdate carries the upstream list from the polling machine to the other control
+	// machines, as a difference from the previous list. A nil Change confirms that list Num
+	// is still current.
 	ListUpdate struct {
 		Num    uint64
 		Change *discovery.Change
-		Age    time.Duration // since it was known to be current
+		Age    time.Duration // time since the list was known to be current
 	}
-	// ListRequest wants the list whole; a machine that has missed an update sends it.
+	// ListRequest asks for the full list. A machine that has missed an update sends it.
 	ListRequest struct{}
 )
 
@@ -30,44 +30,44 @@
 	transport.Register(transport.NameUpstreamListRequest, ListRequest{})
 }
 
-// upstreamList is the platform's list of upstreams: read from the platform while this
-// machine holds the duty, and shared among the control machines. polling is held for a
-// whole reading, one at a time; mu guards the fields below it and is not held while the
-// platform is asked or a message is sent. A list is never written once it stands in list.
+// upstreamList holds the platform's list of upstreams. The holder of the poll duty reads it
+// from the platform and shares it with the other control machines. polling is held for a
+// whole poll, so that there is one at a time. mu guards the fields below it and is not held
+// during platform calls or sends. A list stored in the list field is immutable.
 type upstreamList struct {
 	source    *discovery.Source
 	events    *eventlog.Log
 	now       func() time.Duration
-	holdsPoll func() (since time.Duration, ok bool) // the lease of the duty
+	holdsPoll func() (since time.Duration, ok bool) // reports whether this machine holds the poll lease
 	broadcast func(message any)                     // to the other control machines
-	publish   func()                                // has the proxies told
+	publish   func()                                // sends the change to the proxies
 
 	polling sync.Mutex
 
 	mu           sync.Mutex
 	list         *discovery.List
 	currentAt    time.Time
-	highestNum   uint64        // highest number heard of
-	bootReadDone bool          // the list has been read without the duty, once
-	bootReadAt   time.Duration // not before: machines that start together read one after the other
-	heldSince    time.Duration // start of the holding under which it was last read
+	highestNum   uint64        // highest list number seen by this machine
+	bootReadDone bool          // the list has been read once without the duty
+	bootReadAt   time.Duration // earliest boot read; staggered among machines that start together
+	heldSince    time.Duration // start of the hold of the duty under which the list was last read
 }
 
-// current is the list as known here, nil while there is none, and its age.
+// current returns the known list, nil if there is none, and its age.
 func (u *upstreamList) current() (list *discovery.List, age time.Duration) {
 	u.mu.Lock()
 	defer u.mu.Unlock()
 	return u.list, time.Since(u.currentAt)
 }
 
-// observeNumber notes the number of a list that another process has.
+// observeNumber records the list number that another process has.
 func (u *upstreamList) observeNumber(num uint64) {
 	u.mu.Lock()
 	defer u.mu.Unlock()
 	u.highestNum = max(u.highestNum, num)
 }
 
-// fullUpdate is the message that brings all of the list; false while there is none.
+// fullUpdate returns an update with the full list, and false if there is no list.
 func (u *upstreamList) fullUpdate() (ListUpdate, bool) {
 	list, age := u.current()
 	if list == nil {
@@ -76,18 +76,18 @@
 	return ListUpdate{list.Num, discovery.Diff(nil, list), age}, true
 }
 
-// delayBootRead keeps this machine from reading without the duty before its turn. Were all
-// that start together to read at once, long lists would use up the platform's rate before
-// anyone had the whole.
+// delayBootRead prevents a read without the duty before the given time. If all machines that
+// start together read at once, long lists would exhaust the platform's rate limit before any
+// machine has the full list.
 func (u *upstreamList) delayBootRead(until time.Duration) {
 	u.mu.Lock()
 	defer u.mu.Unlock()
 	u.bootReadAt = until
 }
 
-// readAtBoot reads the list at the start until there is one.
+// readAtBoot polls the list after the start until one is known.
 func (u *upstreamList) readAtBoot(ctx context.Context) {
-	u.broadcast(ListRequest{}) // whoever has started before may have one
+	u.broadcast(ListRequest{}) // a machine that started earlier may have one
 	for {
 		u.poll(ctx)
 		if list, _ := u.current(); list != nil || ctx.Err() != nil {
@@ -97,10 +97,10 @@
 	}
 }
 
-// poll reads the platform's list while this machine holds the duty. A machine
-// that has just started and knows no list reads it once without the duty: for
-// as long as nobody may hold it yet, proxies that start too would stand idle,
-// and the first holder's list replaces whatever was read so.
+// poll reads the platform's list while this machine holds the duty. A machine that has just
+// started and knows no list reads it once without the duty. Otherwise proxies that start at
+// the same time would have no upstreams until the first lease can be granted. The list of the
+// first duty holder replaces the one read this way.
 func (u *upstreamList) poll(ctx context.Context) {
 	if !u.polling.TryLock() {
 		return
@@ -120,21 +120,21 @@
 		return
 	}
 	if s, still := u.holdsPoll(); held && (!still || s != heldSince) {
-		return // the list may be old by now, and another reads
+		return // the list may be outdated, and another machine polls now
 	}
 	update, ok := u.install(instances, heldSince, bootRead)
 	if !ok {
 		return
 	}
-	u.broadcast(update) // with the duty, or as the first to know any list
+	u.broadcast(update) // read with the duty, or the first known list
 	if update.Change != nil {
 		u.events.Count("list_changed", 1)
 		u.publish()
 	}
 }
 
-// claimBootRead says whether the list is to be read without the duty now, and notes that
-// it has been.
+// claimBootRead reports whether the list is due to be read without the duty, and marks that
+// read as done.
 func (u *upstreamList) claimBootRead() bool {
 	u.mu.Lock()
 	defer u.mu.Unlock()
@@ -143,16 +143,16 @@
 	return due
 }
 
-// rescheduleBootRead gives the reading without the duty another turn.
+// rescheduleBootRead allows another read without the duty after constants.BootRetry.
 func (u *upstreamList) rescheduleBootRead() {
 	u.mu.Lock()
 	defer u.mu.Unlock()
 	u.bootReadDone, u.bootReadAt = false, u.now()+constants.BootRetry
 }
 
-// install takes up what has been read under a holding of the duty, or first without it; ok
-// is false when another list came before a first one. The update has a Change when the
-// list has another number than before.
+// install stores a list that was read from the platform, either under a hold of the duty or as
+// the boot read. ok is false if another list arrived before the boot read finished. The update
+// has a Change if the list has a new number.
 func (u *upstreamList) install(instances []discovery.Instance, heldSince time.Duration, bootRead bool) (update ListUpdate, ok bool) {
 	u.mu.Lock()
 	defer u.mu.Unlock()
@@ -162,8 +162,8 @@
 	num, changed := u.nextNumber(instances, heldSince, bootRead)
 	u.heldSince = heldSince
 	previous := u.list
-	// A list that is the same keeps its number; how long its upstreams stay cold
-	// is taken anew, to notice one that turns cold again.
+	// An unchanged list keeps its number. Its instances are replaced nevertheless, because
+	// their remaining warmup shows whether an upstream becomes cold again.
 	u.list, u.highestNum = &discovery.List{Num: num, Instances: instances}, max(num, u.highestNum)
 	u.currentAt = time.Now()
 	update.Num = num
@@ -173,17 +173,17 @@
 	return update, true
 }
 
-// nextNumber is the number of a list just read, and whether it is another than before. mu
-// is held.
+// nextNumber returns the number of a list just read and reports whether it is a new number.
+// The caller must hold mu.
 func (u *upstreamList) nextNumber(instances []discovery.Instance, heldSince time.Duration, bootRead bool) (num uint64, changed bool) {
 	switch {
 	case bootRead:
-		// Below every list that a holder of the duty has numbered, and apart from
-		// what others read so: a difference must not fit another list than its own.
+		// Boot reads have lower numbers than all lists of duty holders, and different numbers
+		// on each machine: a difference must apply only to the list it was computed from.
 		return bootNumber(rand.Uint64()), true
 	case u.list == nil || heldSince != u.heldSince:
-		// Others numbered before, and two that take over one after the other may
-		// have heard of the same number: each begins at one of its own.
+		// Two successive new holders may have seen the same highest number of earlier
+		// holders, so each starts at its own random number.
 		return firstNumber(u.highestNum, rand.Uint64()), true
 	case u.list.Num != u.highestNum || !discovery.Same(u.list.Instances, instances):
 		return u.highestNum + 1, true
@@ -191,16 +191,18 @@
 	return u.highestNum, false
 }
 
-// firstNumber is where a new holder of the poll duty begins to number its lists:
-// above all it has heard of, and apart from another that has heard the same.
+// firstNumber returns the first list number of a new holder of the poll duty. It is above
+// highest, the highest number seen, and differs from that of another holder that has seen the
+// same number.
 func firstNumber(highest, random uint64) uint64 {
 	return (highest/constants.ListStride+1)*constants.ListStride + random%(constants.ListStride/2)
 }
 
-// bootNumber is the number of a list read without the duty.
+// bootNumber returns the number of a list that was read without the duty.
 func bootNumber(random uint64) uint64 { return 1 + random%(constants.ListStride-1) }
 
-// applyUpdate takes another machine's update; false when it does not fit what is held here.
+// applyUpdate applies another machine's update. It returns false if the list here is still
+// older than the update, so that the full list must be requested.
 func (u *upstreamList) applyUpdate(m ListUpdate) bool {
 	u.mu.Lock()
 	u.highestNum = max(u.highestNum, m.Num)
