--- a/internal/controlplane/activestate_test.go
+++ b/internal/controlplane/activestate_test.go
@@ -14,8 +14,8 @@
 	"slateridge/internal/eventlog"
 )
 
-// configWithQuota is a configuration that limits tenant t to as many requests a second as its
-// version says, with so many routes.
+// configWithQuota returns a configuration with the given number of routes, in which the rate
+// of tenant t in requests per second equals the version.
 func configWithQuota(version, routes int) []byte {
 	var body strings.Builder
 	fmt.Fprintf(&body, `{"configVersion":"r%d","resourceList":[`, version)
@@ -27,7 +27,7 @@
 	return []byte(body.String())
 }
 
-// quotaRecorder keeps what a tracker would have been given last.
+// quotaRecorder records the rates of tenant t that a quota tracker would have received.
 type quotaRecorder struct {
 	mu    sync.Mutex
 	rates []float64
@@ -39,13 +39,12 @@
 	l.rates = append(l.rates, quotas["t"].Rate)
 }
 
-// Of commits by several goroutines at once, the newest stays in force for all that take
-// something from it: limits never go back to an overtaken version, however long its
-// configuration takes to read.
+// When several goroutines apply commits concurrently, the newest one must stay active. Quotas
+// must never go back to an older version, even if its configuration takes longer to parse.
 func TestConcurrentCommitsTakeEffectInOrder(t *testing.T) {
 	const rounds, commitsPerRound = 12, 4
 	recorder := &quotaRecorder{}
-	f := &activeState{events: eventlog.New(zerolog.Nop()), setQuotas: recorder.record, publish: func() {}}
+	s := &activeState{events: eventlog.New(zerolog.Nop()), setQuotas: recorder.record, publish: func() {}}
 	for round := range rounds {
 		var group sync.WaitGroup
 		newest := (round + 1) * commitsPerRound
@@ -54,9 +53,9 @@
 			doc := config.Doc{Version: uint64(version), Raw: configWithQuota(version, 300*(commitsPerRound-1-n)), Stamp: config.Revision{View: 1, Seq: uint64(version)}}
 			group.Go(func() {
 				time.Sleep(time.Duration(n) * time.Millisecond)
-				f.apply(doc)
-				if in := f.Config(); in == nil || in.Version < doc.Version {
-					t.Errorf("r%d was committed and %v is in force", doc.Version, in)
+				s.apply(doc)
+				if in := s.Config(); in == nil || in.Version < doc.Version {
+					t.Errorf("r%d was committed, but the active configuration is %v", doc.Version, in)
 				}
 			})
 		}
@@ -64,30 +63,30 @@
 		recorder.mu.Lock()
 		for i := 1; i < len(recorder.rates); i++ {
 			if recorder.rates[i] <= recorder.rates[i-1] {
-				t.Fatalf("round %d: limits went back: rates given one after the other %v", round, recorder.rates)
+				t.Fatalf("round %d: quotas went back to an older version: rates in order %v", round, recorder.rates)
 			}
 		}
-		if last := recorder.rates[len(recorder.rates)-1]; int(last) != newest || f.Config().Version != uint64(newest) || f.Load().Version != uint64(newest) {
-			t.Fatalf("round %d: limits of r%v, routes and keys of r%d, state r%d; want r%d", round, last, f.Config().Version, f.Load().Version, newest)
+		if last := recorder.rates[len(recorder.rates)-1]; int(last) != newest || s.Config().Version != uint64(newest) || s.Load().Version != uint64(newest) {
+			t.Fatalf("round %d: quotas of r%v, configuration r%d, state r%d; want r%d", round, last, s.Config().Version, s.Load().Version, newest)
 		}
 		recorder.mu.Unlock()
 	}
 }
 
-// Of orders that arrive at once the limits of the newest are evaluated.
+// When several configurations arrive concurrently, the quotas of the newest must be pending.
 func TestConcurrentPendingConfigsKeepNewest(t *testing.T) {
 	const configsPerRound, rounds = 8, 200
-	f := &activeState{events: eventlog.New(zerolog.Nop()), setQuotas: func(map[string]admission.Quota) {}, publish: func() {}}
+	s := &activeState{events: eventlog.New(zerolog.Nop()), setQuotas: func(map[string]admission.Quota) {}, publish: func() {}}
 	for round := range rounds {
 		var group sync.WaitGroup
 		first := round * configsPerRound
 		for n := range configsPerRound {
 			cfg := &config.Config{Version: uint64(first + n + 1)}
-			group.Go(func() { f.addPending(cfg) })
+			group.Go(func() { s.addPending(cfg) })
 		}
 		group.Wait()
-		if got, want := f.pending.Load().version, uint64(first+configsPerRound); got != want {
-			t.Fatalf("round %d: r%d is evaluated, want r%d", round, got, want)
+		if got, want := s.pending.Load().version, uint64(first+configsPerRound); got != want {
+			t.Fatalf("round %d: r%d is pending, want r%d", round, got, want)
 		}
 	}
 }
--- a/internal/controlplane/step_bench_test.go
+++ b/internal/controlplane/step_bench_test.go
@@ -12,8 +12,8 @@
 	"slateridge/internal/simnet"
 )
 
-// BenchmarkStep is the regular step of a control machine among eight, all in contact,
-// with what the daemon publishes after each step.
+// BenchmarkStep measures a regular step of one control machine out of eight that are all in
+// contact, including the state that the replica publishes after each step.
 func BenchmarkStep(b *testing.B) {
 	var names []string
 	addr := netip.MustParseAddr("10.0.0.1")
@@ -26,7 +26,7 @@
 	}
 	r := &replica{chain: c, send: func(string, any) {}}
 	r.leases = newLeases(lease.New(0, 1, names[0], []string{dutyPoll}), func() time.Duration { return 0 }, nil, nil)
-	// The base of the machine's own moments shows in the first heartbeat it sends.
+	// The first heartbeat reveals the base of this machine's timestamps.
 	var base uint64
 	for _, e := range c.Tick(0) {
 		if s, ok := e.(chain.Send); ok {
@@ -37,10 +37,10 @@
 	}
 	receiveHeartbeats := func(now time.Duration) {
 		for _, n := range names[1:] {
-			g := c.Status()
-			g.Me = chain.Member{Addr: n, Incarnation: 1}
-			g.Echo = base + uint64(now)
-			r.step(func() []chain.Effect { c.Recv(now, n, g); return nil })
+			heartbeat := c.Status()
+			heartbeat.Me = chain.Member{Addr: n, Incarnation: 1}
+			heartbeat.Echo = base + uint64(now)
+			r.step(func() []chain.Effect { c.Recv(now, n, heartbeat); return nil })
 		}
 	}
 	b.ReportAllocs()
