--- a/internal/controlplane/connections.go
+++ b/internal/controlplane/connections.go
@@ -8,38 +8,37 @@
 	"slateridge/internal/transport"
 )
 
-// connections sends messages to the other control machines, each over a connection of its
-// own that is made with the first message. mu guards byAddress and is not held while a
+// connections sends messages to the other control machines. Each machine has its own
+// connection, which is opened for the first message. mu guards peers and is not held while a
 // message is sent.
 type connections struct {
 	settings *settings.Settings
-	receive  transport.Handler // takes what comes back
+	receive  transport.Handler // handles messages that arrive over these connections
 
-	mu        sync.Mutex
-	byAddress map[string]*transport.Peer
+	mu    sync.Mutex
+	peers map[string]*transport.Peer // by address
 }
 
-func newConnections(set *settings.Settings, receive transport.Handler) *connections {
-	return &connections{settings: set, receive: receive, byAddress: map[string]*transport.Peer{}}
+func newConnections(nodeSettings *settings.Settings, receive transport.Handler) *connections {
+	return &connections{settings: nodeSettings, receive: receive, peers: map[string]*transport.Peer{}}
 }
 
-// send puts a message on its way to a machine; to this one itself nothing is sent.
+// send queues a message for a machine. Messages to this machine itself are dropped.
 func (c *connections) send(to string, message any) {
 	if to == c.settings.IPAddress {
 		return
 	}
 	c.mu.Lock()
-	p := c.byAddress[to]
-	if p == nil {
+	peer := c.peers[to]
+	if peer == nil {
 		address := c.settings.PeerInternal(to, constants.PortControl)
-		p = transport.NewPeer(address, c.settings.IPAddress, c.receive)
-		c.byAddress[to] = p
+		peer = transport.NewPeer(address, c.settings.IPAddress, c.receive)
+		c.peers[to] = peer
 	}
 	c.mu.Unlock()
-	p.Send(message)
+	peer.Send(message)
 }
 
-// sendAll sends a message to several machines.
 func (c *connections) sendAll(to []string, message any) {
 	for _, address := range to {
 		c.send(address, message)
--- a/internal/controlplane/roster.go
+++ b/internal/controlplane/roster.go
@@ -15,79 +15,81 @@
 	"slateridge/internal/transport"
 )
 
-// Roster tells the other control machines of the proxies that spoke here: how
-// long ago, the count they said they use, where they stand, and which share in
-// the split quotas. It tells what has changed at once, and the rest by turns.
-// Gone are those whose connections have just ended.
-type Roster struct {
+// RosterUpdate informs the other control machines about the proxies that report to the sender.
+// Words holds their status by address. Changes are sent at once, the rest periodically. Shares
+// lists the proxies with a share of the split quotas, Gone those whose connections have just
+// ended.
+type RosterUpdate struct {
 	Words  map[string]ProxyStatus
 	Shares []string
 	Gone   []string
 }
 
-// ProxyStatus is one proxy's latest.
+// ProxyStatus is the latest status of a proxy: the time since its last message, the live count
+// that it uses, and its location.
 type ProxyStatus struct {
 	Age   time.Duration
 	Count int
 	Place directory.Location
 }
 
-func init() { transport.Register(transport.NameRoster, Roster{}) }
+func init() { transport.Register(transport.NameRoster, RosterUpdate{}) }
 
-// proxyEntry is a proxy on the roster. shares says that it has been told a
-// count, so that it may be using a share of the split quotas.
+// proxyEntry is a proxy on the roster. hasShare means that the proxy may have been sent a live
+// count and may use a share of the split quotas.
 type proxyEntry struct {
-	heardAt     time.Time
-	heardHereAt time.Time // when it last spoke here
-	location    directory.Location
-	shares      bool
-	count       int // the live count it last said it uses, here or to another
-	sentStatus  ProxyStatus
-	sentAt      time.Time // when the others nearby were last told
+	seenAt     time.Time // last sign of life on any machine
+	seenHereAt time.Time // last message to this machine
+	location   directory.Location
+	hasShare   bool
+	count      int // live count that the proxy last reported to any control machine
+	sentStatus ProxyStatus
+	sentAt     time.Time // when sentStatus was last sent to the machines of this region
 }
 
-// roster knows the live proxies and which of them share in the split quotas, and tells the
-// other control machines. mu guards the fields below it. It is released before messages are
-// sent or the proxies are told; the directory's lock may be taken under it.
+// roster tracks the live proxies and which of them have a share of the split quotas, and shares
+// this information with the other control machines. mu guards the fields below it and is
+// released before messages are sent or updates are published. The directory's lock may be
+// taken while mu is held.
 type roster struct {
 	settings  *settings.Settings
 	events    *eventlog.Log
-	began     time.Time
+	startedAt time.Time
 	now       func() time.Duration
-	directory *directory.Directory // nil where no directory is served
+	directory *directory.Directory // nil if this machine serves no directory
 	locations *locations           // of the control machines
 	members   func() []membership.Fact
 	peers     func() []string // the other control machines
 	send      func(to string, message any)
-	publish   func()                             // has the proxies told
-	keep      func(key string, value func() any) // stores a value; takes the replica's lock
+	publish   func()                                 // sends the change to the proxies
+	put       func(key string, makeValue func() any) // stores a value; takes the replica's lock
 
 	mu         sync.Mutex
 	entries    map[string]*proxyEntry // by address
-	complete   bool                   // all proxies with a share are on it
-	turn       int
+	complete   bool                   // entries contains all proxies with a share
+	round      int
 	sharesSent []string
 }
 
-// restore takes up the proxies that had a share when this process last ran.
+// restore adds the proxies that had a share when the roster was last saved.
 func (r *roster) restore(addresses []string) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.complete = true
 	for _, a := range addresses {
-		r.entries[a] = &proxyEntry{heardAt: r.began, shares: true}
+		r.entries[a] = &proxyEntry{seenAt: r.startedAt, hasShare: true}
 	}
 }
 
-// size is how many proxies are on the roster.
+// size returns the number of proxies on the roster.
 func (r *roster) size() int {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return len(r.entries)
 }
 
-// live is how many proxies there are; 0 while the roster is not complete.
-func (r *roster) live() int {
+// liveCount returns the number of live proxies, or 0 if the roster is not complete.
+func (r *roster) liveCount() int {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if !r.complete {
@@ -96,37 +98,38 @@
 	return len(r.entries)
 }
 
-// fresh are the proxies that have spoken lately, to any control machine.
-func (r *roster) fresh() []string {
+// recentProxies returns the proxies that any control machine has heard from recently.
+func (r *roster) recentProxies() []string {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	var out []string
 	for a, e := range r.entries {
-		if time.Since(e.heardAt) < constants.UsageSilent {
+		if time.Since(e.seenAt) < constants.UsageSilent {
 			out = append(out, a)
 		}
 	}
 	return out
 }
 
-// sharing says whether a proxy may be told the live count.
-func (r *roster) sharing(node string) bool {
+// hasShare reports whether a proxy has a share of the split quotas and may be sent the live
+// count.
+func (r *roster) hasShare(node string) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	e := r.entries[node]
-	return e != nil && e.shares
+	return e != nil && e.hasShare
 }
 
-// subscribed takes a proxy's message. A newcomer gets a share of the split quotas only
-// after every other proxy that has one has said that it reckons with the larger
-// count, so that the shares in use never add up to more than the whole.
-func (r *roster) subscribed(subscription distribution.Subscription) {
+// handleSubscription processes a proxy's subscription. A new proxy gets a share of the split
+// quotas only after every proxy with a share has confirmed that it uses the larger count. The
+// shares in use then never add up to more than the whole quota.
+func (r *roster) handleSubscription(subscription distribution.Subscription) {
 	node, count := subscription.Node, subscription.Proxies
-	var place directory.Location
+	var location directory.Location
 	if r.directory != nil {
-		place = directory.Location{Front: subscription.Front, Zone: subscription.Zone, Region: subscription.Region, Ready: subscription.Ready}
-		if r.directory.Report(r.now(), node, place, subscription.Full) {
-			r.sendAll(Roster{Words: map[string]ProxyStatus{node: {Count: count, Place: place}}})
+		location = directory.Location{Front: subscription.Front, Zone: subscription.Zone, Region: subscription.Region, Ready: subscription.Ready}
+		if r.directory.Report(r.now(), node, location, subscription.Full) {
+			r.sendAll(RosterUpdate{Words: map[string]ProxyStatus{node: {Count: count, Place: location}}})
 		}
 	}
 	r.mu.Lock()
@@ -136,79 +139,80 @@
 		e = &proxyEntry{}
 		r.entries[node] = e
 	}
-	e.heardAt, e.count, e.location = time.Now(), count, place
-	e.heardHereAt = e.heardAt
-	grew := r.admitNewcomers()
+	e.seenAt, e.count, e.location = time.Now(), count, location
+	e.seenHereAt = e.seenAt
+	granted := r.grantShares()
 	r.mu.Unlock()
 	if !known {
 		r.events.Record("proxy", node+" joined")
 	}
-	if grew {
+	if granted {
 		r.persist()
 	}
-	if !known || grew {
+	if !known || granted {
 		r.publish()
 	}
 }
 
-// disconnected takes the end of a proxy's last connection.
-func (r *roster) disconnected(node string) {
+// handleDisconnect processes the end of a proxy's last connection to this machine.
+func (r *roster) handleDisconnect(node string) {
 	if r.directory != nil && r.directory.Disconnected(r.now(), node, true) {
-		r.sendAll(Roster{Gone: []string{node}})
+		r.sendAll(RosterUpdate{Gone: []string{node}})
 	}
 }
 
-// sendAll sends a message to all other control machines.
-func (r *roster) sendAll(m Roster) {
+func (r *roster) sendAll(m RosterUpdate) {
 	for _, p := range r.peers() {
 		r.send(p, m)
 	}
 }
 
-// admitNewcomers lets newcomers share once that is safe; true when any did. mu is held.
-func (r *roster) admitNewcomers() bool {
+// grantShares gives all proxies a share once that is safe, and reports whether any proxy got a
+// new one. The caller must hold mu.
+func (r *roster) grantShares() bool {
 	if !r.complete {
-		// The very first start: nobody has been told a count yet.
-		if !r.settings.Bootstrap || time.Since(r.began) < constants.RosterQuiet || len(r.entries) == 0 {
+		// At the first bootstrap no proxy has been sent a count yet.
+		if !r.settings.Bootstrap || time.Since(r.startedAt) < constants.RosterQuiet || len(r.entries) == 0 {
 			return false
 		}
 		r.complete = true
 	} else {
-		waiting := false
+		withoutShare := false
 		for _, e := range r.entries {
-			if e.shares && e.count < len(r.entries) {
+			if e.hasShare && e.count < len(r.entries) {
 				return false
 			}
-			waiting = waiting || !e.shares
+			withoutShare = withoutShare || !e.hasShare
 		}
-		if !waiting {
+		if !withoutShare {
 			return false
 		}
 	}
 	for _, e := range r.entries {
-		e.shares = true
+		e.hasShare = true
 	}
 	return true
 }
 
-// persist stores which proxies have a share, in a goroutine of its own since the disk may
-// take long. What cannot be kept is told again by the others.
+// persist saves the proxies that have a share, in a separate goroutine because the disk may be
+// slow. Write errors are ignored because the other machines send the list again.
 func (r *roster) persist() {
-	go r.keep(rosterKey, func() any {
+	go r.put(rosterKey, func() any {
 		r.mu.Lock()
 		defer r.mu.Unlock()
-		return r.withShares()
+		return r.shareHolders()
 	})
 }
 
-// rosterKey names the roster in the store.
+// rosterKey is the key of the roster in the store.
 const rosterKey = "roster"
 
-// withShares lists the proxies that have a share, sorted. mu is held.
-func (r *roster) withShares() []string {
+// shareHolders returns the sorted addresses of the proxies that have a share. The caller must
+// hold mu.
+func (r *roster) shareHolders() []string {
 	var out []string
 	for a, e := range r.entries {
-		if e.shares {
+		if e.hasShare {
 			out = append(out, a)
 		}
 	}
@@ -216,51 +220,52 @@
 	return out
 }
 
-// share tells the other control machines, and drops proxies that have long been silent.
-func (r *roster) share() {
+// broadcast sends the roster to the other control machines and drops silent proxies.
+func (r *roster) broadcast() {
 	facts := r.members()
 	r.mu.Lock()
-	r.turn++
-	r.noteAlive(facts)
+	r.round++
+	r.markAlive(facts)
 	changed := r.dropSilent()
-	near, far := r.statuses()
-	shares := r.withShares()
-	if r.turn%constants.RosterWhole == 0 || !slices.Equal(shares, r.sharesSent) {
-		near.Shares, far.Shares, r.sharesSent = shares, shares, shares
+	sameRegion, otherRegions := r.statuses()
+	shares := r.shareHolders()
+	if r.round%constants.RosterWhole == 0 || !slices.Equal(shares, r.sharesSent) {
+		sameRegion.Shares, otherRegions.Shares, r.sharesSent = shares, shares, shares
 	}
-	farToo := r.turn%constants.RosterFar == 0 || far.Shares != nil
-	changed = r.admitNewcomers() || changed
+	sendOtherRegions := r.round%constants.RosterFar == 0 || otherRegions.Shares != nil
+	changed = r.grantShares() || changed
 	r.mu.Unlock()
 	if changed {
 		r.persist()
 		r.publish()
 	}
 	for _, p := range r.peers() {
-		if r.locations.of(p).Region == r.settings.Region {
-			r.send(p, near)
-		} else if farToo {
-			r.send(p, far)
+		if r.locations.lookup(p).Region == r.settings.Region {
+			r.send(p, sameRegion)
+		} else if sendOtherRegions {
+			r.send(p, otherRegions)
 		}
 	}
 }
 
-// noteAlive keeps proxies on the roster that cannot reach this machine but live, as others
-// vouch. mu is held.
-func (r *roster) noteAlive(facts []membership.Fact) {
+// markAlive keeps proxies on the roster that cannot reach this machine but are alive according
+// to the membership protocol. The caller must hold mu.
+func (r *roster) markAlive(facts []membership.Fact) {
 	for _, f := range facts {
 		host, _, _ := net.SplitHostPort(f.Addr)
 		e := r.entries[host]
 		if e != nil && f.State == membership.Alive && f.Addr == r.settings.PeerInternal(host, constants.PortProxyMembership) {
-			e.heardAt = time.Now()
+			e.seenAt = time.Now()
 		}
 	}
 }
 
-// dropSilent forgets proxies that have long been silent; true when any was. mu is held.
+// dropSilent removes proxies not seen for constants.ProxyForget and reports whether there were
+// any. The caller must hold mu.
 func (r *roster) dropSilent() bool {
 	dropped := false
 	for a, e := range r.entries {
-		if time.Since(e.heardAt) > constants.ProxyForget {
+		if time.Since(e.seenAt) > constants.ProxyForget {
 			delete(r.entries, a)
 			dropped = true
 		}
@@ -268,71 +273,74 @@
 	return dropped
 }
 
-// statuses are the messages on the proxies that spoke here lately: near has what has changed
-// or not been told for a while, far all. mu is held.
-func (r *roster) statuses() (near, far Roster) {
-	near, far = Roster{Words: map[string]ProxyStatus{}}, Roster{Words: map[string]ProxyStatus{}}
+// statuses returns updates about the proxies that recently sent messages to this machine. The
+// update for the same region contains only entries that have changed or are due for a refresh,
+// the one for other regions all of them. The caller must hold mu.
+func (r *roster) statuses() (sameRegion, otherRegions RosterUpdate) {
+	sameRegion, otherRegions = RosterUpdate{Words: map[string]ProxyStatus{}}, RosterUpdate{Words: map[string]ProxyStatus{}}
 	for a, e := range r.entries {
-		age := time.Since(e.heardHereAt)
+		age := time.Since(e.seenHereAt)
 		if age >= constants.SubscriptionSilence {
-			continue // the others' own proxies are theirs to tell of
+			continue // another control machine reports this proxy
 		}
 		status := ProxyStatus{age, e.count, e.location}
-		far.Words[a] = status
+		otherRegions.Words[a] = status
 		sent := e.sentStatus
 		if sent.Count != status.Count || sent.Place != status.Place || time.Since(e.sentAt) >= constants.RosterRefresh {
-			near.Words[a], e.sentStatus, e.sentAt = status, status, time.Now()
+			sameRegion.Words[a], e.sentStatus, e.sentAt = status, status, time.Now()
 		}
 	}
-	return near, far
+	return sameRegion, otherRegions
 }
 
-// take takes what another control machine tells.
-func (r *roster) take(m Roster) {
+// merge applies an update from another control machine.
+func (r *roster) merge(m RosterUpdate) {
 	r.mu.Lock()
-	grew := r.takeStatuses(m.Words)
+	changed := r.mergeStatuses(m.Words)
 	if r.directory != nil {
 		for _, a := range m.Gone {
 			r.directory.Disconnected(r.now(), a, false)
 		}
 	}
-	grew = r.takeShares(m.Shares) || grew
+	changed = r.mergeShares(m.Shares) || changed
 	r.mu.Unlock()
-	if grew {
+	if changed {
 		r.persist()
 		r.publish()
 	}
 }
 
-// takeStatuses is true when a proxy is new here. mu is held.
-func (r *roster) takeStatuses(statuses map[string]ProxyStatus) bool {
-	grew := false
+// mergeStatuses updates the entries and reports whether a proxy was added. The caller must hold
+// mu.
+func (r *roster) mergeStatuses(statuses map[string]ProxyStatus) bool {
+	added := false
 	for a, s := range statuses {
 		at := time.Now().Add(-s.Age)
 		if e := r.entries[a]; e == nil {
-			r.entries[a] = &proxyEntry{heardAt: at, count: s.Count, location: s.Place}
-			grew = true
-		} else if at.After(e.heardAt) {
-			e.heardAt, e.count, e.location = at, s.Count, s.Place
+			r.entries[a] = &proxyEntry{seenAt: at, count: s.Count, location: s.Place}
+			added = true
+		} else if at.After(e.seenAt) {
+			e.seenAt, e.count, e.location = at, s.Count, s.Place
 		}
 		if r.directory != nil {
 			r.directory.Relay(r.now(), a, s.Place, s.Age)
 		}
 	}
-	return grew
+	return added
 }
 
-// takeShares is true when a proxy has a share that had none here. mu is held.
-func (r *roster) takeShares(shares []string) bool {
+// mergeShares records the proxies that have a share and reports whether any of them had none on
+// this roster. The caller must hold mu.
+func (r *roster) mergeShares(shares []string) bool {
 	if len(shares) == 0 {
 		return false
 	}
-	grew := false
+	changed := false
 	r.complete = true
 	for _, a := range shares {
-		if e := r.entries[a]; e != nil && !e.shares {
-			e.shares, grew = true, true
+		if e := r.entries[a]; e != nil && !e.hasShare {
+			e.hasShare, changed = true, true
 		}
 	}
-	return grew
+	return changed
 }
