--- a/internal/proxy/choice.go
+++ b/internal/proxy/choice.go
@@ -82,7 +82,7 @@
 		now:    now,
 		usual:  usualDelay(set.preferred),
 		spread: pool.workTimeLocked(w.service, now).spread().Seconds(),
-		cold:   pool.cold(w.service),
+		cold:   pool.coldBound(w.service),
 	}
 	if u := pool.chooseAmong(set.preferred, c); u != nil {
 		return u
--- a/internal/proxy/pool.go
+++ b/internal/proxy/pool.go
@@ -20,7 +20,7 @@
 	candidateSets map[target]*candidateSet // made from svc as they are asked for
 	evacuated     map[string]bool          // zones nothing is sent to
 	regions       map[string]string
-	cold          func(service string) ColdBound
+	coldBound     func(service string) ColdBound
 	proxies       int // live count
 	self          string
 	times         map[string]*serviceTimes // by service
@@ -58,7 +58,7 @@
 		self:          me,
 		zone:          zone,
 		regions:       regions,
-		cold:          cold,
+		coldBound:     cold,
 		connCap:       connCap,
 		upstreams:     map[string]*Upstream{},
 		byService:     map[string][]*Upstream{},
--- a/internal/proxy/zones.go
+++ b/internal/proxy/zones.go
@@ -30,7 +30,7 @@
 		if is[z] {
 			u.closeIdle()
 		} else if pool.evacuated[z] {
-			if cold := now.Add(pool.cold(u.instance.Service).lasts); cold.After(u.warmFrom) {
+			if cold := now.Add(pool.coldBound(u.instance.Service).lasts); cold.After(u.warmFrom) {
 				u.warmFrom = cold
 			}
 		}
