--- a/internal/proxy/cold.go
+++ b/internal/proxy/cold.go
@@ -52,6 +52,6 @@
 // The lot needs no roster, only the live count, and is as good while counts
 // differ.
 func (u *Upstream) admitsCold(now time.Time, bound ColdBound) bool {
-	n := u.pool.proxies
+	n := u.pool.proxyCount
 	return n > 0 && float64(u.rank)*float64(n) < bound.owners*(1<<32) && now.Sub(u.coldAt) >= constants.ColdEvery
 }
--- a/internal/proxy/pool.go
+++ b/internal/proxy/pool.go
@@ -21,7 +21,7 @@
 	evacuated     map[string]bool          // zones nothing is sent to
 	regions       map[string]string
 	coldBound     func(service string) ColdBound
-	proxies       int // live count
+	proxyCount    int // live count
 	self          string
 	times         map[string]*serviceTimes // by service
 	waiting       map[string][]*waiter     // by service, the most urgent first
@@ -48,7 +48,7 @@
 // SetProxies takes the live count.
 func (pool *Pool) SetProxies(n int) {
 	pool.mu.Lock()
-	pool.proxies = n
+	pool.proxyCount = n
 	pool.mu.Unlock()
 }
 
--- a/internal/proxy/upstream.go
+++ b/internal/proxy/upstream.go
@@ -83,8 +83,8 @@
 
 // share is this proxy's part of the upstream's places.
 func (u *Upstream) share() int {
-	if u.pool.proxies == 0 {
+	if u.pool.proxyCount == 0 {
 		return 0 // not known yet
 	}
-	return (u.instance.Slots + u.pool.proxies - 1) / u.pool.proxies
+	return (u.instance.Slots + u.pool.proxyCount - 1) / u.pool.proxyCount
 }
