--- a/internal/proxy/pool.go
+++ b/internal/proxy/pool.go
@@ -22,7 +22,7 @@
 	regions       map[string]string
 	coldBound     func(service string) ColdBound
 	proxyCount    int // live count
-	self          string
+	proxyID       string
 	times         map[string]*serviceTimes // by service
 	waiting       map[string][]*waiter     // by service, the most urgent first
 	queued        uint64                   // how many ever waited: the order in which they came
@@ -55,7 +55,7 @@
 // NewPool makes an empty pool for a proxy in a zone.
 func NewPool(me, zone string, regions map[string]string, connCap func(string) int, cold func(string) ColdBound) *Pool {
 	return &Pool{
-		self:          me,
+		proxyID:       me,
 		zone:          zone,
 		regions:       regions,
 		coldBound:     cold,
@@ -86,7 +86,7 @@
 			u = nil
 		}
 		if u == nil {
-			u = &Upstream{pool: pool, instance: i, rank: rankOf(pool.self, i.ID), region: pool.regions[i.Zone], active: map[*placement]time.Time{}}
+			u = &Upstream{pool: pool, instance: i, rank: rankOf(pool.proxyID, i.ID), region: pool.regions[i.Zone], active: map[*placement]time.Time{}}
 			switch {
 			case i.Zone == pool.zone:
 			case u.region == pool.regions[pool.zone]:
--- a/internal/proxy/stream_test.go
+++ b/internal/proxy/stream_test.go
@@ -305,7 +305,7 @@
 		return is
 	}
 	a, b := newProxy(t, list(60)...), newProxy(t, list(60)...)
-	b.pool.self = "other"
+	b.pool.proxyID = "other"
 	b.pool.Apply(time.Now(), list(56)) // four are gone here already
 	moved, seen := 0, map[string]int{}
 	for p := range 1000 {
