--- a/internal/proxy/pool.go
+++ b/internal/proxy/pool.go
@@ -25,7 +25,7 @@
 	proxyID       string
 	times         map[string]*serviceTimes // by service
 	waiting       map[string][]*waiter     // by service, the most urgent first
-	queued        uint64                   // how many ever waited: the order in which they came
+	waiterSeq     uint64                   // how many ever waited: the order in which they came
 	wakeAt        map[string]time.Time     // by service, when those that wait are looked after next
 	leaveBy       time.Time                // when this process ends; zero: not known to
 	connCap       func(service string) int // this proxy's share of connections to one upstream
--- a/internal/proxy/waiting.go
+++ b/internal/proxy/waiting.go
@@ -77,8 +77,8 @@
 
 // queueLocked puts a request among those that wait.
 func (pool *Pool) queueLocked(want target, priority int, latestStart time.Time, skip map[*Upstream]bool) *waiter {
-	pool.queued++
-	w := &waiter{target: want, priority: priority, latestStart: latestStart, seq: pool.queued, granted: make(chan *placement, 1), skip: skip}
+	pool.waiterSeq++
+	w := &waiter{target: want, priority: priority, latestStart: latestStart, seq: pool.waiterSeq, granted: make(chan *placement, 1), skip: skip}
 	ws := pool.waiting[want.service]
 	i, _ := slices.BinarySearchFunc(ws, w, (*waiter).compare)
 	pool.waiting[want.service] = slices.Insert(ws, i, w)
