--- a/internal/proxy/pool.go
+++ b/internal/proxy/pool.go
@@ -27,7 +27,7 @@
 	waiting       map[string][]*waiter     // by service, the most urgent first
 	waiterSeq     uint64                   // how many ever waited: the order in which they came
 	wakeAt        map[string]time.Time     // by service, when those that wait are looked after next
-	leaveBy       time.Time                // when this process ends; zero: not known to
+	shutdownAt    time.Time                // when this process ends; zero: not known to
 	connCap       func(service string) int // this proxy's share of connections to one upstream
 	connectTime   [3]answerTime            // of new connections, by distance: a round trip
 	NewConns      uint64                   // new connections
--- a/internal/proxy/waiting.go
+++ b/internal/proxy/waiting.go
@@ -184,17 +184,17 @@
 // beforeLeavingLocked is the latest start of a request that has to be answered before this
 // process ends.
 func (pool *Pool) beforeLeavingLocked(want target, latestStart time.Time) time.Time {
-	if pool.leaveBy.IsZero() {
+	if pool.shutdownAt.IsZero() {
 		return latestStart
 	}
-	return earlier(latestStart, pool.leaveBy.Add(-pool.workTimeLocked(want.service, time.Now()).likely))
+	return earlier(latestStart, pool.shutdownAt.Add(-pool.workTimeLocked(want.service, time.Now()).likely))
 }
 
 // Leave has all that wait answered in time for the process to end at a moment.
 func (pool *Pool) Leave(by time.Time) {
 	pool.mu.Lock()
 	defer pool.mu.Unlock()
-	pool.leaveBy = by
+	pool.shutdownAt = by
 	for service, ws := range pool.waiting {
 		for _, w := range ws {
 			w.latestStart = pool.beforeLeavingLocked(w.target, w.latestStart)
