--- a/internal/proxy/affinity.go
+++ b/internal/proxy/affinity.go
@@ -131,11 +131,11 @@
 	slices.SortFunc(near, func(a, b streamCandidate) int { return cmp.Compare(a.rank, b.rank) })
 	for i, c := range near[:min(len(near), constants.AffinityTop)] {
 		if c.busy < constants.AffinityFull {
-			pool.Kept[min(i, 1)]++
+			pool.StreamPlacements[min(i, 1)]++
 			return c.upstream
 		}
 	}
-	pool.Kept[2]++
+	pool.StreamPlacements[2]++
 	return nil
 }
 
--- a/internal/proxy/pool.go
+++ b/internal/proxy/pool.go
@@ -12,30 +12,30 @@
 // Pool knows all upstreams and holds requests that wait for room. Its mutex guards all
 // that changes in it and in its upstreams; it is not held while dialling, reading or writing.
 type Pool struct {
-	mu            sync.Mutex
-	zone          string
-	dialer        net.Dialer
-	upstreams     map[string]*Upstream // by instance
-	byService     map[string][]*Upstream
-	candidateSets map[target]*candidateSet // made from svc as they are asked for
-	evacuated     map[string]bool          // zones nothing is sent to
-	regions       map[string]string
-	coldBound     func(service string) ColdBound
-	proxyCount    int // live count
-	proxyID       string
-	times         map[string]*serviceTimes // by service
-	waiting       map[string][]*waiter     // by service, the most urgent first
-	waiterSeq     uint64                   // how many ever waited: the order in which they came
-	wakeAt        map[string]time.Time     // by service, when those that wait are looked after next
-	shutdownAt    time.Time                // when this process ends; zero: not known to
-	connCap       func(service string) int // this proxy's share of connections to one upstream
-	connectTime   [3]answerTime            // of new connections, by distance: a round trip
-	NewConns      uint64                   // new connections
-	Ejected       uint64
-	Kept          [3]uint64 // streams at their prefix's first upstream, at one of the next, elsewhere
-	Waited        uint64
-	Full          uint64
-	Cancelled     uint64 // offers ended here, since nobody waited for them
+	mu               sync.Mutex
+	zone             string
+	dialer           net.Dialer
+	upstreams        map[string]*Upstream // by instance
+	byService        map[string][]*Upstream
+	candidateSets    map[target]*candidateSet // made from svc as they are asked for
+	evacuated        map[string]bool          // zones nothing is sent to
+	regions          map[string]string
+	coldBound        func(service string) ColdBound
+	proxyCount       int // live count
+	proxyID          string
+	times            map[string]*serviceTimes // by service
+	waiting          map[string][]*waiter     // by service, the most urgent first
+	waiterSeq        uint64                   // how many ever waited: the order in which they came
+	wakeAt           map[string]time.Time     // by service, when those that wait are looked after next
+	shutdownAt       time.Time                // when this process ends; zero: not known to
+	connCap          func(service string) int // this proxy's share of connections to one upstream
+	connectTime      [3]answerTime            // of new connections, by distance: a round trip
+	NewConns         uint64                   // new connections
+	Ejected          uint64
+	StreamPlacements [3]uint64 // streams at their prefix's first upstream, at one of the next, elsewhere
+	Waited           uint64
+	Full             uint64
+	Cancelled        uint64 // offers ended here, since nobody waited for them
 }
 
 // Len is how many upstreams are known.
--- a/internal/proxy/states.go
+++ b/internal/proxy/states.go
@@ -72,6 +72,6 @@
 		cancelled: pool.Cancelled,
 		waited:    pool.Waited,
 		full:      pool.Full,
-		kept:      pool.Kept,
+		kept:      pool.StreamPlacements,
 	}
 }
