--- a/internal/proxy/pool.go
+++ b/internal/proxy/pool.go
@@ -34,7 +34,7 @@
 	Ejected          uint64
 	StreamPlacements [3]uint64 // streams at their prefix's first upstream, at one of the next, elsewhere
 	Waited           uint64
-	Full             uint64
+	NoCapacity       uint64
 	Cancelled        uint64 // offers ended here, since nobody waited for them
 }
 
--- a/internal/proxy/states.go
+++ b/internal/proxy/states.go
@@ -71,7 +71,7 @@
 		ejected:   pool.Ejected,
 		cancelled: pool.Cancelled,
 		waited:    pool.Waited,
-		full:      pool.Full,
+		full:      pool.NoCapacity,
 		kept:      pool.StreamPlacements,
 	}
 }
--- a/internal/proxy/waiting.go
+++ b/internal/proxy/waiting.go
@@ -33,7 +33,7 @@
 		}
 	}
 	if !pool.mayOpenLocked(want, skip) {
-		pool.Full++
+		pool.NoCapacity++
 		pool.mu.Unlock()
 		return nil
 	}
@@ -62,7 +62,7 @@
 	ws := pool.waiting[w.target.service]
 	if i := slices.Index(ws, w); i >= 0 {
 		pool.waiting[w.target.service] = slices.Concat(ws[:i], ws[i+1:])
-		pool.Full++
+		pool.NoCapacity++
 		return nil
 	}
 	return <-w.granted // decided at the last moment
@@ -107,7 +107,7 @@
 		}
 		group := w.target.group()
 		if !now.Add(ahead[group]).Before(w.latestStart) {
-			pool.Full++
+			pool.NoCapacity++
 			w.granted <- nil
 			continue
 		}
