--- a/internal/proxy/affinity.go
+++ b/internal/proxy/affinity.go
@@ -29,8 +29,8 @@
 	return of != nil
 }
 
-// Busy is how many requests of a service run and wait here.
-func (pool *Pool) Busy(service string) int {
+// Outstanding is how many requests of a service run and wait here.
+func (pool *Pool) Outstanding(service string) int {
 	pool.mu.Lock()
 	defer pool.mu.Unlock()
 	n := len(pool.waiting[service])
--- a/internal/proxy/cancellation_test.go
+++ b/internal/proxy/cancellation_test.go
@@ -94,7 +94,7 @@
 		wg.Wait()
 		awaitEnds(t, u)
 	}
-	for d.pool.Busy("svc") > 0 {
+	for d.pool.Outstanding("svc") > 0 {
 		time.Sleep(time.Millisecond)
 	}
 	if open, idle := connsOpen(d.Proxy); open != idle {
--- a/internal/proxy/disconnect_test.go
+++ b/internal/proxy/disconnect_test.go
@@ -218,7 +218,7 @@
 					t.Error("the request behind it went on to an upstream")
 				}
 			}
-			for end := time.Now().Add(3 * time.Second); d.pool.Busy("svc") > 0; time.Sleep(time.Millisecond) {
+			for end := time.Now().Add(3 * time.Second); d.pool.Outstanding("svc") > 0; time.Sleep(time.Millisecond) {
 				if time.Now().After(end) {
 					t.Fatal("its place stays taken")
 				}
@@ -269,7 +269,7 @@
 		awaitArrivals(t, n, u)
 		client.Close()
 		awaitEnds(t, u)
-		for d.pool.Busy("svc") > 0 {
+		for d.pool.Outstanding("svc") > 0 {
 			time.Sleep(time.Millisecond)
 		}
 		if runs := u.seen(); runs[n-1].abandoned {
@@ -294,7 +294,7 @@
 	if runs := u.seen(); runs[0].abandoned {
 		t.Error("it was cut off")
 	}
-	for d.pool.Busy("svc") > 0 {
+	for d.pool.Outstanding("svc") > 0 {
 		time.Sleep(time.Millisecond)
 	}
 	if status, _, err := fetch(front, "POST", "/once/1ms"); status != http.StatusOK || err != nil {
@@ -615,7 +615,7 @@
 			client.Close()
 		}
 		awaitEnds(t, u)
-		for d.pool.Busy("svc") > 0 {
+		for d.pool.Outstanding("svc") > 0 {
 			time.Sleep(time.Millisecond)
 		}
 		if after := delay(); after < before {
--- a/internal/proxy/places_test.go
+++ b/internal/proxy/places_test.go
@@ -103,7 +103,7 @@
 			mu.Unlock()
 			method := map[string]string{"/home/": "GET", "/any/": "POST"}[path]
 			w := get(s, method, path, "", headerAPIKey, key)
-			for s.pool.Busy("svc") > 0 { // a hedge may still be on its way, and is judged by this request's homes
+			for s.pool.Outstanding("svc") > 0 { // a hedge may still be on its way, and is judged by this request's homes
 				time.Sleep(100 * time.Microsecond)
 			}
 			switch {
--- a/internal/proxy/pool_test.go
+++ b/internal/proxy/pool_test.go
@@ -394,7 +394,7 @@
 				wg.Wait()
 				close(over)
 				lives.Wait()
-				for s.pool.Busy("svc") > 0 { // hedged ones that nobody waits for any more
+				for s.pool.Outstanding("svc") > 0 { // hedged ones that nobody waits for any more
 					time.Sleep(5 * time.Millisecond)
 				}
 				deadline := time.Now().Add(time.Second)
--- a/internal/proxy/reports.go
+++ b/internal/proxy/reports.go
@@ -27,7 +27,7 @@
 	t := autoscale.Report{Proxy: set.IPAddress, Zone: set.Zone, Running: map[string]int{}}
 	for name, s := range cfg.Services {
 		if s.Scaling != nil {
-			t.Running[name] = d.pool.Busy(name)
+			t.Running[name] = d.pool.Outstanding(name)
 		}
 	}
 	v, err := d.subscriber.Ask(*to, t, constants.UsageWait)
--- a/internal/proxy/stream_test.go
+++ b/internal/proxy/stream_test.go
@@ -168,7 +168,7 @@
 		c, br := flow(t, s)
 		ask(c, "/flow/x")
 		if first == "" {
-			for s.pool.Busy("svc") == 0 {
+			for s.pool.Outstanding("svc") == 0 {
 				time.Sleep(time.Millisecond)
 			}
 			time.Sleep(20 * time.Millisecond) // sent on
@@ -179,7 +179,7 @@
 		if !<-ended {
 			t.Errorf("first %q: the upstream works on for nobody", first)
 		}
-		for s.pool.Busy("svc") > 0 {
+		for s.pool.Outstanding("svc") > 0 {
 			time.Sleep(time.Millisecond)
 		}
 	}
@@ -215,7 +215,7 @@
 				}
 			}
 			conn.Close()
-			for s.pool.Busy("svc") > 0 {
+			for s.pool.Outstanding("svc") > 0 {
 				time.Sleep(time.Millisecond)
 			}
 			s.pool.mu.Lock()
