--- a/internal/proxy/admin.go
+++ b/internal/proxy/admin.go
@@ -71,7 +71,7 @@
 	if s := d.config.Load(); s != nil {
 		r.Version = s.Version
 	}
-	r.Zone, r.Region, r.Evacuated = d.set.Load().Zone, d.set.Load().Region, d.pool.Evacuated()
+	r.Zone, r.Region, r.Evacuated = d.set.Load().Zone, d.set.Load().Region, d.pool.EvacuatedZones()
 	for i, n := range countNames {
 		r.Requests[n] = d.counts[i].Load()
 	}
--- a/internal/proxy/zones.go
+++ b/internal/proxy/zones.go
@@ -6,8 +6,8 @@
 	"time"
 )
 
-// Evacuated lists the zones under evacuation.
-func (pool *Pool) Evacuated() []string {
+// EvacuatedZones lists the zones under evacuation.
+func (pool *Pool) EvacuatedZones() []string {
 	pool.mu.Lock()
 	defer pool.mu.Unlock()
 	return slices.Sorted(maps.Keys(pool.evacuated))
