--- a/internal/proxy/daemon.go
+++ b/internal/proxy/daemon.go
@@ -152,7 +152,7 @@
 		d.events.Count("list_applied", 1)
 	}
 	if f.State > 0 {
-		if d.pool.Evacuate(time.Now(), f.Evacuated) {
+		if d.pool.SetEvacuatedZones(time.Now(), f.Evacuated) {
 			d.events.Record("evacuations", strings.Join(f.Evacuated, " "))
 		}
 	}
--- a/internal/proxy/places_test.go
+++ b/internal/proxy/places_test.go
@@ -90,7 +90,7 @@
 					}
 				}
 				mu.Unlock()
-				s.pool.Evacuate(time.Now(), now)
+				s.pool.SetEvacuatedZones(time.Now(), now)
 				time.Sleep(time.Microsecond)
 			}
 			path, key := []string{"/home/", "/any/"}[r.IntN(2)], []string{"k1", "k2", "k3"}[r.IntN(3)]
@@ -188,7 +188,7 @@
 func TestPlacesAreCheckedAgain(t *testing.T) {
 	u := newRawUpstream(t, func(_ int, r *http.Request) (string, bool) { return ok(r, "b"), false })
 	for name, change := range map[string]func(*Proxy){
-		"evacuated": func(s *Proxy) { s.pool.Evacuate(time.Now(), []string{"z"}) },
+		"evacuated": func(s *Proxy) { s.pool.SetEvacuatedZones(time.Now(), []string{"z"}) },
 		"forbidden": func(s *Proxy) {
 			cfg, err := config.Read([]byte(strings.Replace(strings.Replace(placesConfig, `"r2"`, `"r3"`, 1), `"allowedRegions":[]`, `"allowedRegions":["r2"]`, 1)))
 			if err != nil {
--- a/internal/proxy/zones.go
+++ b/internal/proxy/zones.go
@@ -13,9 +13,9 @@
 	return slices.Sorted(maps.Keys(pool.evacuated))
 }
 
-// Evacuate takes the zones under evacuation; true when they are others than
+// SetEvacuatedZones takes the zones under evacuation; true when they are others than
 // before. The upstreams of a zone taken back may have turned cold meanwhile.
-func (pool *Pool) Evacuate(now time.Time, zones []string) bool {
+func (pool *Pool) SetEvacuatedZones(now time.Time, zones []string) bool {
 	pool.mu.Lock()
 	defer pool.mu.Unlock()
 	is := map[string]bool{}
