--- a/cmd/scalerun/trial.go
+++ b/cmd/scalerun/trial.go
@@ -42,7 +42,7 @@
 		return nil, err
 	}
 	d := proxy.NewDaemon(set, "", eventlog.New(zerolog.Nop()))
-	d.KeepAccounts(accountObjectives)
+	d.EnableAccounting(accountObjectives)
 	return d, d.AddHollow(g, group)
 }
 
--- a/cmd/slateridge/main.go
+++ b/cmd/slateridge/main.go
@@ -126,7 +126,7 @@
 		return usageError{err}
 	}
 	d := proxy.NewDaemon(set, path, newEventLog(set, "proxy"))
-	d.KeepAccounts(objectives)
+	d.EnableAccounting(objectives)
 	var g run.Group
 	if err := d.Add(&g); err != nil {
 		return err
--- a/cmd/slateridge/whole_accounts_test.go
+++ b/cmd/slateridge/whole_accounts_test.go
@@ -46,7 +46,7 @@
 		}
 		s.launch(fmt.Sprint("control", i), control)
 		proxy := proxy.NewDaemon(settings, filepath.Join(s.dir, fmt.Sprint(i), "boot.json"), eventlog.New(zerolog.Nop()))
-		proxy.KeepAccounts(objectives)
+		proxy.EnableAccounting(objectives)
 		s.launch(fmt.Sprint("proxy", i), proxy)
 		s.proxies = append(s.proxies, proxy)
 	}
--- a/internal/proxy/accounting.go
+++ b/internal/proxy/accounting.go
@@ -8,9 +8,9 @@
 	"slateridge/internal/constants"
 )
 
-// KeepAccounts has this proxy account for the requests of tenants with objectives; nil
+// EnableAccounting has this proxy account for the requests of tenants with objectives; nil
 // objectives change nothing. It is called before Add.
-func (d *Daemon) KeepAccounts(objectives *accounts.Objectives) {
+func (d *Daemon) EnableAccounting(objectives *accounts.Objectives) {
 	if objectives == nil {
 		return
 	}
