--- a/cmd/slateridge/whole_accounts_test.go
+++ b/cmd/slateridge/whole_accounts_test.go
@@ -128,7 +128,7 @@
 	}
 	s.until("the account", func() error {
 		for _, proxy := range s.proxies {
-			proxy.ReportAccounts()
+			proxy.FlushAccounts()
 		}
 		snapshot, err := gatherAccounts(s.client, s.admins(), "")
 		if err != nil {
--- a/internal/proxy/accounting.go
+++ b/internal/proxy/accounting.go
@@ -84,9 +84,9 @@
 	p.account.Failure(accounts.Lost)
 }
 
-// ReportAccounts tells the shards' holders at once what they lack; for tests, and before
+// FlushAccounts tells the shards' holders at once what they lack; for tests, and before
 // a planned end.
-func (d *Daemon) ReportAccounts() {
+func (d *Daemon) FlushAccounts() {
 	if d.accountsAgent != nil {
 		d.accountsAgent.Tell()
 	}
