--- a/internal/proxy/attempts_test.go
+++ b/internal/proxy/attempts_test.go
@@ -32,7 +32,7 @@
 			a, b := newRawUpstream(t, answer), newRawUpstream(t, answer)
 			s = newProxy(t, a.instance("i-1"), b.instance("i-2"))
 			for range 400 {
-				s.retryBudget.Request(s.now(), "svc")
+				s.retryBudget.RecordRequest(s.now(), "svc")
 			}
 			w := get(s, c.method, c.path, "")
 			if n := a.count() + b.count(); n != 1 {
@@ -52,7 +52,7 @@
 	a, b := newRawUpstream(t, answer), newRawUpstream(t, answer)
 	s := newProxy(t, a.instance("i-1"), b.instance("i-2"))
 	for range 4000 {
-		s.retryBudget.Request(s.now(), "svc")
+		s.retryBudget.RecordRequest(s.now(), "svc")
 	}
 	for range 400 {
 		s.pool.mu.Lock()
--- a/internal/proxy/contract_test.go
+++ b/internal/proxy/contract_test.go
@@ -58,7 +58,7 @@
 		})
 		s := newProxy(t, u.instance("i-1"), u.instance("i-2"))
 		for range 400 {
-			s.retryBudget.Request(s.now(), "svc")
+			s.retryBudget.RecordRequest(s.now(), "svc")
 		}
 		w := get(s, "GET", "/safe/x", "", headerBudget, c.budget)
 		if took := time.Since(began); w.Code != http.StatusGatewayTimeout || took < c.held || took > c.held+machineSlack {
--- a/internal/proxy/disconnect_test.go
+++ b/internal/proxy/disconnect_test.go
@@ -191,7 +191,7 @@
 			}
 			d, front := daemonAt(t, ups...)
 			for range 400 { // budget for the second offer
-				d.retryBudget.Request(d.now(), "svc")
+				d.retryBudget.RecordRequest(d.now(), "svc")
 			}
 			client := connectTo(t, front)
 			io.WriteString(client, c.requests)
@@ -242,7 +242,7 @@
 	slow, quick := newWorkingUpstream(t, "", ""), newRawUpstream(t, func(_ int, r *http.Request) (string, bool) { return ok(r, "x"), false })
 	d, front := daemonAt(t, slow.instance("i-1", 2))
 	for range 400 {
-		d.retryBudget.Request(d.now(), "svc")
+		d.retryBudget.RecordRequest(d.now(), "svc")
 	}
 	client := connectTo(t, front)
 	io.WriteString(client, clientRequest("GET", "/safe/1900ms", "a", 0))
@@ -332,7 +332,7 @@
 			u, other := newWorkingUpstream(t, "", "close"), newWorkingUpstream(t, "", "")
 			d, front := daemonAt(t, u.instance("i-1", 2))
 			for range 400 {
-				d.retryBudget.Request(d.now(), "svc")
+				d.retryBudget.RecordRequest(d.now(), "svc")
 			}
 			client := connectTo(t, front)
 			io.WriteString(client, clientRequest("GET", path, "a", 0))
--- a/internal/proxy/exchange.go
+++ b/internal/proxy/exchange.go
@@ -67,7 +67,7 @@
 // and gives the result to hand to the client; nil with a status means refusal.
 func (p *exchange) forward() (*result, int) {
 	now := p.proxy.now()
-	p.proxy.retryBudget.Request(now, p.service)
+	p.proxy.retryBudget.RecordRequest(now, p.service)
 	skip := map[*Upstream]bool{}
 	var last *result
 	dials := 0
--- a/internal/proxy/pool_test.go
+++ b/internal/proxy/pool_test.go
@@ -351,7 +351,7 @@
 				}
 				s := newProxy(t, list()...)
 				for range 2000 {
-					s.retryBudget.Request(s.now(), "svc")
+					s.retryBudget.RecordRequest(s.now(), "svc")
 				}
 				over := make(chan bool)
 				var lives sync.WaitGroup
--- a/internal/proxy/proxy_test.go
+++ b/internal/proxy/proxy_test.go
@@ -266,7 +266,7 @@
 			a, b := newRawUpstream(t, c.s), newRawUpstream(t, c.s)
 			s := newProxy(t, a.instance("i-1"), b.instance("i-2"))
 			for range 400 { // budget for further tries
-				s.retryBudget.Request(s.now(), "svc")
+				s.retryBudget.RecordRequest(s.now(), "svc")
 			}
 			w := get(s, "POST", c.path, "x")
 			if w.Code != c.code || a.count()+b.count() != c.arrivals {
@@ -507,7 +507,7 @@
 			a, b := newRawUpstream(t, answer), newRawUpstream(t, answer)
 			s := newProxy(t, a.instance("i-1"), b.instance("i-2"))
 			for range 400 {
-				s.retryBudget.Request(s.now(), "svc")
+				s.retryBudget.RecordRequest(s.now(), "svc")
 			}
 			if w := get(s, "GET", "/safe/", ""); w.Code != c.code || a.count() != 1 || b.count() != 1 {
 				t.Fatalf("got %d after %d and %d arrivals, want %d after one each", w.Code, a.count(), b.count(), c.code)
--- a/internal/proxy/retrybudget.go
+++ b/internal/proxy/retrybudget.go
@@ -57,8 +57,8 @@
 	return t, i
 }
 
-// Request counts a client's request for a service.
-func (b *RetryBudget) Request(now time.Duration, service string) {
+// RecordRequest counts a client's request for a service.
+func (b *RetryBudget) RecordRequest(now time.Duration, service string) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	t, i := b.window(now, service)
--- a/internal/proxy/retrybudget_test.go
+++ b/internal/proxy/retrybudget_test.go
@@ -36,7 +36,7 @@
 				start(r.IntN(proxies), now)
 			}
 			i := r.IntN(proxies)
-			fleet[i].Request(now-born[i], "svc")
+			fleet[i].RecordRequest(now-born[i], "svc")
 			requests = append(requests, now)
 			if fleet[i].Take(now-born[i], "svc") {
 				extras = append(extras, now)
--- a/internal/proxy/timing_test.go
+++ b/internal/proxy/timing_test.go
@@ -51,7 +51,7 @@
 	s.pool.times["svc"] = &serviceTimes{answers: *evenAnswers(usual), held: *evenAnswers(usual)}
 	s.pool.mu.Unlock()
 	for range 1000 {
-		s.retryBudget.Request(s.now(), "svc")
+		s.retryBudget.RecordRequest(s.now(), "svc")
 	}
 	return s
 }
