--- a/internal/proxy/affinity.go
+++ b/internal/proxy/affinity.go
@@ -110,7 +110,7 @@
 		if candidate.busy >= constants.StreamFull {
 			continue // what it cannot queue it resets, and a stream is sent once
 		}
-		if now.Before(u.warmFrom) {
+		if now.Before(u.warmupEnd) {
 			candidate.busy += constants.WarmupFactor - 1
 		}
 		if u.distance > 0 {
--- a/internal/proxy/choice.go
+++ b/internal/proxy/choice.go
@@ -134,7 +134,7 @@
 	if u.draining || c.skip[u] || u.pool.evacuated[u.instance.Zone] {
 		return false
 	}
-	if c.cold.lasts > 0 && c.now.Before(u.warmFrom) && !u.admitsCold(c.now, c.cold) {
+	if c.cold.lasts > 0 && c.now.Before(u.warmupEnd) && !u.admitsCold(c.now, c.cold) {
 		return false
 	}
 	if !c.ejectedToo && c.now.Before(u.ejectedUntil) {
@@ -168,7 +168,7 @@
 // zones and on the link between them.
 func (u *Upstream) cost(delay, oldest float64, c choice) float64 {
 	cost := max(delay, oldest) * (1 + float64(len(u.active))/float64(u.instance.Slots))
-	if c.now.Before(u.warmFrom) {
+	if c.now.Before(u.warmupEnd) {
 		cost *= constants.WarmupFactor
 	}
 	if age := c.now.Sub(u.loadAt); u.load > 1 && age < constants.LoadFresh {
@@ -199,7 +199,7 @@
 	if u == nil {
 		return nil
 	}
-	if now.Before(u.warmFrom) {
+	if now.Before(u.warmupEnd) {
 		u.coldAt = now
 	}
 	p := &placement{upstream: u}
--- a/internal/proxy/pool.go
+++ b/internal/proxy/pool.go
@@ -97,8 +97,8 @@
 			pool.upstreams[i.ID] = u
 		}
 		u.instance.Slots = i.Slots
-		if at := now.Add(i.Warmup); i.Warmup > 0 && at.After(u.warmFrom) {
-			u.warmFrom = at
+		if at := now.Add(i.Warmup); i.Warmup > 0 && at.After(u.warmupEnd) {
+			u.warmupEnd = at
 		}
 		u.draining = i.Draining
 		if u.draining {
--- a/internal/proxy/states.go
+++ b/internal/proxy/states.go
@@ -33,7 +33,7 @@
 			st = "draining"
 		case now.Before(u.ejectedUntil):
 			st = "out"
-		case now.Before(u.warmFrom):
+		case now.Before(u.warmupEnd):
 			st = "warming"
 			if pool.coldBound(u.instance.Service).lasts > 0 {
 				st = "cold"
--- a/internal/proxy/upstream.go
+++ b/internal/proxy/upstream.go
@@ -11,12 +11,12 @@
 
 // Upstream is one life of an upstream, as this proxy knows it.
 type Upstream struct {
-	instance discovery.Instance // but for its slots it never changes; what does is kept below
-	pool     *Pool
-	distance int // 0 in this zone, 1 in this region, 2 beyond
-	region   string
-	rank     uint32    // this proxy's lot for it, by which its own few are drawn
-	warmFrom time.Time // slow before this
+	instance  discovery.Instance // but for its slots it never changes; what does is kept below
+	pool      *Pool
+	distance  int // 0 in this zone, 1 in this region, 2 beyond
+	region    string
+	rank      uint32    // this proxy's lot for it, by which its own few are drawn
+	warmupEnd time.Time // slow before this
 
 	// under pool.mu
 	removed      bool
--- a/internal/proxy/zones.go
+++ b/internal/proxy/zones.go
@@ -30,8 +30,8 @@
 		if is[z] {
 			u.closeIdle()
 		} else if pool.evacuated[z] {
-			if cold := now.Add(pool.coldBound(u.instance.Service).lasts); cold.After(u.warmFrom) {
-				u.warmFrom = cold
+			if cold := now.Add(pool.coldBound(u.instance.Service).lasts); cold.After(u.warmupEnd) {
+				u.warmupEnd = cold
 			}
 		}
 	}
