--- a/internal/proxy/choice.go
+++ b/internal/proxy/choice.go
@@ -200,7 +200,7 @@
 		return nil
 	}
 	if now.Before(u.warmupEnd) {
-		u.coldAt = now
+		u.lastColdRequest = now
 	}
 	p := &placement{upstream: u}
 	u.active[p] = now
--- a/internal/proxy/cold.go
+++ b/internal/proxy/cold.go
@@ -53,5 +53,5 @@
 // differ.
 func (u *Upstream) admitsCold(now time.Time, bound ColdBound) bool {
 	n := u.pool.proxyCount
-	return n > 0 && float64(u.rank)*float64(n) < bound.owners*(1<<32) && now.Sub(u.coldAt) >= constants.ColdEvery
+	return n > 0 && float64(u.rank)*float64(n) < bound.owners*(1<<32) && now.Sub(u.lastColdRequest) >= constants.ColdEvery
 }
--- a/internal/proxy/places_test.go
+++ b/internal/proxy/places_test.go
@@ -159,7 +159,7 @@
 			pool.SetProxies(fleet - r.IntN(30))
 			for at := now; at.Before(now.Add(4 * time.Second)); at = at.Add(time.Duration(r.IntN(60)) * time.Millisecond) {
 				if u := pool.choose(target{service: "svc", homes: anywhere}, nil, at); u != nil {
-					u.coldAt = at
+					u.lastColdRequest = at
 					times = append(times, at)
 				}
 			}
