--- a/internal/proxy/affinity.go
+++ b/internal/proxy/affinity.go
@@ -50,7 +50,7 @@
 		return max(own, mean+own)
 	}
 	fresh := math.Exp(-now.Sub(u.loadAt).Seconds() / constants.ReportedLoadFade.Seconds())
-	told := u.load + float64(len(u.active)-u.ownActive)/slots
+	told := u.reportedLoad + float64(len(u.active)-u.ownActive)/slots
 	return max(own, mean+(told-mean)*fresh)
 }
 
@@ -60,7 +60,7 @@
 	for _, u := range os {
 		if !u.loadAt.IsZero() {
 			w := math.Exp(-now.Sub(u.loadAt).Seconds() / (4 * constants.ReportedLoadFade.Seconds()))
-			sum, n = sum+w*u.load, n+w
+			sum, n = sum+w*u.reportedLoad, n+w
 		}
 	}
 	if n == 0 {
--- a/internal/proxy/choice.go
+++ b/internal/proxy/choice.go
@@ -171,8 +171,8 @@
 	if c.now.Before(u.warmupEnd) {
 		cost *= constants.WarmupFactor
 	}
-	if age := c.now.Sub(u.loadAt); u.load > 1 && age < constants.LoadFresh {
-		cost *= 1 + (u.load-1)*(1-age.Seconds()/constants.LoadFresh.Seconds())
+	if age := c.now.Sub(u.loadAt); u.reportedLoad > 1 && age < constants.LoadFresh {
+		cost *= 1 + (u.reportedLoad-1)*(1-age.Seconds()/constants.LoadFresh.Seconds())
 	}
 	cost += float64(u.distance) * c.spread
 	roundTrip := u.pool.connectTime[u.distance].usual()
--- a/internal/proxy/stream_test.go
+++ b/internal/proxy/stream_test.go
@@ -333,8 +333,8 @@
 	tell := func(load float64, but string) {
 		a.pool.mu.Lock()
 		for _, u := range a.pool.upstreams {
-			if u.load, u.loadAt, u.ownActive = load, time.Now(), 0; u.instance.ID == but {
-				u.load = 0.1
+			if u.reportedLoad, u.loadAt, u.ownActive = load, time.Now(), 0; u.instance.ID == but {
+				u.reportedLoad = 0.1
 			}
 		}
 		a.pool.mu.Unlock()
--- a/internal/proxy/upstream.go
+++ b/internal/proxy/upstream.go
@@ -25,7 +25,7 @@
 	idle            []*Conn
 	conns           int
 	lastColdRequest time.Time // last given a place while cold
-	load            float64   // requests running and waiting for each slot, as it last told
+	reportedLoad    float64   // requests running and waiting for each slot, as it last told
 	ownActive       int       // of them from here
 	loadAt          time.Time
 	delay           float64 // running mean of the time to an answer, seconds; 0 unknown
@@ -77,7 +77,7 @@
 		return
 	}
 	u.pool.mu.Lock()
-	u.load, u.loadAt, u.ownActive = (n[0]+n[1])/n[2], time.Now(), len(u.active)
+	u.reportedLoad, u.loadAt, u.ownActive = (n[0]+n[1])/n[2], time.Now(), len(u.active)
 	u.pool.mu.Unlock()
 }
 
