--- a/internal/proxy/affinity.go
+++ b/internal/proxy/affinity.go
@@ -46,10 +46,10 @@
 func (u *Upstream) busy(now time.Time, mean float64) float64 {
 	slots := float64(max(1, u.instance.Slots))
 	own := float64(len(u.active)) / slots
-	if u.loadAt.IsZero() {
+	if u.loadReportedAt.IsZero() {
 		return max(own, mean+own)
 	}
-	fresh := math.Exp(-now.Sub(u.loadAt).Seconds() / constants.ReportedLoadFade.Seconds())
+	fresh := math.Exp(-now.Sub(u.loadReportedAt).Seconds() / constants.ReportedLoadFade.Seconds())
 	told := u.reportedLoad + float64(len(u.active)-u.ownActive)/slots
 	return max(own, mean+(told-mean)*fresh)
 }
@@ -58,8 +58,8 @@
 func meanBusy(os []*Upstream, now time.Time) float64 {
 	sum, n := 0.0, 0.0
 	for _, u := range os {
-		if !u.loadAt.IsZero() {
-			w := math.Exp(-now.Sub(u.loadAt).Seconds() / (4 * constants.ReportedLoadFade.Seconds()))
+		if !u.loadReportedAt.IsZero() {
+			w := math.Exp(-now.Sub(u.loadReportedAt).Seconds() / (4 * constants.ReportedLoadFade.Seconds()))
 			sum, n = sum+w*u.reportedLoad, n+w
 		}
 	}
--- a/internal/proxy/choice.go
+++ b/internal/proxy/choice.go
@@ -171,7 +171,7 @@
 	if c.now.Before(u.warmupEnd) {
 		cost *= constants.WarmupFactor
 	}
-	if age := c.now.Sub(u.loadAt); u.reportedLoad > 1 && age < constants.LoadFresh {
+	if age := c.now.Sub(u.loadReportedAt); u.reportedLoad > 1 && age < constants.LoadFresh {
 		cost *= 1 + (u.reportedLoad-1)*(1-age.Seconds()/constants.LoadFresh.Seconds())
 	}
 	cost += float64(u.distance) * c.spread
