--- a/internal/proxy/affinity.go
+++ b/internal/proxy/affinity.go
@@ -50,7 +50,7 @@
 		return max(own, mean+own)
 	}
 	fresh := math.Exp(-now.Sub(u.loadReportedAt).Seconds() / constants.ReportedLoadFade.Seconds())
-	told := u.reportedLoad + float64(len(u.active)-u.ownActive)/slots
+	told := u.reportedLoad + float64(len(u.active)-u.activeAtReport)/slots
 	return max(own, mean+(told-mean)*fresh)
 }
 
--- a/internal/proxy/stream_test.go
+++ b/internal/proxy/stream_test.go
@@ -333,7 +333,7 @@
 	tell := func(load float64, but string) {
 		a.pool.mu.Lock()
 		for _, u := range a.pool.upstreams {
-			if u.reportedLoad, u.loadReportedAt, u.ownActive = load, time.Now(), 0; u.instance.ID == but {
+			if u.reportedLoad, u.loadReportedAt, u.activeAtReport = load, time.Now(), 0; u.instance.ID == but {
 				u.reportedLoad = 0.1
 			}
 		}
--- a/internal/proxy/upstream.go
+++ b/internal/proxy/upstream.go
@@ -26,7 +26,7 @@
 	conns           int
 	lastColdRequest time.Time // last given a place while cold
 	reportedLoad    float64   // requests running and waiting for each slot, as it last told
-	ownActive       int       // of them from here
+	activeAtReport  int       // of them from here
 	loadReportedAt  time.Time
 	delay           float64 // running mean of the time to an answer, seconds; 0 unknown
 	delayAt         time.Time
@@ -77,7 +77,7 @@
 		return
 	}
 	u.pool.mu.Lock()
-	u.reportedLoad, u.loadReportedAt, u.ownActive = (n[0]+n[1])/n[2], time.Now(), len(u.active)
+	u.reportedLoad, u.loadReportedAt, u.activeAtReport = (n[0]+n[1])/n[2], time.Now(), len(u.active)
 	u.pool.mu.Unlock()
 }
 
