--- a/internal/proxy/delay.go
+++ b/internal/proxy/delay.go
@@ -13,7 +13,7 @@
 	if u.delay == 0 {
 		return usual
 	}
-	fade := math.Exp(-now.Sub(u.delayAt).Seconds() / constants.DelayFade.Seconds())
+	fade := math.Exp(-now.Sub(u.delayUpdatedAt).Seconds() / constants.DelayFade.Seconds())
 	return usual + (u.delay-usual)*fade
 }
 
--- a/internal/proxy/ejection.go
+++ b/internal/proxy/ejection.go
@@ -65,7 +65,7 @@
 			u.delay = u.expect(now, usual())
 			u.delay += constants.DelayWeight * (s - u.delay)
 		}
-		u.delayAt = now
+		u.delayUpdatedAt = now
 	}
 	times := pool.timesLocked(u.instance.Service)
 	if how != atCapacity && how != unused {
--- a/internal/proxy/timing_test.go
+++ b/internal/proxy/timing_test.go
@@ -46,7 +46,7 @@
 	s.config.Store(cfg)
 	s.pool.mu.Lock()
 	for _, u := range s.pool.upstreams {
-		u.delay, u.delayAt = usual.Seconds(), time.Now()
+		u.delay, u.delayUpdatedAt = usual.Seconds(), time.Now()
 	}
 	s.pool.times["svc"] = &serviceTimes{answers: *evenAnswers(usual), held: *evenAnswers(usual)}
 	s.pool.mu.Unlock()
@@ -378,7 +378,7 @@
 		now := time.Now()
 		for id, usual := range map[string]time.Duration{"near": c.near, "far": c.far} {
 			u := s.pool.upstreams[id]
-			u.delay, u.delayAt = usual.Seconds(), now
+			u.delay, u.delayUpdatedAt = usual.Seconds(), now
 			u.answers = 1
 		}
 		work := workTime{usual: c.near, likely: c.near + 2*c.spread, learnedAt: now}
--- a/internal/proxy/upstream.go
+++ b/internal/proxy/upstream.go
@@ -29,7 +29,7 @@
 	activeAtReport  int       // of them from here
 	loadReportedAt  time.Time
 	delay           float64 // running mean of the time to an answer, seconds; 0 unknown
-	delayAt         time.Time
+	delayUpdatedAt  time.Time
 	fails           int
 	ejectedUntil    time.Time // not before
 	answers         uint64
