--- a/internal/proxy/choice.go
+++ b/internal/proxy/choice.go
@@ -140,7 +140,7 @@
 	if !c.ejectedToo && c.now.Before(u.ejectedUntil) {
 		return false
 	}
-	return u.fails == 0 || len(u.active) == 0 // one trial at a time
+	return u.consecutiveFailures == 0 || len(u.active) == 0 // one trial at a time
 }
 
 // oldestActive is for how long the oldest request there has been under way, in seconds.
--- a/internal/proxy/dial_test.go
+++ b/internal/proxy/dial_test.go
@@ -54,7 +54,7 @@
 			t.Errorf("%s: got %d after %v", path, w.Code, took)
 		}
 		s.pool.mu.Lock()
-		if u := s.pool.upstreams["i-dark"]; u.fails > 0 {
+		if u := s.pool.upstreams["i-dark"]; u.consecutiveFailures > 0 {
 			t.Errorf("%s: it had less than the time to connect and counts as failed", path)
 		}
 		s.pool.mu.Unlock()
--- a/internal/proxy/disconnect_test.go
+++ b/internal/proxy/disconnect_test.go
@@ -226,7 +226,7 @@
 			d.pool.mu.Lock()
 			defer d.pool.mu.Unlock()
 			for id, u := range d.pool.upstreams {
-				if u.fails > 0 || time.Now().Before(u.ejectedUntil) {
+				if u.consecutiveFailures > 0 || time.Now().Before(u.ejectedUntil) {
 					t.Errorf("its leaving is held against %s", id)
 				}
 				if u.conns != len(u.idle) {
--- a/internal/proxy/ejection.go
+++ b/internal/proxy/ejection.go
@@ -35,9 +35,9 @@
 
 // eject leaves an upstream alone after a failure, longer with each in a row.
 func (u *Upstream) eject(now time.Time) {
-	u.fails++
+	u.consecutiveFailures++
 	u.pool.Ejected++
-	u.ejectedUntil = now.Add(min(constants.EjectFirst<<min(u.fails-1, 5), constants.EjectMax))
+	u.ejectedUntil = now.Add(min(constants.EjectFirst<<min(u.consecutiveFailures-1, 5), constants.EjectMax))
 }
 
 // done ends an offer and learns from it.
@@ -73,7 +73,7 @@
 	}
 	switch how {
 	case served:
-		u.fails = 0
+		u.consecutiveFailures = 0
 		u.answers++
 		times.answered(now, took)
 		learn(took)
--- a/internal/proxy/priority_test.go
+++ b/internal/proxy/priority_test.go
@@ -17,7 +17,7 @@
 	s := newProxy(t, u.instance("i-1"), u.instance("i-2"), u.instance("i-3"))
 	s.pool.mu.Lock()
 	o := s.pool.upstreams["i-1"]
-	o.fails, o.ejectedUntil = 1, time.Now().Add(pause)
+	o.consecutiveFailures, o.ejectedUntil = 1, time.Now().Add(pause)
 	s.pool.mu.Unlock()
 	for s.pool.Place(target{service: "svc", homes: anywhere}, nil) != nil {
 	}
--- a/internal/proxy/stream_test.go
+++ b/internal/proxy/stream_test.go
@@ -220,8 +220,8 @@
 			}
 			s.pool.mu.Lock()
 			defer s.pool.mu.Unlock()
-			if u := s.pool.upstreams["i-1"]; u.fails > 0 || time.Now().Before(u.ejectedUntil) || s.streamsCut.Load() > 0 {
-				t.Errorf("%d failures, %d streams cut are held against the upstream", u.fails, s.streamsCut.Load())
+			if u := s.pool.upstreams["i-1"]; u.consecutiveFailures > 0 || time.Now().Before(u.ejectedUntil) || s.streamsCut.Load() > 0 {
+				t.Errorf("%d failures, %d streams cut are held against the upstream", u.consecutiveFailures, s.streamsCut.Load())
 			}
 		})
 	}
--- a/internal/proxy/upstream.go
+++ b/internal/proxy/upstream.go
@@ -19,20 +19,20 @@
 	warmupEnd time.Time // slow before this
 
 	// under pool.mu
-	removed         bool
-	draining        bool
-	active          map[*placement]time.Time // requests there, since when
-	idle            []*Conn
-	conns           int
-	lastColdRequest time.Time // last given a place while cold
-	reportedLoad    float64   // requests running and waiting for each slot, as it last told
-	activeAtReport  int       // of them from here
-	loadReportedAt  time.Time
-	delay           float64 // running mean of the time to an answer, seconds; 0 unknown
-	delayUpdatedAt  time.Time
-	fails           int
-	ejectedUntil    time.Time // not before
-	answers         uint64
+	removed             bool
+	draining            bool
+	active              map[*placement]time.Time // requests there, since when
+	idle                []*Conn
+	conns               int
+	lastColdRequest     time.Time // last given a place while cold
+	reportedLoad        float64   // requests running and waiting for each slot, as it last told
+	activeAtReport      int       // of them from here
+	loadReportedAt      time.Time
+	delay               float64 // running mean of the time to an answer, seconds; 0 unknown
+	delayUpdatedAt      time.Time
+	consecutiveFailures int
+	ejectedUntil        time.Time // not before
+	answers             uint64
 }
 
 // placement is one request's place at an upstream.
