--- a/internal/proxy/choice.go
+++ b/internal/proxy/choice.go
@@ -176,7 +176,7 @@
 	}
 	cost += float64(u.distance) * c.spread
 	roundTrip := u.pool.connectTime[u.distance].usual()
-	if u.distance > 0 && u.answers == 0 {
+	if u.distance > 0 && u.responses == 0 {
 		cost += roundTrip // of those asked before it is in the delay
 	}
 	if len(u.idle) == 0 {
--- a/internal/proxy/ejection.go
+++ b/internal/proxy/ejection.go
@@ -74,7 +74,7 @@
 	switch how {
 	case served:
 		u.consecutiveFailures = 0
-		u.answers++
+		u.responses++
 		times.answered(now, took)
 		learn(took)
 	case errored:
--- a/internal/proxy/timing_test.go
+++ b/internal/proxy/timing_test.go
@@ -379,7 +379,7 @@
 		for id, usual := range map[string]time.Duration{"near": c.near, "far": c.far} {
 			u := s.pool.upstreams[id]
 			u.delay, u.delayUpdatedAt = usual.Seconds(), now
-			u.answers = 1
+			u.responses = 1
 		}
 		work := workTime{usual: c.near, likely: c.near + 2*c.spread, learnedAt: now}
 		s.pool.times["svc"] = &serviceTimes{work: work, workAt: now.Add(time.Minute)}
--- a/internal/proxy/upstream.go
+++ b/internal/proxy/upstream.go
@@ -32,7 +32,7 @@
 	delayUpdatedAt      time.Time
 	consecutiveFailures int
 	ejectedUntil        time.Time // not before
-	answers             uint64
+	responses           uint64
 }
 
 // placement is one request's place at an upstream.
