--- a/internal/proxy/affinity.go
+++ b/internal/proxy/affinity.go
@@ -15,7 +15,7 @@
 	pool.mu.Lock()
 	defer pool.mu.Unlock()
 	if at, ok := p.upstream.active[p]; ok {
-		p.first = now.Sub(at).Seconds()
+		p.timeToFirstByte = now.Sub(at).Seconds()
 	}
 }
 
--- a/internal/proxy/ejection.go
+++ b/internal/proxy/ejection.go
@@ -52,8 +52,8 @@
 	delete(u.active, p)
 	now := time.Now()
 	took := now.Sub(began).Seconds()
-	if p.first > 0 {
-		took = p.first
+	if p.timeToFirstByte > 0 {
+		took = p.timeToFirstByte
 	}
 	usual := func() float64 {
 		return usualDelay(pool.candidates(target{service: u.instance.Service, homes: anywhere}).preferred)
--- a/internal/proxy/upstream.go
+++ b/internal/proxy/upstream.go
@@ -37,8 +37,8 @@
 
 // placement is one request's place at an upstream.
 type placement struct {
-	upstream *Upstream
-	first    float64 // seconds to a stream's first piece; 0 none yet
+	upstream        *Upstream
+	timeToFirstByte float64 // seconds to a stream's first piece; 0 none yet
 }
 
 // rankOf draws an upstream's place in a proxy's order: stable while both live, and
