--- a/internal/proxy/affinity.go
+++ b/internal/proxy/affinity.go
@@ -118,7 +118,7 @@
 			continue
 		}
 		if w.prefix != "" {
-			candidate.rank = rankOf(w.prefix, u.instance.ID)
+			candidate.rank = rendezvousRank(w.prefix, u.instance.ID)
 		}
 		near = append(near, candidate)
 	}
--- a/internal/proxy/pool.go
+++ b/internal/proxy/pool.go
@@ -86,7 +86,7 @@
 			u = nil
 		}
 		if u == nil {
-			u = &Upstream{pool: pool, instance: i, rank: rankOf(pool.proxyID, i.ID), region: pool.regions[i.Zone], active: map[*placement]time.Time{}}
+			u = &Upstream{pool: pool, instance: i, rank: rendezvousRank(pool.proxyID, i.ID), region: pool.regions[i.Zone], active: map[*placement]time.Time{}}
 			switch {
 			case i.Zone == pool.zone:
 			case u.region == pool.regions[pool.zone]:
--- a/internal/proxy/upstream.go
+++ b/internal/proxy/upstream.go
@@ -41,9 +41,9 @@
 	timeToFirstByte float64 // seconds to a stream's first piece; 0 none yet
 }
 
-// rankOf draws an upstream's place in a proxy's order: stable while both live, and
+// rendezvousRank draws an upstream's place in a proxy's order: stable while both live, and
 // even over all proxies.
-func rankOf(proxy, instance string) uint32 {
+func rendezvousRank(proxy, instance string) uint32 {
 	h := fnv.New64a()
 	h.Write([]byte(proxy + " " + instance))
 	x := h.Sum64()
