--- a/internal/proxy/attempt.go
+++ b/internal/proxy/attempt.go
@@ -122,7 +122,7 @@
 		return &result{outcome: how, sentAt: at, sent: true, err: err}
 	}
 	if l := resp.Header.Get(headerLoad); l != "" {
-		u.noteLoad(l)
+		u.recordLoad(l)
 	}
 	// Without this try's id, on a connection that has carried others, it may be a late
 	// word on one of those: nobody is shown it, and nothing is promised on it.
--- a/internal/proxy/upstream.go
+++ b/internal/proxy/upstream.go
@@ -59,8 +59,8 @@
 	return !u.removed && !u.draining && !u.pool.evacuated[u.instance.Zone] && within(homes, u.region)
 }
 
-// noteLoad takes what an upstream says of its load: running, waiting, slots.
-func (u *Upstream) noteLoad(header string) {
+// recordLoad takes what an upstream says of its load: running, waiting, slots.
+func (u *Upstream) recordLoad(header string) {
 	p := strings.Split(header, ",")
 	if len(p) != 3 {
 		return
