--- a/internal/proxy/choice.go
+++ b/internal/proxy/choice.go
@@ -155,7 +155,7 @@
 // activeLimit is how many requests may be under way there from this proxy: fewer while
 // it is slow.
 func (u *Upstream) activeLimit(delay, oldest, usual float64) int {
-	share := u.share()
+	share := u.slotShare()
 	if delay > usual*constants.SlowFactor || oldest > usual*constants.SlowFactor {
 		return max(constants.UpstreamCapSlow, share)
 	}
--- a/internal/proxy/upstream.go
+++ b/internal/proxy/upstream.go
@@ -81,8 +81,8 @@
 	u.pool.mu.Unlock()
 }
 
-// share is this proxy's part of the upstream's places.
-func (u *Upstream) share() int {
+// slotShare is this proxy's part of the upstream's places.
+func (u *Upstream) slotShare() int {
 	if u.pool.proxyCount == 0 {
 		return 0 // not known yet
 	}
