--- a/internal/proxy/attempt.go
+++ b/internal/proxy/attempt.go
@@ -26,7 +26,7 @@
 		route.Idempotent != p.route.Idempotent {
 		return false
 	}
-	homes := homesOf(config.Homes(route, tenant))
+	homes := regionsKey(config.Homes(route, tenant))
 	if !within(homes, u.region) {
 		return false
 	}
--- a/internal/proxy/choice.go
+++ b/internal/proxy/choice.go
@@ -24,8 +24,8 @@
 // anywhere is the homes of a request that may be served in all regions.
 const anywhere = "*"
 
-// homesOf writes regions as a want has them.
-func homesOf(regions []string, all bool) string {
+// regionsKey writes regions as a want has them.
+func regionsKey(regions []string, all bool) string {
 	if all {
 		return anywhere
 	}
--- a/internal/proxy/exchange.go
+++ b/internal/proxy/exchange.go
@@ -54,7 +54,7 @@
 		tenant:      tenant,
 		priority:    route.Priority,
 		service:     route.Pick(rand.Float64()),
-		homes:       homesOf(config.Homes(route, tenant)),
+		homes:       regionsKey(config.Homes(route, tenant)),
 		usageRun:    &usage.Run{},
 	}
 	if tenant != nil && tenant.HasPriority {
@@ -147,7 +147,7 @@
 			return code
 		}
 		p.config, p.route, p.tenant = cfg, route, tenant
-		p.homes = homesOf(config.Homes(route, tenant))
+		p.homes = regionsKey(config.Homes(route, tenant))
 		if !route.RoutesTo(p.service) {
 			p.service = route.Pick(rand.Float64())
 		}
