--- a/internal/proxy/attempt.go
+++ b/internal/proxy/attempt.go
@@ -27,7 +27,7 @@
 		return false
 	}
 	homes := regionsKey(config.Homes(route, tenant))
-	if !within(homes, u.region) {
+	if !regionAllowed(homes, u.region) {
 		return false
 	}
 	p.config, p.route, p.tenant, p.homes = cfg, route, tenant, homes
--- a/internal/proxy/choice.go
+++ b/internal/proxy/choice.go
@@ -34,8 +34,8 @@
 	return strings.Join(slices.Compact(rs), ",")
 }
 
-// within says whether an upstream of a region may serve a request with homes.
-func within(homes, region string) bool {
+// regionAllowed says whether an upstream of a region may serve a request with homes.
+func regionAllowed(homes, region string) bool {
 	if homes == anywhere {
 		return true
 	}
@@ -52,7 +52,7 @@
 	if p == nil {
 		p = &candidateSet{}
 		for _, u := range pool.byService[w.service] {
-			if within(w.homes, u.region) {
+			if regionAllowed(w.homes, u.region) {
 				p.all = append(p.all, u)
 			}
 		}
--- a/internal/proxy/upstream.go
+++ b/internal/proxy/upstream.go
@@ -56,7 +56,7 @@
 func (u *Upstream) usable(homes string) bool {
 	u.pool.mu.Lock()
 	defer u.pool.mu.Unlock()
-	return !u.removed && !u.draining && !u.pool.evacuated[u.instance.Zone] && within(homes, u.region)
+	return !u.removed && !u.draining && !u.pool.evacuated[u.instance.Zone] && regionAllowed(homes, u.region)
 }
 
 // recordLoad takes what an upstream says of its load: running, waiting, slots.
