--- a/internal/proxy/choice.go
+++ b/internal/proxy/choice.go
@@ -21,13 +21,13 @@
 // group is the want without what tells requests for the same upstreams apart.
 func (w target) group() target { return target{service: w.service, homes: w.homes} }
 
-// anywhere is the homes of a request that may be served in all regions.
-const anywhere = "*"
+// anyRegion is the homes of a request that may be served in all regions.
+const anyRegion = "*"
 
 // regionsKey writes regions as a want has them.
 func regionsKey(regions []string, all bool) string {
 	if all {
-		return anywhere
+		return anyRegion
 	}
 	rs := slices.Clone(regions)
 	slices.Sort(rs)
@@ -36,7 +36,7 @@
 
 // regionAllowed says whether an upstream of a region may serve a request with homes.
 func regionAllowed(homes, region string) bool {
-	if homes == anywhere {
+	if homes == anyRegion {
 		return true
 	}
 	return region != "" && slices.Contains(strings.Split(homes, ","), region)
--- a/internal/proxy/fuzz_test.go
+++ b/internal/proxy/fuzz_test.go
@@ -69,7 +69,7 @@
 		r.RequestURI, r.Host = path, "h.example"
 		r.Header.Set(headerAttemptID, "id-1")
 		cfg := s.config.Load()
-		p := &exchange{proxy: s, request: r, arrived: time.Now(), deadline: time.Now().Add(time.Minute), config: cfg, route: cfg.Match("h.example", path), service: "svc", homes: anywhere}
+		p := &exchange{proxy: s, request: r, arrived: time.Now(), deadline: time.Now().Add(time.Minute), config: cfg, route: cfg.Match("h.example", path), service: "svc", homes: anyRegion}
 		of := s.pool.Place(p.target(), nil)
 		if of == nil {
 			t.Fatal("no room")
