--- a/internal/proxy/affinity.go
+++ b/internal/proxy/affinity.go
@@ -22,7 +22,7 @@
 // PlaceStream finds room for a stream whose prompt begins with a prefix, in any
 // region, and gives it up again: what a placement costs.
 func (pool *Pool) PlaceStream(service, prefix string) bool {
-	of := pool.Place(target{service: service, homes: anyRegion, stream: true, prefix: prefix}, nil)
+	of := pool.Place(target{service: service, regions: anyRegion, stream: true, prefix: prefix}, nil)
 	if of != nil {
 		pool.done(of, unused)
 	}
--- a/internal/proxy/choice.go
+++ b/internal/proxy/choice.go
@@ -13,13 +13,13 @@
 
 // target is what a request asks for: an upstream of a service, in certain regions.
 type target struct {
-	service, homes string
-	stream         bool   // it runs for long, and beside others in a batch
-	prefix         string // what its prompt has in common with others
+	service, regions string
+	stream           bool   // it runs for long, and beside others in a batch
+	prefix           string // what its prompt has in common with others
 }
 
 // group is the want without what tells requests for the same upstreams apart.
-func (w target) group() target { return target{service: w.service, homes: w.homes} }
+func (w target) group() target { return target{service: w.service, regions: w.regions} }
 
 // anyRegion is the homes of a request that may be served in all regions.
 const anyRegion = "*"
@@ -52,7 +52,7 @@
 	if p == nil {
 		p = &candidateSet{}
 		for _, u := range pool.byService[w.service] {
-			if regionAllowed(w.homes, u.region) {
+			if regionAllowed(w.regions, u.region) {
 				p.all = append(p.all, u)
 			}
 		}
--- a/internal/proxy/ejection.go
+++ b/internal/proxy/ejection.go
@@ -56,7 +56,7 @@
 		took = p.timeToFirstByte
 	}
 	usual := func() float64 {
-		return usualDelay(pool.candidates(target{service: u.instance.Service, homes: anyRegion}).preferred)
+		return usualDelay(pool.candidates(target{service: u.instance.Service, regions: anyRegion}).preferred)
 	}
 	learn := func(s float64) {
 		if u.delay == 0 {
--- a/internal/proxy/exchange.go
+++ b/internal/proxy/exchange.go
@@ -193,7 +193,7 @@
 
 // target is what this request asks of the pool.
 func (p *exchange) target() target {
-	w := target{service: p.service, homes: p.homes}
+	w := target{service: p.service, regions: p.homes}
 	if p.route.Stream {
 		w.stream = true
 		if p.route.Affinity {
--- a/internal/proxy/places_test.go
+++ b/internal/proxy/places_test.go
@@ -131,7 +131,7 @@
 	pool.Apply(time.Now(), is)
 	got := map[string]int{}
 	for range 60 * 2 {
-		if of := pool.Place(target{service: "svc", homes: anyRegion}, nil); of != nil {
+		if of := pool.Place(target{service: "svc", regions: anyRegion}, nil); of != nil {
 			got[of.upstream.instance.Zone]++
 			if got["z2"] == 0 && got["y"] > 0 {
 				t.Fatalf("another region while the own has room: %v", got)
@@ -158,7 +158,7 @@
 			pool.Apply(now, []discovery.Instance{in})
 			pool.SetProxies(fleet - r.IntN(30))
 			for at := now; at.Before(now.Add(4 * time.Second)); at = at.Add(time.Duration(r.IntN(60)) * time.Millisecond) {
-				if u := pool.choose(target{service: "svc", homes: anyRegion}, nil, at); u != nil {
+				if u := pool.choose(target{service: "svc", regions: anyRegion}, nil, at); u != nil {
 					u.lastColdRequest = at
 					times = append(times, at)
 				}
@@ -205,7 +205,7 @@
 		r.Header.Set(headerAPIKey, "k1")
 		route, tenant, _ := match(cfg, r)
 		p := &exchange{proxy: s, request: r, config: cfg, route: route, tenant: tenant, service: "svc", homes: anyRegion, deadline: time.Now().Add(time.Second)}
-		of := s.pool.Place(target{service: "svc", homes: anyRegion}, nil)
+		of := s.pool.Place(target{service: "svc", regions: anyRegion}, nil)
 		change(s)
 		if of == nil || !p.try(of).notRun || u.count() != 0 {
 			t.Errorf("%s: a request went out all the same", name)
--- a/internal/proxy/priority_test.go
+++ b/internal/proxy/priority_test.go
@@ -19,7 +19,7 @@
 	o := s.pool.upstreams["i-1"]
 	o.consecutiveFailures, o.ejectedUntil = 1, time.Now().Add(pause)
 	s.pool.mu.Unlock()
-	for s.pool.Place(target{service: "svc", homes: anyRegion}, nil) != nil {
+	for s.pool.Place(target{service: "svc", regions: anyRegion}, nil) != nil {
 	}
 	return s
 }
--- a/internal/proxy/proxy_test.go
+++ b/internal/proxy/proxy_test.go
@@ -400,7 +400,7 @@
 	}
 	p.deadline = time.Now().Add(-time.Millisecond)
 	s.config.Store(cfg)
-	if of := s.pool.Place(target{service: "svc", homes: anyRegion}, nil); of == nil || !p.try(of).notRun || u.count() != 0 {
+	if of := s.pool.Place(target{service: "svc", regions: anyRegion}, nil); of == nil || !p.try(of).notRun || u.count() != 0 {
 		t.Error("sent after its deadline")
 	}
 }
@@ -590,7 +590,7 @@
 	conn := s.pool.upstreams["i-1"].idle[0]
 	conn.idleAt = conn.idleAt.Add(-conn.idleFor / 2)
 	rested := conn.idleAt
-	of := s.pool.Place(target{service: "svc", homes: anyRegion}, nil)
+	of := s.pool.Place(target{service: "svc", regions: anyRegion}, nil)
 	r := httptest.NewRequest("POST", "/once/", nil)
 	r.RequestURI, r.Host = "/once/", "h.example"
 	cfg := s.config.Load()
--- a/internal/proxy/timing_test.go
+++ b/internal/proxy/timing_test.go
@@ -59,7 +59,7 @@
 // takeAll takes all places there are, and gives them back one by one.
 func takeAll(s *Proxy) (giveBack func() bool) {
 	var taken []*placement
-	for of := s.pool.Place(target{service: "svc", homes: anyRegion}, nil); of != nil; of = s.pool.Place(target{service: "svc", homes: anyRegion}, nil) {
+	for of := s.pool.Place(target{service: "svc", regions: anyRegion}, nil); of != nil; of = s.pool.Place(target{service: "svc", regions: anyRegion}, nil) {
 		taken = append(taken, of)
 	}
 	return func() bool {
@@ -383,7 +383,7 @@
 		}
 		work := workTime{usual: c.near, likely: c.near + 2*c.spread, learnedAt: now}
 		s.pool.times["svc"] = &serviceTimes{work: work, workAt: now.Add(time.Minute)}
-		if of := s.pool.Place(target{service: "svc", homes: anyRegion}, nil); (of.upstream.instance.ID == "far") != c.goesFar {
+		if of := s.pool.Place(target{service: "svc", regions: anyRegion}, nil); (of.upstream.instance.ID == "far") != c.goesFar {
 			t.Errorf("%+v, usually %v: %s was asked", c, work.usual, of.upstream.instance.ID)
 		}
 	}
