--- a/internal/proxy/choice.go
+++ b/internal/proxy/choice.go
@@ -77,7 +77,7 @@
 		return pool.chooseStream(w, skip, now)
 	}
 	set := pool.candidates(w)
-	c := choice{
+	c := selection{
 		skip:   skip,
 		now:    now,
 		usual:  usualDelay(set.preferred),
@@ -99,8 +99,8 @@
 	return nil
 }
 
-// choice is what one choice of an upstream goes by.
-type choice struct {
+// selection is what one selection of an upstream goes by.
+type selection struct {
 	skip       map[*Upstream]bool // those that the request has been offered to
 	now        time.Time
 	usual      float64   // the usual delay of the preferred candidates, in seconds
@@ -110,7 +110,7 @@
 }
 
 // chooseAmong picks the upstream with the least cost of those that have room, or nil.
-func (pool *Pool) chooseAmong(candidates []*Upstream, c choice) *Upstream {
+func (pool *Pool) chooseAmong(candidates []*Upstream, c selection) *Upstream {
 	var best *Upstream
 	least := math.Inf(1)
 	for _, u := range candidates {
@@ -130,7 +130,7 @@
 }
 
 // eligible says whether an upstream may be chosen at all, its room aside.
-func (u *Upstream) eligible(c choice) bool {
+func (u *Upstream) eligible(c selection) bool {
 	if u.draining || c.skip[u] || u.pool.evacuated[u.instance.Zone] {
 		return false
 	}
@@ -166,7 +166,7 @@
 // upstreams, new connections and distance, with a little noise. An upstream further away has
 // to be faster by more than answers vary: a request that leaves its zone depends on two
 // zones and on the link between them.
-func (u *Upstream) cost(delay, oldest float64, c choice) float64 {
+func (u *Upstream) cost(delay, oldest float64, c selection) float64 {
 	cost := max(delay, oldest) * (1 + float64(len(u.active))/float64(u.instance.Slots))
 	if c.now.Before(u.warmupEnd) {
 		cost *= constants.WarmupFactor
