--- a/internal/proxy/choice.go
+++ b/internal/proxy/choice.go
@@ -69,10 +69,10 @@
 	return p
 }
 
-// choose picks the upstream with the least expected delay, or nil when none
+// selectUpstream picks the upstream with the least expected delay, or nil when none
 // has room. Among those out after failures the longest out is taken only when
 // too few are left.
-func (pool *Pool) choose(w target, skip map[*Upstream]bool, now time.Time) *Upstream {
+func (pool *Pool) selectUpstream(w target, skip map[*Upstream]bool, now time.Time) *Upstream {
 	if w.stream {
 		return pool.chooseStream(w, skip, now)
 	}
@@ -195,7 +195,7 @@
 
 func (pool *Pool) placeLocked(w target, skip map[*Upstream]bool) *placement {
 	now := time.Now()
-	u := pool.choose(w, skip, now)
+	u := pool.selectUpstream(w, skip, now)
 	if u == nil {
 		return nil
 	}
--- a/internal/proxy/places_test.go
+++ b/internal/proxy/places_test.go
@@ -158,7 +158,7 @@
 			pool.Apply(now, []discovery.Instance{in})
 			pool.SetProxies(fleet - r.IntN(30))
 			for at := now; at.Before(now.Add(4 * time.Second)); at = at.Add(time.Duration(r.IntN(60)) * time.Millisecond) {
-				if u := pool.choose(target{service: "svc", regions: anyRegion}, nil, at); u != nil {
+				if u := pool.selectUpstream(target{service: "svc", regions: anyRegion}, nil, at); u != nil {
 					u.lastColdRequest = at
 					times = append(times, at)
 				}
--- a/internal/proxy/stream_test.go
+++ b/internal/proxy/stream_test.go
@@ -310,7 +310,7 @@
 	moved, seen := 0, map[string]int{}
 	for p := range 1000 {
 		w := target{service: "svc", regions: anyRegion, stream: true, prefix: fmt.Sprint(p)}
-		x, y := a.pool.choose(w, nil, time.Now()), b.pool.choose(w, nil, time.Now())
+		x, y := a.pool.selectUpstream(w, nil, time.Now()), b.pool.selectUpstream(w, nil, time.Now())
 		if x.instance.Zone != "z" || y.instance.Zone != "z" {
 			t.Fatal("a prefix leaves its zone while there is room")
 		}
@@ -340,7 +340,7 @@
 		a.pool.mu.Unlock()
 	}
 	tell(3, "i-007")
-	if u := a.pool.choose(target{service: "svc", regions: anyRegion, stream: true, prefix: "5"}, nil, time.Now()); u == nil || u.instance.ID != "i-007" {
+	if u := a.pool.selectUpstream(target{service: "svc", regions: anyRegion, stream: true, prefix: "5"}, nil, time.Now()); u == nil || u.instance.ID != "i-007" {
 		t.Errorf("the one upstream with room is not found: %v", u)
 	}
 	tell(3, "")
