--- a/internal/proxy/choice.go
+++ b/internal/proxy/choice.go
@@ -84,17 +84,17 @@
 		spread: pool.workTimeLocked(w.service, now).spread().Seconds(),
 		cold:   pool.coldBound(w.service),
 	}
-	if u := pool.chooseAmong(set.preferred, c); u != nil {
+	if u := pool.selectLeastCost(set.preferred, c); u != nil {
 		return u
 	}
 	if len(set.preferred) < len(set.all) {
-		if u := pool.chooseAmong(set.all, c); u != nil {
+		if u := pool.selectLeastCost(set.all, c); u != nil {
 			return u
 		}
 	}
 	if pool.mostEjected(set.all, now) {
 		c.ejectedToo = true
-		return pool.chooseAmong(set.all, c)
+		return pool.selectLeastCost(set.all, c)
 	}
 	return nil
 }
@@ -109,8 +109,8 @@
 	ejectedToo bool      // those left alone after failures are asked as well
 }
 
-// chooseAmong picks the upstream with the least cost of those that have room, or nil.
-func (pool *Pool) chooseAmong(candidates []*Upstream, c selection) *Upstream {
+// selectLeastCost picks the upstream with the least cost of those that have room, or nil.
+func (pool *Pool) selectLeastCost(candidates []*Upstream, c selection) *Upstream {
 	var best *Upstream
 	least := math.Inf(1)
 	for _, u := range candidates {
