--- a/internal/proxy/choice.go
+++ b/internal/proxy/choice.go
@@ -78,11 +78,11 @@
 	}
 	set := pool.candidates(w)
 	c := selection{
-		skip:   skip,
-		now:    now,
-		usual:  usualDelay(set.preferred),
-		spread: pool.workTimeLocked(w.service, now).spread().Seconds(),
-		cold:   pool.coldBound(w.service),
+		skip:       skip,
+		now:        now,
+		usualDelay: usualDelay(set.preferred),
+		spread:     pool.workTimeLocked(w.service, now).spread().Seconds(),
+		cold:       pool.coldBound(w.service),
 	}
 	if u := pool.selectLeastCost(set.preferred, c); u != nil {
 		return u
@@ -103,7 +103,7 @@
 type selection struct {
 	skip       map[*Upstream]bool // those that the request has been offered to
 	now        time.Time
-	usual      float64   // the usual delay of the preferred candidates, in seconds
+	usualDelay float64   // the usual delay of the preferred candidates, in seconds
 	spread     float64   // by which answers vary, in seconds
 	cold       ColdBound // what cold upstreams may be sent
 	ejectedToo bool      // those left alone after failures are asked as well
@@ -117,9 +117,9 @@
 		if !u.eligible(c) {
 			continue
 		}
-		delay := u.expect(c.now, c.usual)
+		delay := u.expect(c.now, c.usualDelay)
 		oldest := u.oldestActive(c.now)
-		if len(u.active) >= u.activeLimit(delay, oldest, c.usual) {
+		if len(u.active) >= u.activeLimit(delay, oldest, c.usualDelay) {
 			continue
 		}
 		if cost := u.cost(delay, oldest, c); cost < least {
