--- a/internal/proxy/choice.go
+++ b/internal/proxy/choice.go
@@ -82,7 +82,7 @@
 		now:        now,
 		usualDelay: usualDelay(set.preferred),
 		spread:     pool.workTimeLocked(w.service, now).spread().Seconds(),
-		cold:       pool.coldBound(w.service),
+		coldBound:  pool.coldBound(w.service),
 	}
 	if u := pool.selectLeastCost(set.preferred, c); u != nil {
 		return u
@@ -105,7 +105,7 @@
 	now        time.Time
 	usualDelay float64   // the usual delay of the preferred candidates, in seconds
 	spread     float64   // by which answers vary, in seconds
-	cold       ColdBound // what cold upstreams may be sent
+	coldBound  ColdBound // what cold upstreams may be sent
 	ejectedToo bool      // those left alone after failures are asked as well
 }
 
@@ -134,7 +134,7 @@
 	if u.draining || c.skip[u] || u.pool.evacuated[u.instance.Zone] {
 		return false
 	}
-	if c.cold.lasts > 0 && c.now.Before(u.warmupEnd) && !u.admitsCold(c.now, c.cold) {
+	if c.coldBound.lasts > 0 && c.now.Before(u.warmupEnd) && !u.admitsCold(c.now, c.coldBound) {
 		return false
 	}
 	if !c.ejectedToo && c.now.Before(u.ejectedUntil) {
