--- a/internal/proxy/affinity.go
+++ b/internal/proxy/affinity.go
@@ -101,7 +101,7 @@
 func (pool *Pool) streamCandidates(w target, skip map[*Upstream]bool, now time.Time) (near, far []streamCandidate) {
 	all := pool.candidates(w).all
 	mean := meanBusy(all, now)
-	c := selection{skip: skip, now: now, ejectedToo: pool.mostEjected(all, now)}
+	c := selection{skip: skip, now: now, includeEjected: pool.mostEjected(all, now)}
 	for _, u := range all {
 		if !u.eligible(c) {
 			continue
--- a/internal/proxy/choice.go
+++ b/internal/proxy/choice.go
@@ -93,7 +93,7 @@
 		}
 	}
 	if pool.mostEjected(set.all, now) {
-		c.ejectedToo = true
+		c.includeEjected = true
 		return pool.selectLeastCost(set.all, c)
 	}
 	return nil
@@ -101,12 +101,12 @@
 
 // selection is what one selection of an upstream goes by.
 type selection struct {
-	skip       map[*Upstream]bool // those that the request has been offered to
-	now        time.Time
-	usualDelay float64   // the usual delay of the preferred candidates, in seconds
-	spread     float64   // by which answers vary, in seconds
-	coldBound  ColdBound // what cold upstreams may be sent
-	ejectedToo bool      // those left alone after failures are asked as well
+	skip           map[*Upstream]bool // those that the request has been offered to
+	now            time.Time
+	usualDelay     float64   // the usual delay of the preferred candidates, in seconds
+	spread         float64   // by which answers vary, in seconds
+	coldBound      ColdBound // what cold upstreams may be sent
+	includeEjected bool      // those left alone after failures are asked as well
 }
 
 // selectLeastCost picks the upstream with the least cost of those that have room, or nil.
@@ -137,7 +137,7 @@
 	if c.coldBound.lasts > 0 && c.now.Before(u.warmupEnd) && !u.admitsCold(c.now, c.coldBound) {
 		return false
 	}
-	if !c.ejectedToo && c.now.Before(u.ejectedUntil) {
+	if !c.includeEjected && c.now.Before(u.ejectedUntil) {
 		return false
 	}
 	return u.consecutiveFailures == 0 || len(u.active) == 0 // one trial at a time
