--- a/internal/proxy/choice.go
+++ b/internal/proxy/choice.go
@@ -118,7 +118,7 @@
 			continue
 		}
 		delay := u.expect(c.now, c.usualDelay)
-		oldest := u.oldestActive(c.now)
+		oldest := u.oldestActiveAge(c.now)
 		if len(u.active) >= u.activeLimit(delay, oldest, c.usualDelay) {
 			continue
 		}
@@ -143,8 +143,8 @@
 	return u.consecutiveFailures == 0 || len(u.active) == 0 // one trial at a time
 }
 
-// oldestActive is for how long the oldest request there has been under way, in seconds.
-func (u *Upstream) oldestActive(now time.Time) float64 {
+// oldestActiveAge is for how long the oldest request there has been under way, in seconds.
+func (u *Upstream) oldestActiveAge(now time.Time) float64 {
 	oldest := 0.0
 	for _, at := range u.active {
 		oldest = max(oldest, now.Sub(at).Seconds())
