--- a/internal/proxy/affinity.go
+++ b/internal/proxy/affinity.go
@@ -76,12 +76,12 @@
 	rank     uint32  // its place in the order of the stream's prefix
 }
 
-// chooseStream places a stream: by rendezvous hashing of its prefix over the zone's
+// selectForStream places a stream: by rendezvous hashing of its prefix over the zone's
 // upstreams, the first of a few that is not full, so that proxies that never speak
 // to each other agree where a prefix is kept; else the least busy one of the zone,
 // and of other zones when it is full. With all of them as full as they may be, there
 // is no room: the request waits its short time and is refused.
-func (pool *Pool) chooseStream(w target, skip map[*Upstream]bool, now time.Time) *Upstream {
+func (pool *Pool) selectForStream(w target, skip map[*Upstream]bool, now time.Time) *Upstream {
 	near, far := pool.streamCandidates(w, skip, now)
 	if w.prefix != "" && len(near) > 0 {
 		if u := pool.chooseByPrefix(near); u != nil {
--- a/internal/proxy/choice.go
+++ b/internal/proxy/choice.go
@@ -74,7 +74,7 @@
 // too few are left.
 func (pool *Pool) selectUpstream(w target, skip map[*Upstream]bool, now time.Time) *Upstream {
 	if w.stream {
-		return pool.chooseStream(w, skip, now)
+		return pool.selectForStream(w, skip, now)
 	}
 	set := pool.candidates(w)
 	c := selection{
