--- a/internal/proxy/affinity.go
+++ b/internal/proxy/affinity.go
@@ -84,7 +84,7 @@
 func (pool *Pool) selectForStream(w target, skip map[*Upstream]bool, now time.Time) *Upstream {
 	near, far := pool.streamCandidates(w, skip, now)
 	if w.prefix != "" && len(near) > 0 {
-		if u := pool.chooseByPrefix(near); u != nil {
+		if u := pool.selectByPrefix(near); u != nil {
 			return u
 		}
 	}
@@ -125,9 +125,9 @@
 	return near, far
 }
 
-// chooseByPrefix picks the first of a few upstreams, in the order of the prefix, that is
+// selectByPrefix picks the first of a few upstreams, in the order of the prefix, that is
 // not full, or nil; and counts which it was.
-func (pool *Pool) chooseByPrefix(near []streamCandidate) *Upstream {
+func (pool *Pool) selectByPrefix(near []streamCandidate) *Upstream {
 	slices.SortFunc(near, func(a, b streamCandidate) int { return cmp.Compare(a.rank, b.rank) })
 	for i, c := range near[:min(len(near), constants.AffinityTop)] {
 		if c.busy < constants.AffinityFull {
