--- a/internal/proxy/affinity.go
+++ b/internal/proxy/affinity.go
@@ -88,9 +88,9 @@
 			return u
 		}
 	}
-	best, busy := leastBusy(near)
+	best, busy := leastLoaded(near)
 	if best == nil || busy > 1 {
-		if u, b := leastBusy(far); u != nil && b+constants.StreamFarMargin < busy {
+		if u, b := leastLoaded(far); u != nil && b+constants.StreamFarMargin < busy {
 			best = u
 		}
 	}
@@ -139,9 +139,9 @@
 	return nil
 }
 
-// leastBusy is the least busy upstream, with a little noise, and how busy that is; nil
+// leastLoaded is the least busy upstream, with a little noise, and how busy that is; nil
 // and infinity where there is none.
-func leastBusy(candidates []streamCandidate) (best *Upstream, busy float64) {
+func leastLoaded(candidates []streamCandidate) (best *Upstream, busy float64) {
 	busy = math.Inf(1)
 	for _, c := range candidates {
 		if b := c.busy + constants.StreamNoise*rand.Float64(); b < busy {
