--- a/internal/proxy/affinity.go
+++ b/internal/proxy/affinity.go
@@ -72,7 +72,7 @@
 // streamCandidate is an upstream that a stream may be placed at.
 type streamCandidate struct {
 	upstream *Upstream
-	busy     float64 // how full it is thought to be, in parts of its slots
+	load     float64 // how full it is thought to be, in parts of its slots
 	rank     uint32  // its place in the order of the stream's prefix
 }
 
@@ -106,12 +106,12 @@
 		if !u.eligible(c) {
 			continue
 		}
-		candidate := streamCandidate{upstream: u, busy: u.busy(now, mean)}
-		if candidate.busy >= constants.StreamFull {
+		candidate := streamCandidate{upstream: u, load: u.busy(now, mean)}
+		if candidate.load >= constants.StreamFull {
 			continue // what it cannot queue it resets, and a stream is sent once
 		}
 		if now.Before(u.warmupEnd) {
-			candidate.busy += constants.WarmupFactor - 1
+			candidate.load += constants.WarmupFactor - 1
 		}
 		if u.distance > 0 {
 			far = append(far, candidate)
@@ -130,7 +130,7 @@
 func (pool *Pool) selectByPrefix(near []streamCandidate) *Upstream {
 	slices.SortFunc(near, func(a, b streamCandidate) int { return cmp.Compare(a.rank, b.rank) })
 	for i, c := range near[:min(len(near), constants.AffinityTop)] {
-		if c.busy < constants.AffinityFull {
+		if c.load < constants.AffinityFull {
 			pool.StreamPlacements[min(i, 1)]++
 			return c.upstream
 		}
@@ -144,7 +144,7 @@
 func leastLoaded(candidates []streamCandidate) (best *Upstream, busy float64) {
 	busy = math.Inf(1)
 	for _, c := range candidates {
-		if b := c.busy + constants.StreamNoise*rand.Float64(); b < busy {
+		if b := c.load + constants.StreamNoise*rand.Float64(); b < busy {
 			best, busy = c.upstream, b
 		}
 	}
