--- a/internal/proxy/affinity.go
+++ b/internal/proxy/affinity.go
@@ -54,8 +54,8 @@
 	return max(own, mean+(told-mean)*fresh)
 }
 
-// meanBusy is the mean of what the upstreams told lately.
-func meanBusy(os []*Upstream, now time.Time) float64 {
+// meanLoad is the mean of what the upstreams told lately.
+func meanLoad(os []*Upstream, now time.Time) float64 {
 	sum, n := 0.0, 0.0
 	for _, u := range os {
 		if !u.loadReportedAt.IsZero() {
@@ -100,7 +100,7 @@
 // streamCandidates lists the upstreams with room for a stream, of this zone and of others.
 func (pool *Pool) streamCandidates(w target, skip map[*Upstream]bool, now time.Time) (near, far []streamCandidate) {
 	all := pool.candidates(w).all
-	mean := meanBusy(all, now)
+	mean := meanLoad(all, now)
 	c := selection{skip: skip, now: now, includeEjected: pool.mostEjected(all, now)}
 	for _, u := range all {
 		if !u.eligible(c) {
--- a/internal/proxy/states.go
+++ b/internal/proxy/states.go
@@ -24,7 +24,7 @@
 	var out []UpstreamState
 	means := map[string]float64{}
 	for s, os := range pool.byService {
-		means[s] = meanBusy(os, now)
+		means[s] = meanLoad(os, now)
 	}
 	for _, u := range pool.upstreams {
 		st := "in"
