--- a/internal/proxy/affinity.go
+++ b/internal/proxy/affinity.go
@@ -40,10 +40,10 @@
 	return n
 }
 
-// busy is how full an upstream is thought to be, in parts of its slots: what it last
+// estimatedLoad is how full an upstream is thought to be, in parts of its slots: what it last
 // told, fading toward the service's mean, with what has changed here since; never
 // less than what this proxy has there.
-func (u *Upstream) busy(now time.Time, mean float64) float64 {
+func (u *Upstream) estimatedLoad(now time.Time, mean float64) float64 {
 	slots := float64(max(1, u.instance.Slots))
 	own := float64(len(u.active)) / slots
 	if u.loadReportedAt.IsZero() {
@@ -106,7 +106,7 @@
 		if !u.eligible(c) {
 			continue
 		}
-		candidate := streamCandidate{upstream: u, load: u.busy(now, mean)}
+		candidate := streamCandidate{upstream: u, load: u.estimatedLoad(now, mean)}
 		if candidate.load >= constants.StreamFull {
 			continue // what it cannot queue it resets, and a stream is sent once
 		}
--- a/internal/proxy/states.go
+++ b/internal/proxy/states.go
@@ -45,7 +45,7 @@
 		out = append(out, UpstreamState{u.instance.ID, u.instance.Service, u.instance.Zone, u.region, st, len(u.active), len(u.idle), u.conns, u.consecutiveFailures,
 			math.Round(u.delay*1e4) / 10, u.responses, 0})
 		if !u.loadReportedAt.IsZero() {
-			out[len(out)-1].Busy = math.Round(u.busy(now, means[u.instance.Service])*100) / 100
+			out[len(out)-1].Busy = math.Round(u.estimatedLoad(now, means[u.instance.Service])*100) / 100
 		}
 	}
 	sort.Slice(out, func(a, b int) bool {
