--- a/internal/proxy/affinity.go
+++ b/internal/proxy/affinity.go
@@ -10,8 +10,8 @@
 	"slateridge/internal/constants"
 )
 
-// began notes a stream's first piece.
-func (pool *Pool) began(p *placement, now time.Time) {
+// recordFirstByte notes a stream's first piece.
+func (pool *Pool) recordFirstByte(p *placement, now time.Time) {
 	pool.mu.Lock()
 	defer pool.mu.Unlock()
 	if at, ok := p.upstream.active[p]; ok {
--- a/internal/proxy/stream.go
+++ b/internal/proxy/stream.go
@@ -23,7 +23,7 @@
 		return &result{outcome: how, sentAt: at, sent: true, err: err}
 	}
 	now := time.Now()
-	p.proxy.pool.began(of, now)
+	p.proxy.pool.recordFirstByte(of, now)
 	p.proxy.histograms.firstPieces.Update(now.Sub(p.arrived).Seconds())
 	if p.proxy.meter != nil && p.tenant != nil {
 		p.proxy.meter.Count(p.proxy.window(now), p.tenant.Name)
