--- a/internal/proxy/attempt.go
+++ b/internal/proxy/attempt.go
@@ -139,7 +139,7 @@
 		return &result{outcome: broken, sentAt: at, sent: true, err: errUnframed}
 	}
 	body, err := readSome(resp.Body, constants.AnswerBuffer)
-	res := &result{outcome: served, sentAt: at, sent: true, resp: resp, body: body, doubtful: doubt}
+	res := &result{outcome: outcomeServed, sentAt: at, sent: true, resp: resp, body: body, doubtful: doubt}
 	switch {
 	case err == nil:
 		conn.exhausted(resp)
--- a/internal/proxy/ejection.go
+++ b/internal/proxy/ejection.go
@@ -24,13 +24,13 @@
 type outcome int
 
 const (
-	served     outcome = iota // it answered
-	atCapacity                // it turned the request away
-	broken                    // refused, reset, cut, odd
-	silent                    // no answer in time
-	unused                    // nothing was sent, nothing learned
-	errored                   // it answered with a failure of its own
-	cancelled                 // closed here, since nobody waited for it any more
+	outcomeServed outcome = iota // it answered
+	atCapacity                   // it turned the request away
+	broken                       // refused, reset, cut, odd
+	silent                       // no answer in time
+	unused                       // nothing was sent, nothing learned
+	errored                      // it answered with a failure of its own
+	cancelled                    // closed here, since nobody waited for it any more
 )
 
 // eject leaves an upstream alone after a failure, longer with each in a row.
@@ -72,7 +72,7 @@
 		times.held.learn(now, now.Sub(began).Seconds())
 	}
 	switch how {
-	case served:
+	case outcomeServed:
 		u.consecutiveFailures = 0
 		u.responses++
 		times.answered(now, took)
--- a/internal/proxy/stream.go
+++ b/internal/proxy/stream.go
@@ -28,7 +28,7 @@
 	if p.proxy.meter != nil && p.tenant != nil {
 		p.proxy.meter.Count(p.proxy.window(now), p.tenant.Name)
 	}
-	return &result{outcome: served, sentAt: at, sent: true, resp: resp, body: buf[:n], conn: conn, stream: of}
+	return &result{outcome: outcomeServed, sentAt: at, sent: true, resp: resp, body: buf[:n], conn: conn, stream: of}
 }
 
 // stream passes a stream on as it comes: what has been read is written and flushed
@@ -65,7 +65,7 @@
 	switch {
 	case werr == nil && rerr == io.EOF:
 		res.conn.exhausted(res.resp)
-		s.pool.done(res.stream, served)
+		s.pool.done(res.stream, outcomeServed)
 		return
 	case werr != nil || r.Context().Err() != nil: // its leaving closes the upstream's end
 		s.streamsLeft.Add(1)
