--- a/internal/proxy/ejection.go
+++ b/internal/proxy/ejection.go
@@ -24,13 +24,13 @@
 type outcome int
 
 const (
-	outcomeServed outcome = iota // it answered
-	atCapacity                   // it turned the request away
-	broken                       // refused, reset, cut, odd
-	silent                       // no answer in time
-	unused                       // nothing was sent, nothing learned
-	errored                      // it answered with a failure of its own
-	cancelled                    // closed here, since nobody waited for it any more
+	outcomeServed     outcome = iota // it answered
+	outcomeAtCapacity                // it turned the request away
+	broken                           // refused, reset, cut, odd
+	silent                           // no answer in time
+	unused                           // nothing was sent, nothing learned
+	errored                          // it answered with a failure of its own
+	cancelled                        // closed here, since nobody waited for it any more
 )
 
 // eject leaves an upstream alone after a failure, longer with each in a row.
@@ -68,7 +68,7 @@
 		u.delayUpdatedAt = now
 	}
 	times := pool.timesLocked(u.instance.Service)
-	if how != atCapacity && how != unused {
+	if how != outcomeAtCapacity && how != unused {
 		times.held.learn(now, now.Sub(began).Seconds())
 	}
 	switch how {
@@ -83,7 +83,7 @@
 		// its connections are as good as before.
 		learn(max(took, constants.FirstDelay.Seconds()))
 		u.eject(now)
-	case atCapacity:
+	case outcomeAtCapacity:
 		learn(max(2*usual(), took))
 		u.ejectedUntil = now.Add(constants.FullPause)
 	case cancelled:
--- a/internal/proxy/result.go
+++ b/internal/proxy/result.go
@@ -69,7 +69,7 @@
 		r.outcome = broken
 	case r.resp.Header.Get(headerNotRun) != "" && status/100 != 2:
 		r.notRun = !r.doubtful
-		r.outcome = atCapacity
+		r.outcome = outcomeAtCapacity
 	case status >= 500:
 		r.outcome = errored
 	}
