--- a/internal/proxy/attempt.go
+++ b/internal/proxy/attempt.go
@@ -69,7 +69,7 @@
 		connectBy := p.timing().connectBy(time.Now())
 		conn, reused, err = u.connect(ctx, attempt == "", connectBy)
 		if err != nil {
-			how := broken
+			how := outcomeTransportError
 			if errors.Is(err, errStale) || !time.Now().Before(connectBy) {
 				how = unused // the caller's time ended, which says nothing of the upstream
 			}
@@ -115,7 +115,7 @@
 	if err != nil {
 		u.drop(conn)
 		how := blame(conn, err)
-		if ne := net.Error(nil); how == broken && errors.As(err, &ne) && ne.Timeout() {
+		if ne := net.Error(nil); how == outcomeTransportError && errors.As(err, &ne) && ne.Timeout() {
 			how = silent
 		}
 		pool.done(of, how)
@@ -135,8 +135,8 @@
 	}
 	if resp.StatusCode/100 == 2 && unframed(resp) {
 		u.drop(conn)
-		pool.done(of, broken)
-		return &result{outcome: broken, sentAt: at, sent: true, err: errUnframed}
+		pool.done(of, outcomeTransportError)
+		return &result{outcome: outcomeTransportError, sentAt: at, sent: true, err: errUnframed}
 	}
 	body, err := readSome(resp.Body, constants.AnswerBuffer)
 	res := &result{outcome: outcomeServed, sentAt: at, sent: true, resp: resp, body: body, doubtful: doubt}
@@ -165,7 +165,7 @@
 	case errors.Is(err, errUpload):
 		return unused
 	}
-	return broken
+	return outcomeTransportError
 }
 
 var errLong = errors.New("longer than what is held")
--- a/internal/proxy/ejection.go
+++ b/internal/proxy/ejection.go
@@ -24,13 +24,13 @@
 type outcome int
 
 const (
-	outcomeServed     outcome = iota // it answered
-	outcomeAtCapacity                // it turned the request away
-	broken                           // refused, reset, cut, odd
-	silent                           // no answer in time
-	unused                           // nothing was sent, nothing learned
-	errored                          // it answered with a failure of its own
-	cancelled                        // closed here, since nobody waited for it any more
+	outcomeServed         outcome = iota // it answered
+	outcomeAtCapacity                    // it turned the request away
+	outcomeTransportError                // refused, reset, cut, odd
+	silent                               // no answer in time
+	unused                               // nothing was sent, nothing learned
+	errored                              // it answered with a failure of its own
+	cancelled                            // closed here, since nobody waited for it any more
 )
 
 // eject leaves an upstream alone after a failure, longer with each in a row.
@@ -92,7 +92,7 @@
 		if took > u.expect(now, usual()) {
 			learn(took)
 		}
-	case broken, silent:
+	case outcomeTransportError, silent:
 		if how == silent {
 			learn(took)
 		}
--- a/internal/proxy/result.go
+++ b/internal/proxy/result.go
@@ -66,7 +66,7 @@
 	switch {
 	case status == http.StatusMisdirectedRequest:
 		r.notRun = !r.doubtful
-		r.outcome = broken
+		r.outcome = outcomeTransportError
 	case r.resp.Header.Get(headerNotRun) != "" && status/100 != 2:
 		r.notRun = !r.doubtful
 		r.outcome = outcomeAtCapacity
--- a/internal/proxy/stream.go
+++ b/internal/proxy/stream.go
@@ -72,7 +72,7 @@
 		s.pool.done(res.stream, unused)
 	default:
 		s.streamsCut.Add(1)
-		s.pool.done(res.stream, broken)
+		s.pool.done(res.stream, outcomeTransportError)
 	}
 	res.conn.drop()
 	panic(http.ErrAbortHandler)
