--- a/internal/proxy/attempt.go
+++ b/internal/proxy/attempt.go
@@ -116,7 +116,7 @@
 		u.drop(conn)
 		how := blame(conn, err)
 		if ne := net.Error(nil); how == outcomeTransportError && errors.As(err, &ne) && ne.Timeout() {
-			how = silent
+			how = outcomeTimeout
 		}
 		pool.done(of, how)
 		return &result{outcome: how, sentAt: at, sent: true, err: err}
--- a/internal/proxy/ejection.go
+++ b/internal/proxy/ejection.go
@@ -27,7 +27,7 @@
 	outcomeServed         outcome = iota // it answered
 	outcomeAtCapacity                    // it turned the request away
 	outcomeTransportError                // refused, reset, cut, odd
-	silent                               // no answer in time
+	outcomeTimeout                       // no answer in time
 	unused                               // nothing was sent, nothing learned
 	errored                              // it answered with a failure of its own
 	cancelled                            // closed here, since nobody waited for it any more
@@ -92,8 +92,8 @@
 		if took > u.expect(now, usual()) {
 			learn(took)
 		}
-	case outcomeTransportError, silent:
-		if how == silent {
+	case outcomeTransportError, outcomeTimeout:
+		if how == outcomeTimeout {
 			learn(took)
 		}
 		u.eject(now)
--- a/internal/proxy/proxy.go
+++ b/internal/proxy/proxy.go
@@ -287,7 +287,7 @@
 		// Nothing ran, and nothing will: the promise can be given.
 		p.countUnserved(countNoCapacity)
 		s.refuse(w, r, http.StatusServiceUnavailable, p.capacityRetry())
-	case res.outcome == silent || !time.Now().Before(p.deadline):
+	case res.outcome == outcomeTimeout || !time.Now().Before(p.deadline):
 		p.countUnserved(countFailed)
 		s.refuse(w, r, http.StatusGatewayTimeout, 0)
 	default:
