--- a/internal/proxy/attempt.go
+++ b/internal/proxy/attempt.go
@@ -48,8 +48,8 @@
 
 // abandon gives a place back to which nothing is sent any more.
 func (pool *Pool) abandon(of *placement) *result {
-	pool.done(of, unused)
-	return &result{outcome: unused, notRun: true, abandoned: true, err: errStale}
+	pool.done(of, outcomeUnused)
+	return &result{outcome: outcomeUnused, notRun: true, abandoned: true, err: errStale}
 }
 
 // try offers the request to one upstream and reads its answer.
@@ -71,7 +71,7 @@
 		if err != nil {
 			how := outcomeTransportError
 			if errors.Is(err, errStale) || !time.Now().Before(connectBy) {
-				how = unused // the caller's time ended, which says nothing of the upstream
+				how = outcomeUnused // the caller's time ended, which says nothing of the upstream
 			}
 			pool.done(of, how)
 			return &result{outcome: how, notRun: true, err: err}
@@ -163,7 +163,7 @@
 	case conn.cancellation.cancelled():
 		return cancelled
 	case errors.Is(err, errUpload):
-		return unused
+		return outcomeUnused
 	}
 	return outcomeTransportError
 }
--- a/internal/proxy/ejection.go
+++ b/internal/proxy/ejection.go
@@ -28,7 +28,7 @@
 	outcomeAtCapacity                    // it turned the request away
 	outcomeTransportError                // refused, reset, cut, odd
 	outcomeTimeout                       // no answer in time
-	unused                               // nothing was sent, nothing learned
+	outcomeUnused                        // nothing was sent, nothing learned
 	errored                              // it answered with a failure of its own
 	cancelled                            // closed here, since nobody waited for it any more
 )
@@ -68,7 +68,7 @@
 		u.delayUpdatedAt = now
 	}
 	times := pool.timesLocked(u.instance.Service)
-	if how != outcomeAtCapacity && how != unused {
+	if how != outcomeAtCapacity && how != outcomeUnused {
 		times.held.learn(now, now.Sub(began).Seconds())
 	}
 	switch how {
--- a/internal/proxy/stream.go
+++ b/internal/proxy/stream.go
@@ -69,7 +69,7 @@
 		return
 	case werr != nil || r.Context().Err() != nil: // its leaving closes the upstream's end
 		s.streamsLeft.Add(1)
-		s.pool.done(res.stream, unused)
+		s.pool.done(res.stream, outcomeUnused)
 	default:
 		s.streamsCut.Add(1)
 		s.pool.done(res.stream, outcomeTransportError)
