--- a/internal/proxy/ejection.go
+++ b/internal/proxy/ejection.go
@@ -29,7 +29,7 @@
 	outcomeTransportError                // refused, reset, cut, odd
 	outcomeTimeout                       // no answer in time
 	outcomeUnused                        // nothing was sent, nothing learned
-	errored                              // it answered with a failure of its own
+	outcomeServerError                   // it answered with a failure of its own
 	cancelled                            // closed here, since nobody waited for it any more
 )
 
@@ -77,7 +77,7 @@
 		u.responses++
 		times.answered(now, took)
 		learn(took)
-	case errored:
+	case outcomeServerError:
 		// Few answers of a healthy upstream are failures, so one is evidence
 		// enough to leave it alone for a moment, whatever its health answer says;
 		// its connections are as good as before.
--- a/internal/proxy/result.go
+++ b/internal/proxy/result.go
@@ -71,6 +71,6 @@
 		r.notRun = !r.doubtful
 		r.outcome = outcomeAtCapacity
 	case status >= 500:
-		r.outcome = errored
+		r.outcome = outcomeServerError
 	}
 }
