--- a/internal/proxy/attempt.go
+++ b/internal/proxy/attempt.go
@@ -161,7 +161,7 @@
 func blame(conn *Conn, err error) outcome {
 	switch {
 	case conn.cancellation.cancelled():
-		return cancelled
+		return outcomeCancelled
 	case errors.Is(err, errUpload):
 		return outcomeUnused
 	}
--- a/internal/proxy/ejection.go
+++ b/internal/proxy/ejection.go
@@ -30,7 +30,7 @@
 	outcomeTimeout                       // no answer in time
 	outcomeUnused                        // nothing was sent, nothing learned
 	outcomeServerError                   // it answered with a failure of its own
-	cancelled                            // closed here, since nobody waited for it any more
+	outcomeCancelled                     // closed here, since nobody waited for it any more
 )
 
 // eject leaves an upstream alone after a failure, longer with each in a row.
@@ -86,7 +86,7 @@
 	case outcomeAtCapacity:
 		learn(max(2*usual(), took))
 		u.ejectedUntil = now.Add(constants.FullPause)
-	case cancelled:
+	case outcomeCancelled:
 		pool.Cancelled++
 		// No failure; but an answer would have taken longer still.
 		if took > u.expect(now, usual()) {
