--- a/internal/proxy/affinity.go
+++ b/internal/proxy/affinity.go
@@ -24,7 +24,7 @@
 func (pool *Pool) PlaceStream(service, prefix string) bool {
 	of := pool.Place(target{service: service, regions: anyRegion, stream: true, prefix: prefix}, nil)
 	if of != nil {
-		pool.done(of, outcomeUnused)
+		pool.finish(of, outcomeUnused)
 	}
 	return of != nil
 }
--- a/internal/proxy/attempt.go
+++ b/internal/proxy/attempt.go
@@ -48,7 +48,7 @@
 
 // abandon gives a place back to which nothing is sent any more.
 func (pool *Pool) abandon(of *placement) *result {
-	pool.done(of, outcomeUnused)
+	pool.finish(of, outcomeUnused)
 	return &result{outcome: outcomeUnused, notRun: true, abandoned: true, err: errStale}
 }
 
@@ -73,7 +73,7 @@
 			if errors.Is(err, errStale) || !time.Now().Before(connectBy) {
 				how = outcomeUnused // the caller's time ended, which says nothing of the upstream
 			}
-			pool.done(of, how)
+			pool.finish(of, how)
 			return &result{outcome: how, notRun: true, err: err}
 		}
 		if !p.allowed(u) {
@@ -96,7 +96,7 @@
 		if err != nil {
 			u.drop(conn)
 			how := blame(conn, err)
-			pool.done(of, how)
+			pool.finish(of, how)
 			return &result{outcome: how, sentAt: time.Now(), sent: sent, notRun: !sent, err: err}
 		}
 		again = false
@@ -118,7 +118,7 @@
 		if ne := net.Error(nil); how == outcomeTransportError && errors.As(err, &ne) && ne.Timeout() {
 			how = outcomeTimeout
 		}
-		pool.done(of, how)
+		pool.finish(of, how)
 		return &result{outcome: how, sentAt: at, sent: true, err: err}
 	}
 	if l := resp.Header.Get(headerLoad); l != "" {
@@ -135,7 +135,7 @@
 	}
 	if resp.StatusCode/100 == 2 && unframed(resp) {
 		u.drop(conn)
-		pool.done(of, outcomeTransportError)
+		pool.finish(of, outcomeTransportError)
 		return &result{outcome: outcomeTransportError, sentAt: at, sent: true, err: errUnframed}
 	}
 	body, err := readSome(resp.Body, constants.AnswerBuffer)
@@ -148,11 +148,11 @@
 	default:
 		u.drop(conn)
 		how := blame(conn, err)
-		pool.done(of, how)
+		pool.finish(of, how)
 		return &result{outcome: how, sentAt: at, sent: true, err: err}
 	}
 	res.judge()
-	pool.done(of, res.outcome)
+	pool.finish(of, res.outcome)
 	return res
 }
 
--- a/internal/proxy/ejection.go
+++ b/internal/proxy/ejection.go
@@ -40,8 +40,8 @@
 	u.ejectedUntil = now.Add(min(constants.EjectFirst<<min(u.consecutiveFailures-1, 5), constants.EjectMax))
 }
 
-// done ends an offer and learns from it.
-func (pool *Pool) done(p *placement, how outcome) {
+// finish ends an offer and learns from it.
+func (pool *Pool) finish(p *placement, how outcome) {
 	pool.mu.Lock()
 	defer pool.mu.Unlock()
 	u := p.upstream
--- a/internal/proxy/exchange.go
+++ b/internal/proxy/exchange.go
@@ -122,7 +122,7 @@
 func (p *exchange) place(skip map[*Upstream]bool) *placement {
 	of := p.proxy.pool.Wait(p.request.Context(), p.target(), p.priority, p.timing().latestStart(time.Now()), skip)
 	if of != nil && p.tooLate() { // by now, or by what has been learned of the work meanwhile
-		p.proxy.pool.done(of, outcomeUnused)
+		p.proxy.pool.finish(of, outcomeUnused)
 		return nil
 	}
 	return of
--- a/internal/proxy/hedge.go
+++ b/internal/proxy/hedge.go
@@ -48,7 +48,7 @@
 				continue
 			}
 			if !p.proxy.retryBudget.Take(p.proxy.now(), p.service) {
-				p.proxy.pool.done(second, outcomeUnused)
+				p.proxy.pool.finish(second, outcomeUnused)
 				continue
 			}
 			skip[second.upstream] = true
--- a/internal/proxy/stream.go
+++ b/internal/proxy/stream.go
@@ -19,7 +19,7 @@
 	if n == 0 { // an end after the first bytes is met again when more is read
 		conn.drop()
 		how := blame(conn, err)
-		p.proxy.pool.done(of, how)
+		p.proxy.pool.finish(of, how)
 		return &result{outcome: how, sentAt: at, sent: true, err: err}
 	}
 	now := time.Now()
@@ -65,14 +65,14 @@
 	switch {
 	case werr == nil && rerr == io.EOF:
 		res.conn.exhausted(res.resp)
-		s.pool.done(res.stream, outcomeServed)
+		s.pool.finish(res.stream, outcomeServed)
 		return
 	case werr != nil || r.Context().Err() != nil: // its leaving closes the upstream's end
 		s.streamsLeft.Add(1)
-		s.pool.done(res.stream, outcomeUnused)
+		s.pool.finish(res.stream, outcomeUnused)
 	default:
 		s.streamsCut.Add(1)
-		s.pool.done(res.stream, outcomeTransportError)
+		s.pool.finish(res.stream, outcomeTransportError)
 	}
 	res.conn.drop()
 	panic(http.ErrAbortHandler)
--- a/internal/proxy/timing_test.go
+++ b/internal/proxy/timing_test.go
@@ -66,7 +66,7 @@
 		if len(taken) == 0 {
 			return false
 		}
-		s.pool.done(taken[0], outcomeUnused)
+		s.pool.finish(taken[0], outcomeUnused)
 		taken = taken[1:]
 		return true
 	}
