--- a/internal/proxy/retrybudget.go
+++ b/internal/proxy/retrybudget.go
@@ -23,12 +23,12 @@
 	Spent     uint64
 }
 
-const slots = 10 // parts a window is counted in
+const windowSlots = 10 // parts a window is counted in
 
 type tally struct {
-	part     [slots + 1]int64
-	requests [slots + 1]float64
-	extras   [slots + 1]float64
+	part     [windowSlots + 1]int64
+	requests [windowSlots + 1]float64
+	extras   [windowSlots + 1]float64
 }
 
 // NewRetryBudget makes the budget's part at a proxy started now.
@@ -49,8 +49,8 @@
 		t = &tally{}
 		b.services[service] = t
 	}
-	part := int64(now / (b.length / slots))
-	i := int(part % (slots + 1))
+	part := int64(now / (b.length / windowSlots))
+	i := int(part % (windowSlots + 1))
 	if t.part[i] != part {
 		t.part[i], t.requests[i], t.extras[i] = part, 0, 0
 	}
@@ -73,9 +73,9 @@
 	requests, extras := 0.0, 0.0
 	newest := t.part[i]
 	for j := range t.part {
-		if newest-t.part[j] <= slots { // one part more than the window, so every window lies inside
+		if newest-t.part[j] <= windowSlots { // one part more than the window, so every window lies inside
 			extras += t.extras[j]
-			if newest-t.part[j] < slots {
+			if newest-t.part[j] < windowSlots {
 				requests += t.requests[j]
 			}
 		}
