--- a/internal/proxy/retrybudget.go
+++ b/internal/proxy/retrybudget.go
@@ -43,7 +43,7 @@
 	b.mu.Unlock()
 }
 
-func (b *RetryBudget) window(now time.Duration, service string) (*tally, int) {
+func (b *RetryBudget) currentSlot(now time.Duration, service string) (*tally, int) {
 	t := b.services[service]
 	if t == nil {
 		t = &tally{}
@@ -61,7 +61,7 @@
 func (b *RetryBudget) RecordRequest(now time.Duration, service string) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	t, i := b.window(now, service)
+	t, i := b.currentSlot(now, service)
 	t.requests[i]++
 }
 
@@ -69,7 +69,7 @@
 func (b *RetryBudget) Take(now time.Duration, service string) bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	t, i := b.window(now, service)
+	t, i := b.currentSlot(now, service)
 	requests, extras := 0.0, 0.0
 	newest := t.part[i]
 	for j := range t.part {
