--- a/internal/proxy/retrybudget.go
+++ b/internal/proxy/retrybudget.go
@@ -18,14 +18,14 @@
 	slack     float64
 	startedAt time.Duration
 	proxies   int
-	services  map[string]*tally
+	services  map[string]*windowCounts
 	Denied    uint64
 	Spent     uint64
 }
 
 const windowSlots = 10 // parts a window is counted in
 
-type tally struct {
+type windowCounts struct {
 	part     [windowSlots + 1]int64
 	requests [windowSlots + 1]float64
 	extras   [windowSlots + 1]float64
@@ -33,7 +33,7 @@
 
 // NewRetryBudget makes the budget's part at a proxy started now.
 func NewRetryBudget(now, window time.Duration, ratio, slack float64) *RetryBudget {
-	return &RetryBudget{length: window, ratio: ratio, slack: slack, startedAt: now, services: map[string]*tally{}}
+	return &RetryBudget{length: window, ratio: ratio, slack: slack, startedAt: now, services: map[string]*windowCounts{}}
 }
 
 // SetProxies takes the live count the slack is split by.
@@ -43,10 +43,10 @@
 	b.mu.Unlock()
 }
 
-func (b *RetryBudget) currentSlot(now time.Duration, service string) (*tally, int) {
+func (b *RetryBudget) currentSlot(now time.Duration, service string) (*windowCounts, int) {
 	t := b.services[service]
 	if t == nil {
-		t = &tally{}
+		t = &windowCounts{}
 		b.services[service] = t
 	}
 	part := int64(now / (b.length / windowSlots))
