--- a/internal/proxy/retrybudget.go
+++ b/internal/proxy/retrybudget.go
@@ -26,7 +26,7 @@
 const windowSlots = 10 // parts a window is counted in
 
 type windowCounts struct {
-	part     [windowSlots + 1]int64
+	slot     [windowSlots + 1]int64
 	requests [windowSlots + 1]float64
 	extras   [windowSlots + 1]float64
 }
@@ -51,8 +51,8 @@
 	}
 	part := int64(now / (b.length / windowSlots))
 	i := int(part % (windowSlots + 1))
-	if t.part[i] != part {
-		t.part[i], t.requests[i], t.extras[i] = part, 0, 0
+	if t.slot[i] != part {
+		t.slot[i], t.requests[i], t.extras[i] = part, 0, 0
 	}
 	return t, i
 }
@@ -71,11 +71,11 @@
 	defer b.mu.Unlock()
 	t, i := b.currentSlot(now, service)
 	requests, extras := 0.0, 0.0
-	newest := t.part[i]
-	for j := range t.part {
-		if newest-t.part[j] <= windowSlots { // one part more than the window, so every window lies inside
+	newest := t.slot[i]
+	for j := range t.slot {
+		if newest-t.slot[j] <= windowSlots { // one part more than the window, so every window lies inside
 			extras += t.extras[j]
-			if newest-t.part[j] < windowSlots {
+			if newest-t.slot[j] < windowSlots {
 				requests += t.requests[j]
 			}
 		}
