--- a/internal/proxy/retrybudget.go
+++ b/internal/proxy/retrybudget.go
@@ -28,7 +28,7 @@
 type windowCounts struct {
 	slot     [windowSlots + 1]int64
 	requests [windowSlots + 1]float64
-	extras   [windowSlots + 1]float64
+	retries  [windowSlots + 1]float64
 }
 
 // NewRetryBudget makes the budget's part at a proxy started now.
@@ -52,7 +52,7 @@
 	part := int64(now / (b.length / windowSlots))
 	i := int(part % (windowSlots + 1))
 	if t.slot[i] != part {
-		t.slot[i], t.requests[i], t.extras[i] = part, 0, 0
+		t.slot[i], t.requests[i], t.retries[i] = part, 0, 0
 	}
 	return t, i
 }
@@ -74,7 +74,7 @@
 	newest := t.slot[i]
 	for j := range t.slot {
 		if newest-t.slot[j] <= windowSlots { // one part more than the window, so every window lies inside
-			extras += t.extras[j]
+			extras += t.retries[j]
 			if newest-t.slot[j] < windowSlots {
 				requests += t.requests[j]
 			}
@@ -88,7 +88,7 @@
 		b.Denied++
 		return false
 	}
-	t.extras[i]++
+	t.retries[i]++
 	b.Spent++
 	return true
 }
