--- a/internal/proxy/retrybudget.go
+++ b/internal/proxy/retrybudget.go
@@ -13,7 +13,7 @@
 // life before may have spent it.
 type RetryBudget struct {
 	mu        sync.Mutex
-	length    time.Duration
+	window    time.Duration
 	ratio     float64
 	slack     float64
 	startedAt time.Duration
@@ -33,7 +33,7 @@
 
 // NewRetryBudget makes the budget's part at a proxy started now.
 func NewRetryBudget(now, window time.Duration, ratio, slack float64) *RetryBudget {
-	return &RetryBudget{length: window, ratio: ratio, slack: slack, startedAt: now, services: map[string]*windowCounts{}}
+	return &RetryBudget{window: window, ratio: ratio, slack: slack, startedAt: now, services: map[string]*windowCounts{}}
 }
 
 // SetProxies takes the live count the slack is split by.
@@ -49,7 +49,7 @@
 		t = &windowCounts{}
 		b.services[service] = t
 	}
-	part := int64(now / (b.length / windowSlots))
+	part := int64(now / (b.window / windowSlots))
 	i := int(part % (windowSlots + 1))
 	if t.slot[i] != part {
 		t.slot[i], t.requests[i], t.retries[i] = part, 0, 0
@@ -81,7 +81,7 @@
 		}
 	}
 	room := requests * b.ratio * constants.BudgetShare
-	if b.proxies > 0 && now-b.startedAt >= b.length {
+	if b.proxies > 0 && now-b.startedAt >= b.window {
 		room += b.slack * constants.BudgetSlack / float64(b.proxies)
 	}
 	if extras+1 > room {
