--- a/internal/proxy/cold.go
+++ b/internal/proxy/cold.go
@@ -10,8 +10,8 @@
 // ColdBound is what upstreams of a service may be sent while they are cold, by all proxies
 // together. The zero value bounds nothing.
 type ColdBound struct {
-	lasts  time.Duration // how long an upstream stays cold from its start
-	owners float64       // proxies, on average, that send to one that is cold
+	duration time.Duration // how long an upstream stays cold from its start
+	owners   float64       // proxies, on average, that send to one that is cold
 }
 
 // NewColdBound is the bound on upstreams that bear perSecond requests a second while they
--- a/internal/proxy/places_test.go
+++ b/internal/proxy/places_test.go
@@ -75,7 +75,7 @@
 			ups = append(ups, in)
 		}
 		s := newProxy(t)
-		s.pool = NewPool("p", "z", regions, func(string) int { return 10 }, func(string) ColdBound { return ColdBound{lasts: time.Nanosecond} }) // bounded; no live count, no lot
+		s.pool = NewPool("p", "z", regions, func(string) int { return 10 }, func(string) ColdBound { return ColdBound{duration: time.Nanosecond} }) // bounded; no live count, no lot
 		s.config.Store(cfg)
 		s.pool.Apply(time.Now(), ups)
 		for range 60 {
--- a/internal/proxy/states.go
+++ b/internal/proxy/states.go
@@ -35,7 +35,7 @@
 			st = "out"
 		case now.Before(u.warmupEnd):
 			st = "warming"
-			if pool.coldBound(u.instance.Service).lasts > 0 {
+			if pool.coldBound(u.instance.Service).duration > 0 {
 				st = "cold"
 			}
 		}
--- a/internal/proxy/zones.go
+++ b/internal/proxy/zones.go
@@ -30,7 +30,7 @@
 		if is[z] {
 			u.closeIdle()
 		} else if pool.evacuated[z] {
-			if cold := now.Add(pool.coldBound(u.instance.Service).lasts); cold.After(u.warmupEnd) {
+			if cold := now.Add(pool.coldBound(u.instance.Service).duration); cold.After(u.warmupEnd) {
 				u.warmupEnd = cold
 			}
 		}
