--- a/internal/proxy/cold.go
+++ b/internal/proxy/cold.go
@@ -22,11 +22,11 @@
 // upstream bears is used, unless so many could draw it that they break the bound.
 func NewColdBound(lasts time.Duration, perSecond, most float64) ColdBound {
 	least, largest := 0.0, perSecond*constants.ColdEvery.Seconds()
-	if poissonBeyond(largest, most) <= constants.ColdRisk {
+	if poissonTail(largest, most) <= constants.ColdRisk {
 		return ColdBound{lasts, largest}
 	}
 	for largest-least > 0.01 {
-		if middle := (least + largest) / 2; poissonBeyond(middle, most) <= constants.ColdRisk {
+		if middle := (least + largest) / 2; poissonTail(middle, most) <= constants.ColdRisk {
 			least = middle
 		} else {
 			largest = middle
@@ -35,8 +35,8 @@
 	return ColdBound{lasts, least}
 }
 
-// poissonBeyond is the chance that a Poisson distributed number is above most.
-func poissonBeyond(mean, most float64) float64 {
+// poissonTail is the chance that a Poisson distributed number is above most.
+func poissonTail(mean, most float64) float64 {
 	term := math.Exp(-mean)
 	below := term
 	for n := 1.0; n <= most; n++ {
--- a/internal/proxy/cold_test.go
+++ b/internal/proxy/cold_test.go
@@ -14,7 +14,7 @@
 	for _, c := range []struct{ perSecond, overage, slack float64 }{{0.5, 1, 0}, {1, 1.5, 2}, {5.2, 1.5, 8}, {20, 1.5, 8}, {200, 1.2, 10}} {
 		most := c.perSecond*c.overage + c.slack
 		bound := NewColdBound(time.Second, c.perSecond, most)
-		if risk := poissonBeyond(bound.owners, most); risk > constants.ColdRisk {
+		if risk := poissonTail(bound.owners, most); risk > constants.ColdRisk {
 			t.Errorf("%+v: %v owners break the bound with a chance of %v", c, bound.owners, risk)
 		}
 		if bears := c.perSecond * constants.ColdEvery.Seconds(); bound.owners > bears {
