--- a/internal/proxy/choice.go
+++ b/internal/proxy/choice.go
@@ -134,7 +134,7 @@
 	if u.draining || c.skip[u] || u.pool.evacuated[u.instance.Zone] {
 		return false
 	}
-	if c.coldBound.duration > 0 && c.now.Before(u.warmupEnd) && !u.admitsCold(c.now, c.coldBound) {
+	if c.coldBound.duration > 0 && c.now.Before(u.warmupEnd) && !u.admitsColdRequest(c.now, c.coldBound) {
 		return false
 	}
 	if !c.includeEjected && c.now.Before(u.ejectedUntil) {
--- a/internal/proxy/cold.go
+++ b/internal/proxy/cold.go
@@ -46,12 +46,12 @@
 	return max(0, 1-below)
 }
 
-// admitsCold says whether a cold upstream may be sent a request from here now. Its
+// admitsColdRequest says whether a cold upstream may be sent a request from here now. Its
 // bound holds over all proxies, and nobody is asked: by lot a few of them own
 // it, and each sends one request at a time, spaced so that no second sees two.
 // The lot needs no roster, only the live count, and is as good while counts
 // differ.
-func (u *Upstream) admitsCold(now time.Time, bound ColdBound) bool {
+func (u *Upstream) admitsColdRequest(now time.Time, bound ColdBound) bool {
 	n := u.pool.proxyCount
 	return n > 0 && float64(u.rank)*float64(n) < bound.owners*(1<<32) && now.Sub(u.lastColdRequest) >= constants.ColdEvery
 }
