--- a/internal/proxy/accounting_test.go
+++ b/internal/proxy/accounting_test.go
@@ -114,7 +114,7 @@
 		request := httptest.NewRequest("POST", path, nil)
 		request.RequestURI, request.Host = path, "h.example"
 		request.Header.Set(headerAPIKey, "k1")
-		route, _, _ := match(s.config.Load(), request)
+		route, _, _ := matchRequest(s.config.Load(), request)
 		p := &exchange{proxy: s, request: request, route: route, account: s.accounts.Begin("ten")}
 		ran := &result{sent: true, resp: &http.Response{StatusCode: http.StatusOK, Header: http.Header{headerSeal: {"s"}}}}
 		for range 3 {
--- a/internal/proxy/attempt.go
+++ b/internal/proxy/attempt.go
@@ -21,7 +21,7 @@
 	if cfg == p.config {
 		return true
 	}
-	route, tenant, code := match(cfg, p.request)
+	route, tenant, code := matchRequest(cfg, p.request)
 	if code != 0 || !route.RoutesTo(p.service) || (tenant == nil) != (p.tenant == nil) || tenant != nil && tenant.Name != p.tenant.Name ||
 		route.Idempotent != p.route.Idempotent {
 		return false
--- a/internal/proxy/exchange.go
+++ b/internal/proxy/exchange.go
@@ -142,7 +142,7 @@
 // sent, as when the configuration moved on; a status refuses it.
 func (p *exchange) resume() int {
 	if cfg := p.proxy.config.Load(); cfg != p.config {
-		route, tenant, code := match(cfg, p.request)
+		route, tenant, code := matchRequest(cfg, p.request)
 		if code != 0 {
 			return code
 		}
@@ -184,7 +184,7 @@
 	if cfg == p.config {
 		return p.route.MaxAttempts
 	}
-	route, _, code := match(cfg, p.request)
+	route, _, code := matchRequest(cfg, p.request)
 	if code != 0 {
 		return p.route.MaxAttempts // allowed stops it before bytes go out
 	}
--- a/internal/proxy/match.go
+++ b/internal/proxy/match.go
@@ -10,8 +10,8 @@
 	"slateridge/internal/constants"
 )
 
-// match finds route and tenant, or the status that refuses the request.
-func match(cfg *config.Config, r *http.Request) (*config.Route, *config.Tenant, int) {
+// matchRequest finds route and tenant, or the status that refuses the request.
+func matchRequest(cfg *config.Config, r *http.Request) (*config.Route, *config.Tenant, int) {
 	path, _, _ := strings.Cut(r.RequestURI, "?")
 	route := cfg.Match(r.Host, path)
 	if route == nil {
--- a/internal/proxy/places_test.go
+++ b/internal/proxy/places_test.go
@@ -203,7 +203,7 @@
 		r, _ := http.NewRequest("POST", "/any/", nil)
 		r.RequestURI, r.Host = "/any/", "h.example"
 		r.Header.Set(headerAPIKey, "k1")
-		route, tenant, _ := match(cfg, r)
+		route, tenant, _ := matchRequest(cfg, r)
 		p := &exchange{proxy: s, request: r, config: cfg, route: route, tenant: tenant, service: "svc", homes: anyRegion, deadline: time.Now().Add(time.Second)}
 		of := s.pool.Place(target{service: "svc", regions: anyRegion}, nil)
 		change(s)
--- a/internal/proxy/proxy.go
+++ b/internal/proxy/proxy.go
@@ -106,7 +106,7 @@
 		s.refuse(w, r, http.StatusServiceUnavailable, newsRetry(arrived, r))
 		return
 	}
-	route, tenant, code := match(cfg, r)
+	route, tenant, code := matchRequest(cfg, r)
 	if code != 0 {
 		s.counts[map[int]int{http.StatusNotFound: countNoRoute, http.StatusUnauthorized: countKeyUnknown}[code]].Add(1)
 		s.refuse(w, r, code, 0)
--- a/internal/proxy/proxy_test.go
+++ b/internal/proxy/proxy_test.go
@@ -388,7 +388,7 @@
 	r.Header.Set(headerAttemptID, "id-1")
 	r.Header.Set(headerAPIKey, "k1")
 	cfg := s.config.Load()
-	route, tenant, _ := match(cfg, r)
+	route, tenant, _ := matchRequest(cfg, r)
 	p := s.newExchange(r, time.Now(), cfg, route, tenant)
 	gone, err := config.Read([]byte(strings.Replace(fmt.Sprintf(testConfig, 2), `"/once/"`, `"/elsewhere/"`, 1)))
 	if err != nil {
