--- a/internal/proxy/exchange.go
+++ b/internal/proxy/exchange.go
@@ -41,7 +41,7 @@
 // newExchange is a request that came at a moment and matches a route, and a tenant where
 // there are any.
 func (s *Proxy) newExchange(r *http.Request, arrived time.Time, cfg *config.Config, route *config.Route, tenant *config.Tenant) *exchange {
-	callerUntil := arrived.Add(budget(r))
+	callerUntil := arrived.Add(clientTimeBudget(r))
 	p := &exchange{
 		proxy:       s,
 		request:     r,
--- a/internal/proxy/match.go
+++ b/internal/proxy/match.go
@@ -31,8 +31,8 @@
 	return route, t, 0
 }
 
-// budget reads how long the client will wait.
-func budget(r *http.Request) time.Duration {
+// clientTimeBudget reads how long the client will wait.
+func clientTimeBudget(r *http.Request) time.Duration {
 	n, err := strconv.ParseInt(r.Header.Get(headerBudget), 10, 64)
 	if err != nil || n < 0 || n > constants.BudgetDefault.Milliseconds()*100 {
 		return constants.BudgetDefault
--- a/internal/proxy/timing.go
+++ b/internal/proxy/timing.go
@@ -91,7 +91,7 @@
 // newsRetry is what a caller is told that was refused for want of news from control: a proxy
 // asks for it so often.
 func newsRetry(arrived time.Time, r *http.Request) time.Duration {
-	return timing{callerUntil: arrived.Add(budget(r))}.retryAfter(arrived, constants.SubscribeEvery)
+	return timing{callerUntil: arrived.Add(clientTimeBudget(r))}.retryAfter(arrived, constants.SubscribeEvery)
 }
 
 func earlier(a, b time.Time) time.Time {
