--- a/internal/proxy/admin.go
+++ b/internal/proxy/admin.go
@@ -84,7 +84,7 @@
 	}
 	r.histograms = d.histograms
 	counts := d.pool.counters()
-	r.Streams.First, r.Streams.Next, r.Streams.Elsewhere = counts.kept[0], counts.kept[1], counts.kept[2]
+	r.Streams.First, r.Streams.Next, r.Streams.Elsewhere = counts.streamPlacements[0], counts.streamPlacements[1], counts.streamPlacements[2]
 	r.NewConns, r.Ejections, r.Cancelled = counts.newConns, counts.ejected, counts.cancelled
 	r.Waited, r.Full = counts.waited, counts.full
 	d.retryBudget.mu.Lock()
--- a/internal/proxy/states.go
+++ b/internal/proxy/states.go
@@ -59,7 +59,7 @@
 	newConns, ejected uint64
 	cancelled         uint64
 	waited, full      uint64    // requests that waited for room, and that found none
-	kept              [3]uint64 // streams by where they were placed, as Pool.Kept
+	streamPlacements  [3]uint64 // streams by where they were placed, as Pool.Kept
 }
 
 // counters reads the pool's counters at one moment.
@@ -67,11 +67,11 @@
 	pool.mu.Lock()
 	defer pool.mu.Unlock()
 	return poolCounters{
-		newConns:  pool.NewConns,
-		ejected:   pool.Ejected,
-		cancelled: pool.Cancelled,
-		waited:    pool.Waited,
-		full:      pool.NoCapacity,
-		kept:      pool.StreamPlacements,
+		newConns:         pool.NewConns,
+		ejected:          pool.Ejected,
+		cancelled:        pool.Cancelled,
+		waited:           pool.Waited,
+		full:             pool.NoCapacity,
+		streamPlacements: pool.StreamPlacements,
 	}
 }
