--- a/internal/proxy/admin.go
+++ b/internal/proxy/admin.go
@@ -86,7 +86,7 @@
 	counts := d.pool.counters()
 	r.Streams.First, r.Streams.Next, r.Streams.Elsewhere = counts.streamPlacements[0], counts.streamPlacements[1], counts.streamPlacements[2]
 	r.NewConns, r.Ejections, r.Cancelled = counts.newConns, counts.ejected, counts.cancelled
-	r.Waited, r.Full = counts.waited, counts.full
+	r.Waited, r.Full = counts.waited, counts.noCapacity
 	d.retryBudget.mu.Lock()
 	r.Retries, r.Denied = d.retryBudget.Spent, d.retryBudget.Denied
 	d.retryBudget.mu.Unlock()
--- a/internal/proxy/states.go
+++ b/internal/proxy/states.go
@@ -56,10 +56,10 @@
 
 // poolCounters is what a pool has counted since its start.
 type poolCounters struct {
-	newConns, ejected uint64
-	cancelled         uint64
-	waited, full      uint64    // requests that waited for room, and that found none
-	streamPlacements  [3]uint64 // streams by where they were placed, as Pool.Kept
+	newConns, ejected  uint64
+	cancelled          uint64
+	waited, noCapacity uint64    // requests that waited for room, and that found none
+	streamPlacements   [3]uint64 // streams by where they were placed, as Pool.Kept
 }
 
 // counters reads the pool's counters at one moment.
@@ -71,7 +71,7 @@
 		ejected:          pool.Ejected,
 		cancelled:        pool.Cancelled,
 		waited:           pool.Waited,
-		full:             pool.NoCapacity,
+		noCapacity:       pool.NoCapacity,
 		streamPlacements: pool.StreamPlacements,
 	}
 }
