--- a/internal/proxy/conn.go
+++ b/internal/proxy/conn.go
@@ -164,7 +164,7 @@
 		conn.drop()
 		return
 	}
-	if s, ok := keepAlive(resp.Header); ok {
+	if s, ok := keepAliveTimeout(resp.Header); ok {
 		conn.idleFor = max(s-constants.IdleSafety, s/4)
 	}
 	conn.upstream.keep(conn, true)
--- a/internal/proxy/headers.go
+++ b/internal/proxy/headers.go
@@ -8,8 +8,8 @@
 	"time"
 )
 
-// keepAlive reads the time in a Keep-Alive header.
-func keepAlive(h http.Header) (time.Duration, bool) {
+// keepAliveTimeout reads the time in a Keep-Alive header.
+func keepAliveTimeout(h http.Header) (time.Duration, bool) {
 	for _, p := range strings.Split(h.Get("Keep-Alive"), ",") {
 		if v, ok := strings.CutPrefix(strings.TrimSpace(p), "timeout="); ok {
 			if n, err := strconv.Atoi(v); err == nil && n >= 0 && n < 1e6 {
