--- a/internal/proxy/headers.go
+++ b/internal/proxy/headers.go
@@ -27,7 +27,7 @@
 	headerExpectedInstance = "X-Slateridge-Expected-Instance"
 	headerTenant           = "X-Slateridge-Tenant-Name"
 	headerSeal             = "X-Slateridge-Response-Seal"
-	headerNotRun           = "X-Slateridge-Not-Executed"
+	headerNotExecuted      = "X-Slateridge-Not-Executed"
 	headerLoad             = "X-Slateridge-Instance-Load"
 	headerAPIKey           = "X-Api-Key"
 	headerPrefix           = "X-Slateridge-Prompt-Prefix"
--- a/internal/proxy/result.go
+++ b/internal/proxy/result.go
@@ -67,7 +67,7 @@
 	case status == http.StatusMisdirectedRequest:
 		r.notRun = !r.doubtful
 		r.outcome = outcomeTransportError
-	case r.resp.Header.Get(headerNotRun) != "" && status/100 != 2:
+	case r.resp.Header.Get(headerNotExecuted) != "" && status/100 != 2:
 		r.notRun = !r.doubtful
 		r.outcome = outcomeAtCapacity
 	case status >= 500:
