--- a/internal/proxy/headers.go
+++ b/internal/proxy/headers.go
@@ -33,9 +33,9 @@
 	headerPrefix           = "X-Slateridge-Prompt-Prefix"
 )
 
-// hopHeaders are the headers that concern one connection only, and those this proxy
+// hopByHopHeaders are the headers that concern one connection only, and those this proxy
 // sets itself.
-var hopHeaders = map[string]bool{"Connection": true, "Keep-Alive": true, "Proxy-Connection": true, "Proxy-Authenticate": true,
+var hopByHopHeaders = map[string]bool{"Connection": true, "Keep-Alive": true, "Proxy-Connection": true, "Proxy-Authenticate": true,
 	"Proxy-Authorization": true, "Te": true, "Trailer": true, "Transfer-Encoding": true, "Upgrade": true, "Expect": true,
 	"Content-Length": true, headerBudget: true, headerExpectedInstance: true, headerTenant: true, headerAPIKey: true}
 
@@ -61,7 +61,7 @@
 	b.WriteString(r.Method + " " + r.RequestURI + " HTTP/1.1\r\nHost: " + r.Host + "\r\n")
 	drop := connectionHeaders(r.Header)
 	for k, vs := range r.Header {
-		if hopHeaders[k] || drop[k] && k != headerAttemptID {
+		if hopByHopHeaders[k] || drop[k] && k != headerAttemptID {
 			continue
 		}
 		for _, v := range vs {
