--- a/internal/proxy/attempt.go
+++ b/internal/proxy/attempt.go
@@ -87,7 +87,7 @@
 		}
 		length := p.length
 		p.cancelWith(conn)
-		head := requestHead(p.request, u.instance.ID, name, left, length)
+		head := formatRequestHeader(p.request, u.instance.ID, name, left, length)
 		sent, err := conn.send(head, p.bodyStart, p.bodyRest, length < 0, p.deadline.Add(constants.AnswerGrace))
 		if err != nil && !sent && reused {
 			u.drop(conn)
--- a/internal/proxy/headers.go
+++ b/internal/proxy/headers.go
@@ -53,9 +53,9 @@
 	return out
 }
 
-// requestHead writes the request line and headers as the client sent them,
+// formatRequestHeader writes the request line and headers as the client sent them,
 // byte for byte in the target, with the protocol's own in place.
-func requestHead(r *http.Request, instance, tenant string, left time.Duration, length int64) []byte {
+func formatRequestHeader(r *http.Request, instance, tenant string, left time.Duration, length int64) []byte {
 	var b bytes.Buffer
 	b.Grow(512)
 	b.WriteString(r.Method + " " + r.RequestURI + " HTTP/1.1\r\nHost: " + r.Host + "\r\n")
