--- a/internal/proxy/accounting.go
+++ b/internal/proxy/accounting.go
@@ -33,9 +33,9 @@
 	return ack, nil
 }
 
-// countAnswer notes an upstream's answer to a request that may run once. A second one as
+// recordResponse notes an upstream's answer to a request that may run once. A second one as
 // having run it shows that it was doubled.
-func (p *exchange) countAnswer(r *result) {
+func (p *exchange) recordResponse(r *result) {
 	if p.account == nil || p.route.Idempotent || r.notRun || r.doubtful || r.resp == nil || r.resp.Header.Get(headerSeal) == "" {
 		return
 	}
--- a/internal/proxy/exchange.go
+++ b/internal/proxy/exchange.go
@@ -204,7 +204,7 @@
 }
 
 func (p *exchange) count(r *result) {
-	p.countAnswer(r)
+	p.recordResponse(r)
 	if r.sent {
 		p.sends++
 		if !r.notRun {
