--- a/internal/proxy/accounting.go
+++ b/internal/proxy/accounting.go
@@ -44,9 +44,9 @@
 	}
 }
 
-// settleAnswered settles a request whose answer has been relayed to its end. What was
+// settleResponse settles a request whose answer has been relayed to its end. What was
 // wrong with it for the client's part is not held against the objective.
-func (p *exchange) settleAnswered(r *result, began time.Duration) {
+func (p *exchange) settleResponse(r *result, began time.Duration) {
 	if p.account == nil {
 		return
 	}
--- a/internal/proxy/proxy.go
+++ b/internal/proxy/proxy.go
@@ -277,7 +277,7 @@
 	if res.deliverable() && !(res.notRun && res.resp.StatusCode >= 500) {
 		began := time.Since(p.arrived) // a stream is in time if its first piece is
 		s.relay(w, p, res)
-		p.settleAnswered(res, began)
+		p.settleResponse(res, began)
 		return
 	}
 	res.release()
