--- a/internal/proxy/accounting.go
+++ b/internal/proxy/accounting.go
@@ -74,9 +74,9 @@
 	}
 }
 
-// settleUnanswered settles what has not been settled when the request's handling ends:
+// settleUnfinished settles what has not been settled when the request's handling ends:
 // the client left, or it was told of a failure.
-func (p *exchange) settleUnanswered() {
+func (p *exchange) settleUnfinished() {
 	if p.request.Context().Err() != nil {
 		p.account.Failure(accounts.Unknown)
 		return
--- a/internal/proxy/proxy.go
+++ b/internal/proxy/proxy.go
@@ -121,7 +121,7 @@
 	defer p.client.handle(false)
 	if tenant != nil {
 		if p.account = s.accounts.Begin(tenant.Name); p.account != nil {
-			defer p.settleUnanswered()
+			defer p.settleUnfinished()
 		}
 		if !s.admit(w, p) {
 			return
