--- a/internal/proxy/audit.go
+++ b/internal/proxy/audit.go
@@ -17,13 +17,13 @@
 	When     time.Time
 }
 
-// audit keeps the trail of changed limits, the latest ones.
-type audit struct {
+// auditLog keeps the trail of changed limits, the latest ones.
+type auditLog struct {
 	mu  sync.Mutex
 	all []AuditEntry
 }
 
-func (a *audit) add(old, new *config.Config) {
+func (a *auditLog) add(old, new *config.Config) {
 	was := map[string]admission.Quota{}
 	if old != nil {
 		was = admission.Quotas(old)
@@ -49,7 +49,7 @@
 	}
 }
 
-func (a *audit) list() []AuditEntry {
+func (a *auditLog) list() []AuditEntry {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	return append([]AuditEntry(nil), a.all...)
--- a/internal/proxy/daemon.go
+++ b/internal/proxy/daemon.go
@@ -45,7 +45,7 @@
 	selfPollAt        time.Time
 	haveList          atomic.Bool
 	settingsChangedAt atomic.Int64
-	audit             audit
+	audit             auditLog
 	members           *membership.Agent
 	trackerEchoesMu   sync.Mutex
 	trackerEchoes     map[string]trackerEcho // by tracker
