--- a/internal/proxy/audit.go
+++ b/internal/proxy/audit.go
@@ -19,8 +19,8 @@
 
 // auditLog keeps the trail of changed limits, the latest ones.
 type auditLog struct {
-	mu  sync.Mutex
-	all []AuditEntry
+	mu      sync.Mutex
+	entries []AuditEntry
 }
 
 func (a *auditLog) add(old, new *config.Config) {
@@ -33,7 +33,7 @@
 	defer a.mu.Unlock()
 	put := func(k string) {
 		if was[k] != is[k] {
-			a.all = append(a.all, AuditEntry{new.Version, k, was[k], is[k], time.Now()})
+			a.entries = append(a.entries, AuditEntry{new.Version, k, was[k], is[k], time.Now()})
 		}
 	}
 	for k := range is {
@@ -44,13 +44,13 @@
 			put(k)
 		}
 	}
-	if n := len(a.all) - constants.JournalEvents; n > 0 {
-		a.all = append([]AuditEntry(nil), a.all[n:]...)
+	if n := len(a.entries) - constants.JournalEvents; n > 0 {
+		a.entries = append([]AuditEntry(nil), a.entries[n:]...)
 	}
 }
 
 func (a *auditLog) list() []AuditEntry {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	return append([]AuditEntry(nil), a.all...)
+	return append([]AuditEntry(nil), a.entries...)
 }
