--- a/internal/proxy/audit.go
+++ b/internal/proxy/audit.go
@@ -23,7 +23,7 @@
 	entries []AuditEntry
 }
 
-func (a *auditLog) add(old, new *config.Config) {
+func (a *auditLog) record(old, new *config.Config) {
 	was := map[string]admission.Quota{}
 	if old != nil {
 		was = admission.Quotas(old)
--- a/internal/proxy/daemon.go
+++ b/internal/proxy/daemon.go
@@ -137,7 +137,7 @@
 		} else {
 			old := d.config.Load()
 			if old == nil || cfg.Version > old.Version {
-				d.audit.add(old, cfg)
+				d.audit.record(old, cfg)
 				d.limiter.SetQuotas(now, admission.Quotas(cfg))
 				bounds := d.coldBoundsOf(cfg)
 				d.coldBounds.Store(&bounds)
