--- a/internal/proxy/cancellation_test.go
+++ b/internal/proxy/cancellation_test.go
@@ -65,7 +65,7 @@
 func TestLateCancellationHitsNoOtherRequest(t *testing.T) {
 	u := newWorkingUpstream(t, "", "")
 	instance := u.instance("i-1", 40)
-	d, front := daemonAt(t, instance)
+	d, front := newTestDaemon(t, instance)
 	d.pool.connCap = func(string) int { return 100 }
 	for range 3 {
 		before := len(u.seen())
--- a/internal/proxy/contract_test.go
+++ b/internal/proxy/contract_test.go
@@ -28,7 +28,7 @@
 
 // Readiness fails from the first moment of leaving.
 func TestReadinessFailsWithLeaving(t *testing.T) {
-	d, _ := daemonAt(t)
+	d, _ := newTestDaemon(t)
 	d.ready.Store(true)
 	for _, want := range []int{http.StatusOK, http.StatusServiceUnavailable} {
 		w := httptest.NewRecorder()
@@ -135,7 +135,7 @@
 	u := newRawUpstream(t, func(n int, r *http.Request) (string, bool) {
 		return []string{"", "HTTP/1.1 200 OK\r\nContent-Le", ok(r, "x")}[n%3], n%3 < 2
 	})
-	_, front := daemonAt(t, u.instance("i-1"))
+	_, front := newTestDaemon(t, u.instance("i-1"))
 	client := connectTo(t, front)
 	answers := bufio.NewReader(client)
 	for n := range 9 {
--- a/internal/proxy/disconnect_test.go
+++ b/internal/proxy/disconnect_test.go
@@ -189,7 +189,7 @@
 			if c.arrivals == 2 {
 				ups = append(ups, other.instance("i-2", 2))
 			}
-			d, front := daemonAt(t, ups...)
+			d, front := newTestDaemon(t, ups...)
 			for range 400 { // budget for the second offer
 				d.retryBudget.RecordRequest(d.now(), "svc")
 			}
@@ -240,7 +240,7 @@
 // The offer that lost against a second one is given up like a request whose client left.
 func TestLosingOfferIsGivenUp(t *testing.T) {
 	slow, quick := newWorkingUpstream(t, "", ""), newRawUpstream(t, func(_ int, r *http.Request) (string, bool) { return ok(r, "x"), false })
-	d, front := daemonAt(t, slow.instance("i-1", 2))
+	d, front := newTestDaemon(t, slow.instance("i-1", 2))
 	for range 400 {
 		d.retryBudget.RecordRequest(d.now(), "svc")
 	}
@@ -262,7 +262,7 @@
 // A run that ends soon after its client left gives its connection back.
 func TestRunThatEndsSoonKeepsItsConnection(t *testing.T) {
 	u := newWorkingUpstream(t, "", "")
-	d, front := daemonAt(t, u.instance("i-1", 2))
+	d, front := newTestDaemon(t, u.instance("i-1", 2))
 	for n := 1; n <= 3; n++ {
 		client := connectTo(t, front)
 		io.WriteString(client, clientRequest("GET", "/safe/60ms", "a", 0))
@@ -285,7 +285,7 @@
 // debited, and its connection serves the next.
 func TestRunOnceIsNotBrokenOff(t *testing.T) {
 	u := newWorkingUpstream(t, "", "")
-	d, front := daemonAt(t, u.instance("i-1", 2))
+	d, front := newTestDaemon(t, u.instance("i-1", 2))
 	client := connectTo(t, front)
 	io.WriteString(client, clientRequest("POST", "/once/900ms", "a", 2)+"hi")
 	awaitArrivals(t, 1, u)
@@ -310,7 +310,7 @@
 func TestNothingIsSentForAClientThatLeft(t *testing.T) {
 	t.Run("waiting for room", func(t *testing.T) {
 		u := newWorkingUpstream(t, "", "")
-		_, front := daemonAt(t, u.instance("i-1", 1))
+		_, front := newTestDaemon(t, u.instance("i-1", 1))
 		for range 2 { // its places are taken
 			io.WriteString(connectTo(t, front), clientRequest("POST", "/once/85ms", "busy", 2)+"hi")
 		}
@@ -330,7 +330,7 @@
 	for name, path := range map[string]string{"a further try": "/safe/150ms", "a second offer": "/safe/1900ms"} {
 		t.Run(name, func(t *testing.T) {
 			u, other := newWorkingUpstream(t, "", "close"), newWorkingUpstream(t, "", "")
-			d, front := daemonAt(t, u.instance("i-1", 2))
+			d, front := newTestDaemon(t, u.instance("i-1", 2))
 			for range 400 {
 				d.retryBudget.RecordRequest(d.now(), "svc")
 			}
@@ -350,7 +350,7 @@
 	}
 	t.Run("sent ahead", func(t *testing.T) {
 		u := newWorkingUpstream(t, "", "")
-		_, front := daemonAt(t, u.instance("i-1", 2))
+		_, front := newTestDaemon(t, u.instance("i-1", 2))
 		client := connectTo(t, front)
 		io.WriteString(client, clientRequest("POST", "/once/200ms", "a", 0)+clientRequest("POST", "/once/1ms", "b", 0))
 		awaitArrivals(t, 1, u)
@@ -433,7 +433,7 @@
 			u := newWorkingUpstream(t, "", "")
 			ups, instances = append(ups, u), append(instances, u.instance(fmt.Sprint("i-", i), 16))
 		}
-		_, front := daemonAt(t, instances...)
+		_, front := newTestDaemon(t, instances...)
 		clients := drawDepartures(seed, 60)
 		var wg sync.WaitGroup
 		for _, c := range clients {
@@ -501,7 +501,7 @@
 	t.Parallel()
 	whole := strings.Repeat("x", 32<<20)
 	u := newRawUpstream(t, func(_ int, r *http.Request) (string, bool) { return ok(r, whole), false })
-	d, front := daemonAt(t, u.instance("i-1"))
+	d, front := newTestDaemon(t, u.instance("i-1"))
 	client := connectTo(t, front)
 	client.(*net.TCPConn).SetReadBuffer(4 << 10)
 	io.WriteString(client, strings.Replace(clientRequest("GET", "/safe/x", "a", 0), "9000", "300", 1))
@@ -520,7 +520,7 @@
 // A connection whose request was sent ahead of the answer before it is not idle.
 func TestConnectionWithARequestSentAheadIsNotIdle(t *testing.T) {
 	u := newWorkingUpstream(t, "", "")
-	d, front := daemonAt(t, u.instance("i-1", 2))
+	d, front := newTestDaemon(t, u.instance("i-1", 2))
 	client := connectTo(t, front)
 	io.WriteString(client, clientRequest("POST", "/once/1ms", "a", 0)+clientRequest("POST", "/once/300ms", "b", 0))
 	awaitArrivals(t, 2, u)
@@ -542,7 +542,7 @@
 // clients have left meanwhile.
 func TestRequestsReadLateAreNotSentForClientsThatLeft(t *testing.T) {
 	u := newWorkingUpstream(t, "", "")
-	d, _ := daemonAt(t, u.instance("i-1", 20))
+	d, _ := newTestDaemon(t, u.instance("i-1", 20))
 	listener, err := net.Listen("tcp4", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
@@ -575,7 +575,7 @@
 // A dial that takes long ends with a connection for others when the client has left.
 func TestSlowDialSendsNothingForAClientThatLeft(t *testing.T) {
 	u := newWorkingUpstream(t, "", "")
-	d, front := daemonAt(t, u.instance("i-1", 2))
+	d, front := newTestDaemon(t, u.instance("i-1", 2))
 	dialling := make(chan struct{}, 1)
 	d.pool.dialer.Control = func(string, string, syscall.RawConn) error {
 		dialling <- struct{}{}
@@ -600,7 +600,7 @@
 // A cut run teaches that its upstream is slow, though not how slow.
 func TestCutRunShortensNoDelay(t *testing.T) {
 	u := newWorkingUpstream(t, "", "")
-	d, front := daemonAt(t, u.instance("i-1", 2))
+	d, front := newTestDaemon(t, u.instance("i-1", 2))
 	delay := func() float64 {
 		d.pool.mu.Lock()
 		defer d.pool.mu.Unlock()
--- a/internal/proxy/grants_test.go
+++ b/internal/proxy/grants_test.go
@@ -14,7 +14,7 @@
 // silentTracker is a daemon whose trackers take questions and answer none, and are
 // connected.
 func silentTracker(t *testing.T, tracker string) *Daemon {
-	d, _ := daemonAt(t)
+	d, _ := newTestDaemon(t)
 	listener, err := transport.Listen(d.set.Load().PeerInternal(tracker, constants.PortControl))
 	if err != nil {
 		t.Fatal(err)
--- a/internal/proxy/unbroken_test.go
+++ b/internal/proxy/unbroken_test.go
@@ -21,8 +21,8 @@
 	"slateridge/internal/settings"
 )
 
-// daemonAt is a proxy whose settings lie in a file, with a frontend of its own.
-func daemonAt(t *testing.T, ups ...discovery.Instance) (d *Daemon, front string) {
+// newTestDaemon is a proxy whose settings lie in a file, with a frontend of its own.
+func newTestDaemon(t *testing.T, ups ...discovery.Instance) (d *Daemon, front string) {
 	path := filepath.Join(t.TempDir(), "boot.json")
 	raw, _ := json.Marshal(map[string]any{
 		"nodeName": "machine-1", "ipAddress": "127.0.0.61", "zone": "z",
@@ -85,7 +85,7 @@
 		return ok(r, strings.Repeat("x", 300000)), false // longer than what is held
 	})
 	others := newRawUpstream(t, func(_ int, r *http.Request) (string, bool) { return ok(r, "other"), false })
-	d, front := daemonAt(t, u.instance("i-1"))
+	d, front := newTestDaemon(t, u.instance("i-1"))
 	type answer struct {
 		status int
 		length int
@@ -131,7 +131,7 @@
 					io.WriteString(c, whole[before:])
 					return true
 				})
-				_, front := daemonAt(t, discovery.Instance{ID: "i-1", Service: "svc", Address: l.Addr().String(), Zone: "z", Slots: 2})
+				_, front := newTestDaemon(t, discovery.Instance{ID: "i-1", Service: "svc", Address: l.Addr().String(), Zone: "z", Slots: 2})
 				if status, body, err := fetch(front, "POST", "/once/"); status != http.StatusOK || len(body) != size || err != nil {
 					t.Errorf("%d, %d bytes of %d, %v", status, len(body), size, err)
 				}
@@ -143,7 +143,7 @@
 // Routes that later configurations add are served as the first ones are.
 func TestRoutesAddedLaterAreServed(t *testing.T) {
 	u := newRawUpstream(t, func(_ int, r *http.Request) (string, bool) { return ok(r, "x"), false })
-	d, front := daemonAt(t, u.instance("i-1"))
+	d, front := newTestDaemon(t, u.instance("i-1"))
 	const added = `{"resourceKind":"routes","metadata":{"name":"added-%d"},"spec":{"host":"h.example","pathPrefix":"/added-%d/","routeType":"non_idempotent","timeout":"2s","targetLatency":"400ms","priority":1,"targetService":"svc","maxAttempts":3}},
 {"resourceKind":"services"`
 	config := testConfig
