--- a/internal/proxy/disconnect_test.go
+++ b/internal/proxy/disconnect_test.go
@@ -247,7 +247,7 @@
 	client := connectTo(t, front)
 	io.WriteString(client, clientRequest("GET", "/safe/1900ms", "a", 0))
 	awaitArrivals(t, 1, slow)
-	d.inForce(fmt.Sprintf(testConfig, 1), 1, []discovery.Instance{slow.instance("i-1", 2), quick.instance("i-2")})
+	d.applyConfig(fmt.Sprintf(testConfig, 1), 1, []discovery.Instance{slow.instance("i-1", 2), quick.instance("i-2")})
 	resp, err := http.ReadResponse(bufio.NewReader(client), nil)
 	if err != nil || resp.StatusCode != http.StatusOK {
 		t.Fatal(resp, err)
@@ -337,7 +337,7 @@
 			client := connectTo(t, front)
 			io.WriteString(client, clientRequest("GET", path, "a", 0))
 			awaitArrivals(t, 1, u)
-			d.inForce(fmt.Sprintf(testConfig, 1), 1, []discovery.Instance{u.instance("i-1", 2), other.instance("i-2", 2)})
+			d.applyConfig(fmt.Sprintf(testConfig, 1), 1, []discovery.Instance{u.instance("i-1", 2), other.instance("i-2", 2)})
 			client.Close()
 			awaitEnds(t, u)
 			time.Sleep(300 * time.Millisecond)
--- a/internal/proxy/grants_test.go
+++ b/internal/proxy/grants_test.go
@@ -46,7 +46,7 @@
 	d := silentTracker(t, "127.0.0.66")
 	slow := strings.Replace(fmt.Sprintf(testConfig, 2), `"ratePerS":0.001,`, `"ratePerS":0.5,`, 1)
 	trackers := d.trackers.Load()
-	d.inForce(slow, 2, nil)
+	d.applyConfig(slow, 2, nil)
 	d.trackers.Store(trackers)
 	asks := func() bool { return d.limiter.Admit(d.now(), "tight", false).Ask }
 	for d.limiter.Admit(d.now(), "tight", true).OK {
--- a/internal/proxy/unbroken_test.go
+++ b/internal/proxy/unbroken_test.go
@@ -45,13 +45,13 @@
 	}
 	d.frontend = newFrontend(l, d.Proxy, func() config.Limits { return d.config.Load().Limits }, time.Second)
 	t.Cleanup(d.frontend.close)
-	d.inForce(fmt.Sprintf(testConfig, 1), 1, ups)
+	d.applyConfig(fmt.Sprintf(testConfig, 1), 1, ups)
 	go d.frontend.serve()
 	return d, l.Addr().String()
 }
 
-// inForce puts a configuration and a list in force as control's news does.
-func (d *Daemon) inForce(cfg string, version uint64, ups []discovery.Instance) {
+// applyConfig puts a configuration and a list in force as control's news does.
+func (d *Daemon) applyConfig(cfg string, version uint64, ups []discovery.Instance) {
 	d.apply(distribution.Changes{Config: &config.Doc{Raw: []byte(cfg), Version: version}, List: &discovery.List{Instances: ups}, Proxies: 1})
 }
 
@@ -103,11 +103,11 @@
 	draining := u.instance("i-1")
 	draining.Draining = true
 	changed := strings.NewReplacer(`"idleTimeout":"15000ms"`, `"idleTimeout":"900ms"`, `"headerTimeout":"3000ms"`, `"headerTimeout":"1000ms"`, `"timeout":"2s"`, `"timeout":"1s"`).Replace(testConfig)
-	d.inForce(fmt.Sprintf(changed, 2), 2, []discovery.Instance{draining, others.instance("i-2")})
+	d.applyConfig(fmt.Sprintf(changed, 2), 2, []discovery.Instance{draining, others.instance("i-2")})
 	if status, body, err := fetch(front, "POST", "/once/"); status != http.StatusOK || body != "other" || err != nil {
 		t.Errorf("a new request after the changes: %d %q %v", status, body, err)
 	}
-	d.inForce(fmt.Sprintf(testConfig, 3), 3, []discovery.Instance{others.instance("i-2")})
+	d.applyConfig(fmt.Sprintf(testConfig, 3), 3, []discovery.Instance{others.instance("i-2")})
 	d.Reload()
 	d.frontend.closeIdle(time.Now().Add(time.Hour))
 	close(release)
@@ -149,7 +149,7 @@
 	config := testConfig
 	for version := uint64(2); version <= 6; version++ {
 		config = strings.Replace(config, `{"resourceKind":"services"`, fmt.Sprintf(added, version, version), 1)
-		d.inForce(fmt.Sprintf(config, version), version, []discovery.Instance{u.instance("i-1")})
+		d.applyConfig(fmt.Sprintf(config, version), version, []discovery.Instance{u.instance("i-1")})
 		for v := uint64(2); v <= version; v++ {
 			for range 5 {
 				if status, _, err := fetch(front, "POST", fmt.Sprintf("/added-%d/x", v)); status != http.StatusOK || err != nil {
