--- a/internal/proxy/unbroken_test.go
+++ b/internal/proxy/unbroken_test.go
@@ -55,8 +55,8 @@
 	d.apply(distribution.Changes{Config: &config.Doc{Raw: []byte(cfg), Version: version}, List: &discovery.List{Instances: ups}, Proxies: 1})
 }
 
-// fetch sends a request over a connection of its own and gives the whole answer.
-func fetch(front, method, path string) (status int, body string, err error) {
+// sendRequest sends a request over a connection of its own and gives the whole answer.
+func sendRequest(front, method, path string) (status int, body string, err error) {
 	r, err := http.NewRequest(method, "http://"+front+path, nil)
 	if err != nil {
 		return 0, "", err
@@ -94,7 +94,7 @@
 	answers := make(chan answer, 2)
 	for range 2 {
 		go func() {
-			status, body, err := fetch(front, "POST", "/once/")
+			status, body, err := sendRequest(front, "POST", "/once/")
 			answers <- answer{status, len(body), err}
 		}()
 		<-begun
@@ -104,7 +104,7 @@
 	draining.Draining = true
 	changed := strings.NewReplacer(`"idleTimeout":"15000ms"`, `"idleTimeout":"900ms"`, `"headerTimeout":"3000ms"`, `"headerTimeout":"1000ms"`, `"timeout":"2s"`, `"timeout":"1s"`).Replace(testConfig)
 	d.applyConfig(fmt.Sprintf(changed, 2), 2, []discovery.Instance{draining, others.instance("i-2")})
-	if status, body, err := fetch(front, "POST", "/once/"); status != http.StatusOK || body != "other" || err != nil {
+	if status, body, err := sendRequest(front, "POST", "/once/"); status != http.StatusOK || body != "other" || err != nil {
 		t.Errorf("a new request after the changes: %d %q %v", status, body, err)
 	}
 	d.applyConfig(fmt.Sprintf(testConfig, 3), 3, []discovery.Instance{others.instance("i-2")})
@@ -132,7 +132,7 @@
 					return true
 				})
 				_, front := newTestDaemon(t, discovery.Instance{ID: "i-1", Service: "svc", Address: l.Addr().String(), Zone: "z", Slots: 2})
-				if status, body, err := fetch(front, "POST", "/once/"); status != http.StatusOK || len(body) != size || err != nil {
+				if status, body, err := sendRequest(front, "POST", "/once/"); status != http.StatusOK || len(body) != size || err != nil {
 					t.Errorf("%d, %d bytes of %d, %v", status, len(body), size, err)
 				}
 			})
@@ -152,12 +152,12 @@
 		d.applyConfig(fmt.Sprintf(config, version), version, []discovery.Instance{u.instance("i-1")})
 		for v := uint64(2); v <= version; v++ {
 			for range 5 {
-				if status, _, err := fetch(front, "POST", fmt.Sprintf("/added-%d/x", v)); status != http.StatusOK || err != nil {
+				if status, _, err := sendRequest(front, "POST", fmt.Sprintf("/added-%d/x", v)); status != http.StatusOK || err != nil {
 					t.Fatalf("version %d, route of version %d: %d %v", version, v, status, err)
 				}
 			}
 		}
-		if status, _, err := fetch(front, "POST", "/once/"); status != http.StatusOK || err != nil {
+		if status, _, err := sendRequest(front, "POST", "/once/"); status != http.StatusOK || err != nil {
 			t.Errorf("version %d, a first route: %d %v", version, status, err)
 		}
 	}
