--- a/internal/proxy/attempts_test.go
+++ b/internal/proxy/attempts_test.go
@@ -27,7 +27,7 @@
 			var s *Proxy
 			answer := func(_ int, _ *http.Request) (string, bool) {
 				s.config.Store(lowered)
-				return answerOf(c.status, "id-1", c.more, ""), false
+				return formatResponse(c.status, "id-1", c.more, ""), false
 			}
 			a, b := newRawUpstream(t, answer), newRawUpstream(t, answer)
 			s = newProxy(t, a.instance("i-1"), b.instance("i-2"))
--- a/internal/proxy/pool_test.go
+++ b/internal/proxy/pool_test.go
@@ -123,7 +123,7 @@
 	"reset after it ran", "reset in the write", "silent after half", "silent", "silent, and late", "shed", "shed without id", "fails", "fails, sealed", "sheds, sealed", "fails without id", "sheds and serves",
 	"asked to wait, then serves"}
 
-func answerOf(status, try, more, body string) string {
+func formatResponse(status, try, more, body string) string {
 	id := ""
 	if try != "" {
 		id = "X-Slateridge-Attempt-Id: " + try + "\r\n"
@@ -162,12 +162,12 @@
 			if rng.IntN(2) == 0 {
 				id = ""
 			}
-			say(answerOf("421 Misdirected Request", id, "X-Slateridge-Instance-Id: "+life+"\r\n", ""))
+			say(formatResponse("421 Misdirected Request", id, "X-Slateridge-Instance-Id: "+life+"\r\n", ""))
 			continue
 		}
 		w.t.struckBy(trouble)
 		seal := "X-Slateridge-Response-Seal: seal-" + try + "\r\n"
-		good := answerOf("200 OK", try, seal, bodyFor(try))
+		good := formatResponse("200 OK", try, seal, bodyFor(try))
 		if strings.HasPrefix(r.RequestURI, "/flow/") {
 			b := bodyFor(try)
 			good = fmt.Sprintf("HTTP/1.1 200 OK\r\nX-Slateridge-Attempt-Id: %s\r\n%sTransfer-Encoding: chunked\r\n\r\n5\r\n%s\r\n%x\r\n%s\r\n0\r\n\r\n",
@@ -196,15 +196,15 @@
 			reset(c)
 			return
 		case "shed":
-			say(answerOf("503 Full", try, shed, ""))
+			say(formatResponse("503 Full", try, shed, ""))
 			continue
 		case "shed without id":
-			say(answerOf("503 Full", "", shed, ""))
+			say(formatResponse("503 Full", "", shed, ""))
 			continue
 		case "sheds, sealed":
 			status := []int{400, 408, 421, 429, 500, 503}[rng.IntN(6)]
 			w.t.failed(try, "seal-"+try, status)
-			say(answerOf(fmt.Sprint(status, " Shed"), try, seal+shed, ""))
+			say(formatResponse(fmt.Sprint(status, " Shed"), try, seal+shed, ""))
 			continue
 		case "silent":
 			time.Sleep(400 * time.Millisecond)
@@ -231,13 +231,13 @@
 			later(good)
 		case "a late shed follows":
 			say(good)
-			later(answerOf("503 Full", "", shed, ""))
+			later(formatResponse("503 Full", "", shed, ""))
 		case "a late failure follows":
 			say(good)
-			later(answerOf("404 Not Found", "", "", bodyFor(try)))
+			later(formatResponse("404 Not Found", "", "", bodyFor(try)))
 		case "a late success follows":
 			say(good)
-			later(answerOf("200 OK", "", seal, bodyFor(try)))
+			later(formatResponse("200 OK", "", seal, bodyFor(try)))
 		case "garbled":
 			b := []byte(good)
 			for range 1 + rng.IntN(8) {
@@ -267,7 +267,7 @@
 			if before == "" {
 				before = "x-" + try
 			}
-			say(answerOf("200 OK", before, "X-Slateridge-Response-Seal: seal-"+before+"\r\n", bodyFor(before)))
+			say(formatResponse("200 OK", before, "X-Slateridge-Response-Seal: seal-"+before+"\r\n", bodyFor(before)))
 		case "reset after it ran":
 			reset(c)
 			return
@@ -275,13 +275,13 @@
 			time.Sleep(time.Duration(100+rng.IntN(300)) * time.Millisecond)
 			say(good)
 		case "fails":
-			say(answerOf("500 Oops", try, "", bodyFor(try)))
+			say(formatResponse("500 Oops", try, "", bodyFor(try)))
 		case "fails, sealed":
 			status := []int{304, 400, 403, 404, 408, 422, 429, 500, 502, 503, 504, 511}[rng.IntN(12)]
 			w.t.failed(try, "seal-"+try, status)
-			say(answerOf(fmt.Sprint(status, " Oops"), try, seal, ""))
+			say(formatResponse(fmt.Sprint(status, " Oops"), try, seal, ""))
 		case "fails without id":
-			say(answerOf("500 Oops", "", "", bodyFor(try)))
+			say(formatResponse("500 Oops", "", "", bodyFor(try)))
 		case "sheds and serves":
 			say(strings.Replace(good, seal, seal+shed, 1))
 		case "asked to wait, then serves":
--- a/internal/proxy/timing_test.go
+++ b/internal/proxy/timing_test.go
@@ -215,7 +215,7 @@
 // time does: the time that is left counts the same.
 func TestTurnedAwayRequestsWaitToo(t *testing.T) {
 	full := newRawUpstream(t, func(_ int, _ *http.Request) (string, bool) {
-		return answerOf("503 Full", "id-1", "X-Slateridge-Not-Executed: 1\r\n", ""), false
+		return formatResponse("503 Full", "id-1", "X-Slateridge-Not-Executed: 1\r\n", ""), false
 	})
 	free := newRawUpstream(t, func(_ int, r *http.Request) (string, bool) { return ok(r, "x"), false })
 	for _, path := range []string{"/a/", "/b/", "/once/"} {
