--- a/internal/proxy/pool_test.go
+++ b/internal/proxy/pool_test.go
@@ -97,7 +97,7 @@
 			}
 			if lots(seed, fmt.Sprint(id, " conn ", n)).IntN(25) == 0 {
 				tr.struckBy("reset as it opens")
-				reset(c)
+				closeWithReset(c)
 				continue
 			}
 			go w.serve(c)
@@ -106,7 +106,7 @@
 	return w
 }
 
-func reset(c net.Conn) {
+func closeWithReset(c net.Conn) {
 	c.(*net.TCPConn).SetLinger(0)
 	c.Close()
 }
@@ -181,7 +181,7 @@
 		switch trouble {
 		case "reset in the write":
 			io.CopyN(io.Discard, r.Body, 1+rng.Int64N(50000))
-			reset(c)
+			closeWithReset(c)
 			return
 		case "silent after half":
 			io.CopyN(io.Discard, r.Body, 1+rng.Int64N(50000))
@@ -193,7 +193,7 @@
 		}
 		switch trouble {
 		case "reset before it ran":
-			reset(c)
+			closeWithReset(c)
 			return
 		case "shed":
 			say(formatResponse("503 Full", try, shed, ""))
@@ -222,7 +222,7 @@
 		case "resets after":
 			say(good)
 			time.Sleep(time.Duration(rng.IntN(2000)) * time.Microsecond)
-			reset(c)
+			closeWithReset(c)
 			return
 		case "answers twice":
 			say(good + good)
@@ -269,7 +269,7 @@
 			}
 			say(formatResponse("200 OK", before, "X-Slateridge-Response-Seal: seal-"+before+"\r\n", bodyFor(before)))
 		case "reset after it ran":
-			reset(c)
+			closeWithReset(c)
 			return
 		case "silent, and late":
 			time.Sleep(time.Duration(100+rng.IntN(300)) * time.Millisecond)
