--- a/internal/proxy/pool_test.go
+++ b/internal/proxy/pool_test.go
@@ -46,8 +46,8 @@
 	t.mu.Unlock()
 }
 
-// bodyFor is the one right answer to a try.
-func bodyFor(try string) string { return "for " + try + ", and nobody else" }
+// expectedBody is the one right answer to a try.
+func expectedBody(try string) string { return "for " + try + ", and nobody else" }
 
 // wayward is an upstream that gets into all kinds of trouble.
 type wayward struct {
@@ -167,9 +167,9 @@
 		}
 		w.t.struckBy(trouble)
 		seal := "X-Slateridge-Response-Seal: seal-" + try + "\r\n"
-		good := formatResponse("200 OK", try, seal, bodyFor(try))
+		good := formatResponse("200 OK", try, seal, expectedBody(try))
 		if strings.HasPrefix(r.RequestURI, "/flow/") {
-			b := bodyFor(try)
+			b := expectedBody(try)
 			good = fmt.Sprintf("HTTP/1.1 200 OK\r\nX-Slateridge-Attempt-Id: %s\r\n%sTransfer-Encoding: chunked\r\n\r\n5\r\n%s\r\n%x\r\n%s\r\n0\r\n\r\n",
 				try, seal, b[:5], len(b)-5, b[5:])
 		}
@@ -234,10 +234,10 @@
 			later(formatResponse("503 Full", "", shed, ""))
 		case "a late failure follows":
 			say(good)
-			later(formatResponse("404 Not Found", "", "", bodyFor(try)))
+			later(formatResponse("404 Not Found", "", "", expectedBody(try)))
 		case "a late success follows":
 			say(good)
-			later(formatResponse("200 OK", "", seal, bodyFor(try)))
+			later(formatResponse("200 OK", "", seal, expectedBody(try)))
 		case "garbled":
 			b := []byte(good)
 			for range 1 + rng.IntN(8) {
@@ -261,13 +261,13 @@
 		case "no seal":
 			say(strings.Replace(good, seal, "", 1))
 		case "no length, cut":
-			cut("HTTP/1.1 200 OK\r\nX-Slateridge-Attempt-Id: " + try + "\r\n" + seal + "\r\n" + bodyFor(try)[:rng.IntN(len(bodyFor(try)))])
+			cut("HTTP/1.1 200 OK\r\nX-Slateridge-Attempt-Id: " + try + "\r\n" + seal + "\r\n" + expectedBody(try)[:rng.IntN(len(expectedBody(try)))])
 			return
 		case "foreign":
 			if before == "" {
 				before = "x-" + try
 			}
-			say(formatResponse("200 OK", before, "X-Slateridge-Response-Seal: seal-"+before+"\r\n", bodyFor(before)))
+			say(formatResponse("200 OK", before, "X-Slateridge-Response-Seal: seal-"+before+"\r\n", expectedBody(before)))
 		case "reset after it ran":
 			closeWithReset(c)
 			return
@@ -275,13 +275,13 @@
 			time.Sleep(time.Duration(100+rng.IntN(300)) * time.Millisecond)
 			say(good)
 		case "fails":
-			say(formatResponse("500 Oops", try, "", bodyFor(try)))
+			say(formatResponse("500 Oops", try, "", expectedBody(try)))
 		case "fails, sealed":
 			status := []int{304, 400, 403, 404, 408, 422, 429, 500, 502, 503, 504, 511}[rng.IntN(12)]
 			w.t.failed(try, "seal-"+try, status)
 			say(formatResponse(fmt.Sprint(status, " Oops"), try, seal, ""))
 		case "fails without id":
-			say(formatResponse("500 Oops", "", "", bodyFor(try)))
+			say(formatResponse("500 Oops", "", "", expectedBody(try)))
 		case "sheds and serves":
 			say(strings.Replace(good, seal, seal+shed, 1))
 		case "asked to wait, then serves":
@@ -425,7 +425,7 @@
 		if most := map[string]int{"/safe": 2, "/once": 3, "/flow": 3}[a.path[:5]]; tr.arrivals[a.try] > most {
 			t.Errorf("%s %s was sent to %d upstreams, %d at most", a.path, a.try, tr.arrivals[a.try], most)
 		}
-		if !strings.HasPrefix(bodyFor(a.try), a.body) || a.head.Get(headerAttemptID) != a.try && a.head.Get(headerAttemptID) != "" {
+		if !strings.HasPrefix(expectedBody(a.try), a.body) || a.head.Get(headerAttemptID) != a.try && a.head.Get(headerAttemptID) != "" {
 			t.Errorf("%s %s got another's answer: %d %v %q", a.path, a.try, a.code, a.head, a.body)
 		}
 		if seal := a.head.Get(headerSeal); seal != "" && a.code/100 != 2 {
@@ -441,7 +441,7 @@
 				t.Errorf("%s %s was told %d and ran %d times", a.path, a.try, a.code, runs)
 			}
 		case a.code/100 == 2 && !a.broken:
-			if runs == 0 || a.body != bodyFor(a.try) || a.head.Get(headerSeal) != "seal-"+a.try {
+			if runs == 0 || a.body != expectedBody(a.try) || a.head.Get(headerSeal) != "seal-"+a.try {
 				t.Errorf("%s %s was told %d after %d runs: %v %q", a.path, a.try, a.code, runs, a.head, a.body)
 			}
 		}
