--- a/internal/proxy/cold.go
+++ b/internal/proxy/cold.go
@@ -10,8 +10,8 @@
 // ColdBound is what upstreams of a service may be sent while they are cold, by all proxies
 // together. The zero value bounds nothing.
 type ColdBound struct {
-	duration time.Duration // how long an upstream stays cold from its start
-	owners   float64       // proxies, on average, that send to one that is cold
+	duration    time.Duration // how long an upstream stays cold from its start
+	meanSenders float64       // proxies, on average, that send to one that is cold
 }
 
 // NewColdBound is the bound on upstreams that bear perSecond requests a second while they
@@ -53,5 +53,5 @@
 // differ.
 func (u *Upstream) admitsColdRequest(now time.Time, bound ColdBound) bool {
 	n := u.pool.proxyCount
-	return n > 0 && float64(u.rank)*float64(n) < bound.owners*(1<<32) && now.Sub(u.lastColdRequest) >= constants.ColdEvery
+	return n > 0 && float64(u.rank)*float64(n) < bound.meanSenders*(1<<32) && now.Sub(u.lastColdRequest) >= constants.ColdEvery
 }
