--- a/internal/proxy/choice.go
+++ b/internal/proxy/choice.go
@@ -11,139 +11,139 @@
 	"slateridge/internal/constants"
 )
 
-// target is what a request asks for: an upstream of a service, in certain regions.
+// target describes which upstreams may serve a request: those of a service in certain regions.
 type target struct {
-	service, regions string
-	stream           bool   // it runs for long, and beside others in a batch
-	prefix           string // what its prompt has in common with others
+	service, regions string // regions is in the form that regionsKey returns
+	stream           bool   // a long-running response that the upstream processes in a batch with others
+	prefix           string // identifies the part of the prompt that is shared with other requests; may be empty
 }
 
-// group is the want without what tells requests for the same upstreams apart.
-func (w target) group() target { return target{service: w.service, regions: w.regions} }
+// group returns the target without the fields that do not affect which upstreams are candidates.
+func (t target) group() target { return target{service: t.service, regions: t.regions} }
 
-// anyRegion is the homes of a request that may be served in all regions.
+// anyRegion is the regions key of a request that may be served in every region.
 const anyRegion = "*"
 
-// regionsKey writes regions as a want has them.
+// regionsKey returns a canonical string for a set of regions, or anyRegion if all is true.
 func regionsKey(regions []string, all bool) string {
 	if all {
 		return anyRegion
 	}
-	rs := slices.Clone(regions)
-	slices.Sort(rs)
-	return strings.Join(slices.Compact(rs), ",")
+	sorted := slices.Clone(regions)
+	slices.Sort(sorted)
+	return strings.Join(slices.Compact(sorted), ",")
 }
 
-// regionAllowed says whether an upstream of a region may serve a request with homes.
-func regionAllowed(homes, region string) bool {
-	if homes == anyRegion {
+// regionAllowed reports whether an upstream in the region may serve a request with the
+// given regions key.
+func regionAllowed(regions, region string) bool {
+	if regions == anyRegion {
 		return true
 	}
-	return region != "" && slices.Contains(strings.Split(homes, ","), region)
+	return region != "" && slices.Contains(strings.Split(regions, ","), region)
 }
 
-// candidateSet is the upstreams that fit a want, near ones first; few are those this
-// proxy turns to before any other.
+// candidateSet holds the upstreams that match a target, nearest first. This proxy tries the
+// preferred ones before the others.
 type candidateSet struct{ preferred, all []*Upstream }
 
-func (pool *Pool) candidates(w target) *candidateSet {
-	w = w.group()
-	p := pool.candidateSets[w]
-	if p == nil {
-		p = &candidateSet{}
-		for _, u := range pool.byService[w.service] {
-			if regionAllowed(w.regions, u.region) {
-				p.all = append(p.all, u)
+func (pool *Pool) candidates(t target) *candidateSet {
+	t = t.group()
+	set := pool.candidateSets[t]
+	if set == nil {
+		set = &candidateSet{}
+		for _, u := range pool.byService[t.service] {
+			if regionAllowed(t.regions, u.region) {
+				set.all = append(set.all, u)
 			}
 		}
-		sort.Slice(p.all, func(a, b int) bool {
-			x, z := p.all[a], p.all[b]
+		sort.Slice(set.all, func(a, b int) bool {
+			x, z := set.all[a], set.all[b]
 			return x.distance < z.distance || x.distance == z.distance && (x.rank < z.rank || x.rank == z.rank && x.instance.ID < z.instance.ID)
 		})
-		p.preferred = p.all
-		if len(p.all) > constants.FewUpstreams*3/2 {
-			p.preferred = p.all[:constants.FewUpstreams]
+		set.preferred = set.all
+		if len(set.all) > constants.FewUpstreams*3/2 {
+			set.preferred = set.all[:constants.FewUpstreams]
 		}
-		pool.candidateSets[w] = p
+		pool.candidateSets[t] = set
 	}
-	return p
+	return set
 }
 
-// selectUpstream picks the upstream with the least expected delay, or nil when none
-// has room. Among those out after failures the longest out is taken only when
-// too few are left.
-func (pool *Pool) selectUpstream(w target, skip map[*Upstream]bool, now time.Time) *Upstream {
-	if w.stream {
-		return pool.selectForStream(w, skip, now)
+// selectUpstream returns the upstream with the least expected delay, or nil if none has
+// capacity. Ejected upstreams are considered only if most of the candidates are ejected.
+func (pool *Pool) selectUpstream(t target, skip map[*Upstream]bool, now time.Time) *Upstream {
+	if t.stream {
+		return pool.selectForStream(t, skip, now)
 	}
-	set := pool.candidates(w)
-	c := selection{
+	set := pool.candidates(t)
+	s := selection{
 		skip:       skip,
 		now:        now,
 		usualDelay: usualDelay(set.preferred),
-		spread:     pool.workTimeLocked(w.service, now).spread().Seconds(),
-		coldBound:  pool.coldBound(w.service),
+		spread:     pool.workTimeLocked(t.service, now).spread().Seconds(),
+		coldBound:  pool.coldBound(t.service),
 	}
-	if u := pool.selectLeastCost(set.preferred, c); u != nil {
+	if u := pool.selectLeastCost(set.preferred, s); u != nil {
 		return u
 	}
 	if len(set.preferred) < len(set.all) {
-		if u := pool.selectLeastCost(set.all, c); u != nil {
+		if u := pool.selectLeastCost(set.all, s); u != nil {
 			return u
 		}
 	}
 	if pool.mostEjected(set.all, now) {
-		c.includeEjected = true
-		return pool.selectLeastCost(set.all, c)
+		s.includeEjected = true
+		return pool.selectLeastCost(set.all, s)
 	}
 	return nil
 }
 
-// selection is what one selection of an upstream goes by.
+// selection holds the inputs of one upstream selection.
 type selection struct {
-	skip           map[*Upstream]bool // those that the request has been offered to
+	skip           map[*Upstream]bool // upstreams that the request has already been tried on
 	now            time.Time
-	usualDelay     float64   // the usual delay of the preferred candidates, in seconds
-	spread         float64   // by which answers vary, in seconds
-	coldBound      ColdBound // what cold upstreams may be sent
-	includeEjected bool      // those left alone after failures are asked as well
+	usualDelay     float64   // median delay of the preferred candidates, in seconds
+	spread         float64   // by how much response times vary, in seconds
+	coldBound      ColdBound // limit on requests to cold upstreams
+	includeEjected bool      // consider ejected upstreams too
 }
 
-// selectLeastCost picks the upstream with the least cost of those that have room, or nil.
-func (pool *Pool) selectLeastCost(candidates []*Upstream, c selection) *Upstream {
+// selectLeastCost returns the upstream with the least cost among those with capacity, or nil.
+func (pool *Pool) selectLeastCost(candidates []*Upstream, s selection) *Upstream {
 	var best *Upstream
 	least := math.Inf(1)
 	for _, u := range candidates {
-		if !u.eligible(c) {
+		if !u.eligible(s) {
 			continue
 		}
-		delay := u.expect(c.now, c.usualDelay)
-		oldest := u.oldestActiveAge(c.now)
-		if len(u.active) >= u.activeLimit(delay, oldest, c.usualDelay) {
+		delay := u.expect(s.now, s.usualDelay)
+		oldest := u.oldestActiveAge(s.now)
+		if len(u.active) >= u.activeLimit(delay, oldest, s.usualDelay) {
 			continue
 		}
-		if cost := u.cost(delay, oldest, c); cost < least {
+		if cost := u.cost(delay, oldest, s); cost < least {
 			best, least = u, cost
 		}
 	}
 	return best
 }
 
-// eligible says whether an upstream may be chosen at all, its room aside.
-func (u *Upstream) eligible(c selection) bool {
-	if u.draining || c.skip[u] || u.pool.evacuated[u.instance.Zone] {
+// eligible reports whether the upstream may be selected, regardless of its capacity.
+func (u *Upstream) eligible(s selection) bool {
+	if u.draining || s.skip[u] || u.pool.evacuated[u.instance.Zone] {
 		return false
 	}
-	if c.coldBound.duration > 0 && c.now.Before(u.warmupEnd) && !u.admitsColdRequest(c.now, c.coldBound) {
+	if s.coldBound.duration > 0 && s.now.Before(u.warmupEnd) && !u.admitsColdRequest(s.now, s.coldBound) {
 		return false
 	}
-	if !c.includeEjected && c.now.Before(u.ejectedUntil) {
+	if !s.includeEjected && s.now.Before(u.ejectedUntil) {
 		return false
 	}
-	return u.consecutiveFailures == 0 || len(u.active) == 0 // one trial at a time
+	return u.consecutiveFailures == 0 || len(u.active) == 0 // after a failure, probe with one request at a time
 }
 
-// oldestActiveAge is for how long the oldest request there has been under way, in seconds.
+// oldestActiveAge returns the age in seconds of the oldest request in flight at the upstream.
 func (u *Upstream) oldestActiveAge(now time.Time) float64 {
 	oldest := 0.0
 	for _, at := range u.active {
@@ -152,32 +152,32 @@
 	return oldest
 }
 
-// activeLimit is how many requests may be under way there from this proxy: fewer while
-// it is slow.
+// activeLimit returns how many requests this proxy may have in flight at the upstream. The
+// limit is lower while the upstream is slow.
 func (u *Upstream) activeLimit(delay, oldest, usual float64) int {
 	share := u.slotShare()
 	if delay > usual*constants.SlowFactor || oldest > usual*constants.SlowFactor {
 		return max(constants.UpstreamCapSlow, share)
 	}
-	return max(constants.UpstreamCap, 2*share) // as many again may wait there
+	return max(constants.UpstreamCap, 2*share) // one request queued at the upstream for each one being processed
 }
 
-// cost is the delay to expect of one more request there, in seconds, raised for load, cold
-// upstreams, new connections and distance, with a little noise. An upstream further away has
-// to be faster by more than answers vary: a request that leaves its zone depends on two
-// zones and on the link between them.
-func (u *Upstream) cost(delay, oldest float64, c selection) float64 {
+// cost returns the expected delay in seconds of one more request to the upstream, increased
+// for load, warm-up, a new connection and distance, with a little noise. A more distant
+// upstream has to be faster by more than the spread of response times, because a request
+// that leaves its zone depends on two zones and on the link between them.
+func (u *Upstream) cost(delay, oldest float64, s selection) float64 {
 	cost := max(delay, oldest) * (1 + float64(len(u.active))/float64(u.instance.Slots))
-	if c.now.Before(u.warmupEnd) {
+	if s.now.Before(u.warmupEnd) {
 		cost *= constants.WarmupFactor
 	}
-	if age := c.now.Sub(u.loadReportedAt); u.reportedLoad > 1 && age < constants.LoadFresh {
+	if age := s.now.Sub(u.loadReportedAt); u.reportedLoad > 1 && age < constants.LoadFresh {
 		cost *= 1 + (u.reportedLoad-1)*(1-age.Seconds()/constants.LoadFresh.Seconds())
 	}
-	cost += float64(u.distance) * c.spread
+	cost += float64(u.distance) * s.spread
 	roundTrip := u.pool.connectTime[u.distance].usual()
 	if u.distance > 0 && u.responses == 0 {
-		cost += roundTrip // of those asked before it is in the delay
+		cost += roundTrip // once the upstream has responded, the measured delay includes it
 	}
 	if len(u.idle) == 0 {
 		cost += roundTrip
@@ -185,17 +185,18 @@
 	return cost * (1 + constants.ChoiceNoise*rand.Float64())
 }
 
-// Place finds room at an upstream at once, or nil; what others wait for is theirs.
-func (pool *Pool) Place(w target, skip map[*Upstream]bool) *placement {
+// Place reserves capacity at an upstream without waiting, or returns nil if there is none.
+// Waiting requests are served first.
+func (pool *Pool) Place(t target, skip map[*Upstream]bool) *placement {
 	pool.mu.Lock()
 	defer pool.mu.Unlock()
-	pool.wakeLocked(w.service)
-	return pool.placeLocked(w, skip)
+	pool.wakeLocked(t.service)
+	return pool.placeLocked(t, skip)
 }
 
-func (pool *Pool) placeLocked(w target, skip map[*Upstream]bool) *placement {
+func (pool *Pool) placeLocked(t target, skip map[*Upstream]bool) *placement {
 	now := time.Now()
-	u := pool.selectUpstream(w, skip, now)
+	u := pool.selectUpstream(t, skip, now)
 	if u == nil {
 		return nil
 	}
--- a/internal/proxy/ejection.go
+++ b/internal/proxy/ejection.go
@@ -6,41 +6,41 @@
 	"slateridge/internal/constants"
 )
 
-// mostEjected says that more than half of some upstreams are left alone after failures:
-// ejection is bounded, and then all are asked again.
-func (pool *Pool) mostEjected(os []*Upstream, now time.Time) bool {
-	all, out := 0, 0
-	for _, u := range os {
+// mostEjected reports whether more than half of the upstreams are ejected. Ejection is
+// bounded: beyond that share, ejected upstreams receive requests again.
+func (pool *Pool) mostEjected(upstreams []*Upstream, now time.Time) bool {
+	all, ejected := 0, 0
+	for _, u := range upstreams {
 		if !u.draining && !pool.evacuated[u.instance.Zone] {
 			if all++; now.Before(u.ejectedUntil) {
-				out++
+				ejected++
 			}
 		}
 	}
-	return out*2 > all
+	return ejected*2 > all
 }
 
-// outcome is how an offer ended, for judging the upstream.
+// outcome is the result of an attempt, as evidence about the upstream.
 type outcome int
 
 const (
-	outcomeServed         outcome = iota // it answered
-	outcomeAtCapacity                    // it turned the request away
-	outcomeTransportError                // refused, reset, cut, odd
-	outcomeTimeout                       // no answer in time
-	outcomeUnused                        // nothing was sent, nothing learned
-	outcomeServerError                   // it answered with a failure of its own
-	outcomeCancelled                     // closed here, since nobody waited for it any more
+	outcomeServed         outcome = iota // the upstream responded
+	outcomeAtCapacity                    // the upstream rejected the request for lack of capacity
+	outcomeTransportError                // connection refused, reset or cut off, or an invalid response
+	outcomeTimeout                       // no response in time
+	outcomeUnused                        // the attempt ended for a reason that says nothing about the upstream
+	outcomeServerError                   // the upstream responded with a server error
+	outcomeCancelled                     // this proxy closed the connection because nobody was waiting for the response
 )
 
-// eject leaves an upstream alone after a failure, longer with each in a row.
+// eject stops sending to an upstream after a failure, for longer with each consecutive failure.
 func (u *Upstream) eject(now time.Time) {
 	u.consecutiveFailures++
 	u.pool.Ejected++
 	u.ejectedUntil = now.Add(min(constants.EjectFirst<<min(u.consecutiveFailures-1, 5), constants.EjectMax))
 }
 
-// finish ends an offer and learns from it.
+// finish ends an attempt, releases its place and updates the upstream's statistics.
 func (pool *Pool) finish(p *placement, how outcome) {
 	pool.mu.Lock()
 	defer pool.mu.Unlock()
@@ -78,9 +78,9 @@
 		times.answered(now, took)
 		learn(took)
 	case outcomeServerError:
-		// Few answers of a healthy upstream are failures, so one is evidence
-		// enough to leave it alone for a moment, whatever its health answer says;
-		// its connections are as good as before.
+		// Healthy upstreams rarely return server errors, so a single one is sufficient
+		// evidence to eject the upstream briefly, whatever its health check reports. Its
+		// connections remain usable.
 		learn(max(took, constants.FirstDelay.Seconds()))
 		u.eject(now)
 	case outcomeAtCapacity:
@@ -88,7 +88,7 @@
 		u.ejectedUntil = now.Add(constants.FullPause)
 	case outcomeCancelled:
 		pool.Cancelled++
-		// No failure; but an answer would have taken longer still.
+		// Not a failure, but the elapsed time is a lower bound on the response time.
 		if took > u.expect(now, usual()) {
 			learn(took)
 		}
--- a/internal/proxy/pool.go
+++ b/internal/proxy/pool.go
@@ -9,56 +9,58 @@
 	"slateridge/internal/discovery"
 )
 
-// Pool knows all upstreams and holds requests that wait for room. Its mutex guards all
-// that changes in it and in its upstreams; it is not held while dialling, reading or writing.
+// Pool tracks all known upstreams and queues requests until an upstream has capacity. Its
+// mutex guards its own mutable state and that of its upstreams; it is not held while
+// dialling, reading or writing.
 type Pool struct {
 	mu               sync.Mutex
 	zone             string
 	dialer           net.Dialer
-	upstreams        map[string]*Upstream // by instance
+	upstreams        map[string]*Upstream // by instance ID
 	byService        map[string][]*Upstream
-	candidateSets    map[target]*candidateSet // made from svc as they are asked for
-	evacuated        map[string]bool          // zones nothing is sent to
-	regions          map[string]string
+	candidateSets    map[target]*candidateSet // built on demand; cleared when the instance list changes
+	evacuated        map[string]bool          // zones that receive no requests
+	regions          map[string]string        // region of each zone
 	coldBound        func(service string) ColdBound
-	proxyCount       int // live count
+	proxyCount       int // number of live proxies; 0 while unknown
 	proxyID          string
 	times            map[string]*serviceTimes // by service
-	waiting          map[string][]*waiter     // by service, the most urgent first
-	waiterSeq        uint64                   // how many ever waited: the order in which they came
-	wakeAt           map[string]time.Time     // by service, when those that wait are looked after next
-	shutdownAt       time.Time                // when this process ends; zero: not known to
-	connCap          func(service string) int // this proxy's share of connections to one upstream
-	connectTime      [3]answerTime            // of new connections, by distance: a round trip
+	waiting          map[string][]*waiter     // by service, most urgent first
+	waiterSeq        uint64                   // sequence number of the latest waiter, which keeps equal waiters in arrival order
+	wakeAt           map[string]time.Time     // by service: when the waiters are next scheduled to be reconsidered
+	shutdownAt       time.Time                // when this process exits; zero while no exit is planned
+	connCap          func(service string) int // this proxy's share of the connections to one upstream
+	connectTime      [3]answerTime            // of new connections, by Upstream.distance; measures one round trip
 	NewConns         uint64                   // new connections
 	Ejected          uint64
-	StreamPlacements [3]uint64 // streams at their prefix's first upstream, at one of the next, elsewhere
+	StreamPlacements [3]uint64 // streams placed at the first upstream of their prefix, at a later one, and outside the prefix's upstreams
 	Waited           uint64
 	NoCapacity       uint64
-	Cancelled        uint64 // offers ended here, since nobody waited for them
+	Cancelled        uint64 // attempts that this proxy closed because nobody was waiting for the response
 }
 
-// Len is how many upstreams are known.
+// Len returns the number of known upstreams.
 func (pool *Pool) Len() int {
 	pool.mu.Lock()
 	defer pool.mu.Unlock()
 	return len(pool.upstreams)
 }
 
-// SetProxies takes the live count.
+// SetProxies sets the number of live proxies.
 func (pool *Pool) SetProxies(n int) {
 	pool.mu.Lock()
 	pool.proxyCount = n
 	pool.mu.Unlock()
 }
 
-// NewPool makes an empty pool for a proxy in a zone.
-func NewPool(me, zone string, regions map[string]string, connCap func(string) int, cold func(string) ColdBound) *Pool {
+// NewPool returns an empty pool for a proxy in the given zone. The regions map gives the
+// region of each zone.
+func NewPool(proxyID, zone string, regions map[string]string, connCap func(string) int, coldBound func(string) ColdBound) *Pool {
 	return &Pool{
-		proxyID:       me,
+		proxyID:       proxyID,
 		zone:          zone,
 		regions:       regions,
-		coldBound:     cold,
+		coldBound:     coldBound,
 		connCap:       connCap,
 		upstreams:     map[string]*Upstream{},
 		byService:     map[string][]*Upstream{},
@@ -71,36 +73,37 @@
 	}
 }
 
-// Apply takes a list: states change, lives that are gone end, new ones begin.
-func (pool *Pool) Apply(now time.Time, is []discovery.Instance) {
+// Apply replaces the list of instances: it adds new upstreams, updates known ones and
+// removes those that are no longer listed.
+func (pool *Pool) Apply(now time.Time, instances []discovery.Instance) {
 	pool.mu.Lock()
 	defer pool.mu.Unlock()
 	seen := map[string]bool{}
-	for _, i := range is {
-		seen[i.ID] = true
-		u := pool.upstreams[i.ID]
-		if u != nil && (u.instance.Address != i.Address || u.instance.Service != i.Service) {
-			// Requests under way hold on to what it was: this is another life.
+	for _, instance := range instances {
+		seen[instance.ID] = true
+		u := pool.upstreams[instance.ID]
+		if u != nil && (u.instance.Address != instance.Address || u.instance.Service != instance.Service) {
+			// Requests in flight keep the old Upstream; the ID now denotes a new incarnation.
 			u.removed = true
 			u.closeIdle()
 			u = nil
 		}
 		if u == nil {
-			u = &Upstream{pool: pool, instance: i, rank: rendezvousRank(pool.proxyID, i.ID), region: pool.regions[i.Zone], active: map[*placement]time.Time{}}
+			u = &Upstream{pool: pool, instance: instance, rank: rendezvousRank(pool.proxyID, instance.ID), region: pool.regions[instance.Zone], active: map[*placement]time.Time{}}
 			switch {
-			case i.Zone == pool.zone:
+			case instance.Zone == pool.zone:
 			case u.region == pool.regions[pool.zone]:
 				u.distance = 1
 			default:
 				u.distance = 2
 			}
-			pool.upstreams[i.ID] = u
+			pool.upstreams[instance.ID] = u
 		}
-		u.instance.Slots = i.Slots
-		if at := now.Add(i.Warmup); i.Warmup > 0 && at.After(u.warmupEnd) {
-			u.warmupEnd = at
+		u.instance.Slots = instance.Slots
+		if end := now.Add(instance.Warmup); instance.Warmup > 0 && end.After(u.warmupEnd) {
+			u.warmupEnd = end
 		}
-		u.draining = i.Draining
+		u.draining = instance.Draining
 		if u.draining {
 			u.closeIdle()
 		}
@@ -117,7 +120,7 @@
 		pool.byService[u.instance.Service] = append(pool.byService[u.instance.Service], u)
 	}
 	clear(pool.candidateSets)
-	for s := range pool.byService {
-		pool.wakeLocked(s)
+	for service := range pool.byService {
+		pool.wakeLocked(service)
 	}
 }
