--- a/internal/proxy/affinity.go
+++ b/internal/proxy/affinity.go
@@ -10,7 +10,7 @@
 	"slateridge/internal/constants"
 )
 
-// recordFirstByte notes a stream's first piece.
+// recordFirstByte records when the first byte of a stream's body arrived.
 func (pool *Pool) recordFirstByte(p *placement, now time.Time) {
 	pool.mu.Lock()
 	defer pool.mu.Unlock()
@@ -19,17 +19,18 @@
 	}
 }
 
-// PlaceStream finds room for a stream whose prompt begins with a prefix, in any
-// region, and gives it up again: what a placement costs.
+// PlaceStream reserves capacity for a stream with the given prompt prefix, in any region,
+// and releases it again. It exists to measure the cost of a placement.
 func (pool *Pool) PlaceStream(service, prefix string) bool {
-	of := pool.Place(target{service: service, regions: anyRegion, stream: true, prefix: prefix}, nil)
-	if of != nil {
-		pool.finish(of, outcomeUnused)
+	place := pool.Place(target{service: service, regions: anyRegion, stream: true, prefix: prefix}, nil)
+	if place != nil {
+		pool.finish(place, outcomeUnused)
 	}
-	return of != nil
+	return place != nil
 }
 
-// Outstanding is how many requests of a service run and wait here.
+// Outstanding returns how many requests for a service this proxy has in flight or waiting
+// for capacity.
 func (pool *Pool) Outstanding(service string) int {
 	pool.mu.Lock()
 	defer pool.mu.Unlock()
@@ -40,75 +41,79 @@
 	return n
 }
 
-// estimatedLoad is how full an upstream is thought to be, in parts of its slots: what it last
-// told, fading toward the service's mean, with what has changed here since; never
-// less than what this proxy has there.
+// estimatedLoad estimates the upstream's load as a multiple of its slots. It starts from the
+// last reported load, adjusted for requests that this proxy has started and finished since;
+// as the report ages, the estimate decays toward the service's mean. It is never below the
+// load that this proxy causes itself.
 func (u *Upstream) estimatedLoad(now time.Time, mean float64) float64 {
 	slots := float64(max(1, u.instance.Slots))
 	own := float64(len(u.active)) / slots
 	if u.loadReportedAt.IsZero() {
 		return max(own, mean+own)
 	}
-	fresh := math.Exp(-now.Sub(u.loadReportedAt).Seconds() / constants.ReportedLoadFade.Seconds())
-	told := u.reportedLoad + float64(len(u.active)-u.activeAtReport)/slots
-	return max(own, mean+(told-mean)*fresh)
+	weight := math.Exp(-now.Sub(u.loadReportedAt).Seconds() / constants.ReportedLoadFade.Seconds())
+	reported := u.reportedLoad + float64(len(u.active)-u.activeAtReport)/slots
+	return max(own, mean+(reported-mean)*weight)
 }
 
-// meanLoad is the mean of what the upstreams told lately.
-func meanLoad(os []*Upstream, now time.Time) float64 {
-	sum, n := 0.0, 0.0
-	for _, u := range os {
+// meanLoad returns the mean of the loads that the upstreams reported, weighted toward
+// recent reports.
+func meanLoad(upstreams []*Upstream, now time.Time) float64 {
+	sum, weights := 0.0, 0.0
+	for _, u := range upstreams {
 		if !u.loadReportedAt.IsZero() {
 			w := math.Exp(-now.Sub(u.loadReportedAt).Seconds() / (4 * constants.ReportedLoadFade.Seconds()))
-			sum, n = sum+w*u.reportedLoad, n+w
+			sum, weights = sum+w*u.reportedLoad, weights+w
 		}
 	}
-	if n == 0 {
+	if weights == 0 {
 		return 0
 	}
-	return sum / n
+	return sum / weights
 }
 
 // streamCandidate is an upstream that a stream may be placed at.
 type streamCandidate struct {
 	upstream *Upstream
-	load     float64 // how full it is thought to be, in parts of its slots
-	rank     uint32  // its place in the order of the stream's prefix
+	load     float64 // estimated load as a multiple of its slots
+	rank     uint32  // rendezvous rank for the stream's prefix; the lowest comes first
 }
 
-// selectForStream places a stream: by rendezvous hashing of its prefix over the zone's
-// upstreams, the first of a few that is not full, so that proxies that never speak
-// to each other agree where a prefix is kept; else the least busy one of the zone,
-// and of other zones when it is full. With all of them as full as they may be, there
-// is no room: the request waits its short time and is refused.
-func (pool *Pool) selectForStream(w target, skip map[*Upstream]bool, now time.Time) *Upstream {
-	near, far := pool.streamCandidates(w, skip, now)
-	if w.prefix != "" && len(near) > 0 {
+// selectForStream selects the upstream for a stream. Rendezvous hashing of the prompt prefix
+// orders the upstreams in this zone, and the first of the top few that is not full is used.
+// All proxies thereby agree on where a prefix is cached without communicating. Otherwise it
+// selects the least loaded upstream in this zone, or in other zones if those here are full.
+// If all have reached the load limit it returns nil; the request then waits briefly and is
+// rejected.
+func (pool *Pool) selectForStream(t target, skip map[*Upstream]bool, now time.Time) *Upstream {
+	near, far := pool.streamCandidates(t, skip, now)
+	if t.prefix != "" && len(near) > 0 {
 		if u := pool.selectByPrefix(near); u != nil {
 			return u
 		}
 	}
-	best, busy := leastLoaded(near)
-	if best == nil || busy > 1 {
-		if u, b := leastLoaded(far); u != nil && b+constants.StreamFarMargin < busy {
+	best, load := leastLoaded(near)
+	if best == nil || load > 1 {
+		if u, farLoad := leastLoaded(far); u != nil && farLoad+constants.StreamFarMargin < load {
 			best = u
 		}
 	}
 	return best
 }
 
-// streamCandidates lists the upstreams with room for a stream, of this zone and of others.
-func (pool *Pool) streamCandidates(w target, skip map[*Upstream]bool, now time.Time) (near, far []streamCandidate) {
-	all := pool.candidates(w).all
+// streamCandidates returns the upstreams with capacity for a stream, in this zone and in
+// other zones.
+func (pool *Pool) streamCandidates(t target, skip map[*Upstream]bool, now time.Time) (near, far []streamCandidate) {
+	all := pool.candidates(t).all
 	mean := meanLoad(all, now)
-	c := selection{skip: skip, now: now, includeEjected: pool.mostEjected(all, now)}
+	s := selection{skip: skip, now: now, includeEjected: pool.mostEjected(all, now)}
 	for _, u := range all {
-		if !u.eligible(c) {
+		if !u.eligible(s) {
 			continue
 		}
 		candidate := streamCandidate{upstream: u, load: u.estimatedLoad(now, mean)}
 		if candidate.load >= constants.StreamFull {
-			continue // what it cannot queue it resets, and a stream is sent once
+			continue // the upstream resets streams that it cannot queue, and a stream is sent only once
 		}
 		if now.Before(u.warmupEnd) {
 			candidate.load += constants.WarmupFactor - 1
@@ -117,16 +122,16 @@
 			far = append(far, candidate)
 			continue
 		}
-		if w.prefix != "" {
-			candidate.rank = rendezvousRank(w.prefix, u.instance.ID)
+		if t.prefix != "" {
+			candidate.rank = rendezvousRank(t.prefix, u.instance.ID)
 		}
 		near = append(near, candidate)
 	}
 	return near, far
 }
 
-// selectByPrefix picks the first of a few upstreams, in the order of the prefix, that is
-// not full, or nil; and counts which it was.
+// selectByPrefix returns the first of the prefix's top-ranked upstreams that is not full, or
+// nil, and counts the placement.
 func (pool *Pool) selectByPrefix(near []streamCandidate) *Upstream {
 	slices.SortFunc(near, func(a, b streamCandidate) int { return cmp.Compare(a.rank, b.rank) })
 	for i, c := range near[:min(len(near), constants.AffinityTop)] {
@@ -139,14 +144,14 @@
 	return nil
 }
 
-// leastLoaded is the least busy upstream, with a little noise, and how busy that is; nil
-// and infinity where there is none.
-func leastLoaded(candidates []streamCandidate) (best *Upstream, busy float64) {
-	busy = math.Inf(1)
+// leastLoaded returns the candidate with the least load after adding a little noise, and
+// that load; nil and infinity if there are no candidates.
+func leastLoaded(candidates []streamCandidate) (best *Upstream, load float64) {
+	load = math.Inf(1)
 	for _, c := range candidates {
-		if b := c.load + constants.StreamNoise*rand.Float64(); b < busy {
-			best, busy = c.upstream, b
+		if l := c.load + constants.StreamNoise*rand.Float64(); l < load {
+			best, load = c.upstream, l
 		}
 	}
-	return best, busy
+	return best, load
 }
--- a/internal/proxy/cold.go
+++ b/internal/proxy/cold.go
@@ -7,50 +7,51 @@
 	"slateridge/internal/constants"
 )
 
-// ColdBound is what upstreams of a service may be sent while they are cold, by all proxies
-// together. The zero value bounds nothing.
+// ColdBound limits the requests that all proxies together send to an upstream of a service
+// while it is cold, that is, shortly after its start. The zero value sets no limit.
 type ColdBound struct {
-	duration    time.Duration // how long an upstream stays cold from its start
-	meanSenders float64       // proxies, on average, that send to one that is cold
+	duration    time.Duration // how long an upstream is cold after its start
+	meanSenders float64       // mean number of proxies that send to one cold upstream
 }
 
-// NewColdBound is the bound on upstreams that bear perSecond requests a second while they
-// are cold, and fall over beyond most in a second.
+// NewColdBound returns the bound for upstreams that sustain perSecond requests per second
+// while they are cold and fail beyond most requests in any second.
 //
-// Each proxy owns a cold upstream by lot, so the owners are Poisson distributed about their
-// mean, and each sends one request every ColdEvery. The mean is chosen so that what the
-// upstream bears is used, unless so many could draw it that they break the bound.
-func NewColdBound(lasts time.Duration, perSecond, most float64) ColdBound {
-	least, largest := 0.0, perSecond*constants.ColdEvery.Seconds()
-	if poissonTail(largest, most) <= constants.ColdRisk {
-		return ColdBound{lasts, largest}
+// Each proxy decides by a hash whether it sends to a cold upstream, so the number of senders
+// has a Poisson distribution, and each sends one request every ColdEvery. The mean is set to
+// use the rate that the upstream sustains, and is reduced where the probability that the
+// senders exceed most would be above ColdRisk.
+func NewColdBound(duration time.Duration, perSecond, most float64) ColdBound {
+	low, high := 0.0, perSecond*constants.ColdEvery.Seconds()
+	if poissonTail(high, most) <= constants.ColdRisk {
+		return ColdBound{duration, high}
 	}
-	for largest-least > 0.01 {
-		if middle := (least + largest) / 2; poissonTail(middle, most) <= constants.ColdRisk {
-			least = middle
+	for high-low > 0.01 {
+		if middle := (low + high) / 2; poissonTail(middle, most) <= constants.ColdRisk {
+			low = middle
 		} else {
-			largest = middle
+			high = middle
 		}
 	}
-	return ColdBound{lasts, least}
+	return ColdBound{duration, low}
 }
 
-// poissonTail is the chance that a Poisson distributed number is above most.
+// poissonTail returns the probability that a Poisson distributed variable exceeds most.
 func poissonTail(mean, most float64) float64 {
 	term := math.Exp(-mean)
-	below := term
+	cumulative := term
 	for n := 1.0; n <= most; n++ {
 		term *= mean / n
-		below += term
+		cumulative += term
 	}
-	return max(0, 1-below)
+	return max(0, 1-cumulative)
 }
 
-// admitsColdRequest says whether a cold upstream may be sent a request from here now. Its
-// bound holds over all proxies, and nobody is asked: by lot a few of them own
-// it, and each sends one request at a time, spaced so that no second sees two.
-// The lot needs no roster, only the live count, and is as good while counts
-// differ.
+// admitsColdRequest reports whether this proxy may send a request to a cold upstream now.
+// The bound holds across all proxies without coordination: a hash selects a few of them as
+// senders, and each spaces its requests so that no second contains two. The selection
+// depends only on the number of live proxies, not on their identities, and remains valid
+// while the proxies differ about that number.
 func (u *Upstream) admitsColdRequest(now time.Time, bound ColdBound) bool {
 	n := u.pool.proxyCount
 	return n > 0 && float64(u.rank)*float64(n) < bound.meanSenders*(1<<32) && now.Sub(u.lastColdRequest) >= constants.ColdEvery
--- a/internal/proxy/retrybudget.go
+++ b/internal/proxy/retrybudget.go
@@ -7,10 +7,10 @@
 	"slateridge/internal/constants"
 )
 
-// RetryBudget is this proxy's part of the budget for further tries. It earns
-// from the requests this life has seen within the window, and holds a fixed
-// part of the slack; a life younger than the window holds none of it, since the
-// life before may have spent it.
+// RetryBudget is this proxy's share of the retry budget. Per service it allows a fraction
+// of the requests that this process received within the window, plus a share of the fixed
+// slack. A process that is younger than the window gets no slack, because its predecessor
+// may have spent it.
 type RetryBudget struct {
 	mu        sync.Mutex
 	window    time.Duration
@@ -23,72 +23,75 @@
 	Spent     uint64
 }
 
-const windowSlots = 10 // parts a window is counted in
+const windowSlots = 10 // counters per window
 
+// windowCounts counts the requests and retries of one service in a ring of time slots. The
+// ring has one slot more than the window, so that it covers every sliding window.
 type windowCounts struct {
 	slot     [windowSlots + 1]int64
 	requests [windowSlots + 1]float64
 	retries  [windowSlots + 1]float64
 }
 
-// NewRetryBudget makes the budget's part at a proxy started now.
+// NewRetryBudget returns the retry budget of a proxy that started at now.
 func NewRetryBudget(now, window time.Duration, ratio, slack float64) *RetryBudget {
 	return &RetryBudget{window: window, ratio: ratio, slack: slack, startedAt: now, services: map[string]*windowCounts{}}
 }
 
-// SetProxies takes the live count the slack is split by.
+// SetProxies sets the number of live proxies, which share the slack.
 func (b *RetryBudget) SetProxies(n int) {
 	b.mu.Lock()
 	b.proxies = n
 	b.mu.Unlock()
 }
 
+// currentSlot returns the counts of a service and the index of the slot that contains now.
 func (b *RetryBudget) currentSlot(now time.Duration, service string) (*windowCounts, int) {
-	t := b.services[service]
-	if t == nil {
-		t = &windowCounts{}
-		b.services[service] = t
+	counts := b.services[service]
+	if counts == nil {
+		counts = &windowCounts{}
+		b.services[service] = counts
 	}
-	part := int64(now / (b.window / windowSlots))
-	i := int(part % (windowSlots + 1))
-	if t.slot[i] != part {
-		t.slot[i], t.requests[i], t.retries[i] = part, 0, 0
+	slot := int64(now / (b.window / windowSlots))
+	i := int(slot % (windowSlots + 1))
+	if counts.slot[i] != slot {
+		counts.slot[i], counts.requests[i], counts.retries[i] = slot, 0, 0
 	}
-	return t, i
+	return counts, i
 }
 
-// RecordRequest counts a client's request for a service.
+// RecordRequest counts a client request for a service.
 func (b *RetryBudget) RecordRequest(now time.Duration, service string) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	t, i := b.currentSlot(now, service)
-	t.requests[i]++
+	counts, i := b.currentSlot(now, service)
+	counts.requests[i]++
 }
 
-// Take asks for one further try and, if there is room, spends it.
+// Take reports whether the budget allows one more retry and, if so, spends it.
 func (b *RetryBudget) Take(now time.Duration, service string) bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	t, i := b.currentSlot(now, service)
-	requests, extras := 0.0, 0.0
-	newest := t.slot[i]
-	for j := range t.slot {
-		if newest-t.slot[j] <= windowSlots { // one part more than the window, so every window lies inside
-			extras += t.retries[j]
-			if newest-t.slot[j] < windowSlots {
-				requests += t.requests[j]
+	counts, i := b.currentSlot(now, service)
+	requests, retries := 0.0, 0.0
+	newest := counts.slot[i]
+	for j := range counts.slot {
+		if newest-counts.slot[j] <= windowSlots { // one slot more than the window, so that any sliding window is covered
+			retries += counts.retries[j]
+			if newest-counts.slot[j] < windowSlots {
+				requests += counts.requests[j]
 			}
 		}
 	}
-	room := requests * b.ratio * constants.BudgetShare
+	allowed := requests * b.ratio * constants.BudgetShare
 	if b.proxies > 0 && now-b.startedAt >= b.window {
-		room += b.slack * constants.BudgetSlack / float64(b.proxies)
+		allowed += b.slack * constants.BudgetSlack / float64(b.proxies)
 	}
-	if extras+1 > room {
+	if retries+1 > allowed {
 		b.Denied++
 		return false
 	}
-	t.retries[i]++
+	counts.retries[i]++
 	b.Spent++
 	return true
 }
