--- a/internal/proxy/accounting.go
+++ b/internal/proxy/accounting.go
@@ -8,8 +8,8 @@
 	"slateridge/internal/constants"
 )
 
-// EnableAccounting has this proxy account for the requests of tenants with objectives; nil
-// objectives change nothing. It is called before Add.
+// EnableAccounting makes this proxy account for the requests of tenants that have service
+// level objectives. It does nothing if objectives is nil, and must be called before Add.
 func (d *Daemon) EnableAccounting(objectives *accounts.Objectives) {
 	if objectives == nil {
 		return
@@ -20,21 +20,21 @@
 	d.accounts = d.accountsAgent.Meter
 }
 
-// reportAccounts brings a report to a control machine.
+// reportAccounts sends an accounts report to a control machine and returns its acknowledgement.
 func (d *Daemon) reportAccounts(to string, report accounts.Report) (accounts.ReportAck, error) {
-	answer, err := d.subscriber.Ask(to, report, constants.CallTimeout)
+	response, err := d.subscriber.Ask(to, report, constants.CallTimeout)
 	if err != nil {
 		return accounts.ReportAck{}, err
 	}
-	ack, ok := answer.(accounts.ReportAck)
+	ack, ok := response.(accounts.ReportAck)
 	if !ok {
-		ack.Refused = "accounts are not kept there"
+		ack.Refused = "the node does not keep accounts"
 	}
 	return ack, nil
 }
 
-// recordResponse notes an upstream's answer to a request that may run once. A second one as
-// having run it shows that it was doubled.
+// recordResponse counts upstream responses that confirm that a non-idempotent request was
+// executed. A second such response shows that it was executed twice.
 func (p *exchange) recordResponse(r *result) {
 	if p.account == nil || p.route.Idempotent || r.notRun || r.doubtful || r.resp == nil || r.resp.Header.Get(headerSeal) == "" {
 		return
@@ -44,15 +44,15 @@
 	}
 }
 
-// settleResponse settles a request whose answer has been relayed to its end. What was
-// wrong with it for the client's part is not held against the objective.
-func (p *exchange) settleResponse(r *result, began time.Duration) {
+// settleResponse settles a request whose response has been relayed completely. Client errors
+// do not count against the objective. For a stream, the latency is the time to its first byte.
+func (p *exchange) settleResponse(r *result, timeToFirstByte time.Duration) {
 	if p.account == nil {
 		return
 	}
 	latency := time.Since(p.arrived)
 	if r.stream != nil {
-		latency = began
+		latency = timeToFirstByte
 	}
 	switch status := r.resp.StatusCode; {
 	case p.request.Context().Err() != nil:
@@ -66,16 +66,16 @@
 	}
 }
 
-// settleFailed settles a request without an answer to give. Where it may run once and may
-// have run, nobody here knows whether it did.
+// settleFailed settles a request that has no response to return. If it is non-idempotent and
+// was sent to an upstream, whether it was executed is unknown.
 func (p *exchange) settleFailed() {
 	if !p.route.Idempotent && p.runs > 0 {
 		p.account.Failure(accounts.Unknown)
 	}
 }
 
-// settleUnfinished settles what has not been settled when the request's handling ends:
-// the client left, or it was told of a failure.
+// settleUnfinished settles a request that is still open when its handling ends, because the
+// client disconnected or received an error.
 func (p *exchange) settleUnfinished() {
 	if p.request.Context().Err() != nil {
 		p.account.Failure(accounts.Unknown)
@@ -84,8 +84,8 @@
 	p.account.Failure(accounts.Lost)
 }
 
-// FlushAccounts tells the shards' holders at once what they lack; for tests, and before
-// a planned end.
+// FlushAccounts sends all pending accounts reports at once. It is used in tests and before a
+// planned shutdown.
 func (d *Daemon) FlushAccounts() {
 	if d.accountsAgent != nil {
 		d.accountsAgent.Tell()
--- a/internal/proxy/audit.go
+++ b/internal/proxy/audit.go
@@ -9,7 +9,7 @@
 	"slateridge/internal/constants"
 )
 
-// AuditEntry is one changed limit.
+// AuditEntry records the change of one quota by a configuration version.
 type AuditEntry struct {
 	Version  uint64
 	Key      string
@@ -17,31 +17,33 @@
 	When     time.Time
 }
 
-// auditLog keeps the trail of changed limits, the latest ones.
+// auditLog keeps the most recent quota changes.
 type auditLog struct {
 	mu      sync.Mutex
 	entries []AuditEntry
 }
 
+// record adds an entry for every quota that differs between two configurations. The old one
+// is nil when the first configuration is applied.
 func (a *auditLog) record(old, new *config.Config) {
-	was := map[string]admission.Quota{}
+	before := map[string]admission.Quota{}
 	if old != nil {
-		was = admission.Quotas(old)
+		before = admission.Quotas(old)
 	}
-	is := admission.Quotas(new)
+	after := admission.Quotas(new)
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	put := func(k string) {
-		if was[k] != is[k] {
-			a.entries = append(a.entries, AuditEntry{new.Version, k, was[k], is[k], time.Now()})
+	recordChange := func(key string) {
+		if before[key] != after[key] {
+			a.entries = append(a.entries, AuditEntry{new.Version, key, before[key], after[key], time.Now()})
 		}
 	}
-	for k := range is {
-		put(k)
+	for key := range after {
+		recordChange(key)
 	}
-	for k := range was {
-		if _, ok := is[k]; !ok {
-			put(k)
+	for key := range before {
+		if _, ok := after[key]; !ok {
+			recordChange(key)
 		}
 	}
 	if n := len(a.entries) - constants.JournalEvents; n > 0 {
@@ -49,6 +51,7 @@
 	}
 }
 
+// list returns a copy of the entries, oldest first.
 func (a *auditLog) list() []AuditEntry {
 	a.mu.Lock()
 	defer a.mu.Unlock()
--- a/internal/proxy/headers.go
+++ b/internal/proxy/headers.go
@@ -8,10 +8,10 @@
 	"time"
 )
 
-// keepAliveTimeout reads the time in a Keep-Alive header.
+// keepAliveTimeout returns the timeout parameter of a Keep-Alive header, if there is a valid one.
 func keepAliveTimeout(h http.Header) (time.Duration, bool) {
-	for _, p := range strings.Split(h.Get("Keep-Alive"), ",") {
-		if v, ok := strings.CutPrefix(strings.TrimSpace(p), "timeout="); ok {
+	for _, param := range strings.Split(h.Get("Keep-Alive"), ",") {
+		if v, ok := strings.CutPrefix(strings.TrimSpace(param), "timeout="); ok {
 			if n, err := strconv.Atoi(v); err == nil && n >= 0 && n < 1e6 {
 				return time.Duration(n) * time.Second, true
 			}
@@ -20,7 +20,7 @@
 	return 0, false
 }
 
-// The protocol's own headers.
+// Headers of the Slateridge protocol.
 const (
 	headerAttemptID        = "X-Slateridge-Attempt-Id"
 	headerBudget           = "X-Slateridge-Time-Budget-Ms"
@@ -33,35 +33,35 @@
 	headerPrefix           = "X-Slateridge-Prompt-Prefix"
 )
 
-// hopByHopHeaders are the headers that concern one connection only, and those this proxy
-// sets itself.
+// hopByHopHeaders are the headers that are not forwarded upstream: those that apply to a
+// single connection and those that this proxy sets itself.
 var hopByHopHeaders = map[string]bool{"Connection": true, "Keep-Alive": true, "Proxy-Connection": true, "Proxy-Authenticate": true,
 	"Proxy-Authorization": true, "Te": true, "Trailer": true, "Transfer-Encoding": true, "Upgrade": true, "Expect": true,
 	"Content-Length": true, headerBudget: true, headerExpectedInstance: true, headerTenant: true, headerAPIKey: true}
 
-// connectionHeaders lists the headers that a Connection header names.
+// connectionHeaders returns the header names listed in the Connection headers.
 func connectionHeaders(h http.Header) map[string]bool {
-	var out map[string]bool
+	var names map[string]bool
 	for _, v := range h["Connection"] {
-		for _, t := range strings.Split(v, ",") {
-			if out == nil {
-				out = map[string]bool{}
+		for _, name := range strings.Split(v, ",") {
+			if names == nil {
+				names = map[string]bool{}
 			}
-			out[http.CanonicalHeaderKey(strings.TrimSpace(t))] = true
+			names[http.CanonicalHeaderKey(strings.TrimSpace(name))] = true
 		}
 	}
-	return out
+	return names
 }
 
-// formatRequestHeader writes the request line and headers as the client sent them,
-// byte for byte in the target, with the protocol's own in place.
+// formatRequestHeader formats the request line and headers for an upstream. The request
+// target is copied from the client byte for byte, and the Slateridge headers are set.
 func formatRequestHeader(r *http.Request, instance, tenant string, left time.Duration, length int64) []byte {
 	var b bytes.Buffer
 	b.Grow(512)
 	b.WriteString(r.Method + " " + r.RequestURI + " HTTP/1.1\r\nHost: " + r.Host + "\r\n")
-	drop := connectionHeaders(r.Header)
+	connection := connectionHeaders(r.Header)
 	for k, vs := range r.Header {
-		if hopByHopHeaders[k] || drop[k] && k != headerAttemptID {
+		if hopByHopHeaders[k] || connection[k] && k != headerAttemptID {
 			continue
 		}
 		for _, v := range vs {
--- a/internal/proxy/match.go
+++ b/internal/proxy/match.go
@@ -10,7 +10,8 @@
 	"slateridge/internal/constants"
 )
 
-// matchRequest finds route and tenant, or the status that refuses the request.
+// matchRequest returns the route and tenant of a request, or the status code to reject it
+// with. The tenant is nil for public routes and when no API keys are configured.
 func matchRequest(cfg *config.Config, r *http.Request) (*config.Route, *config.Tenant, int) {
 	path, _, _ := strings.Cut(r.RequestURI, "?")
 	route := cfg.Match(r.Host, path)
@@ -24,18 +25,19 @@
 	if len(keys) != 1 {
 		return nil, nil, http.StatusUnauthorized
 	}
-	t := cfg.Holder(keys[0])
-	if t == nil {
+	tenant := cfg.Holder(keys[0])
+	if tenant == nil {
 		return nil, nil, http.StatusUnauthorized
 	}
-	return route, t, 0
+	return route, tenant, 0
 }
 
-// clientTimeBudget reads how long the client will wait.
+// clientTimeBudget returns how long the client waits for the response. A missing or invalid
+// header yields the default.
 func clientTimeBudget(r *http.Request) time.Duration {
-	n, err := strconv.ParseInt(r.Header.Get(headerBudget), 10, 64)
-	if err != nil || n < 0 || n > constants.BudgetDefault.Milliseconds()*100 {
+	ms, err := strconv.ParseInt(r.Header.Get(headerBudget), 10, 64)
+	if err != nil || ms < 0 || ms > constants.BudgetDefault.Milliseconds()*100 {
 		return constants.BudgetDefault
 	}
-	return time.Duration(n) * time.Millisecond
+	return time.Duration(ms) * time.Millisecond
 }
--- a/internal/proxy/states.go
+++ b/internal/proxy/states.go
@@ -6,7 +6,7 @@
 	"time"
 )
 
-// UpstreamState is one upstream for operators.
+// UpstreamState describes one upstream in the admin report.
 type UpstreamState struct {
 	Instance, Service, Zone string
 	Region                  string
@@ -14,35 +14,35 @@
 	Out, Idle, Conns, Fails int
 	DelayMs                 float64
 	Answers                 uint64
-	Busy                    float64 // how full it is thought to be, in parts of its slots, where it tells
+	Busy                    float64 // estimated load as a multiple of its slots; 0 if the upstream reports no load
 }
 
-// States lists all upstreams.
+// States returns the state of every upstream, ordered by service and instance.
 func (pool *Pool) States(now time.Time) []UpstreamState {
 	pool.mu.Lock()
 	defer pool.mu.Unlock()
 	var out []UpstreamState
 	means := map[string]float64{}
-	for s, os := range pool.byService {
-		means[s] = meanLoad(os, now)
+	for service, upstreams := range pool.byService {
+		means[service] = meanLoad(upstreams, now)
 	}
 	for _, u := range pool.upstreams {
-		st := "in"
+		state := "in"
 		switch {
 		case u.draining:
-			st = "draining"
+			state = "draining"
 		case now.Before(u.ejectedUntil):
-			st = "out"
+			state = "out"
 		case now.Before(u.warmupEnd):
-			st = "warming"
+			state = "warming"
 			if pool.coldBound(u.instance.Service).duration > 0 {
-				st = "cold"
+				state = "cold"
 			}
 		}
 		if pool.evacuated[u.instance.Zone] {
-			st = "evacuated"
+			state = "evacuated"
 		}
-		out = append(out, UpstreamState{u.instance.ID, u.instance.Service, u.instance.Zone, u.region, st, len(u.active), len(u.idle), u.conns, u.consecutiveFailures,
+		out = append(out, UpstreamState{u.instance.ID, u.instance.Service, u.instance.Zone, u.region, state, len(u.active), len(u.idle), u.conns, u.consecutiveFailures,
 			math.Round(u.delay*1e4) / 10, u.responses, 0})
 		if !u.loadReportedAt.IsZero() {
 			out[len(out)-1].Busy = math.Round(u.estimatedLoad(now, means[u.instance.Service])*100) / 100
@@ -54,15 +54,15 @@
 	return out
 }
 
-// poolCounters is what a pool has counted since its start.
+// poolCounters is a snapshot of a pool's counters since its start.
 type poolCounters struct {
 	newConns, ejected  uint64
 	cancelled          uint64
-	waited, noCapacity uint64    // requests that waited for room, and that found none
-	streamPlacements   [3]uint64 // streams by where they were placed, as Pool.Kept
+	waited, noCapacity uint64    // requests that waited for capacity, and that found none
+	streamPlacements   [3]uint64 // as Pool.StreamPlacements
 }
 
-// counters reads the pool's counters at one moment.
+// counters returns a consistent snapshot of the pool's counters.
 func (pool *Pool) counters() poolCounters {
 	pool.mu.Lock()
 	defer pool.mu.Unlock()
--- a/internal/proxy/zones.go
+++ b/internal/proxy/zones.go
@@ -6,35 +6,36 @@
 	"time"
 )
 
-// EvacuatedZones lists the zones under evacuation.
+// EvacuatedZones returns the zones under evacuation, sorted.
 func (pool *Pool) EvacuatedZones() []string {
 	pool.mu.Lock()
 	defer pool.mu.Unlock()
 	return slices.Sorted(maps.Keys(pool.evacuated))
 }
 
-// SetEvacuatedZones takes the zones under evacuation; true when they are others than
-// before. The upstreams of a zone taken back may have turned cold meanwhile.
+// SetEvacuatedZones replaces the set of zones under evacuation and reports whether it
+// changed. Upstreams in a zone that is no longer evacuated count as cold, since they may
+// have become so in the meantime.
 func (pool *Pool) SetEvacuatedZones(now time.Time, zones []string) bool {
 	pool.mu.Lock()
 	defer pool.mu.Unlock()
-	is := map[string]bool{}
-	for _, z := range zones {
-		is[z] = true
+	evacuated := map[string]bool{}
+	for _, zone := range zones {
+		evacuated[zone] = true
 	}
-	if maps.Equal(is, pool.evacuated) {
+	if maps.Equal(evacuated, pool.evacuated) {
 		return false
 	}
 	for _, u := range pool.upstreams {
-		z := u.instance.Zone
-		if is[z] {
+		zone := u.instance.Zone
+		if evacuated[zone] {
 			u.closeIdle()
-		} else if pool.evacuated[z] {
-			if cold := now.Add(pool.coldBound(u.instance.Service).duration); cold.After(u.warmupEnd) {
-				u.warmupEnd = cold
+		} else if pool.evacuated[zone] {
+			if end := now.Add(pool.coldBound(u.instance.Service).duration); end.After(u.warmupEnd) {
+				u.warmupEnd = end
 			}
 		}
 	}
-	pool.evacuated = is
+	pool.evacuated = evacuated
 	return true
 }
