--- a/internal/proxy/accounting_test.go
+++ b/internal/proxy/accounting_test.go
@@ -12,29 +12,29 @@
 	"slateridge/internal/accounts"
 )
 
-// Bounds of objectives: one that every answer keeps to, on a loaded machine too, and one
-// that none does.
+// Latency objectives: one that every response meets, even on a loaded machine, and one that no
+// delayed response meets.
 const (
-	easyBound       = "60s"
-	impossibleBound = "1ms"
+	easyLatency       = "60s"
+	impossibleLatency = "1ms"
 )
 
-// accounted is a proxy of one upstream whose tenants have an objective.
-func accounted(t *testing.T, bound string, answer func(c net.Conn, r *http.Request)) *Proxy {
+// newAccountingProxy returns a proxy with one upstream whose tenants have an objective.
+func newAccountingProxy(t *testing.T, latency string, respond func(c net.Conn, r *http.Request)) *Proxy {
 	t.Helper()
 	objectives, err := accounts.ParseObjectives([]byte(`{"version":1,"shards":1,"defaultClass":"all",
-		"classes":{"all":{"target":0.99,"latency":"` + bound + `","window":"720h"}}}`))
+		"classes":{"all":{"target":0.99,"latency":"` + latency + `","window":"720h"}}}`))
 	if err != nil {
 		t.Fatal(err)
 	}
-	instance, _ := source(t, answer)
+	instance, _ := source(t, respond)
 	s := newProxy(t, instance)
 	s.accounts = accounts.NewMeter("p", 1, objectives, nil, nil)
 	return s
 }
 
-// answers are what the stand-in upstream says, by the end of the path.
-var answers = map[string]func(c net.Conn, r *http.Request){
+// upstreamResponses holds the behaviours of the fake upstream by name.
+var upstreamResponses = map[string]func(c net.Conn, r *http.Request){
 	"fine":   func(c net.Conn, r *http.Request) { io.WriteString(c, ok(r, "hi")) },
 	"broken": func(c net.Conn, _ *http.Request) { c.Close() },
 	"wrong": func(c net.Conn, _ *http.Request) {
@@ -50,9 +50,9 @@
 	},
 }
 
-// TestOutcomesOfRequests sends one request of each kind, and finds it settled once as what
-// became of it.
-func TestOutcomesOfRequests(t *testing.T) {
+// TestRequestOutcomes checks that a request of each kind is settled exactly once and with the
+// right outcome.
+func TestRequestOutcomes(t *testing.T) {
 	cases := []struct {
 		method, path, upstream string
 		want                   accounts.Outcome
@@ -62,26 +62,27 @@
 		{"GET", "/safe/x", "broken", accounts.Lost},
 		{"GET", "/safe/x", "wrong", accounts.Refused},
 		{"POST", "/once/x", "fine", accounts.InAim},
-		{"POST", "/once/x", "broken", accounts.Unknown}, // it may have run
+		{"POST", "/once/x", "broken", accounts.Unknown}, // it may have been executed
 		{"GET", "/flow/x", "cut", accounts.Lost},
 	}
 	for _, c := range cases {
-		bound := easyBound
+		latency := easyLatency
 		if c.want == accounts.Late {
-			bound = impossibleBound
+			latency = impossibleLatency
 		}
-		s := accounted(t, bound, answers[c.upstream])
+		s := newAccountingProxy(t, latency, upstreamResponses[c.upstream])
 		get(s, c.method, c.path, "")
 		account := s.accounts.Of("ten")
 		if account.Taken != 1 || account.Open() != 0 || account.Settled[c.want] != 1 || account.Doubled != 0 {
-			t.Errorf("%s %s, upstream %s: %+v, should be one %v", c.method, c.path, c.upstream, account, c.want)
+			t.Errorf("%s %s, upstream %s: %+v, want one %v", c.method, c.path, c.upstream, account, c.want)
 		}
 	}
 }
 
-// TestOutcomesWithoutUpstream refuses a request over the quota, and has a client leave.
-func TestOutcomesWithoutUpstream(t *testing.T) {
-	s := accounted(t, easyBound, answers["fine"])
+// TestOutcomesWithoutResponse checks the outcomes of requests over the quota, of requests
+// without a tenant, and of a request whose client disconnects.
+func TestOutcomesWithoutResponse(t *testing.T) {
+	s := newAccountingProxy(t, easyLatency, upstreamResponses["fine"])
 	for range 3 {
 		get(s, "GET", "/safe/x", "", headerAPIKey, "k2")
 	}
@@ -89,40 +90,41 @@
 	if account.Taken != 3 || account.Settled[accounts.Refused] == 0 || account.Settled[accounts.Refused]+account.Settled[accounts.InAim] != 3 {
 		t.Errorf("over the quota: %+v", account)
 	}
-	get(s, "GET", "/safe/x", "", headerAPIKey, "no key of anyone")
+	get(s, "GET", "/safe/x", "", headerAPIKey, "unknown key")
 	get(s, "GET", "/open/x", "")
 	if account := s.accounts.Of("ten"); account.Taken != 0 {
-		t.Errorf("requests of no tenant: %+v", account)
+		t.Errorf("requests without a tenant: %+v", account)
 	}
-	s = accounted(t, easyBound, answers["late"])
-	left, leave := context.WithTimeout(context.Background(), 50*time.Millisecond)
-	defer leave()
-	request := httptest.NewRequestWithContext(left, "GET", "/safe/x", nil)
+	s = newAccountingProxy(t, easyLatency, upstreamResponses["late"])
+	ctx, cancel := context.WithTimeout(context.Background(), 50*time.Millisecond)
+	defer cancel()
+	request := httptest.NewRequestWithContext(ctx, "GET", "/safe/x", nil)
 	request.RequestURI, request.Host = "/safe/x", "h.example"
 	request.Header.Set(headerAPIKey, "k1")
 	s.ServeHTTP(httptest.NewRecorder(), request)
 	if account := s.accounts.Of("ten"); account.Taken != 1 || account.Settled[accounts.Unknown] != 1 {
-		t.Errorf("a client that left: %+v", account)
+		t.Errorf("disconnected client: %+v", account)
 	}
 }
 
-// TestDoubledBySecondAnswer counts a request that may run once as doubled when a second
-// upstream has answered as having run it, and one that may be repeated never.
-func TestDoubledBySecondAnswer(t *testing.T) {
-	s := accounted(t, easyBound, answers["fine"])
+// TestSecondExecutionIsCountedOnce checks that a non-idempotent request is counted as executed
+// twice, once only, as soon as a second upstream confirms its execution, and that an
+// idempotent request never is.
+func TestSecondExecutionIsCountedOnce(t *testing.T) {
+	s := newAccountingProxy(t, easyLatency, upstreamResponses["fine"])
 	for _, path := range []string{"/once/x", "/safe/x"} {
 		request := httptest.NewRequest("POST", path, nil)
 		request.RequestURI, request.Host = path, "h.example"
 		request.Header.Set(headerAPIKey, "k1")
 		route, _, _ := matchRequest(s.config.Load(), request)
 		p := &exchange{proxy: s, request: request, route: route, account: s.accounts.Begin("ten")}
-		ran := &result{sent: true, resp: &http.Response{StatusCode: http.StatusOK, Header: http.Header{headerSeal: {"s"}}}}
+		executed := &result{sent: true, resp: &http.Response{StatusCode: http.StatusOK, Header: http.Header{headerSeal: {"s"}}}}
 		for range 3 {
-			p.count(ran)
+			p.count(executed)
 		}
-		p.count(&result{sent: true, notRun: true, resp: ran.resp})
+		p.count(&result{sent: true, notRun: true, resp: executed.resp})
 	}
 	if account := s.accounts.Of("ten"); account.Taken != 2 || account.Doubled != 1 {
-		t.Errorf("%+v, should be one doubled", account)
+		t.Errorf("%+v, want one counted as executed twice", account)
 	}
 }
--- a/internal/proxy/contract_test.go
+++ b/internal/proxy/contract_test.go
@@ -15,8 +15,9 @@
 	"slateridge/internal/discovery"
 )
 
-// A proxy that knows no configuration yet has no verdict on any request.
-func TestNoVerdictWithoutAConfiguration(t *testing.T) {
+// A proxy without a configuration must not reject a request for good: it responds 503 with
+// Retry-After whatever the route and the key.
+func TestUnavailableWithoutConfiguration(t *testing.T) {
 	s := newProxy(t)
 	s.config.Store(nil)
 	for _, path := range []string{"/safe/", "/once/", "/none/"} {
@@ -26,8 +27,8 @@
 	}
 }
 
-// Readiness fails from the first moment of leaving.
-func TestReadinessFailsWithLeaving(t *testing.T) {
+// The readiness check fails as soon as shutdown begins.
+func TestReadinessFailsDuringShutdown(t *testing.T) {
 	d, _ := newTestDaemon(t)
 	d.ready.Store(true)
 	for _, want := range []int{http.StatusOK, http.StatusServiceUnavailable} {
@@ -40,14 +41,15 @@
 	}
 }
 
-// Each try is handed the time that is left, and the client is answered at the timeout.
-func TestTimeHandedOnIsWhatIsLeft(t *testing.T) {
+// Each attempt carries the remaining time in its time budget header, and the client gets a
+// response when the time is over.
+func TestAttemptsCarryRemainingTime(t *testing.T) {
 	t.Parallel()
 	for name, c := range map[string]struct {
 		budget string
-		held   time.Duration
-	}{"the client's time": {"1400", 1400 * time.Millisecond}, "the route's": {"9000", 2 * time.Second}} {
-		began := time.Now()
+		limit  time.Duration
+	}{"client time budget": {"1400", 1400 * time.Millisecond}, "route timeout": {"9000", 2 * time.Second}} {
+		start := time.Now()
 		u := newRawUpstream(t, func(n int, r *http.Request) (string, bool) {
 			if n == 1 {
 				time.Sleep(800 * time.Millisecond)
@@ -61,27 +63,27 @@
 			s.retryBudget.RecordRequest(s.now(), "svc")
 		}
 		w := get(s, "GET", "/safe/x", "", headerBudget, c.budget)
-		if took := time.Since(began); w.Code != http.StatusGatewayTimeout || took < c.held || took > c.held+machineSlack {
-			t.Errorf("%s: %d after %v", name, w.Code, took)
+		if took := time.Since(start); w.Code != http.StatusGatewayTimeout || took < c.limit || took > c.limit+machineSlack {
+			t.Errorf("%s: status %d after %v", name, w.Code, took)
 		}
 		u.mu.Lock()
 		for n, head := range u.heads {
 			left, err := strconv.Atoi(head.Get(headerBudget))
-			passed := time.Duration(n) * 200 * time.Millisecond // the second offer goes out then at the earliest
-			if err != nil || time.Duration(left)*time.Millisecond > c.held-passed {
-				t.Errorf("%s: try %d is handed %q", name, n+1, head.Get(headerBudget))
+			elapsed := time.Duration(n) * 200 * time.Millisecond // the second attempt is sent after this time at the earliest
+			if err != nil || time.Duration(left)*time.Millisecond > c.limit-elapsed {
+				t.Errorf("%s: attempt %d carries a time budget of %q", name, n+1, head.Get(headerBudget))
 			}
 		}
 		if len(u.heads) < 2 {
-			t.Errorf("%s: no second try", name)
+			t.Errorf("%s: no second attempt", name)
 		}
 		u.mu.Unlock()
 	}
 }
 
-// An upstream that answers before it has read a long body gets the whole body and then
-// the next request, nothing else.
-func TestEarlyAnswerIsFollowedByTheWholeBody(t *testing.T) {
+// An upstream that responds before it has read a long body must receive the complete body and
+// then the next request, and nothing else.
+func TestWholeBodyIsSentAfterEarlyResponse(t *testing.T) {
 	const length = 600000
 	bodies := make(chan error, 4)
 	listener := listenEach(t, func(c net.Conn) {
@@ -94,7 +96,7 @@
 			time.Sleep(100 * time.Millisecond)
 			b, err := io.ReadAll(r.Body)
 			if err == nil && string(b) != strings.Repeat("x", length) {
-				err = fmt.Errorf("%d bytes that differ", len(b))
+				err = fmt.Errorf("%d bytes that differ from the body sent", len(b))
 			}
 			bodies <- err
 		}
@@ -110,9 +112,9 @@
 	}
 }
 
-// A failure without a length that ends with its connection is passed on; one that is reset
-// on its way is not taken for whole.
-func TestResetFailureIsNotWhole(t *testing.T) {
+// An error response without a length that ends with its connection is relayed; one that ends
+// with a connection reset must not be treated as complete.
+func TestResetErrorResponseIsIncomplete(t *testing.T) {
 	for _, reset := range []bool{false, true} {
 		up, _ := source(t, func(c net.Conn, _ *http.Request) {
 			io.WriteString(c, "HTTP/1.1 500 Ill\r\nX-Slateridge-Attempt-Id: id-1\r\nX-Slateridge-Response-Seal: s\r\n\r\nthe cause")
@@ -123,24 +125,24 @@
 			c.Close()
 		})
 		w := get(newProxy(t, up), "POST", "/once/x", "x")
-		if whole := w.Code == 500 && w.Body.String() == "the cause"; whole == reset || reset && w.Code != http.StatusBadGateway {
+		if relayed := w.Code == 500 && w.Body.String() == "the cause"; relayed == reset || reset && w.Code != http.StatusBadGateway {
 			t.Errorf("reset %v: %d %q", reset, w.Code, w.Body)
 		}
 	}
 }
 
-// A request on a kept connection that went on to an upstream is answered on it, whatever
-// became of it there, and the connection serves the next.
-func TestKeptConnectionIsAnswered(t *testing.T) {
+// A request on a persistent client connection gets a response on that connection whatever
+// happens to it at the upstream, and the connection then serves the next request.
+func TestPersistentConnectionGetsEveryResponse(t *testing.T) {
 	u := newRawUpstream(t, func(n int, r *http.Request) (string, bool) {
 		return []string{"", "HTTP/1.1 200 OK\r\nContent-Le", ok(r, "x")}[n%3], n%3 < 2
 	})
-	_, front := newTestDaemon(t, u.instance("i-1"))
-	client := connectTo(t, front)
-	answers := bufio.NewReader(client)
+	_, frontAddress := newTestDaemon(t, u.instance("i-1"))
+	client := connectTo(t, frontAddress)
+	responses := bufio.NewReader(client)
 	for n := range 9 {
 		io.WriteString(client, clientRequest("POST", "/once/x", fmt.Sprint("a", n), 0))
-		resp, err := http.ReadResponse(answers, nil)
+		resp, err := http.ReadResponse(responses, nil)
 		if err != nil || resp.Close {
 			t.Fatalf("request %d: %v, closing %v", n+1, err, resp != nil && resp.Close)
 		}
--- a/internal/proxy/fuzz_test.go
+++ b/internal/proxy/fuzz_test.go
@@ -12,22 +12,23 @@
 	"time"
 )
 
-// spoken is a connection on which an upstream has said some bytes and then ended.
-type spoken struct {
-	net.Conn // nil: nothing else may be asked of it
+// recordedConn is a connection on which the upstream has sent some bytes and then closed.
+type recordedConn struct {
+	net.Conn // nil: calling any other method panics
 	r        io.Reader
 	closed   bool
 }
 
-func (c *spoken) Read(b []byte) (int, error)  { return c.r.Read(b) }
-func (c *spoken) Write(b []byte) (int, error) { return len(b), nil }
-func (c *spoken) Close() error                { c.closed = true; return nil }
-func (c *spoken) SetDeadline(time.Time) error { return nil }
+func (c *recordedConn) Read(b []byte) (int, error)  { return c.r.Read(b) }
+func (c *recordedConn) Write(b []byte) (int, error) { return len(b), nil }
+func (c *recordedConn) Close() error                { c.closed = true; return nil }
+func (c *recordedConn) SetDeadline(time.Time) error { return nil }
 
-// FuzzUpstreamAnswer has the proxy read any bytes as the answer to a request, on a
-// connection that has carried others: what it gives the client is a 2xx only when the
-// answer was this request's, sealed and whole; nothing else of it is shown without the
-// request's id; and a connection is kept only when nothing was left on it.
+// FuzzUpstreamAnswer makes the proxy read arbitrary bytes as the response to a request, on a
+// connection that has carried other requests. The client must receive a 2xx only if the
+// response belongs to this request, is sealed and is complete; no other content may be
+// relayed without the request's attempt ID; and the connection may be reused only if no
+// bytes are left on it.
 func FuzzUpstreamAnswer(f *testing.F) {
 	const id, seal = "X-Slateridge-Attempt-Id: id-1\r\n", "X-Slateridge-Response-Seal: s\r\n"
 	for _, s := range []string{
@@ -58,9 +59,9 @@
 		u.instance.ID, u.instance.Slots = "i-1", 2
 		s.pool.upstreams["i-1"] = u
 		s.pool.byService["svc"] = []*Upstream{u}
-		c := &spoken{r: bytes.NewReader(data)}
-		fl := newUpstreamConn(u, c)
-		fl.used = 1
+		c := &recordedConn{r: bytes.NewReader(data)}
+		conn := newUpstreamConn(u, c)
+		conn.used = 1
 		path := map[bool]string{true: "/flow/", false: "/once/"}[stream]
 		if method != "HEAD" && method != "GET" {
 			method = "POST"
@@ -70,18 +71,18 @@
 		r.Header.Set(headerAttemptID, "id-1")
 		cfg := s.config.Load()
 		p := &exchange{proxy: s, request: r, arrived: time.Now(), deadline: time.Now().Add(time.Minute), config: cfg, route: cfg.Match("h.example", path), service: "svc", homes: anyRegion}
-		of := s.pool.Place(p.target(), nil)
-		if of == nil {
-			t.Fatal("no room")
+		place := s.pool.Place(p.target(), nil)
+		if place == nil {
+			t.Fatal("no upstream with capacity")
 		}
-		p.cancelWith(fl)
-		res := p.read(of, fl, "id-1", time.Now())
+		p.cancelWith(conn)
+		res := p.read(place, conn, "id-1", time.Now())
 		p.count(res)
-		w, broken := httptest.NewRecorder(), false
+		w, aborted := httptest.NewRecorder(), false
 		func() {
 			defer func() {
 				if e := recover(); e == http.ErrAbortHandler {
-					broken = true
+					aborted = true
 				} else if e != nil {
 					panic(e)
 				}
@@ -89,20 +90,20 @@
 			s.reply(w, p, res, http.StatusServiceUnavailable)
 		}()
 		if w.Code < 200 || w.Code > 599 {
-			t.Fatalf("the client is told %d", w.Code)
+			t.Fatalf("the client received status %d", w.Code)
 		}
 		if w.Code == 429 || w.Code == 408 || w.Code == 421 || w.Code == 503 && !bytes.Contains(bytes.ToLower(data), []byte("id-1")) {
-			t.Fatalf("promised %d", w.Code)
+			t.Fatalf("the response promises that the request was not executed: %d", w.Code)
 		}
 		ours := w.Header().Get(headerAttemptID) == "id-1"
 		if (w.Code/100 == 2 || w.Body.Len() > 0) && !ours {
-			t.Fatalf("shown what is not the request's: %d %v %q", w.Code, w.Header(), w.Body)
+			t.Fatalf("relayed a response to another request: %d %v %q", w.Code, w.Header(), w.Body)
 		}
-		if w.Code/100 == 2 && !broken {
+		if w.Code/100 == 2 && !aborted {
 			if w.Header().Get(headerSeal) == "" {
-				t.Fatal("2xx without its seal")
+				t.Fatal("2xx without a seal")
 			}
-			// Read once more, plainly: the answer after the hints was whole.
+			// Parse the bytes again with net/http: the final response after any 1xx must be complete.
 			br := bufio.NewReader(bytes.NewReader(data))
 			for {
 				resp, err := http.ReadResponse(br, &http.Request{Method: method})
@@ -117,16 +118,16 @@
 					t.Fatalf("2xx with %q of %q, %v", w.Body, b, err)
 				}
 				if len(u.idle) > 0 && br.Buffered() > 0 {
-					t.Fatal("kept with bytes left on it")
+					t.Fatal("connection kept with bytes left on it")
 				}
 				break
 			}
 		}
 		if (len(u.idle) > 0) == c.closed || u.conns != len(u.idle) || len(u.active) > 0 {
-			t.Fatalf("%d idle, closed %v, %d reckoned as open, %d under way", len(u.idle), c.closed, u.conns, len(u.active))
+			t.Fatalf("%d idle, closed %v, %d counted as open, %d requests in flight", len(u.idle), c.closed, u.conns, len(u.active))
 		}
 		if len(u.idle) > 0 && strings.Contains(strings.ToLower(w.Header().Get("Connection")), "close") {
-			t.Fatal("kept though it closes")
+			t.Fatal("connection kept although the response closes it")
 		}
 	})
 }
--- a/internal/proxy/pool_test.go
+++ b/internal/proxy/pool_test.go
@@ -20,90 +20,90 @@
 	"slateridge/internal/discovery"
 )
 
-// The model test of the pool of upstream connections: callers at once ask through
-// one proxy, and stand-ins at the other end do to their connections whatever an
-// upstream, a machine or a network may do, by lot. The stand-ins keep what is true:
-// which try has run, how often, and what its answer was.
+// The randomized test of the upstream connection pool: concurrent callers send requests
+// through one proxy to fake upstreams that inject the faults of upstreams, machines and
+// networks at random. The fakes record the ground truth: which attempts were executed, how
+// often, and with what response.
 
-// truth is what became of the tries.
-type truth struct {
-	mu       sync.Mutex
-	runs     map[string]int // by try
-	arrivals map[string]int
-	struck   map[string]int      // by trouble
-	failures map[string][]string // by try: seal and status of sealed failures
+// groundTruth records what happened to each attempt at the upstreams.
+type groundTruth struct {
+	mu          sync.Mutex
+	runs        map[string]int // executions by attempt ID
+	arrivals    map[string]int
+	faultCounts map[string]int      // by fault
+	failures    map[string][]string // by attempt ID: seal and status of sealed failures
 }
 
-func (t *truth) ran(try string) {
+func (t *groundTruth) recordRun(attempt string) {
 	t.mu.Lock()
-	t.runs[try]++
+	t.runs[attempt]++
 	t.mu.Unlock()
 }
 
-func (t *truth) failed(try, seal string, status int) {
+func (t *groundTruth) recordFailure(attempt, seal string, status int) {
 	t.mu.Lock()
-	t.failures[try] = append(t.failures[try], fmt.Sprint(seal, " ", status))
+	t.failures[attempt] = append(t.failures[attempt], fmt.Sprint(seal, " ", status))
 	t.mu.Unlock()
 }
 
-// expectedBody is the one right answer to a try.
-func expectedBody(try string) string { return "for " + try + ", and nobody else" }
+// expectedBody returns the only correct response body for an attempt.
+func expectedBody(attempt string) string { return "for " + attempt + ", and nobody else" }
 
-// wayward is an upstream that gets into all kinds of trouble.
-type wayward struct {
-	t    *truth
-	seed uint64
-	l    net.Listener
-	mu   sync.Mutex
-	id   string // of its present life
+// faultyUpstream is a fake upstream that injects random faults.
+type faultyUpstream struct {
+	truth    *groundTruth
+	seed     uint64
+	listener net.Listener
+	mu       sync.Mutex
+	id       string // current instance ID
 }
 
-func (w *wayward) life() string {
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	return w.id
+func (u *faultyUpstream) instanceID() string {
+	u.mu.Lock()
+	defer u.mu.Unlock()
+	return u.id
 }
 
-func (w *wayward) begin(id string) {
-	w.mu.Lock()
-	w.id = id
-	w.mu.Unlock()
+func (u *faultyUpstream) setInstanceID(id string) {
+	u.mu.Lock()
+	u.id = id
+	u.mu.Unlock()
 }
 
-func (w *wayward) instance(service string) discovery.Instance {
-	return discovery.Instance{ID: w.life(), Service: service, Address: w.l.Addr().String(), Zone: "z", Slots: 4}
+func (u *faultyUpstream) instance(service string) discovery.Instance {
+	return discovery.Instance{ID: u.instanceID(), Service: service, Address: u.listener.Addr().String(), Zone: "z", Slots: 4}
 }
 
-// lots draws what happens to one arrival: the same for the same seed and name,
-// however the machine interleaves them.
-func lots(seed uint64, name string) *rand.Rand {
+// seededRand returns a generator that depends only on the seed and the name, so that the
+// fault injected into a request does not depend on scheduling.
+func seededRand(seed uint64, name string) *rand.Rand {
 	h := fnv.New64a()
 	h.Write([]byte(name))
 	return rand.New(rand.NewPCG(seed, h.Sum64()))
 }
 
-func newWayward(t *testing.T, tr *truth, seed uint64, id string) *wayward {
+func newFaultyUpstream(t *testing.T, truth *groundTruth, seed uint64, id string) *faultyUpstream {
 	l, err := net.Listen("tcp4", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
 	t.Cleanup(func() { l.Close() })
-	w := &wayward{t: tr, seed: seed, l: l, id: id}
+	u := &faultyUpstream{truth: truth, seed: seed, listener: l, id: id}
 	go func() {
 		for n := 0; ; n++ {
 			c, err := l.Accept()
 			if err != nil {
 				return
 			}
-			if lots(seed, fmt.Sprint(id, " conn ", n)).IntN(25) == 0 {
-				tr.struckBy("reset as it opens")
+			if seededRand(seed, fmt.Sprint(id, " conn ", n)).IntN(25) == 0 {
+				truth.recordFault("reset on accept")
 				closeWithReset(c)
 				continue
 			}
-			go w.serve(c)
+			go u.serve(c)
 		}
 	}()
-	return w
+	return u
 }
 
 func closeWithReset(c net.Conn) {
@@ -111,263 +111,264 @@
 	c.Close()
 }
 
-func (t *truth) struckBy(trouble string) {
+func (t *groundTruth) recordFault(fault string) {
 	t.mu.Lock()
-	t.struck[trouble]++
+	t.faultCounts[fault]++
 	t.mu.Unlock()
 }
 
-// troubles are what an arrival may meet; the first of them, none, is the likeliest.
-var troubles = []string{"none", "closes after", "resets after", "answers twice", "answers twice, later", "a late shed follows", "a late failure follows",
-	"a late success follows", "garbled", "no status", "cut in the head", "cut in the body", "no seal", "no length, cut", "foreign", "reset before it ran",
-	"reset after it ran", "reset in the write", "silent after half", "silent", "silent, and late", "shed", "shed without id", "fails", "fails, sealed", "sheds, sealed", "fails without id", "sheds and serves",
-	"asked to wait, then serves"}
+// faults are the faults that a request may be subject to. The first one, none, is the most likely.
+var faults = []string{"none", "closed after response", "reset after response", "duplicate response", "delayed duplicate response", "delayed rejection follows", "delayed failure follows",
+	"delayed success follows", "corrupted header", "invalid status", "truncated header", "truncated body", "missing seal", "no length, truncated", "response to another attempt", "reset before execution",
+	"reset after execution", "reset during upload", "stalled during upload", "no response", "delayed response", "rejected", "rejected without ID", "server error", "sealed failure", "sealed rejection", "server error without ID", "success marked not executed",
+	"informational responses first"}
 
-func formatResponse(status, try, more, body string) string {
+func formatResponse(status, attempt, more, body string) string {
 	id := ""
-	if try != "" {
-		id = "X-Slateridge-Attempt-Id: " + try + "\r\n"
+	if attempt != "" {
+		id = "X-Slateridge-Attempt-Id: " + attempt + "\r\n"
 	}
 	return fmt.Sprintf("HTTP/1.1 %s\r\n%s%sContent-Length: %d\r\n\r\n%s", status, id, more, len(body), body)
 }
 
-func (w *wayward) serve(c net.Conn) {
+func (u *faultyUpstream) serve(c net.Conn) {
 	defer c.Close()
-	var out sync.Mutex // late words are written beside others
-	say := func(s string) { out.Lock(); io.WriteString(c, s); out.Unlock() }
-	// A late word on an earlier try does not follow an answer that is cut: inside the
-	// length that the answer told, nobody could tell its bytes from the answer's own.
-	cut := func(s string) { out.Lock(); io.WriteString(c, s); c.Close(); out.Unlock() }
+	var writeMu sync.Mutex // delayed responses are written from timer goroutines
+	send := func(s string) { writeMu.Lock(); io.WriteString(c, s); writeMu.Unlock() }
+	// Nothing is written after a truncated response: within the announced length, the bytes of
+	// a delayed response to an earlier attempt could not be distinguished from the body.
+	sendAndClose := func(s string) { writeMu.Lock(); io.WriteString(c, s); c.Close(); writeMu.Unlock() }
 	br := bufio.NewReader(c)
-	var before string // the try that this connection served last
+	var previous string // the attempt that this connection served last
 	for {
 		r, err := http.ReadRequest(br)
 		if err != nil {
 			return
 		}
-		try := r.Header.Get(headerAttemptID)
-		w.t.mu.Lock()
-		w.t.arrivals[try]++
-		rng := lots(w.seed, fmt.Sprint(try, " ", w.t.arrivals[try]))
-		w.t.mu.Unlock()
-		trouble := troubles[0]
+		attempt := r.Header.Get(headerAttemptID)
+		u.truth.mu.Lock()
+		u.truth.arrivals[attempt]++
+		rng := seededRand(u.seed, fmt.Sprint(attempt, " ", u.truth.arrivals[attempt]))
+		u.truth.mu.Unlock()
+		fault := faults[0]
 		if rng.IntN(3) > 0 {
-			trouble = troubles[rng.IntN(len(troubles))]
+			fault = faults[rng.IntN(len(faults))]
 		}
-		if life := w.life(); r.Header.Get(headerExpectedInstance) != life {
-			// Its address went to another. It does not run this, whatever else.
+		if instance := u.instanceID(); r.Header.Get(headerExpectedInstance) != instance {
+			// Another instance has taken over the address. It never executes the request.
 			io.Copy(io.Discard, r.Body)
-			w.t.struckBy("another life")
-			id := try
+			u.truth.recordFault("wrong instance")
+			id := attempt
 			if rng.IntN(2) == 0 {
 				id = ""
 			}
-			say(formatResponse("421 Misdirected Request", id, "X-Slateridge-Instance-Id: "+life+"\r\n", ""))
+			send(formatResponse("421 Misdirected Request", id, "X-Slateridge-Instance-Id: "+instance+"\r\n", ""))
 			continue
 		}
-		w.t.struckBy(trouble)
-		seal := "X-Slateridge-Response-Seal: seal-" + try + "\r\n"
-		good := formatResponse("200 OK", try, seal, expectedBody(try))
+		u.truth.recordFault(fault)
+		seal := "X-Slateridge-Response-Seal: seal-" + attempt + "\r\n"
+		success := formatResponse("200 OK", attempt, seal, expectedBody(attempt))
 		if strings.HasPrefix(r.RequestURI, "/flow/") {
-			b := expectedBody(try)
-			good = fmt.Sprintf("HTTP/1.1 200 OK\r\nX-Slateridge-Attempt-Id: %s\r\n%sTransfer-Encoding: chunked\r\n\r\n5\r\n%s\r\n%x\r\n%s\r\n0\r\n\r\n",
-				try, seal, b[:5], len(b)-5, b[5:])
+			b := expectedBody(attempt)
+			success = fmt.Sprintf("HTTP/1.1 200 OK\r\nX-Slateridge-Attempt-Id: %s\r\n%sTransfer-Encoding: chunked\r\n\r\n5\r\n%s\r\n%x\r\n%s\r\n0\r\n\r\n",
+				attempt, seal, b[:5], len(b)-5, b[5:])
 		}
-		shed := "X-Slateridge-Not-Executed: 1\r\n"
+		notExecuted := "X-Slateridge-Not-Executed: 1\r\n"
 		later := func(s string) {
-			time.AfterFunc(time.Duration(rng.IntN(4000))*time.Microsecond, func() { say(s) })
+			time.AfterFunc(time.Duration(rng.IntN(4000))*time.Microsecond, func() { send(s) })
 		}
-		// What strikes before all of it has been read.
-		switch trouble {
-		case "reset in the write":
+		// Faults that occur before the whole body has been read.
+		switch fault {
+		case "reset during upload":
 			io.CopyN(io.Discard, r.Body, 1+rng.Int64N(50000))
 			closeWithReset(c)
 			return
-		case "silent after half":
+		case "stalled during upload":
 			io.CopyN(io.Discard, r.Body, 1+rng.Int64N(50000))
 			time.Sleep(400 * time.Millisecond)
 			return
 		}
 		if _, err := io.Copy(io.Discard, r.Body); err != nil {
-			return // never whole, never run
+			return // an incomplete request is never executed
 		}
-		switch trouble {
-		case "reset before it ran":
+		switch fault {
+		case "reset before execution":
 			closeWithReset(c)
 			return
-		case "shed":
-			say(formatResponse("503 Full", try, shed, ""))
+		case "rejected":
+			send(formatResponse("503 Full", attempt, notExecuted, ""))
 			continue
-		case "shed without id":
-			say(formatResponse("503 Full", "", shed, ""))
+		case "rejected without ID":
+			send(formatResponse("503 Full", "", notExecuted, ""))
 			continue
-		case "sheds, sealed":
+		case "sealed rejection":
 			status := []int{400, 408, 421, 429, 500, 503}[rng.IntN(6)]
-			w.t.failed(try, "seal-"+try, status)
-			say(formatResponse(fmt.Sprint(status, " Shed"), try, seal+shed, ""))
+			u.truth.recordFailure(attempt, "seal-"+attempt, status)
+			send(formatResponse(fmt.Sprint(status, " Shed"), attempt, seal+notExecuted, ""))
 			continue
-		case "silent":
+		case "no response":
 			time.Sleep(400 * time.Millisecond)
 			return
 		}
-		w.t.ran(try)
-		switch trouble {
+		u.truth.recordRun(attempt)
+		switch fault {
 		case "none":
 			time.Sleep(time.Duration(rng.IntN(2000)) * time.Microsecond)
-			say(good)
-		case "closes after":
-			say(good)
+			send(success)
+		case "closed after response":
+			send(success)
 			time.Sleep(time.Duration(rng.IntN(2000)) * time.Microsecond)
 			return
-		case "resets after":
-			say(good)
+		case "reset after response":
+			send(success)
 			time.Sleep(time.Duration(rng.IntN(2000)) * time.Microsecond)
 			closeWithReset(c)
 			return
-		case "answers twice":
-			say(good + good)
-		case "answers twice, later":
-			say(good)
-			later(good)
-		case "a late shed follows":
-			say(good)
-			later(formatResponse("503 Full", "", shed, ""))
-		case "a late failure follows":
-			say(good)
-			later(formatResponse("404 Not Found", "", "", expectedBody(try)))
-		case "a late success follows":
-			say(good)
-			later(formatResponse("200 OK", "", seal, expectedBody(try)))
-		case "garbled":
-			b := []byte(good)
+		case "duplicate response":
+			send(success + success)
+		case "delayed duplicate response":
+			send(success)
+			later(success)
+		case "delayed rejection follows":
+			send(success)
+			later(formatResponse("503 Full", "", notExecuted, ""))
+		case "delayed failure follows":
+			send(success)
+			later(formatResponse("404 Not Found", "", "", expectedBody(attempt)))
+		case "delayed success follows":
+			send(success)
+			later(formatResponse("200 OK", "", seal, expectedBody(attempt)))
+		case "corrupted header":
+			b := []byte(success)
 			for range 1 + rng.IntN(8) {
-				b[rng.IntN(strings.Index(good, "X-Slateridge"))] = byte(rng.IntN(256))
+				b[rng.IntN(strings.Index(success, "X-Slateridge"))] = byte(rng.IntN(256))
 			}
 			if status, err := strconv.Atoi(string(b[9:12])); err == nil {
-				w.t.failed(try, "seal-"+try, status) // it may have become another status
+				u.truth.recordFailure(attempt, "seal-"+attempt, status) // the corruption may have changed the status
 			}
-			say(string(b))
+			send(string(b))
 			return
-		case "no status":
-			say(strings.Replace(good, "200", []string{"099", "101", "600", "000"}[rng.IntN(4)], 1))
+		case "invalid status":
+			send(strings.Replace(success, "200", []string{"099", "101", "600", "000"}[rng.IntN(4)], 1))
 			return
-		case "cut in the head":
-			cut(good[:rng.IntN(strings.Index(good, "\r\n\r\n"))])
+		case "truncated header":
+			sendAndClose(success[:rng.IntN(strings.Index(success, "\r\n\r\n"))])
 			return
-		case "cut in the body":
-			head := strings.Index(good, "\r\n\r\n") + 4
-			cut(good[:head+rng.IntN(len(good)-head)])
+		case "truncated body":
+			head := strings.Index(success, "\r\n\r\n") + 4
+			sendAndClose(success[:head+rng.IntN(len(success)-head)])
 			return
-		case "no seal":
-			say(strings.Replace(good, seal, "", 1))
-		case "no length, cut":
-			cut("HTTP/1.1 200 OK\r\nX-Slateridge-Attempt-Id: " + try + "\r\n" + seal + "\r\n" + expectedBody(try)[:rng.IntN(len(expectedBody(try)))])
+		case "missing seal":
+			send(strings.Replace(success, seal, "", 1))
+		case "no length, truncated":
+			sendAndClose("HTTP/1.1 200 OK\r\nX-Slateridge-Attempt-Id: " + attempt + "\r\n" + seal + "\r\n" + expectedBody(attempt)[:rng.IntN(len(expectedBody(attempt)))])
 			return
-		case "foreign":
-			if before == "" {
-				before = "x-" + try
+		case "response to another attempt":
+			if previous == "" {
+				previous = "x-" + attempt
 			}
-			say(formatResponse("200 OK", before, "X-Slateridge-Response-Seal: seal-"+before+"\r\n", expectedBody(before)))
-		case "reset after it ran":
+			send(formatResponse("200 OK", previous, "X-Slateridge-Response-Seal: seal-"+previous+"\r\n", expectedBody(previous)))
+		case "reset after execution":
 			closeWithReset(c)
 			return
-		case "silent, and late":
+		case "delayed response":
 			time.Sleep(time.Duration(100+rng.IntN(300)) * time.Millisecond)
-			say(good)
-		case "fails":
-			say(formatResponse("500 Oops", try, "", expectedBody(try)))
-		case "fails, sealed":
+			send(success)
+		case "server error":
+			send(formatResponse("500 Oops", attempt, "", expectedBody(attempt)))
+		case "sealed failure":
 			status := []int{304, 400, 403, 404, 408, 422, 429, 500, 502, 503, 504, 511}[rng.IntN(12)]
-			w.t.failed(try, "seal-"+try, status)
-			say(formatResponse(fmt.Sprint(status, " Oops"), try, seal, ""))
-		case "fails without id":
-			say(formatResponse("500 Oops", "", "", expectedBody(try)))
-		case "sheds and serves":
-			say(strings.Replace(good, seal, seal+shed, 1))
-		case "asked to wait, then serves":
-			say("HTTP/1.1 100 Continue\r\n\r\nHTTP/1.1 103 Early Hints\r\n\r\n" + good)
+			u.truth.recordFailure(attempt, "seal-"+attempt, status)
+			send(formatResponse(fmt.Sprint(status, " Oops"), attempt, seal, ""))
+		case "server error without ID":
+			send(formatResponse("500 Oops", "", "", expectedBody(attempt)))
+		case "success marked not executed":
+			send(strings.Replace(success, seal, seal+notExecuted, 1))
+		case "informational responses first":
+			send("HTTP/1.1 100 Continue\r\n\r\nHTTP/1.1 103 Early Hints\r\n\r\n" + success)
 		default:
-			panic("no such trouble: " + trouble)
+			panic("unknown fault: " + fault)
 		}
-		before = try
+		previous = attempt
 	}
 }
 
-// said is what a caller was told.
-type said struct {
-	path, try string
-	code      int
-	body      string
-	head      http.Header
-	broken    bool // broken off, visibly
-	left      bool // the caller had gone
+// callResult is what a caller received.
+type callResult struct {
+	path, attempt string
+	code          int
+	body          string
+	header        http.Header
+	aborted       bool // the response was visibly cut off
+	clientLeft    bool // the caller disconnected
 }
 
-func call(s *Proxy, path, try string, body int, budget int, stay time.Duration) (a said) {
-	ctx, cancel := context.WithTimeout(context.Background(), stay)
+func call(s *Proxy, path, attempt string, body int, budget int, clientTimeout time.Duration) (result callResult) {
+	ctx, cancel := context.WithTimeout(context.Background(), clientTimeout)
 	defer cancel()
 	r := httptest.NewRequestWithContext(ctx, "POST", path, strings.NewReader(strings.Repeat("x", body)))
 	r.Host, r.RequestURI = "h.example", path
-	r.Header.Set(headerAttemptID, try)
+	r.Header.Set(headerAttemptID, attempt)
 	r.Header.Set(headerBudget, fmt.Sprint(budget))
 	r.Header.Set(headerAPIKey, "k1")
 	w := httptest.NewRecorder()
 	func() {
 		defer func() {
 			if e := recover(); e == http.ErrAbortHandler {
-				a.broken = true
+				result.aborted = true
 			} else if e != nil {
 				panic(e)
 			}
 		}()
 		s.ServeHTTP(w, r)
 	}()
-	a.path, a.try, a.code, a.body, a.head, a.left = path, try, w.Code, w.Body.String(), w.Result().Header, ctx.Err() != nil
-	return a
+	result.path, result.attempt, result.code, result.body, result.header, result.clientLeft = path, attempt, w.Code, w.Body.String(), w.Result().Header, ctx.Err() != nil
+	return result
 }
 
-// Whatever upstreams and connections do: what may not be repeated runs at most once,
-// no answer reaches another's caller, a promise that a request has not run and never
-// will is true, a 2xx is whole and bears its seal, a failure with an upstream's seal has
-// the status which that upstream gave, and no connection is lost count of.
-func TestPoolAmongTroubles(t *testing.T) {
+// Under all injected faults: a non-idempotent request is executed at most once, no response
+// reaches the caller of another request, a status that promises that a request was not and
+// will not be executed is true, a 2xx response is complete and carries its seal, a failure
+// with an upstream's seal has the status that this upstream returned, and the connection
+// count stays correct.
+func TestPoolUnderFaults(t *testing.T) {
 	const seeds, callers, calls = 8, 10, 40
-	tr := &truth{runs: map[string]int{}, arrivals: map[string]int{}, struck: map[string]int{}, failures: map[string][]string{}}
+	truth := &groundTruth{runs: map[string]int{}, arrivals: map[string]int{}, faultCounts: map[string]int{}, failures: map[string][]string{}}
 	var mu sync.Mutex
-	var all []said
+	var all []callResult
 	t.Run("seeds", func(t *testing.T) {
 		for seed := uint64(1); seed <= seeds; seed++ {
 			t.Run(fmt.Sprint(seed), func(t *testing.T) {
 				t.Parallel()
-				var ups []*wayward
-				list := func() (is []discovery.Instance) {
-					for i, u := range ups {
-						is = append(is, u.instance([]string{"svc", "svc", "svc", "other"}[i]))
+				var upstreams []*faultyUpstream
+				list := func() (instances []discovery.Instance) {
+					for i, u := range upstreams {
+						instances = append(instances, u.instance([]string{"svc", "svc", "svc", "other"}[i]))
 					}
-					return is
+					return instances
 				}
 				for i := range 4 {
-					ups = append(ups, newWayward(t, tr, seed, fmt.Sprintf("%d-%d-1", seed, i)))
+					upstreams = append(upstreams, newFaultyUpstream(t, truth, seed, fmt.Sprintf("%d-%d-1", seed, i)))
 				}
 				s := newProxy(t, list()...)
 				for range 2000 {
 					s.retryBudget.RecordRequest(s.now(), "svc")
 				}
-				over := make(chan bool)
-				var lives sync.WaitGroup
-				lives.Go(func() { // lives end, and addresses go to others, before the list tells
-					rng := lots(seed, "lives")
+				callsDone := make(chan bool)
+				var churn sync.WaitGroup
+				churn.Go(func() { // instances are replaced and exchange addresses before the instance list is updated
+					rng := seededRand(seed, "lives")
 					for n := 2; ; n++ {
 						select {
-						case <-over:
+						case <-callsDone:
 							return
 						case <-time.After(time.Duration(20+rng.IntN(30)) * time.Millisecond):
 						}
 						i := rng.IntN(4)
-						ups[i].begin(fmt.Sprintf("%d-%d-%d", seed, i, n))
+						upstreams[i].setInstanceID(fmt.Sprintf("%d-%d-%d", seed, i, n))
 						time.Sleep(time.Duration(rng.IntN(15)) * time.Millisecond)
 						if j := rng.IntN(4); rng.IntN(3) == 0 {
-							ups[i], ups[j] = ups[j], ups[i] // another service has the address
+							upstreams[i], upstreams[j] = upstreams[j], upstreams[i] // another service takes over the address
 						}
 						s.pool.Apply(time.Now(), list())
 						s.pool.Retire(time.Now())
@@ -376,25 +377,25 @@
 				var wg sync.WaitGroup
 				for c := range callers {
 					wg.Go(func() {
-						rng := lots(seed, fmt.Sprint("caller ", c))
+						rng := seededRand(seed, fmt.Sprint("caller ", c))
 						for n := range calls {
 							path := []string{"/once/x", "/once/y", "/safe/x", "/flow/x"}[rng.IntN(4)]
 							body := []int{0, 10, 3000, 100000}[rng.IntN(4)]
-							stay := time.Hour
+							clientTimeout := time.Hour
 							if rng.IntN(10) == 0 {
-								stay = time.Duration(1+rng.IntN(60)) * time.Millisecond
+								clientTimeout = time.Duration(1+rng.IntN(60)) * time.Millisecond
 							}
-							a := call(s, path, fmt.Sprintf("t-%d-%d-%d", seed, c, n), body, 40+rng.IntN(120), stay)
+							result := call(s, path, fmt.Sprintf("t-%d-%d-%d", seed, c, n), body, 40+rng.IntN(120), clientTimeout)
 							mu.Lock()
-							all = append(all, a)
+							all = append(all, result)
 							mu.Unlock()
 						}
 					})
 				}
 				wg.Wait()
-				close(over)
-				lives.Wait()
-				for s.pool.Outstanding("svc") > 0 { // hedged ones that nobody waits for any more
+				close(callsDone)
+				churn.Wait()
+				for s.pool.Outstanding("svc") > 0 { // hedged attempts may still be in flight
 					time.Sleep(5 * time.Millisecond)
 				}
 				deadline := time.Now().Add(time.Second)
@@ -404,7 +405,7 @@
 						break
 					}
 					if time.Now().After(deadline) {
-						t.Errorf("seed %d: %d connections reckoned as open, %d at rest", seed, open, idle)
+						t.Errorf("seed %d: %d connections counted as open, %d idle", seed, open, idle)
 						break
 					}
 					time.Sleep(5 * time.Millisecond)
@@ -412,50 +413,50 @@
 			})
 		}
 	})
-	time.Sleep(500 * time.Millisecond) // whatever still runs has run
-	tr.mu.Lock()
-	defer tr.mu.Unlock()
+	time.Sleep(500 * time.Millisecond) // let upstreams finish the attempts in flight
+	truth.mu.Lock()
+	defer truth.mu.Unlock()
 	codes, sealed := map[int]int{}, map[int]int{}
-	for _, a := range all {
-		runs := tr.runs[a.try]
-		codes[a.code]++
-		if !strings.HasPrefix(a.path, "/safe/") && runs > 1 {
-			t.Errorf("%s %s ran %d times", a.path, a.try, runs)
+	for _, result := range all {
+		runs := truth.runs[result.attempt]
+		codes[result.code]++
+		if !strings.HasPrefix(result.path, "/safe/") && runs > 1 {
+			t.Errorf("%s %s was executed %d times", result.path, result.attempt, runs)
 		}
-		if most := map[string]int{"/safe": 2, "/once": 3, "/flow": 3}[a.path[:5]]; tr.arrivals[a.try] > most {
-			t.Errorf("%s %s was sent to %d upstreams, %d at most", a.path, a.try, tr.arrivals[a.try], most)
+		if most := map[string]int{"/safe": 2, "/once": 3, "/flow": 3}[result.path[:5]]; truth.arrivals[result.attempt] > most {
+			t.Errorf("%s %s was sent to %d upstreams, want at most %d", result.path, result.attempt, truth.arrivals[result.attempt], most)
 		}
-		if !strings.HasPrefix(expectedBody(a.try), a.body) || a.head.Get(headerAttemptID) != a.try && a.head.Get(headerAttemptID) != "" {
-			t.Errorf("%s %s got another's answer: %d %v %q", a.path, a.try, a.code, a.head, a.body)
+		if !strings.HasPrefix(expectedBody(result.attempt), result.body) || result.header.Get(headerAttemptID) != result.attempt && result.header.Get(headerAttemptID) != "" {
+			t.Errorf("%s %s received the response to another attempt: %d %v %q", result.path, result.attempt, result.code, result.header, result.body)
 		}
-		if seal := a.head.Get(headerSeal); seal != "" && a.code/100 != 2 {
-			sealed[a.code]++
-			if !slices.Contains(tr.failures[a.try], fmt.Sprint(seal, " ", a.code)) {
-				t.Errorf("%s %s was told %d with seal %q; its upstreams failed with %v", a.path, a.try, a.code, seal, tr.failures[a.try])
+		if seal := result.header.Get(headerSeal); seal != "" && result.code/100 != 2 {
+			sealed[result.code]++
+			if !slices.Contains(truth.failures[result.attempt], fmt.Sprint(seal, " ", result.code)) {
+				t.Errorf("%s %s received %d with seal %q; its upstreams failed with %v", result.path, result.attempt, result.code, seal, truth.failures[result.attempt])
 			}
 		}
 		switch {
-		case a.left:
-		case a.code == 429 || a.code == 503 || a.code == 408 || a.code == 421:
+		case result.clientLeft:
+		case result.code == 429 || result.code == 503 || result.code == 408 || result.code == 421:
 			if runs > 0 {
-				t.Errorf("%s %s was told %d and ran %d times", a.path, a.try, a.code, runs)
+				t.Errorf("%s %s received %d but was executed %d times", result.path, result.attempt, result.code, runs)
 			}
-		case a.code/100 == 2 && !a.broken:
-			if runs == 0 || a.body != expectedBody(a.try) || a.head.Get(headerSeal) != "seal-"+a.try {
-				t.Errorf("%s %s was told %d after %d runs: %v %q", a.path, a.try, a.code, runs, a.head, a.body)
+		case result.code/100 == 2 && !result.aborted:
+			if runs == 0 || result.body != expectedBody(result.attempt) || result.header.Get(headerSeal) != "seal-"+result.attempt {
+				t.Errorf("%s %s received %d after %d executions: %v %q", result.path, result.attempt, result.code, runs, result.header, result.body)
 			}
 		}
 	}
-	for _, x := range append(troubles, "reset as it opens", "another life") {
-		if tr.struck[x] == 0 {
-			t.Errorf("trouble %q never struck", x)
+	for _, fault := range append(faults, "reset on accept", "wrong instance") {
+		if truth.faultCounts[fault] == 0 {
+			t.Errorf("fault %q never occurred", fault)
 		}
 	}
 	if codes[200] < len(all)/4 || codes[502] == 0 || codes[503] == 0 || codes[504] == 0 {
-		t.Errorf("of %d calls: %v; too little of something to mean anything", len(all), codes)
+		t.Errorf("of %d calls: %v; too few of some status for a meaningful test", len(all), codes)
 	}
 	if len(sealed) < 4 {
-		t.Errorf("sealed failures that reached callers: %v; too few to mean anything", sealed)
+		t.Errorf("sealed failures that reached callers: %v; too few for a meaningful test", sealed)
 	}
-	t.Logf("%d calls: %v; sealed failures %v; troubles %v", len(all), codes, sealed, tr.struck)
+	t.Logf("%d calls: %v; sealed failures %v; faults %v", len(all), codes, sealed, truth.faultCounts)
 }
--- a/internal/proxy/unbroken_test.go
+++ b/internal/proxy/unbroken_test.go
@@ -21,8 +21,9 @@
 	"slateridge/internal/settings"
 )
 
-// newTestDaemon is a proxy whose settings lie in a file, with a frontend of its own.
-func newTestDaemon(t *testing.T, ups ...discovery.Instance) (d *Daemon, front string) {
+// newTestDaemon returns a proxy daemon that reads its settings from a file, and the address of
+// its frontend.
+func newTestDaemon(t *testing.T, instances ...discovery.Instance) (d *Daemon, frontAddress string) {
 	path := filepath.Join(t.TempDir(), "boot.json")
 	raw, _ := json.Marshal(map[string]any{
 		"nodeName": "machine-1", "ipAddress": "127.0.0.61", "zone": "z",
@@ -45,19 +46,19 @@
 	}
 	d.frontend = newFrontend(l, d.Proxy, func() config.Limits { return d.config.Load().Limits }, time.Second)
 	t.Cleanup(d.frontend.close)
-	d.applyConfig(fmt.Sprintf(testConfig, 1), 1, ups)
+	d.applyConfig(fmt.Sprintf(testConfig, 1), 1, instances)
 	go d.frontend.serve()
 	return d, l.Addr().String()
 }
 
-// applyConfig puts a configuration and a list in force as control's news does.
-func (d *Daemon) applyConfig(cfg string, version uint64, ups []discovery.Instance) {
-	d.apply(distribution.Changes{Config: &config.Doc{Raw: []byte(cfg), Version: version}, List: &discovery.List{Instances: ups}, Proxies: 1})
+// applyConfig applies a configuration and an instance list as an update from the control plane does.
+func (d *Daemon) applyConfig(cfg string, version uint64, instances []discovery.Instance) {
+	d.apply(distribution.Changes{Config: &config.Doc{Raw: []byte(cfg), Version: version}, List: &discovery.List{Instances: instances}, Proxies: 1})
 }
 
-// sendRequest sends a request over a connection of its own and gives the whole answer.
-func sendRequest(front, method, path string) (status int, body string, err error) {
-	r, err := http.NewRequest(method, "http://"+front+path, nil)
+// sendRequest sends a request over a new connection and returns the complete response.
+func sendRequest(frontAddress, method, path string) (status int, body string, err error) {
+	r, err := http.NewRequest(method, "http://"+frontAddress+path, nil)
 	if err != nil {
 		return 0, "", err
 	}
@@ -71,79 +72,79 @@
 		return 0, "", err
 	}
 	defer resp.Body.Close()
-	whole, err := io.ReadAll(resp.Body)
-	return resp.StatusCode, string(whole), err
+	b, err := io.ReadAll(resp.Body)
+	return resp.StatusCode, string(b), err
 }
 
-// Requests under way end whole though the settings are read again, and configurations
-// come that change the clients' bounds, the time-outs and the list of upstreams.
-func TestChangesCutNothingUnderWay(t *testing.T) {
-	begun, release := make(chan struct{}, 8), make(chan struct{})
+// Requests in flight must complete although the settings are reloaded and new configurations
+// change the client limits, the timeouts and the list of upstreams.
+func TestChangesDoNotInterruptRequestsInFlight(t *testing.T) {
+	started, release := make(chan struct{}, 8), make(chan struct{})
 	u := newRawUpstream(t, func(_ int, r *http.Request) (string, bool) {
-		begun <- struct{}{}
+		started <- struct{}{}
 		<-release
-		return ok(r, strings.Repeat("x", 300000)), false // longer than what is held
+		return ok(r, strings.Repeat("x", 300000)), false // longer than the response buffer
 	})
-	others := newRawUpstream(t, func(_ int, r *http.Request) (string, bool) { return ok(r, "other"), false })
-	d, front := newTestDaemon(t, u.instance("i-1"))
-	type answer struct {
+	replacement := newRawUpstream(t, func(_ int, r *http.Request) (string, bool) { return ok(r, "other"), false })
+	d, frontAddress := newTestDaemon(t, u.instance("i-1"))
+	type response struct {
 		status int
 		length int
 		err    error
 	}
-	answers := make(chan answer, 2)
+	responses := make(chan response, 2)
 	for range 2 {
 		go func() {
-			status, body, err := sendRequest(front, "POST", "/once/")
-			answers <- answer{status, len(body), err}
+			status, body, err := sendRequest(frontAddress, "POST", "/once/")
+			responses <- response{status, len(body), err}
 		}()
-		<-begun
+		<-started
 	}
 	d.Reload()
 	draining := u.instance("i-1")
 	draining.Draining = true
 	changed := strings.NewReplacer(`"idleTimeout":"15000ms"`, `"idleTimeout":"900ms"`, `"headerTimeout":"3000ms"`, `"headerTimeout":"1000ms"`, `"timeout":"2s"`, `"timeout":"1s"`).Replace(testConfig)
-	d.applyConfig(fmt.Sprintf(changed, 2), 2, []discovery.Instance{draining, others.instance("i-2")})
-	if status, body, err := sendRequest(front, "POST", "/once/"); status != http.StatusOK || body != "other" || err != nil {
-		t.Errorf("a new request after the changes: %d %q %v", status, body, err)
+	d.applyConfig(fmt.Sprintf(changed, 2), 2, []discovery.Instance{draining, replacement.instance("i-2")})
+	if status, body, err := sendRequest(frontAddress, "POST", "/once/"); status != http.StatusOK || body != "other" || err != nil {
+		t.Errorf("new request after the changes: %d %q %v", status, body, err)
 	}
-	d.applyConfig(fmt.Sprintf(testConfig, 3), 3, []discovery.Instance{others.instance("i-2")})
+	d.applyConfig(fmt.Sprintf(testConfig, 3), 3, []discovery.Instance{replacement.instance("i-2")})
 	d.Reload()
 	d.frontend.closeIdle(time.Now().Add(time.Hour))
 	close(release)
 	for range 2 {
-		if a := <-answers; a.status != http.StatusOK || a.length != 300000 || a.err != nil {
-			t.Errorf("a request under way: %+v", a)
+		if r := <-responses; r.status != http.StatusOK || r.length != 300000 || r.err != nil {
+			t.Errorf("request in flight: %+v", r)
 		}
 	}
 }
 
-// An upstream that falls silent before or inside its answer is waited for as long as the
-// request has time.
-func TestSilentUpstreamIsWaitedFor(t *testing.T) {
-	for name, size := range map[string]int{"short": 4000, "longer than what is held": 600000} {
+// An upstream that stalls before or during its response is waited for until the request's
+// deadline.
+func TestStalledUpstreamIsAwaited(t *testing.T) {
+	for name, size := range map[string]int{"short": 4000, "longer than the response buffer": 600000} {
 		for _, before := range []int{0, 200, size / 2} {
 			t.Run(fmt.Sprint(name, " after ", before), func(t *testing.T) {
 				l := upstream(t, func(c net.Conn, r *http.Request, _ string) bool {
-					whole := ok(r, strings.Repeat("x", size))
-					io.WriteString(c, whole[:before])
+					response := ok(r, strings.Repeat("x", size))
+					io.WriteString(c, response[:before])
 					time.Sleep(1200 * time.Millisecond)
-					io.WriteString(c, whole[before:])
+					io.WriteString(c, response[before:])
 					return true
 				})
-				_, front := newTestDaemon(t, discovery.Instance{ID: "i-1", Service: "svc", Address: l.Addr().String(), Zone: "z", Slots: 2})
-				if status, body, err := sendRequest(front, "POST", "/once/"); status != http.StatusOK || len(body) != size || err != nil {
-					t.Errorf("%d, %d bytes of %d, %v", status, len(body), size, err)
+				_, frontAddress := newTestDaemon(t, discovery.Instance{ID: "i-1", Service: "svc", Address: l.Addr().String(), Zone: "z", Slots: 2})
+				if status, body, err := sendRequest(frontAddress, "POST", "/once/"); status != http.StatusOK || len(body) != size || err != nil {
+					t.Errorf("status %d, %d of %d body bytes, error %v", status, len(body), size, err)
 				}
 			})
 		}
 	}
 }
 
-// Routes that later configurations add are served as the first ones are.
+// Routes that a later configuration adds are served like those of the first one.
 func TestRoutesAddedLaterAreServed(t *testing.T) {
 	u := newRawUpstream(t, func(_ int, r *http.Request) (string, bool) { return ok(r, "x"), false })
-	d, front := newTestDaemon(t, u.instance("i-1"))
+	d, frontAddress := newTestDaemon(t, u.instance("i-1"))
 	const added = `{"resourceKind":"routes","metadata":{"name":"added-%d"},"spec":{"host":"h.example","pathPrefix":"/added-%d/","routeType":"non_idempotent","timeout":"2s","targetLatency":"400ms","priority":1,"targetService":"svc","maxAttempts":3}},
 {"resourceKind":"services"`
 	config := testConfig
@@ -152,13 +153,13 @@
 		d.applyConfig(fmt.Sprintf(config, version), version, []discovery.Instance{u.instance("i-1")})
 		for v := uint64(2); v <= version; v++ {
 			for range 5 {
-				if status, _, err := sendRequest(front, "POST", fmt.Sprintf("/added-%d/x", v)); status != http.StatusOK || err != nil {
+				if status, _, err := sendRequest(frontAddress, "POST", fmt.Sprintf("/added-%d/x", v)); status != http.StatusOK || err != nil {
 					t.Fatalf("version %d, route of version %d: %d %v", version, v, status, err)
 				}
 			}
 		}
-		if status, _, err := sendRequest(front, "POST", "/once/"); status != http.StatusOK || err != nil {
-			t.Errorf("version %d, a first route: %d %v", version, status, err)
+		if status, _, err := sendRequest(frontAddress, "POST", "/once/"); status != http.StatusOK || err != nil {
+			t.Errorf("version %d, route of the first version: %d %v", version, status, err)
 		}
 	}
 }
