--- a/internal/proxy/cold.go
+++ b/internal/proxy/cold.go
@@ -15,19 +15,19 @@
 }
 
 // NewColdBound returns the bound for upstreams that sustain perSecond requests per second
-// while they are cold and fail beyond most requests in any second.
+// while they are cold and fail beyond limit requests in any second.
 //
 // Each proxy decides by a hash whether it sends to a cold upstream, so the number of senders
 // has a Poisson distribution, and each sends one request every ColdEvery. The mean is set to
 // use the rate that the upstream sustains, and is reduced where the probability that the
-// senders exceed most would be above ColdRisk.
-func NewColdBound(duration time.Duration, perSecond, most float64) ColdBound {
+// senders exceed limit would be above ColdRisk.
+func NewColdBound(duration time.Duration, perSecond, limit float64) ColdBound {
 	low, high := 0.0, perSecond*constants.ColdEvery.Seconds()
-	if poissonTail(high, most) <= constants.ColdRisk {
+	if poissonTail(high, limit) <= constants.ColdRisk {
 		return ColdBound{duration, high}
 	}
 	for high-low > 0.01 {
-		if middle := (low + high) / 2; poissonTail(middle, most) <= constants.ColdRisk {
+		if middle := (low + high) / 2; poissonTail(middle, limit) <= constants.ColdRisk {
 			low = middle
 		} else {
 			high = middle
@@ -36,11 +36,11 @@
 	return ColdBound{duration, low}
 }
 
-// poissonTail returns the probability that a Poisson distributed variable exceeds most.
-func poissonTail(mean, most float64) float64 {
+// poissonTail returns the probability that a Poisson distributed variable exceeds limit.
+func poissonTail(mean, limit float64) float64 {
 	term := math.Exp(-mean)
 	cumulative := term
-	for n := 1.0; n <= most; n++ {
+	for n := 1.0; n <= limit; n++ {
 		term *= mean / n
 		cumulative += term
 	}
--- a/internal/proxy/ejection.go
+++ b/internal/proxy/ejection.go
@@ -41,24 +41,24 @@
 }
 
 // finish ends an attempt, releases its place and updates the upstream's statistics.
-func (pool *Pool) finish(p *placement, how outcome) {
+func (pool *Pool) finish(p *placement, result outcome) {
 	pool.mu.Lock()
 	defer pool.mu.Unlock()
 	u := p.upstream
-	began, ok := u.active[p]
+	startedAt, ok := u.active[p]
 	if !ok {
 		return
 	}
 	delete(u.active, p)
 	now := time.Now()
-	took := now.Sub(began).Seconds()
+	responseTime := now.Sub(startedAt).Seconds()
 	if p.timeToFirstByte > 0 {
-		took = p.timeToFirstByte
+		responseTime = p.timeToFirstByte
 	}
 	usual := func() float64 {
 		return usualDelay(pool.candidates(target{service: u.instance.Service, regions: anyRegion}).preferred)
 	}
-	learn := func(s float64) {
+	updateDelay := func(s float64) {
 		if u.delay == 0 {
 			u.delay = s
 		} else {
@@ -68,33 +68,33 @@
 		u.delayUpdatedAt = now
 	}
 	times := pool.timesLocked(u.instance.Service)
-	if how != outcomeAtCapacity && how != outcomeUnused {
-		times.held.learn(now, now.Sub(began).Seconds())
+	if result != outcomeAtCapacity && result != outcomeUnused {
+		times.held.learn(now, now.Sub(startedAt).Seconds())
 	}
-	switch how {
+	switch result {
 	case outcomeServed:
 		u.consecutiveFailures = 0
 		u.responses++
-		times.answered(now, took)
-		learn(took)
+		times.answered(now, responseTime)
+		updateDelay(responseTime)
 	case outcomeServerError:
 		// Healthy upstreams rarely return server errors, so a single one is sufficient
 		// evidence to eject the upstream briefly, whatever its health check reports. Its
 		// connections remain usable.
-		learn(max(took, constants.FirstDelay.Seconds()))
+		updateDelay(max(responseTime, constants.FirstDelay.Seconds()))
 		u.eject(now)
 	case outcomeAtCapacity:
-		learn(max(2*usual(), took))
+		updateDelay(max(2*usual(), responseTime))
 		u.ejectedUntil = now.Add(constants.FullPause)
 	case outcomeCancelled:
 		pool.Cancelled++
 		// Not a failure, but the elapsed time is a lower bound on the response time.
-		if took > u.expect(now, usual()) {
-			learn(took)
+		if responseTime > u.expect(now, usual()) {
+			updateDelay(responseTime)
 		}
 	case outcomeTransportError, outcomeTimeout:
-		if how == outcomeTimeout {
-			learn(took)
+		if result == outcomeTimeout {
+			updateDelay(responseTime)
 		}
 		u.eject(now)
 		u.closeIdle()
--- a/internal/proxy/pool_test.go
+++ b/internal/proxy/pool_test.go
@@ -423,8 +423,8 @@
 		if !strings.HasPrefix(result.path, "/safe/") && runs > 1 {
 			t.Errorf("%s %s was executed %d times", result.path, result.attempt, runs)
 		}
-		if most := map[string]int{"/safe": 2, "/once": 3, "/flow": 3}[result.path[:5]]; truth.arrivals[result.attempt] > most {
-			t.Errorf("%s %s was sent to %d upstreams, want at most %d", result.path, result.attempt, truth.arrivals[result.attempt], most)
+		if limit := map[string]int{"/safe": 2, "/once": 3, "/flow": 3}[result.path[:5]]; truth.arrivals[result.attempt] > limit {
+			t.Errorf("%s %s was sent to %d upstreams, want at most %d", result.path, result.attempt, truth.arrivals[result.attempt], limit)
 		}
 		if !strings.HasPrefix(expectedBody(result.attempt), result.body) || result.header.Get(headerAttemptID) != result.attempt && result.header.Get(headerAttemptID) != "" {
 			t.Errorf("%s %s received the response to another attempt: %d %v %q", result.path, result.attempt, result.code, result.header, result.body)
--- a/internal/proxy/retrybudget_test.go
+++ b/internal/proxy/retrybudget_test.go
@@ -52,8 +52,8 @@
 		}
 		for _, end := range retries {
 			from := end - window
-			most := max(count(requests, from, end), count(requests, from-window, from), count(requests, from-window/2, end-window/2))
-			if got, bound := count(retries, from, end), ratio*most+slack; got > bound {
+			maxRequests := max(count(requests, from, end), count(requests, from-window, from), count(requests, from-window/2, end-window/2))
+			if got, bound := count(retries, from, end), ratio*maxRequests+slack; got > bound {
 				t.Fatalf("seed %d: %.0f retries in the window ending at %v, at most %.0f are allowed", seed, got, end, bound)
 			}
 		}
--- a/internal/proxy/selection.go
+++ b/internal/proxy/selection.go
@@ -112,7 +112,7 @@
 // selectLeastCost returns the upstream with the least cost among those with capacity, or nil.
 func (pool *Pool) selectLeastCost(candidates []*Upstream, s selection) *Upstream {
 	var best *Upstream
-	least := math.Inf(1)
+	leastCost := math.Inf(1)
 	for _, u := range candidates {
 		if !u.eligible(s) {
 			continue
@@ -122,8 +122,8 @@
 		if len(u.active) >= u.activeLimit(delay, oldest, s.usualDelay) {
 			continue
 		}
-		if cost := u.cost(delay, oldest, s); cost < least {
-			best, least = u, cost
+		if cost := u.cost(delay, oldest, s); cost < leastCost {
+			best, leastCost = u, cost
 		}
 	}
 	return best
