--- a/internal/proxy/cancellation_test.go
+++ b/internal/proxy/cancellation_test.go
@@ -85,7 +85,7 @@
 		for range 4 {
 			wg.Go(func() {
 				for end := time.Now().Add(80 * time.Millisecond); time.Now().Before(end); {
-					if status, _, err := sendRequest(front, "POST", "/once/3ms"); status != http.StatusOK || err != nil {
+					if status, _, err := fetchResponse(front, "POST", "/once/3ms"); status != http.StatusOK || err != nil {
 						t.Errorf("beside the cancelled: %d %v", status, err)
 					}
 				}
--- a/internal/proxy/disconnect_test.go
+++ b/internal/proxy/disconnect_test.go
@@ -297,7 +297,7 @@
 	for d.pool.Outstanding("svc") > 0 {
 		time.Sleep(time.Millisecond)
 	}
-	if status, _, err := sendRequest(front, "POST", "/once/1ms"); status != http.StatusOK || err != nil {
+	if status, _, err := fetchResponse(front, "POST", "/once/1ms"); status != http.StatusOK || err != nil {
 		t.Fatal(status, err)
 	}
 	if runs, conns := len(u.seen()), d.pool.counters().newConns; runs != 2 || conns != 1 {
--- a/internal/proxy/reconfiguration_test.go
+++ b/internal/proxy/reconfiguration_test.go
@@ -56,8 +56,8 @@
 	d.apply(distribution.Changes{Config: &config.Doc{Raw: []byte(cfg), Version: version}, List: &discovery.List{Instances: instances}, Proxies: 1})
 }
 
-// sendRequest sends a request over a new connection and returns the complete response.
-func sendRequest(frontAddress, method, path string) (status int, body string, err error) {
+// fetchResponse sends a request over a new connection and returns the complete response.
+func fetchResponse(frontAddress, method, path string) (status int, body string, err error) {
 	r, err := http.NewRequest(method, "http://"+frontAddress+path, nil)
 	if err != nil {
 		return 0, "", err
@@ -95,7 +95,7 @@
 	responses := make(chan response, 2)
 	for range 2 {
 		go func() {
-			status, body, err := sendRequest(frontAddress, "POST", "/once/")
+			status, body, err := fetchResponse(frontAddress, "POST", "/once/")
 			responses <- response{status, len(body), err}
 		}()
 		<-started
@@ -105,7 +105,7 @@
 	draining.Draining = true
 	changed := strings.NewReplacer(`"idleTimeout":"15000ms"`, `"idleTimeout":"900ms"`, `"headerTimeout":"3000ms"`, `"headerTimeout":"1000ms"`, `"timeout":"2s"`, `"timeout":"1s"`).Replace(testConfig)
 	d.applyConfig(fmt.Sprintf(changed, 2), 2, []discovery.Instance{draining, replacement.instance("i-2")})
-	if status, body, err := sendRequest(frontAddress, "POST", "/once/"); status != http.StatusOK || body != "other" || err != nil {
+	if status, body, err := fetchResponse(frontAddress, "POST", "/once/"); status != http.StatusOK || body != "other" || err != nil {
 		t.Errorf("new request after the changes: %d %q %v", status, body, err)
 	}
 	d.applyConfig(fmt.Sprintf(testConfig, 3), 3, []discovery.Instance{replacement.instance("i-2")})
@@ -133,7 +133,7 @@
 					return true
 				})
 				_, frontAddress := newTestDaemon(t, discovery.Instance{ID: "i-1", Service: "svc", Address: l.Addr().String(), Zone: "z", Slots: 2})
-				if status, body, err := sendRequest(frontAddress, "POST", "/once/"); status != http.StatusOK || len(body) != size || err != nil {
+				if status, body, err := fetchResponse(frontAddress, "POST", "/once/"); status != http.StatusOK || len(body) != size || err != nil {
 					t.Errorf("status %d, %d of %d body bytes, error %v", status, len(body), size, err)
 				}
 			})
@@ -153,12 +153,12 @@
 		d.applyConfig(fmt.Sprintf(config, version), version, []discovery.Instance{u.instance("i-1")})
 		for v := uint64(2); v <= version; v++ {
 			for range 5 {
-				if status, _, err := sendRequest(frontAddress, "POST", fmt.Sprintf("/added-%d/x", v)); status != http.StatusOK || err != nil {
+				if status, _, err := fetchResponse(frontAddress, "POST", fmt.Sprintf("/added-%d/x", v)); status != http.StatusOK || err != nil {
 					t.Fatalf("version %d, route of version %d: %d %v", version, v, status, err)
 				}
 			}
 		}
-		if status, _, err := sendRequest(frontAddress, "POST", "/once/"); status != http.StatusOK || err != nil {
+		if status, _, err := fetchResponse(frontAddress, "POST", "/once/"); status != http.StatusOK || err != nil {
 			t.Errorf("version %d, route of the first version: %d %v", version, status, err)
 		}
 	}
