--- a/cmd/slateridge/whole_accounts_test.go
+++ b/cmd/slateridge/whole_accounts_test.go
@@ -46,7 +46,7 @@
 		}
 		s.launch(fmt.Sprint("control", i), control)
 		proxy := proxy.NewDaemon(settings, filepath.Join(s.dir, fmt.Sprint(i), "boot.json"), eventlog.New(zerolog.Nop()))
-		proxy.KeepAccounts(objectives)
+		proxy.EnableAccounting(objectives)
 		s.launch(fmt.Sprint("proxy", i), proxy)
 		s.proxies = append(s.proxies, proxy)
 	}
@@ -128,7 +128,7 @@
 	}
 	s.until("the account", func() error {
 		for _, proxy := range s.proxies {
-			proxy.ReportAccounts()
+			proxy.FlushAccounts()
 		}
 		snapshot, err := gatherAccounts(s.client, s.admins(), "")
 		if err != nil {
--- a/internal/proxy/admin.go
+++ b/internal/proxy/admin.go
@@ -71,7 +71,7 @@
 	if cfg := d.config.Load(); cfg != nil {
 		r.Version = cfg.Version
 	}
-	r.Zone, r.Region, r.Evacuated = d.nodeSettings.Load().Zone, d.nodeSettings.Load().Region, d.pool.Evacuated()
+	r.Zone, r.Region, r.Evacuated = d.nodeSettings.Load().Zone, d.nodeSettings.Load().Region, d.pool.EvacuatedZones()
 	for i, name := range countNames {
 		r.Requests[name] = d.outcomeCounts[i].Load()
 	}
@@ -84,9 +84,9 @@
 	}
 	r.histograms = d.histograms
 	counts := d.pool.counters()
-	r.Streams.First, r.Streams.Next, r.Streams.Elsewhere = counts.kept[0], counts.kept[1], counts.kept[2]
+	r.Streams.First, r.Streams.Next, r.Streams.Elsewhere = counts.streamPlacements[0], counts.streamPlacements[1], counts.streamPlacements[2]
 	r.NewConns, r.Ejections, r.Cancelled = counts.newConns, counts.ejected, counts.cancelled
-	r.Waited, r.Full = counts.waited, counts.full
+	r.Waited, r.Full = counts.waited, counts.noCapacity
 	d.retryBudget.mu.Lock()
 	r.Retries, r.Denied = d.retryBudget.Spent, d.retryBudget.Denied
 	d.retryBudget.mu.Unlock()
--- a/internal/proxy/attempt.go
+++ b/internal/proxy/attempt.go
@@ -21,13 +21,13 @@
 	if cfg == p.config {
 		return true
 	}
-	route, tenant, code := match(cfg, p.request)
+	route, tenant, code := matchRequest(cfg, p.request)
 	if code != 0 || !route.RoutesTo(p.service) || (tenant == nil) != (p.tenant == nil) || tenant != nil && tenant.Name != p.tenant.Name ||
 		route.Idempotent != p.route.Idempotent {
 		return false
 	}
-	regions := homesOf(config.Homes(route, tenant))
-	if !within(regions, u.region) {
+	regions := regionsKey(config.Homes(route, tenant))
+	if !regionAllowed(regions, u.region) {
 		return false
 	}
 	p.config, p.route, p.tenant, p.allowedRegions = cfg, route, tenant, regions
@@ -48,8 +48,8 @@
 
 // abandon releases a placement to which nothing will be sent.
 func (pool *Pool) abandon(pl *placement) *result {
-	pool.done(pl, unused)
-	return &result{outcome: unused, notExecuted: true, abandoned: true, err: errNoConnection}
+	pool.finish(pl, outcomeUnused)
+	return &result{outcome: outcomeUnused, notExecuted: true, abandoned: true, err: errNoConnection}
 }
 
 // attempt sends the request to one upstream and reads its response.
@@ -69,11 +69,11 @@
 		connectBy := p.timing().connectDeadline(time.Now())
 		conn, reused, err = u.connect(ctx, attemptID == "", connectBy)
 		if err != nil {
-			failure := broken
+			failure := outcomeTransportError
 			if errors.Is(err, errNoConnection) || !time.Now().Before(connectBy) {
-				failure = unused // the request's time is over, which is no failure of the upstream
+				failure = outcomeUnused // the request's time is over, which is no failure of the upstream
 			}
-			pool.done(pl, failure)
+			pool.finish(pl, failure)
 			return &result{outcome: failure, notExecuted: true, err: err}
 		}
 		if !p.stillAllowed(u) {
@@ -87,7 +87,7 @@
 		}
 		length := p.bodyLength
 		p.cancelOnDisconnect(conn)
-		head := requestHead(p.request, u.instance.ID, tenantName, remaining, length)
+		head := formatRequestHeader(p.request, u.instance.ID, tenantName, remaining, length)
 		sent, err := conn.send(head, p.bufferedBody, p.streamedBody, length < 0, p.deadline.Add(constants.AnswerGrace))
 		if err != nil && !sent && reused {
 			u.closeConn(conn)
@@ -96,7 +96,7 @@
 		if err != nil {
 			u.closeConn(conn)
 			failure := failureOutcome(conn, err)
-			pool.done(pl, failure)
+			pool.finish(pl, failure)
 			return &result{outcome: failure, sentAt: time.Now(), sent: sent, notExecuted: !sent, err: err}
 		}
 		unsent = false
@@ -115,14 +115,14 @@
 	if err != nil {
 		u.closeConn(conn)
 		failure := failureOutcome(conn, err)
-		if ne := net.Error(nil); failure == broken && errors.As(err, &ne) && ne.Timeout() {
-			failure = silent
+		if ne := net.Error(nil); failure == outcomeTransportError && errors.As(err, &ne) && ne.Timeout() {
+			failure = outcomeTimeout
 		}
-		pool.done(pl, failure)
+		pool.finish(pl, failure)
 		return &result{outcome: failure, sentAt: sentAt, sent: true, err: err}
 	}
 	if load := resp.Header.Get(headerLoad); load != "" {
-		u.noteLoad(load)
+		u.recordLoad(load)
 	}
 	// Without this attempt's id, a response on a connection that has carried other requests may
 	// be a late one to an earlier request. It is not relayed, and it is no evidence that this
@@ -136,11 +136,11 @@
 	}
 	if resp.StatusCode/100 == 2 && unframed(resp) {
 		u.closeConn(conn)
-		pool.done(pl, broken)
-		return &result{outcome: broken, sentAt: sentAt, sent: true, err: errUnframed}
+		pool.finish(pl, outcomeTransportError)
+		return &result{outcome: outcomeTransportError, sentAt: sentAt, sent: true, err: errUnframed}
 	}
 	body, err := readUpTo(resp.Body, constants.AnswerBuffer)
-	res := &result{outcome: served, sentAt: sentAt, sent: true, resp: resp, body: body, unverified: unverified}
+	res := &result{outcome: outcomeServed, sentAt: sentAt, sent: true, resp: resp, body: body, unverified: unverified}
 	switch {
 	case err == nil:
 		conn.finishExchange(resp)
@@ -149,11 +149,11 @@
 	default:
 		u.closeConn(conn)
 		failure := failureOutcome(conn, err)
-		pool.done(pl, failure)
+		pool.finish(pl, failure)
 		return &result{outcome: failure, sentAt: sentAt, sent: true, err: err}
 	}
 	res.classify()
-	pool.done(pl, res.outcome)
+	pool.finish(pl, res.outcome)
 	return res
 }
 
@@ -162,11 +162,11 @@
 func failureOutcome(conn *upstreamConn, err error) outcome {
 	switch {
 	case conn.cancellation.cancelled():
-		return cancelled
+		return outcomeCancelled
 	case errors.Is(err, errRequestBody):
-		return unused
+		return outcomeUnused
 	}
-	return broken
+	return outcomeTransportError
 }
 
 var errBodyTooLong = errors.New("body exceeds the buffer limit")
--- a/internal/proxy/attempts_test.go
+++ b/internal/proxy/attempts_test.go
@@ -27,12 +27,12 @@
 			var s *Proxy
 			answer := func(_ int, _ *http.Request) (string, bool) {
 				s.config.Store(lowered)
-				return answerOf(c.status, "id-1", c.more, ""), false
+				return formatResponse(c.status, "id-1", c.more, ""), false
 			}
 			a, b := newRawUpstream(t, answer), newRawUpstream(t, answer)
 			s = newProxy(t, a.instance("i-1"), b.instance("i-2"))
 			for range 400 {
-				s.retryBudget.Request(s.now(), "svc")
+				s.retryBudget.RecordRequest(s.now(), "svc")
 			}
 			w := sendRequest(s, c.method, c.path, "")
 			if n := a.count() + b.count(); n != 1 {
@@ -52,7 +52,7 @@
 	a, b := newRawUpstream(t, answer), newRawUpstream(t, answer)
 	s := newProxy(t, a.instance("i-1"), b.instance("i-2"))
 	for range 4000 {
-		s.retryBudget.Request(s.now(), "svc")
+		s.retryBudget.RecordRequest(s.now(), "svc")
 	}
 	for range 400 {
 		s.pool.mu.Lock()
--- a/internal/proxy/audit.go
+++ b/internal/proxy/audit.go
@@ -9,7 +9,7 @@
 	"slateridge/internal/constants"
 )
 
-// AuditEntry is one changed limit.
+// AuditEntry records the change of one quota by a configuration version.
 type AuditEntry struct {
 	Version  uint64
 	Key      string
@@ -17,40 +17,43 @@
 	When     time.Time
 }
 
-// audit keeps the trail of changed limits, the latest ones.
-type audit struct {
-	mu  sync.Mutex
-	all []AuditEntry
+// auditLog keeps the most recent quota changes.
+type auditLog struct {
+	mu      sync.Mutex
+	entries []AuditEntry
 }
 
-func (a *audit) add(old, new *config.Config) {
-	was := map[string]admission.Quota{}
+// record adds an entry for every quota that differs between two configurations. The old one
+// is nil when the first configuration is applied.
+func (a *auditLog) record(old, new *config.Config) {
+	before := map[string]admission.Quota{}
 	if old != nil {
-		was = admission.Quotas(old)
+		before = admission.Quotas(old)
 	}
-	is := admission.Quotas(new)
+	after := admission.Quotas(new)
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	put := func(k string) {
-		if was[k] != is[k] {
-			a.all = append(a.all, AuditEntry{new.Version, k, was[k], is[k], time.Now()})
+	recordChange := func(key string) {
+		if before[key] != after[key] {
+			a.entries = append(a.entries, AuditEntry{new.Version, key, before[key], after[key], time.Now()})
 		}
 	}
-	for k := range is {
-		put(k)
+	for key := range after {
+		recordChange(key)
 	}
-	for k := range was {
-		if _, ok := is[k]; !ok {
-			put(k)
+	for key := range before {
+		if _, ok := after[key]; !ok {
+			recordChange(key)
 		}
 	}
-	if n := len(a.all) - constants.JournalEvents; n > 0 {
-		a.all = append([]AuditEntry(nil), a.all[n:]...)
+	if n := len(a.entries) - constants.JournalEvents; n > 0 {
+		a.entries = append([]AuditEntry(nil), a.entries[n:]...)
 	}
 }
 
-func (a *audit) list() []AuditEntry {
+// list returns a copy of the entries, oldest first.
+func (a *auditLog) list() []AuditEntry {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	return append([]AuditEntry(nil), a.all...)
+	return append([]AuditEntry(nil), a.entries...)
 }
--- a/internal/proxy/cancellation_test.go
+++ b/internal/proxy/cancellation_test.go
@@ -66,7 +66,7 @@
 func TestLateCancellationDoesNotCloseReusedConnection(t *testing.T) {
 	u := newSlowUpstream(t, "", "")
 	instance := u.instance("i-1", 40)
-	d, front := daemonAt(t, instance)
+	d, front := newTestDaemon(t, instance)
 	d.pool.connCap = func(string) int { return 100 }
 	for range 3 {
 		before := len(u.recordedRuns())
@@ -86,7 +86,7 @@
 		for range 4 {
 			wg.Go(func() {
 				for end := time.Now().Add(80 * time.Millisecond); time.Now().Before(end); {
-					if status, _, err := fetch(front, "POST", "/once/3ms"); status != http.StatusOK || err != nil {
+					if status, _, err := fetchResponse(front, "POST", "/once/3ms"); status != http.StatusOK || err != nil {
 						t.Errorf("request next to cancelled ones: %d %v", status, err)
 					}
 				}
@@ -95,7 +95,7 @@
 		wg.Wait()
 		awaitRunsEnded(t, u)
 	}
-	for d.pool.Busy("svc") > 0 {
+	for d.pool.Outstanding("svc") > 0 {
 		time.Sleep(time.Millisecond)
 	}
 	if open, idle := connCounts(d.Proxy); open != idle {
--- a/internal/proxy/conn.go
+++ b/internal/proxy/conn.go
@@ -162,7 +162,7 @@
 		conn.close()
 		return
 	}
-	if timeout, ok := keepAlive(resp.Header); ok {
+	if timeout, ok := keepAliveTimeout(resp.Header); ok {
 		conn.idleTimeout = max(timeout-constants.IdleSafety, timeout/4)
 	}
 	conn.upstream.releaseConn(conn, true)
--- a/internal/proxy/daemon.go
+++ b/internal/proxy/daemon.go
@@ -46,7 +46,7 @@
 	nextSelfPoll        time.Time
 	hasUpstreamList     atomic.Bool
 	settingsFingerprint atomic.Int64
-	audit               audit
+	audit               auditLog
 	members             *membership.Agent
 	trackerEchoesMu     sync.Mutex
 	trackerEchoes       map[string]trackerEcho    // by tracker
@@ -139,7 +139,7 @@
 		} else {
 			old := d.config.Load()
 			if old == nil || cfg.Version > old.Version {
-				d.audit.add(old, cfg)
+				d.audit.record(old, cfg)
 				d.limiter.SetQuotas(now, admission.Quotas(cfg))
 				bounds := d.computeColdBounds(cfg)
 				d.coldBounds.Store(&bounds)
@@ -154,7 +154,7 @@
 		d.events.Count("list_applied", 1)
 	}
 	if changes.State > 0 {
-		if d.pool.Evacuate(time.Now(), changes.Evacuated) {
+		if d.pool.SetEvacuatedZones(time.Now(), changes.Evacuated) {
 			d.events.Record("evacuations", strings.Join(changes.Evacuated, " "))
 		}
 	}
--- a/internal/proxy/dial_test.go
+++ b/internal/proxy/dial_test.go
@@ -55,7 +55,7 @@
 			t.Errorf("%s: got %d after %v", path, w.Code, took)
 		}
 		s.pool.mu.Lock()
-		if u := s.pool.upstreams["i-dark"]; u.fails > 0 {
+		if u := s.pool.upstreams["i-dark"]; u.consecutiveFailures > 0 {
 			t.Errorf("%s: a connect cut short by the time budget counts as a failure", path)
 		}
 		s.pool.mu.Unlock()
--- a/internal/proxy/disconnect_test.go
+++ b/internal/proxy/disconnect_test.go
@@ -189,9 +189,9 @@
 			if c.arrivals == 2 {
 				ups = append(ups, other.instance("i-2", 2))
 			}
-			d, front := daemonAt(t, ups...)
+			d, front := newTestDaemon(t, ups...)
 			for range 400 { // fills the retry budget for the hedge
-				d.retryBudget.Request(d.now(), "svc")
+				d.retryBudget.RecordRequest(d.now(), "svc")
 			}
 			client := dialFrontend(t, front)
 			io.WriteString(client, c.requests)
@@ -218,7 +218,7 @@
 					t.Error("the pipelined request was sent to an upstream")
 				}
 			}
-			for end := time.Now().Add(3 * time.Second); d.pool.Busy("svc") > 0; time.Sleep(time.Millisecond) {
+			for end := time.Now().Add(3 * time.Second); d.pool.Outstanding("svc") > 0; time.Sleep(time.Millisecond) {
 				if time.Now().After(end) {
 					t.Fatal("its slot is still occupied")
 				}
@@ -226,7 +226,7 @@
 			d.pool.mu.Lock()
 			defer d.pool.mu.Unlock()
 			for id, u := range d.pool.upstreams {
-				if u.fails > 0 || time.Now().Before(u.ejectedUntil) {
+				if u.consecutiveFailures > 0 || time.Now().Before(u.ejectedUntil) {
 					t.Errorf("the disconnect counts as a failure of %s", id)
 				}
 				if u.conns != len(u.idle) {
@@ -240,14 +240,14 @@
 // An attempt whose hedge responded first is cancelled like a request whose client left.
 func TestLosingHedgeIsCancelled(t *testing.T) {
 	slow, quick := newSlowUpstream(t, "", ""), newRawUpstream(t, func(_ int, r *http.Request) (string, bool) { return okResponse(r, "x"), false })
-	d, front := daemonAt(t, slow.instance("i-1", 2))
+	d, front := newTestDaemon(t, slow.instance("i-1", 2))
 	for range 400 {
-		d.retryBudget.Request(d.now(), "svc")
+		d.retryBudget.RecordRequest(d.now(), "svc")
 	}
 	client := dialFrontend(t, front)
 	io.WriteString(client, clientRequest("GET", "/safe/1900ms", "a", 0))
 	awaitArrivals(t, 1, slow)
-	d.inForce(fmt.Sprintf(testConfig, 1), 1, []discovery.Instance{slow.instance("i-1", 2), quick.instance("i-2")})
+	d.applyConfig(fmt.Sprintf(testConfig, 1), 1, []discovery.Instance{slow.instance("i-1", 2), quick.instance("i-2")})
 	resp, err := http.ReadResponse(bufio.NewReader(client), nil)
 	if err != nil || resp.StatusCode != http.StatusOK {
 		t.Fatal(resp, err)
@@ -263,14 +263,14 @@
 // pool.
 func TestRunWithinGraceKeepsConnection(t *testing.T) {
 	u := newSlowUpstream(t, "", "")
-	d, front := daemonAt(t, u.instance("i-1", 2))
+	d, front := newTestDaemon(t, u.instance("i-1", 2))
 	for n := 1; n <= 3; n++ {
 		client := dialFrontend(t, front)
 		io.WriteString(client, clientRequest("GET", "/safe/60ms", "a", 0))
 		awaitArrivals(t, n, u)
 		client.Close()
 		awaitRunsEnded(t, u)
-		for d.pool.Busy("svc") > 0 {
+		for d.pool.Outstanding("svc") > 0 {
 			time.Sleep(time.Millisecond)
 		}
 		if runs := u.recordedRuns(); runs[n-1].abandoned {
@@ -286,7 +286,7 @@
 // connection is reused.
 func TestNonIdempotentRequestIsNotCancelled(t *testing.T) {
 	u := newSlowUpstream(t, "", "")
-	d, front := daemonAt(t, u.instance("i-1", 2))
+	d, front := newTestDaemon(t, u.instance("i-1", 2))
 	client := dialFrontend(t, front)
 	io.WriteString(client, clientRequest("POST", "/once/900ms", "a", 2)+"hi")
 	awaitArrivals(t, 1, u)
@@ -295,10 +295,10 @@
 	if runs := u.recordedRuns(); runs[0].abandoned {
 		t.Error("the request was cancelled")
 	}
-	for d.pool.Busy("svc") > 0 {
+	for d.pool.Outstanding("svc") > 0 {
 		time.Sleep(time.Millisecond)
 	}
-	if status, _, err := fetch(front, "POST", "/once/1ms"); status != http.StatusOK || err != nil {
+	if status, _, err := fetchResponse(front, "POST", "/once/1ms"); status != http.StatusOK || err != nil {
 		t.Fatal(status, err)
 	}
 	if runs, conns := len(u.recordedRuns()), d.pool.counters().newConns; runs != 2 || conns != 1 {
@@ -311,7 +311,7 @@
 func TestNothingIsSentAfterDisconnect(t *testing.T) {
 	t.Run("waiting for capacity", func(t *testing.T) {
 		u := newSlowUpstream(t, "", "")
-		_, front := daemonAt(t, u.instance("i-1", 1))
+		_, front := newTestDaemon(t, u.instance("i-1", 1))
 		for range 2 { // occupies all slots
 			io.WriteString(dialFrontend(t, front), clientRequest("POST", "/once/85ms", "busy", 2)+"hi")
 		}
@@ -331,14 +331,14 @@
 	for name, path := range map[string]string{"retry": "/safe/150ms", "hedge": "/safe/1900ms"} {
 		t.Run(name, func(t *testing.T) {
 			u, other := newSlowUpstream(t, "", "close"), newSlowUpstream(t, "", "")
-			d, front := daemonAt(t, u.instance("i-1", 2))
+			d, front := newTestDaemon(t, u.instance("i-1", 2))
 			for range 400 {
-				d.retryBudget.Request(d.now(), "svc")
+				d.retryBudget.RecordRequest(d.now(), "svc")
 			}
 			client := dialFrontend(t, front)
 			io.WriteString(client, clientRequest("GET", path, "a", 0))
 			awaitArrivals(t, 1, u)
-			d.inForce(fmt.Sprintf(testConfig, 1), 1, []discovery.Instance{u.instance("i-1", 2), other.instance("i-2", 2)})
+			d.applyConfig(fmt.Sprintf(testConfig, 1), 1, []discovery.Instance{u.instance("i-1", 2), other.instance("i-2", 2)})
 			client.Close()
 			awaitRunsEnded(t, u)
 			time.Sleep(300 * time.Millisecond)
@@ -351,7 +351,7 @@
 	}
 	t.Run("pipelined request", func(t *testing.T) {
 		u := newSlowUpstream(t, "", "")
-		_, front := daemonAt(t, u.instance("i-1", 2))
+		_, front := newTestDaemon(t, u.instance("i-1", 2))
 		client := dialFrontend(t, front)
 		io.WriteString(client, clientRequest("POST", "/once/200ms", "a", 0)+clientRequest("POST", "/once/1ms", "b", 0))
 		awaitArrivals(t, 1, u)
@@ -435,7 +435,7 @@
 			u := newSlowUpstream(t, "", "")
 			ups, instances = append(ups, u), append(instances, u.instance(fmt.Sprint("i-", i), 16))
 		}
-		_, front := daemonAt(t, instances...)
+		_, front := newTestDaemon(t, instances...)
 		clients := generateClients(seed, 60)
 		var wg sync.WaitGroup
 		for _, c := range clients {
@@ -504,7 +504,7 @@
 	t.Parallel()
 	body := strings.Repeat("x", 32<<20)
 	u := newRawUpstream(t, func(_ int, r *http.Request) (string, bool) { return okResponse(r, body), false })
-	d, front := daemonAt(t, u.instance("i-1"))
+	d, front := newTestDaemon(t, u.instance("i-1"))
 	client := dialFrontend(t, front)
 	client.(*net.TCPConn).SetReadBuffer(4 << 10)
 	io.WriteString(client, strings.Replace(clientRequest("GET", "/safe/x", "a", 0), "9000", "300", 1))
@@ -523,7 +523,7 @@
 // A connection whose next request was pipelined before the response is not closed as idle.
 func TestConnectionWithPipelinedRequestIsNotIdle(t *testing.T) {
 	u := newSlowUpstream(t, "", "")
-	d, front := daemonAt(t, u.instance("i-1", 2))
+	d, front := newTestDaemon(t, u.instance("i-1", 2))
 	client := dialFrontend(t, front)
 	io.WriteString(client, clientRequest("POST", "/once/1ms", "a", 0)+clientRequest("POST", "/once/300ms", "b", 0))
 	awaitArrivals(t, 2, u)
@@ -545,7 +545,7 @@
 // disconnected in the meantime.
 func TestRequestsReadLateAreNotSentAfterDisconnect(t *testing.T) {
 	u := newSlowUpstream(t, "", "")
-	d, _ := daemonAt(t, u.instance("i-1", 20))
+	d, _ := newTestDaemon(t, u.instance("i-1", 20))
 	listener, err := net.Listen("tcp4", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
@@ -579,7 +579,7 @@
 // kept for other requests.
 func TestSlowDialSendsNothingAfterDisconnect(t *testing.T) {
 	u := newSlowUpstream(t, "", "")
-	d, front := daemonAt(t, u.instance("i-1", 2))
+	d, front := newTestDaemon(t, u.instance("i-1", 2))
 	dialling := make(chan struct{}, 1)
 	d.pool.dialer.Control = func(string, string, syscall.RawConn) error {
 		dialling <- struct{}{}
@@ -605,7 +605,7 @@
 // expected delay, but must not lower it.
 func TestCancelledRunDoesNotLowerDelay(t *testing.T) {
 	u := newSlowUpstream(t, "", "")
-	d, front := daemonAt(t, u.instance("i-1", 2))
+	d, front := newTestDaemon(t, u.instance("i-1", 2))
 	delay := func() float64 {
 		d.pool.mu.Lock()
 		defer d.pool.mu.Unlock()
@@ -620,7 +620,7 @@
 			client.Close()
 		}
 		awaitRunsEnded(t, u)
-		for d.pool.Busy("svc") > 0 {
+		for d.pool.Outstanding("svc") > 0 {
 			time.Sleep(time.Millisecond)
 		}
 		if after := delay(); after < before {
--- a/internal/proxy/ejection.go
+++ b/internal/proxy/ejection.go
@@ -6,95 +6,95 @@
 	"slateridge/internal/constants"
 )
 
-// mostEjected says that more than half of some upstreams are left alone after failures:
-// ejection is bounded, and then all are asked again.
-func (pool *Pool) mostEjected(os []*Upstream, now time.Time) bool {
-	all, out := 0, 0
-	for _, u := range os {
+// mostEjected reports whether more than half of the upstreams are ejected. Ejection is
+// bounded: beyond that share, ejected upstreams receive requests again.
+func (pool *Pool) mostEjected(upstreams []*Upstream, now time.Time) bool {
+	all, ejected := 0, 0
+	for _, u := range upstreams {
 		if !u.draining && !pool.evacuated[u.instance.Zone] {
 			if all++; now.Before(u.ejectedUntil) {
-				out++
+				ejected++
 			}
 		}
 	}
-	return out*2 > all
+	return ejected*2 > all
 }
 
-// outcome is how an offer ended, for judging the upstream.
+// outcome is the result of an attempt, as evidence about the upstream.
 type outcome int
 
 const (
-	served     outcome = iota // it answered
-	atCapacity                // it turned the request away
-	broken                    // refused, reset, cut, odd
-	silent                    // no answer in time
-	unused                    // nothing was sent, nothing learned
-	errored                   // it answered with a failure of its own
-	cancelled                 // closed here, since nobody waited for it any more
+	outcomeServed         outcome = iota // the upstream responded
+	outcomeAtCapacity                    // the upstream rejected the request for lack of capacity
+	outcomeTransportError                // connection refused, reset or cut off, or an invalid response
+	outcomeTimeout                       // no response in time
+	outcomeUnused                        // the attempt ended for a reason that says nothing about the upstream
+	outcomeServerError                   // the upstream responded with a server error
+	outcomeCancelled                     // this proxy closed the connection because nobody was waiting for the response
 )
 
-// eject leaves an upstream alone after a failure, longer with each in a row.
+// eject stops sending to an upstream after a failure, for longer with each consecutive failure.
 func (u *Upstream) eject(now time.Time) {
-	u.fails++
+	u.consecutiveFailures++
 	u.pool.Ejected++
-	u.ejectedUntil = now.Add(min(constants.EjectFirst<<min(u.fails-1, 5), constants.EjectMax))
+	u.ejectedUntil = now.Add(min(constants.EjectFirst<<min(u.consecutiveFailures-1, 5), constants.EjectMax))
 }
 
-// done ends an offer and learns from it.
-func (pool *Pool) done(p *placement, how outcome) {
+// finish ends an attempt, releases its place and updates the upstream's statistics.
+func (pool *Pool) finish(p *placement, result outcome) {
 	pool.mu.Lock()
 	defer pool.mu.Unlock()
 	u := p.upstream
-	began, ok := u.active[p]
+	startedAt, ok := u.active[p]
 	if !ok {
 		return
 	}
 	delete(u.active, p)
 	now := time.Now()
-	took := now.Sub(began).Seconds()
-	if p.first > 0 {
-		took = p.first
+	responseTime := now.Sub(startedAt).Seconds()
+	if p.timeToFirstByte > 0 {
+		responseTime = p.timeToFirstByte
 	}
 	usual := func() float64 {
-		return medianDelay(pool.candidates(target{service: u.instance.Service, homes: anywhere}).preferred)
+		return medianDelay(pool.candidates(target{service: u.instance.Service, regions: anyRegion}).preferred)
 	}
-	learn := func(s float64) {
+	updateDelay := func(s float64) {
 		if u.delay == 0 {
 			u.delay = s
 		} else {
 			u.delay = u.expectedDelay(now, usual())
 			u.delay += constants.DelayWeight * (s - u.delay)
 		}
-		u.delayAt = now
+		u.delayUpdatedAt = now
 	}
 	times := pool.serviceLatencyLocked(u.instance.Service)
-	if how != atCapacity && how != unused {
-		times.occupancy.observe(now, now.Sub(began).Seconds())
+	if result != outcomeAtCapacity && result != outcomeUnused {
+		times.occupancy.observe(now, now.Sub(startedAt).Seconds())
 	}
-	switch how {
-	case served:
-		u.fails = 0
-		u.answers++
-		times.observeResponse(now, took)
-		learn(took)
-	case errored:
-		// Few answers of a healthy upstream are failures, so one is evidence
-		// enough to leave it alone for a moment, whatever its health answer says;
-		// its connections are as good as before.
-		learn(max(took, constants.FirstDelay.Seconds()))
+	switch result {
+	case outcomeServed:
+		u.consecutiveFailures = 0
+		u.responses++
+		times.observeResponse(now, responseTime)
+		updateDelay(responseTime)
+	case outcomeServerError:
+		// Healthy upstreams rarely return server errors, so a single one is sufficient
+		// evidence to eject the upstream briefly, whatever its health check reports. Its
+		// connections remain usable.
+		updateDelay(max(responseTime, constants.FirstDelay.Seconds()))
 		u.eject(now)
-	case atCapacity:
-		learn(max(2*usual(), took))
+	case outcomeAtCapacity:
+		updateDelay(max(2*usual(), responseTime))
 		u.ejectedUntil = now.Add(constants.FullPause)
-	case cancelled:
+	case outcomeCancelled:
 		pool.Cancelled++
-		// No failure; but an answer would have taken longer still.
-		if took > u.expectedDelay(now, usual()) {
-			learn(took)
+		// Not a failure, but the elapsed time is a lower bound on the response time.
+		if responseTime > u.expectedDelay(now, usual()) {
+			updateDelay(responseTime)
 		}
-	case broken, silent:
-		if how == silent {
-			learn(took)
+	case outcomeTransportError, outcomeTimeout:
+		if result == outcomeTimeout {
+			updateDelay(responseTime)
 		}
 		u.eject(now)
 		u.closeIdle()
--- a/internal/proxy/exchange.go
+++ b/internal/proxy/exchange.go
@@ -42,7 +42,7 @@
 // newExchange returns the exchange for a request that arrived at the given time and matches a
 // route, and a tenant if the configuration has any.
 func (s *Proxy) newExchange(r *http.Request, arrived time.Time, cfg *config.Config, route *config.Route, tenant *config.Tenant) *exchange {
-	callerDeadline := arrived.Add(budget(r))
+	callerDeadline := arrived.Add(clientTimeBudget(r))
 	p := &exchange{
 		proxy:          s,
 		request:        r,
@@ -55,7 +55,7 @@
 		tenant:         tenant,
 		priority:       route.Priority,
 		service:        route.Pick(rand.Float64()),
-		allowedRegions: homesOf(config.Homes(route, tenant)),
+		allowedRegions: regionsKey(config.Homes(route, tenant)),
 		usageRun:       &usage.Run{},
 	}
 	if tenant != nil && tenant.HasPriority {
@@ -69,7 +69,7 @@
 // returned status.
 func (p *exchange) forward() (*result, int) {
 	now := p.proxy.now()
-	p.proxy.retryBudget.Request(now, p.service)
+	p.proxy.retryBudget.RecordRequest(now, p.service)
 	skip := map[*Upstream]bool{}
 	var last *result
 	dials := 0
@@ -125,7 +125,7 @@
 func (p *exchange) awaitPlacement(skip map[*Upstream]bool) *placement {
 	pl := p.proxy.pool.Acquire(p.request.Context(), p.target(), p.priority, p.timing().latestStart(time.Now()), skip)
 	if pl != nil && p.tooLate() { // time has passed, or the latency estimate has risen meanwhile
-		p.proxy.pool.done(pl, unused)
+		p.proxy.pool.finish(pl, outcomeUnused)
 		return nil
 	}
 	return pl
@@ -147,12 +147,12 @@
 // status other than 0 refuses the request.
 func (p *exchange) revalidate() int {
 	if cfg := p.proxy.config.Load(); cfg != p.config {
-		route, tenant, code := match(cfg, p.request)
+		route, tenant, code := matchRequest(cfg, p.request)
 		if code != 0 {
 			return code
 		}
 		p.config, p.route, p.tenant = cfg, route, tenant
-		p.allowedRegions = homesOf(config.Homes(route, tenant))
+		p.allowedRegions = regionsKey(config.Homes(route, tenant))
 		if !route.RoutesTo(p.service) {
 			p.service = route.Pick(rand.Float64())
 		}
@@ -189,7 +189,7 @@
 	if cfg == p.config {
 		return p.route.MaxAttempts
 	}
-	route, _, code := match(cfg, p.request)
+	route, _, code := matchRequest(cfg, p.request)
 	if code != 0 {
 		return p.route.MaxAttempts // stillAllowed rejects the request before bytes are sent
 	}
@@ -198,7 +198,7 @@
 
 // target returns what the request requires of an upstream.
 func (p *exchange) target() target {
-	t := target{service: p.service, homes: p.allowedRegions}
+	t := target{service: p.service, regions: p.allowedRegions}
 	if p.route.Stream {
 		t.stream = true
 		if p.route.Affinity {
@@ -209,7 +209,7 @@
 }
 
 func (p *exchange) countAttempt(res *result) {
-	p.countAnswer(res)
+	p.recordResponse(res)
 	if res.sent {
 		p.attempts++
 		if !res.notExecuted {
--- a/internal/proxy/grants_test.go
+++ b/internal/proxy/grants_test.go
@@ -14,7 +14,7 @@
 // daemonWithSilentTracker returns a daemon that is connected to a tracker which accepts requests
 // but never replies.
 func daemonWithSilentTracker(t *testing.T, tracker string) *Daemon {
-	d, _ := daemonAt(t)
+	d, _ := newTestDaemon(t)
 	listener, err := transport.Listen(d.nodeSettings.Load().PeerInternal(tracker, constants.PortControl))
 	if err != nil {
 		t.Fatal(err)
@@ -46,7 +46,7 @@
 	d := daemonWithSilentTracker(t, "127.0.0.66")
 	slow := strings.Replace(fmt.Sprintf(testConfig, 2), `"ratePerS":0.001,`, `"ratePerS":0.5,`, 1)
 	trackers := d.trackers.Load()
-	d.inForce(slow, 2, nil)
+	d.applyConfig(slow, 2, nil)
 	d.trackers.Store(trackers)
 	waits := func() bool { return d.limiter.Admit(d.now(), "tight", false).Ask }
 	for d.limiter.Admit(d.now(), "tight", true).OK {
--- a/internal/proxy/priority_test.go
+++ b/internal/proxy/priority_test.go
@@ -17,9 +17,9 @@
 	s := newProxy(t, u.instance("i-1"), u.instance("i-2"), u.instance("i-3"))
 	s.pool.mu.Lock()
 	ejected := s.pool.upstreams["i-1"]
-	ejected.fails, ejected.ejectedUntil = 1, time.Now().Add(ejection)
+	ejected.consecutiveFailures, ejected.ejectedUntil = 1, time.Now().Add(ejection)
 	s.pool.mu.Unlock()
-	for s.pool.Place(target{service: "svc", homes: anywhere}, nil) != nil {
+	for s.pool.Place(target{service: "svc", regions: anyRegion}, nil) != nil {
 	}
 	return s
 }
--- a/internal/proxy/proxy.go
+++ b/internal/proxy/proxy.go
@@ -106,7 +106,7 @@
 		s.refuse(w, r, http.StatusServiceUnavailable, configRetryAfter(arrived, r))
 		return
 	}
-	route, tenant, code := match(cfg, r)
+	route, tenant, code := matchRequest(cfg, r)
 	if code != 0 {
 		s.outcomeCounts[map[int]int{http.StatusNotFound: countNoRoute, http.StatusUnauthorized: countKeyUnknown}[code]].Add(1)
 		s.refuse(w, r, code, 0)
@@ -121,7 +121,7 @@
 	defer p.client.setHandling(false)
 	if tenant != nil {
 		if p.account = s.accounts.Begin(tenant.Name); p.account != nil {
-			defer p.settleUnanswered()
+			defer p.settleUnfinished()
 		}
 		if !s.admit(w, p) {
 			return
@@ -279,7 +279,7 @@
 	if res.deliverable() && !(res.notExecuted && res.resp.StatusCode >= 500) {
 		responseTime := time.Since(p.arrived) // a stream meets the latency objective if its first chunk does
 		s.relay(w, p, res)
-		p.settleAnswered(res, responseTime)
+		p.settleResponse(res, responseTime)
 		return
 	}
 	res.release()
@@ -289,7 +289,7 @@
 		// Nothing was executed, and nothing will be: the refusal may guarantee that.
 		p.countUnserved(countNoCapacity)
 		s.refuse(w, r, http.StatusServiceUnavailable, p.capacityRetryAfter())
-	case res.outcome == silent || !time.Now().Before(p.deadline):
+	case res.outcome == outcomeTimeout || !time.Now().Before(p.deadline):
 		p.countUnserved(countFailed)
 		s.refuse(w, r, http.StatusGatewayTimeout, 0)
 	default:
--- a/internal/proxy/proxy_test.go
+++ b/internal/proxy/proxy_test.go
@@ -273,7 +273,7 @@
 			a, b := newRawUpstream(t, c.s), newRawUpstream(t, c.s)
 			s := newProxy(t, a.instance("i-1"), b.instance("i-2"))
 			for range 400 { // budget for retries
-				s.retryBudget.Request(s.now(), "svc")
+				s.retryBudget.RecordRequest(s.now(), "svc")
 			}
 			w := sendRequest(s, "POST", c.path, "x")
 			if w.Code != c.code || a.count()+b.count() != c.arrivals {
@@ -398,7 +398,7 @@
 	r.Header.Set(headerAttemptID, "id-1")
 	r.Header.Set(headerAPIKey, "k1")
 	cfg := s.config.Load()
-	route, tenant, _ := match(cfg, r)
+	route, tenant, _ := matchRequest(cfg, r)
 	p := s.newExchange(r, time.Now(), cfg, route, tenant)
 	withoutRoute, err := config.Read([]byte(strings.Replace(fmt.Sprintf(testConfig, 2), `"/once/"`, `"/elsewhere/"`, 1)))
 	if err != nil {
@@ -410,7 +410,7 @@
 	}
 	p.deadline = time.Now().Add(-time.Millisecond)
 	s.config.Store(cfg)
-	if pl := s.pool.Place(target{service: "svc", homes: anywhere}, nil); pl == nil || !p.attempt(pl).notExecuted || u.count() != 0 {
+	if pl := s.pool.Place(target{service: "svc", regions: anyRegion}, nil); pl == nil || !p.attempt(pl).notExecuted || u.count() != 0 {
 		t.Error("sent after its deadline")
 	}
 }
@@ -517,7 +517,7 @@
 			a, b := newRawUpstream(t, answer), newRawUpstream(t, answer)
 			s := newProxy(t, a.instance("i-1"), b.instance("i-2"))
 			for range 400 {
-				s.retryBudget.Request(s.now(), "svc")
+				s.retryBudget.RecordRequest(s.now(), "svc")
 			}
 			if w := sendRequest(s, "GET", "/safe/", ""); w.Code != c.code || a.count() != 1 || b.count() != 1 {
 				t.Fatalf("got %d after %d and %d arrivals, want %d after one each", w.Code, a.count(), b.count(), c.code)
@@ -600,7 +600,7 @@
 	conn := s.pool.upstreams["i-1"].idle[0]
 	conn.idleAt = conn.idleAt.Add(-conn.idleTimeout / 2)
 	idleAt := conn.idleAt
-	pl := s.pool.Place(target{service: "svc", homes: anywhere}, nil)
+	pl := s.pool.Place(target{service: "svc", regions: anyRegion}, nil)
 	r := httptest.NewRequest("POST", "/once/", nil)
 	r.RequestURI, r.Host = "/once/", "h.example"
 	cfg := s.config.Load()
--- a/internal/proxy/queue.go
+++ b/internal/proxy/queue.go
@@ -33,7 +33,7 @@
 		}
 	}
 	if !pool.hasCandidateLocked(want, skip) {
-		pool.Full++
+		pool.NoCapacity++
 		pool.mu.Unlock()
 		return nil
 	}
@@ -63,7 +63,7 @@
 	queue := pool.waiting[w.target.service]
 	if i := slices.Index(queue, w); i >= 0 {
 		pool.waiting[w.target.service] = slices.Concat(queue[:i], queue[i+1:])
-		pool.Full++
+		pool.NoCapacity++
 		return nil
 	}
 	return <-w.granted // granted or refused meanwhile
@@ -79,8 +79,8 @@
 
 // enqueueLocked adds a request to the queue of its service.
 func (pool *Pool) enqueueLocked(want target, priority int, latestStart time.Time, skip map[*Upstream]bool) *waiter {
-	pool.queued++
-	w := &waiter{target: want, priority: priority, latestStart: latestStart, seq: pool.queued, granted: make(chan *placement, 1), skip: skip}
+	pool.waiterSeq++
+	w := &waiter{target: want, priority: priority, latestStart: latestStart, seq: pool.waiterSeq, granted: make(chan *placement, 1), skip: skip}
 	queue := pool.waiting[want.service]
 	i, _ := slices.BinarySearchFunc(queue, w, (*waiter).compare)
 	pool.waiting[want.service] = slices.Insert(queue, i, w)
@@ -110,7 +110,7 @@
 		}
 		group := w.target.group()
 		if !now.Add(ahead[group]).Before(w.latestStart) {
-			pool.Full++
+			pool.NoCapacity++
 			w.granted <- nil
 			continue
 		}
@@ -188,17 +188,17 @@
 // limitToShutdownLocked limits latestStart so that the request can be answered before this
 // process exits.
 func (pool *Pool) limitToShutdownLocked(want target, latestStart time.Time) time.Time {
-	if pool.leaveBy.IsZero() {
+	if pool.shutdownAt.IsZero() {
 		return latestStart
 	}
-	return earlier(latestStart, pool.leaveBy.Add(-pool.latencyEstimateLocked(want.service, time.Now()).high))
+	return earlier(latestStart, pool.shutdownAt.Add(-pool.latencyEstimateLocked(want.service, time.Now()).high))
 }
 
 // Drain has all queued requests answered in time for the process to exit at the given time.
 func (pool *Pool) Drain(exitAt time.Time) {
 	pool.mu.Lock()
 	defer pool.mu.Unlock()
-	pool.leaveBy = exitAt
+	pool.shutdownAt = exitAt
 	for service, queue := range pool.waiting {
 		for _, w := range queue {
 			w.latestStart = pool.limitToShutdownLocked(w.target, w.latestStart)
--- a/internal/proxy/reports.go
+++ b/internal/proxy/reports.go
@@ -29,7 +29,7 @@
 	report := autoscale.Report{Proxy: nodeSettings.IPAddress, Zone: nodeSettings.Zone, Running: map[string]int{}}
 	for name, service := range cfg.Services {
 		if service.Scaling != nil {
-			report.Running[name] = d.pool.Busy(name)
+			report.Running[name] = d.pool.Outstanding(name)
 		}
 	}
 	reply, err := d.subscriber.Ask(*holder, report, constants.UsageWait)
--- a/internal/proxy/result.go
+++ b/internal/proxy/result.go
@@ -66,11 +66,11 @@
 	switch {
 	case status == http.StatusMisdirectedRequest:
 		r.notExecuted = !r.unverified
-		r.outcome = broken
-	case r.resp.Header.Get(headerNotRun) != "" && status/100 != 2:
+		r.outcome = outcomeTransportError
+	case r.resp.Header.Get(headerNotExecuted) != "" && status/100 != 2:
 		r.notExecuted = !r.unverified
-		r.outcome = atCapacity
+		r.outcome = outcomeAtCapacity
 	case status >= 500:
-		r.outcome = errored
+		r.outcome = outcomeServerError
 	}
 }
--- a/internal/proxy/stream.go
+++ b/internal/proxy/stream.go
@@ -19,16 +19,16 @@
 	if n == 0 { // an error after the first bytes is returned again by the next read
 		conn.close()
 		failure := failureOutcome(conn, err)
-		p.proxy.pool.done(pl, failure)
+		p.proxy.pool.finish(pl, failure)
 		return &result{outcome: failure, sentAt: sentAt, sent: true, err: err}
 	}
 	now := time.Now()
-	p.proxy.pool.began(pl, now)
+	p.proxy.pool.recordFirstByte(pl, now)
 	p.proxy.histograms.firstChunk.Update(now.Sub(p.arrived).Seconds())
 	if p.proxy.meter != nil && p.tenant != nil {
 		p.proxy.meter.Count(p.proxy.window(now), p.tenant.Name)
 	}
-	return &result{outcome: served, sentAt: sentAt, sent: true, resp: resp, body: buf[:n], conn: conn, streamPlacement: pl}
+	return &result{outcome: outcomeServed, sentAt: sentAt, sent: true, resp: resp, body: buf[:n], conn: conn, streamPlacement: pl}
 }
 
 // relayStream copies a stream to the client. Each chunk is written and flushed before the next
@@ -65,14 +65,14 @@
 	switch {
 	case writeErr == nil && readErr == io.EOF:
 		res.conn.finishExchange(res.resp)
-		s.pool.done(res.streamPlacement, served)
+		s.pool.finish(res.streamPlacement, outcomeServed)
 		return
 	case writeErr != nil || r.Context().Err() != nil: // a client that disconnects also closes the upstream connection
 		s.streamsAbandoned.Add(1)
-		s.pool.done(res.streamPlacement, unused)
+		s.pool.finish(res.streamPlacement, outcomeUnused)
 	default:
 		s.streamsCut.Add(1)
-		s.pool.done(res.streamPlacement, broken)
+		s.pool.finish(res.streamPlacement, outcomeTransportError)
 	}
 	res.conn.close()
 	panic(http.ErrAbortHandler)
--- a/internal/proxy/stream_test.go
+++ b/internal/proxy/stream_test.go
@@ -168,7 +168,7 @@
 		c, br := dialProxy(t, s)
 		sendStreamRequest(c, "/flow/x")
 		if first == "" {
-			for s.pool.Busy("svc") == 0 {
+			for s.pool.Outstanding("svc") == 0 {
 				time.Sleep(time.Millisecond)
 			}
 			time.Sleep(20 * time.Millisecond) // so that the request reaches the upstream
@@ -179,7 +179,7 @@
 		if !<-ended {
 			t.Errorf("first %q: the upstream connection stays open after the client has disconnected", first)
 		}
-		for s.pool.Busy("svc") > 0 {
+		for s.pool.Outstanding("svc") > 0 {
 			time.Sleep(time.Millisecond)
 		}
 	}
@@ -215,13 +215,13 @@
 				}
 			}
 			conn.Close()
-			for s.pool.Busy("svc") > 0 {
+			for s.pool.Outstanding("svc") > 0 {
 				time.Sleep(time.Millisecond)
 			}
 			s.pool.mu.Lock()
 			defer s.pool.mu.Unlock()
-			if u := s.pool.upstreams["i-1"]; u.fails > 0 || time.Now().Before(u.ejectedUntil) || s.streamsCut.Load() > 0 {
-				t.Errorf("%d failures and %d truncated streams are held against the upstream", u.fails, s.streamsCut.Load())
+			if u := s.pool.upstreams["i-1"]; u.consecutiveFailures > 0 || time.Now().Before(u.ejectedUntil) || s.streamsCut.Load() > 0 {
+				t.Errorf("%d failures and %d truncated streams are held against the upstream", u.consecutiveFailures, s.streamsCut.Load())
 			}
 		})
 	}
@@ -305,12 +305,12 @@
 		return is
 	}
 	a, b := newProxy(t, list(60)...), newProxy(t, list(60)...)
-	b.pool.self = "other"
+	b.pool.proxyID = "other"
 	b.pool.Apply(time.Now(), list(56)) // four of them are missing here
 	moved, seen := 0, map[string]int{}
 	for p := range 1000 {
-		w := target{service: "svc", homes: anywhere, stream: true, prefix: fmt.Sprint(p)}
-		first, second := a.pool.choose(w, nil, time.Now()), b.pool.choose(w, nil, time.Now())
+		w := target{service: "svc", regions: anyRegion, stream: true, prefix: fmt.Sprint(p)}
+		first, second := a.pool.selectUpstream(w, nil, time.Now()), b.pool.selectUpstream(w, nil, time.Now())
 		if first.instance.Zone != "z" || second.instance.Zone != "z" {
 			t.Fatal("a prefix leaves its zone although there is capacity")
 		}
@@ -333,14 +333,14 @@
 	setLoad := func(load float64, exception string) {
 		a.pool.mu.Lock()
 		for _, u := range a.pool.upstreams {
-			if u.load, u.loadAt, u.ownActive = load, time.Now(), 0; u.instance.ID == exception {
-				u.load = 0.1
+			if u.reportedLoad, u.loadReportedAt, u.activeAtReport = load, time.Now(), 0; u.instance.ID == exception {
+				u.reportedLoad = 0.1
 			}
 		}
 		a.pool.mu.Unlock()
 	}
 	setLoad(3, "i-007")
-	if u := a.pool.choose(target{service: "svc", homes: anywhere, stream: true, prefix: "5"}, nil, time.Now()); u == nil || u.instance.ID != "i-007" {
+	if u := a.pool.selectUpstream(target{service: "svc", regions: anyRegion, stream: true, prefix: "5"}, nil, time.Now()); u == nil || u.instance.ID != "i-007" {
 		t.Errorf("the only upstream with capacity is not found: %v", u)
 	}
 	setLoad(3, "")
@@ -348,7 +348,7 @@
 		t.Errorf("without capacity anywhere: %d %v", w.Code, w.Header())
 	}
 	setLoad(0, "")
-	popular, most := target{service: "svc", homes: anywhere, stream: true, prefix: "hot"}, 0
+	popular, most := target{service: "svc", regions: anyRegion, stream: true, prefix: "hot"}, 0
 	for range 60 {
 		pl := a.pool.Place(popular, nil)
 		if pl == nil {
--- a/internal/proxy/timing_test.go
+++ b/internal/proxy/timing_test.go
@@ -48,12 +48,12 @@
 	s.config.Store(cfg)
 	s.pool.mu.Lock()
 	for _, u := range s.pool.upstreams {
-		u.delay, u.delayAt = usual.Seconds(), time.Now()
+		u.delay, u.delayUpdatedAt = usual.Seconds(), time.Now()
 	}
 	s.pool.times["svc"] = &serviceLatency{responses: *uniformLatency(usual), occupancy: *uniformLatency(usual)}
 	s.pool.mu.Unlock()
 	for range 1000 {
-		s.retryBudget.Request(s.now(), "svc")
+		s.retryBudget.RecordRequest(s.now(), "svc")
 	}
 	return s
 }
@@ -62,14 +62,14 @@
 // call.
 func occupyAll(s *Proxy) (release func() bool) {
 	var taken []*placement
-	for pl := s.pool.Place(target{service: "svc", homes: anywhere}, nil); pl != nil; pl = s.pool.Place(target{service: "svc", homes: anywhere}, nil) {
+	for pl := s.pool.Place(target{service: "svc", regions: anyRegion}, nil); pl != nil; pl = s.pool.Place(target{service: "svc", regions: anyRegion}, nil) {
 		taken = append(taken, pl)
 	}
 	return func() bool {
 		if len(taken) == 0 {
 			return false
 		}
-		s.pool.done(taken[0], unused)
+		s.pool.finish(taken[0], outcomeUnused)
 		taken = taken[1:]
 		return true
 	}
@@ -218,7 +218,7 @@
 // remaining time counts.
 func TestRejectedRequestWaitsForCapacity(t *testing.T) {
 	full := newRawUpstream(t, func(_ int, _ *http.Request) (string, bool) {
-		return answerOf("503 Full", "id-1", "X-Slateridge-Not-Executed: 1\r\n", ""), false
+		return formatResponse("503 Full", "id-1", "X-Slateridge-Not-Executed: 1\r\n", ""), false
 	})
 	free := newRawUpstream(t, func(_ int, r *http.Request) (string, bool) { return okResponse(r, "x"), false })
 	for _, path := range []string{"/a/", "/b/", "/once/"} {
@@ -382,12 +382,12 @@
 		now := time.Now()
 		for id, usual := range map[string]time.Duration{"near": c.near, "far": c.far} {
 			u := s.pool.upstreams[id]
-			u.delay, u.delayAt = usual.Seconds(), now
-			u.answers = 1
+			u.delay, u.delayUpdatedAt = usual.Seconds(), now
+			u.responses = 1
 		}
 		estimate := latencyEstimate{median: c.near, high: c.near + 2*c.spread, updatedAt: now}
 		s.pool.times["svc"] = &serviceLatency{estimate: estimate, estimatedAt: now.Add(time.Minute)}
-		if pl := s.pool.Place(target{service: "svc", homes: anywhere}, nil); (pl.upstream.instance.ID == "far") != c.goesFar {
+		if pl := s.pool.Place(target{service: "svc", regions: anyRegion}, nil); (pl.upstream.instance.ID == "far") != c.goesFar {
 			t.Errorf("%+v, usual latency %v: %s was chosen", c, estimate.median, pl.upstream.instance.ID)
 		}
 	}
--- a/internal/proxy/zones.go
+++ b/internal/proxy/zones.go
@@ -6,35 +6,36 @@
 	"time"
 )
 
-// Evacuated lists the zones under evacuation.
-func (pool *Pool) Evacuated() []string {
+// EvacuatedZones returns the zones under evacuation, sorted.
+func (pool *Pool) EvacuatedZones() []string {
 	pool.mu.Lock()
 	defer pool.mu.Unlock()
 	return slices.Sorted(maps.Keys(pool.evacuated))
 }
 
-// Evacuate takes the zones under evacuation; true when they are others than
-// before. The upstreams of a zone taken back may have turned cold meanwhile.
-func (pool *Pool) Evacuate(now time.Time, zones []string) bool {
+// SetEvacuatedZones replaces the set of zones under evacuation and reports whether it
+// changed. Upstreams in a zone that is no longer evacuated count as cold, since they may
+// have become so in the meantime.
+func (pool *Pool) SetEvacuatedZones(now time.Time, zones []string) bool {
 	pool.mu.Lock()
 	defer pool.mu.Unlock()
-	is := map[string]bool{}
-	for _, z := range zones {
-		is[z] = true
+	evacuated := map[string]bool{}
+	for _, zone := range zones {
+		evacuated[zone] = true
 	}
-	if maps.Equal(is, pool.evacuated) {
+	if maps.Equal(evacuated, pool.evacuated) {
 		return false
 	}
 	for _, u := range pool.upstreams {
-		z := u.instance.Zone
-		if is[z] {
+		zone := u.instance.Zone
+		if evacuated[zone] {
 			u.closeIdle()
-		} else if pool.evacuated[z] {
-			if cold := now.Add(pool.cold(u.instance.Service).lasts); cold.After(u.warmFrom) {
-				u.warmFrom = cold
+		} else if pool.evacuated[zone] {
+			if end := now.Add(pool.coldBound(u.instance.Service).duration); end.After(u.warmupEnd) {
+				u.warmupEnd = end
 			}
 		}
 	}
-	pool.evacuated = is
+	pool.evacuated = evacuated
 	return true
 }
