--- a/internal/controlplane/chain/messages.go
+++ b/internal/controlplane/chain/messages.go
@@ -82,8 +82,8 @@
 		Doc  config.Doc
 		Bare bool
 	}
-	// Lack asks the member before for a state with its configuration.
-	Lack struct {
+	// ResendRequest asks the member before for a state with its configuration.
+	ResendRequest struct {
 		View  uint64
 		Stamp config.Revision
 	}
@@ -154,7 +154,7 @@
 	transport.Register(transport.NameAccepted, Accepted{})
 	transport.Register(transport.NameDecide, Decide{})
 	transport.Register(transport.NameChainPass, Pass{})
-	transport.Register(transport.NameChainLack, Lack{})
+	transport.Register(transport.NameChainLack, ResendRequest{})
 	transport.Register(transport.NameChainAck, Ack{})
 	transport.Register(transport.NameChainHigher, Higher{})
 	transport.Register(transport.NameRetire, Retire{})
--- a/internal/controlplane/chain/orders.go
+++ b/internal/controlplane/chain/orders.go
@@ -351,7 +351,7 @@
 		if m.Doc.SameBulk(c.held) {
 			m.Doc.Fill(c.held)
 		} else if revisionOf(c.held).Less(m.Doc.Stamp) {
-			c.send(from, Lack{m.View, m.Doc.Stamp})
+			c.send(from, ResendRequest{m.View, m.Doc.Stamp})
 			return
 		}
 	}
--- a/internal/controlplane/chain/receive.go
+++ b/internal/controlplane/chain/receive.go
@@ -109,7 +109,7 @@
 		if m.View == c.agreement.View.Num {
 			c.admit(&m.Doc)
 		}
-	case Lack:
+	case ResendRequest:
 		c.onLack(from, m)
 	default:
 		return false
@@ -177,7 +177,7 @@
 }
 
 // onLack sends the next member whole what it was passed without its bulk.
-func (c *Chain) onLack(from string, m Lack) {
+func (c *Chain) onLack(from string, m ResendRequest) {
 	v := c.agreement.View
 	if m.View != v.Num || !c.member() || c.sealed() || revisionOf(c.held) != m.Stamp {
 		return
