--- a/internal/controlplane/chain/messages.go
+++ b/internal/controlplane/chain/messages.go
@@ -92,8 +92,8 @@
 		View  uint64
 		Stamp config.Revision
 	}
-	// Higher gives the head a newer version that a later member holds.
-	Higher struct {
+	// NewerState gives the head a newer version that a later member holds.
+	NewerState struct {
 		View uint64
 		Doc  config.Doc
 	}
@@ -156,7 +156,7 @@
 	transport.Register(transport.NameChainPass, Pass{})
 	transport.Register(transport.NameChainLack, ResendRequest{})
 	transport.Register(transport.NameChainAck, Ack{})
-	transport.Register(transport.NameChainHigher, Higher{})
+	transport.Register(transport.NameChainHigher, NewerState{})
 	transport.Register(transport.NameRetire, Retire{})
 	transport.Register(transport.NameForward, Forward{})
 	transport.Register(transport.NameEvacuationOrder, EvacuationOrder{})
--- a/internal/controlplane/chain/orders.go
+++ b/internal/controlplane/chain/orders.go
@@ -281,7 +281,7 @@
 		if head == c.Me {
 			c.lead()
 		} else if s := c.peerStates[head.Addr]; s != nil && s.heartbeat.Held.Less(revisionOf(c.held)) {
-			c.send(head.Addr, Higher{c.agreement.View.Num, *c.held})
+			c.send(head.Addr, NewerState{c.agreement.View.Num, *c.held})
 		}
 	}
 	ks := slices.SortedFunc(maps.Keys(c.pendingConfigs), func(a, b config.Taken) int {
@@ -361,7 +361,7 @@
 	if m.Doc.Stamp.Less(revisionOf(c.held)) && revisionOf(c.committed).Less(m.Doc.Stamp) {
 		// Something newer, never committed, was left here by a change of view:
 		// the chain takes it up from the head, since the highest version holds.
-		c.send(v.Members[0].Addr, Higher{v.Num, *c.held})
+		c.send(v.Members[0].Addr, NewerState{v.Num, *c.held})
 		return
 	}
 	if !revisionOf(c.committed).Less(m.Doc.Stamp) {
--- a/internal/controlplane/chain/receive.go
+++ b/internal/controlplane/chain/receive.go
@@ -105,7 +105,7 @@
 		if m.View == c.agreement.View.Num && c.member() {
 			c.commitAt(m.Stamp)
 		}
-	case Higher:
+	case NewerState:
 		if m.View == c.agreement.View.Num {
 			c.admit(&m.Doc)
 		}
--- a/internal/transport/compatibility_test.go
+++ b/internal/transport/compatibility_test.go
@@ -33,7 +33,7 @@
 	return []any{
 		chain.Heartbeat{}, chain.Prepare{}, chain.Promise{}, chain.Nack{}, chain.Sync{}, chain.Synced{},
 		chain.Accept{}, chain.Accepted{}, chain.Decide{}, chain.Pass{}, chain.ResendRequest{}, chain.Ack{},
-		chain.Higher{}, chain.Retire{}, chain.Forward{}, chain.EvacuationOrder{}, chain.Confirm{}, chain.Confirmed{},
+		chain.NewerState{}, chain.Retire{}, chain.Forward{}, chain.EvacuationOrder{}, chain.Confirm{}, chain.Confirmed{},
 		chain.Read{}, chain.ReadAnswer{}, chain.Fetch{}, chain.Fetched{},
 		controlplane.Roster{}, controlplane.ListUpdate{}, controlplane.ListRequest{},
 		distribution.Subscription{}, distribution.Update{},
