--- a/internal/controlplane/chain/chain_test.go
+++ b/internal/controlplane/chain/chain_test.go
@@ -635,8 +635,8 @@
 	old := config.Doc{Stamp: config.Revision{View: 1, Seq: 1}, Version: 1, Raw: []byte("1")}
 	newer := config.Doc{Stamp: config.Revision{View: 1, Seq: 2}, Version: 2, Raw: []byte("2")}
 	c := mk()
-	c.Recv(1, "b", Pass{View: 1, Doc: old})
-	c.Recv(2, "b", Pass{View: 1, Doc: newer})
+	c.Recv(1, "b", Replicate{View: 1, Doc: old})
+	c.Recv(2, "b", Replicate{View: 1, Doc: newer})
 	if VersionOf(c.Committed()) != 2 {
 		t.Fatal("the tail did not commit what was passed to it")
 	}
@@ -663,7 +663,7 @@
 	if got := read(); len(got) != 0 {
 		t.Fatalf("answered r%d, though r2 was committed here", VersionOf(got[0].Doc))
 	}
-	c.Recv(7, "b", Pass{View: 1, Doc: newer})
+	c.Recv(7, "b", Replicate{View: 1, Doc: newer})
 	if got := read(); len(got) == 0 || VersionOf(got[len(got)-1].Doc) != 2 {
 		t.Fatalf("not answered once the chain had passed it again: %v", got)
 	}
--- a/internal/controlplane/chain/electorate_test.go
+++ b/internal/controlplane/chain/electorate_test.go
@@ -656,7 +656,7 @@
 	c := calmCore(t, 6, 3, 1)
 	before := fmt.Sprintf("%+v", c.chain["a"].View())
 	for _, m := range []any{Prepare{Slot: 99, Ballot: Ballot{7, "x"}}, Accept{Slot: 2, View: View{Num: 2}}, Accepted{Slot: 2}, Promise{Slot: 2}, Sync{Slot: 1 << 60},
-		Decide{View{Num: 9}}, Retire{"b"}, Retire{"nobody"}, NewerState{View: 1}, Pass{View: 1}, Ack{View: 1, Stamp: config.Revision{View: 9}}, ResendRequest{}, Forward{}, Read{1}, ReadAnswer{ID: 5}, Fetch{}, Confirm{}, Confirmed{}} {
+		Decide{View{Num: 9}}, Retire{"b"}, Retire{"nobody"}, NewerState{View: 1}, Replicate{View: 1}, Ack{View: 1, Stamp: config.Revision{View: 9}}, ResendRequest{}, Forward{}, Read{1}, ReadAnswer{ID: 5}, Fetch{}, Confirm{}, Confirmed{}} {
 		c.run("a", c.life["a"], func(ch *Chain) []Effect { return ch.Recv(c.network.Now, "x", m) })
 	}
 	c.network.Run(c.network.Now+catchUp, nil)
--- a/internal/controlplane/chain/messages.go
+++ b/internal/controlplane/chain/messages.go
@@ -74,10 +74,10 @@
 	}
 	// Decide tells of a view that a majority of the voters has accepted.
 	Decide struct{ View View }
-	// Pass hands a state down the chain. A bare one leaves out the configuration,
+	// Replicate hands a state down the chain. A bare one leaves out the configuration,
 	// which every member holds once it has been committed; a member that does not
 	// answers with a Lack.
-	Pass struct {
+	Replicate struct {
 		View uint64
 		Doc  config.Doc
 		Bare bool
@@ -153,7 +153,7 @@
 	transport.Register(transport.NameAccept, Accept{})
 	transport.Register(transport.NameAccepted, Accepted{})
 	transport.Register(transport.NameDecide, Decide{})
-	transport.Register(transport.NameChainPass, Pass{})
+	transport.Register(transport.NameChainPass, Replicate{})
 	transport.Register(transport.NameChainLack, ResendRequest{})
 	transport.Register(transport.NameChainAck, Ack{})
 	transport.Register(transport.NameChainHigher, NewerState{})
--- a/internal/controlplane/chain/orders.go
+++ b/internal/controlplane/chain/orders.go
@@ -327,7 +327,7 @@
 	v := c.agreement.View
 	i := v.index(c.Me.Addr)
 	if i+1 < len(v.Members) {
-		p := Pass{View: v.Num, Doc: d, Bare: d.SameBulk(c.committed)}
+		p := Replicate{View: v.Num, Doc: d, Bare: d.SameBulk(c.committed)}
 		if p.Bare {
 			p.Doc = d.Bare()
 		}
@@ -339,7 +339,7 @@
 	c.answerReads()
 }
 
-func (c *Chain) onPass(from string, m Pass) {
+func (c *Chain) onPass(from string, m Replicate) {
 	v := c.agreement.View
 	if m.View != v.Num || !c.serves() {
 		return
--- a/internal/controlplane/chain/receive.go
+++ b/internal/controlplane/chain/receive.go
@@ -99,7 +99,7 @@
 // takePass takes the messages that bring states down the chain; false when it is none.
 func (c *Chain) takePass(from string, msg any) bool {
 	switch m := msg.(type) {
-	case Pass:
+	case Replicate:
 		c.onPass(from, m)
 	case Ack:
 		if m.View == c.agreement.View.Num && c.member() {
@@ -183,7 +183,7 @@
 		return
 	}
 	if i := v.index(c.Me.Addr); i+1 < len(v.Members) && v.Members[i+1].Addr == from {
-		c.send(from, Pass{View: v.Num, Doc: *c.held})
+		c.send(from, Replicate{View: v.Num, Doc: *c.held})
 	}
 }
 
--- a/internal/transport/compatibility_test.go
+++ b/internal/transport/compatibility_test.go
@@ -32,7 +32,7 @@
 func messages() []any {
 	return []any{
 		chain.Heartbeat{}, chain.Prepare{}, chain.Promise{}, chain.Nack{}, chain.Sync{}, chain.Synced{},
-		chain.Accept{}, chain.Accepted{}, chain.Decide{}, chain.Pass{}, chain.ResendRequest{}, chain.Ack{},
+		chain.Accept{}, chain.Accepted{}, chain.Decide{}, chain.Replicate{}, chain.ResendRequest{}, chain.Ack{},
 		chain.NewerState{}, chain.Retire{}, chain.Forward{}, chain.EvacuationOrder{}, chain.Confirm{}, chain.Confirmed{},
 		chain.Read{}, chain.ReadAnswer{}, chain.Fetch{}, chain.Fetched{},
 		controlplane.Roster{}, controlplane.ListUpdate{}, controlplane.ListRequest{},
