--- a/internal/controlplane/chain/chain.go
+++ b/internal/controlplane/chain/chain.go
@@ -73,10 +73,10 @@
 // Commit, a ReadDone or a Moved, and nothing else.
 type Effect interface{ effect() }
 
-func (Send) effect()     {}
-func (Commit) effect()   {}
-func (ReadDone) effect() {}
-func (Moved) effect()    {}
+func (Send) effect()        {}
+func (Commit) effect()      {}
+func (ReadDone) effect()    {}
+func (ViewChanged) effect() {}
 
 // Effects of a step.
 type (
@@ -92,8 +92,8 @@
 		ID  uint64
 		Doc *config.Doc
 	}
-	// Moved tells of a new view.
-	Moved struct{ View View }
+	// ViewChanged tells of a new view.
+	ViewChanged struct{ View View }
 )
 
 // Store keeps what must outlast the process.
--- a/internal/controlplane/chain/chain_test.go
+++ b/internal/controlplane/chain/chain_test.go
@@ -184,7 +184,7 @@
 					}
 				}
 			}
-		case Moved:
+		case ViewChanged:
 			s := fmt.Sprint(o.View)
 			if old, ok := c.views[o.View.Num]; ok && old != s {
 				c.fail("view %d is both %s and %s", o.View.Num, old, s)
--- a/internal/controlplane/chain/view.go
+++ b/internal/controlplane/chain/view.go
@@ -42,7 +42,7 @@
 	c.troubleAt = 0
 	c.passAt = 0
 	c.reads = nil
-	c.effects = append(c.effects, Moved{v})
+	c.effects = append(c.effects, ViewChanged{v})
 }
 
 // inContact says whether a peer was heard lately, and has heard this machine lately:
--- a/internal/controlplane/replica.go
+++ b/internal/controlplane/replica.go
@@ -75,7 +75,7 @@
 		r.commit(e.Doc)
 	case chain.ReadDone:
 		r.read(e.ID, e.Doc)
-	case chain.Moved:
+	case chain.ViewChanged:
 		v := e.View
 		r.events.Record("view", fmt.Sprintf("%d %v of %d voters from %d/%d", v.Num, memberAddresses(v), len(v.Voters), v.From.View, v.From.Seq))
 	}
