--- a/internal/controlplane/chain/catchup.go
+++ b/internal/controlplane/chain/catchup.go
@@ -83,9 +83,9 @@
 	}
 }
 
-// Ahead is the machine with a say that was heard last, for a relay to send its
+// RedirectTarget is the machine with a say that was heard last, for a relay to send its
 // callers to; none when nobody was heard lately.
-func (c *Chain) Ahead() (addr string, ok bool) {
+func (c *Chain) RedirectTarget() (addr string, ok bool) {
 	last := c.now - constants.RelayFresh
 	for p, s := range c.peerStates {
 		if s.heartbeat.Joined && !s.heartbeat.Relay && s.heardAt > last {
--- a/internal/controlplane/chain/chain_test.go
+++ b/internal/controlplane/chain/chain_test.go
@@ -700,7 +700,7 @@
 	c.chain["a"] = nil
 	c.network.Run(10*time.Second, nil)
 	for _, n := range c.names[3:] {
-		if to, ok := c.chain[n].Ahead(); !ok || to == "a" {
+		if to, ok := c.chain[n].RedirectTarget(); !ok || to == "a" {
 			t.Errorf("%s sends callers to %q", n, to)
 		}
 	}
--- a/internal/controlplane/replica.go
+++ b/internal/controlplane/replica.go
@@ -197,7 +197,7 @@
 func (r *replica) ahead() (address string, ok bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	return r.machine.Ahead()
+	return r.machine.RedirectTarget()
 }
 
 // status is the chain's state at this moment. It waits for the disk.
