--- a/internal/controlplane/chain/duties_test.go
+++ b/internal/controlplane/chain/duties_test.go
@@ -126,7 +126,7 @@
 	for _, x := range out {
 		switch x := x.(type) {
 		case duty.Order:
-			w.run(n, life, func(ch *Chain) []Effect { return ch.Act(w.network.Now, x) })
+			w.run(n, life, func(ch *Chain) []Effect { return ch.SubmitDutyOrder(w.network.Now, x) })
 		case duty.Yield:
 			w.lease(n, w.leases[n].Leave(w.network.Now, testDuty))
 		case duty.Act:
--- a/internal/controlplane/chain/orders.go
+++ b/internal/controlplane/chain/orders.go
@@ -150,9 +150,9 @@
 	return d
 }
 
-// Act takes a duty's order to the head; whether it was taken shows in what is
+// SubmitDutyOrder takes a duty's order to the head; whether it was taken shows in what is
 // committed.
-func (c *Chain) Act(now time.Duration, o duty.Order) []Effect {
+func (c *Chain) SubmitDutyOrder(now time.Duration, o duty.Order) []Effect {
 	c.now = now
 	if m := c.agreement.View.Members; len(m) > 0 {
 		c.send(m[0].Addr, o)
--- a/internal/controlplane/duties.go
+++ b/internal/controlplane/duties.go
@@ -102,7 +102,7 @@
 	for _, o := range out {
 		switch o := o.(type) {
 		case duty.Order:
-			d.replica.step(func() []chain.Effect { return d.replica.machine.Act(d.now(), o) })
+			d.replica.step(func() []chain.Effect { return d.replica.machine.SubmitDutyOrder(d.now(), o) })
 		case duty.Cancel:
 			p.mu.Lock()
 			if p.cancel != nil && p.calling == o.ID {
--- a/internal/modelcheck/chainmodel/duties.go
+++ b/internal/modelcheck/chainmodel/duties.go
@@ -103,7 +103,7 @@
 	for _, x := range out {
 		switch x := x.(type) {
 		case duty.Order:
-			m.run(n, func(c *chain.Chain) []chain.Effect { return c.Act(m.world.Now, x) })
+			m.run(n, func(c *chain.Chain) []chain.Effect { return c.SubmitDutyOrder(m.world.Now, x) })
 		case duty.Yield:
 			m.sendLease(n, m.dutyHolders[n].lease.Leave(m.world.Now, dutyName))
 		case duty.Act:
