--- a/internal/controlplane/chain/chain_test.go
+++ b/internal/controlplane/chain/chain_test.go
@@ -883,7 +883,7 @@
 		}
 		c.network.Run(last+10*c.network.Delay, nil)
 		for _, n := range c.names {
-			if _, ok := c.chain[n].Contact(); !ok {
+			if _, ok := c.chain[n].MajorityContactAt(); !ok {
 				t.Errorf("seed %d: %s knows of no contact %v after the last start", seed, n, c.network.Now-last)
 			}
 		}
--- a/internal/controlplane/chain/electorate_test.go
+++ b/internal/controlplane/chain/electorate_test.go
@@ -295,7 +295,7 @@
 								t.Fatalf("seed %d: %s, cut off, confirmed r%d, refused it, or gave a read", seed, x, o.version)
 							}
 							if c.chain[x] != nil {
-								if at, ok := c.chain[x].Contact(); ok && c.network.Now-at < constants.ContactFresh && c.network.Now-began > constants.ContactFresh {
+								if at, ok := c.chain[x].MajorityContactAt(); ok && c.network.Now-at < constants.ContactFresh && c.network.Now-began > constants.ContactFresh {
 									t.Fatalf("seed %d: %s is cut off and says that it is in contact", seed, x)
 								}
 							}
--- a/internal/controlplane/chain/view.go
+++ b/internal/controlplane/chain/view.go
@@ -90,9 +90,9 @@
 	return a != b && (tells(a, b) || tells(b, a))
 }
 
-// Contact is the latest moment at which this machine was in contact with a majority of
+// MajorityContactAt is the latest moment at which this machine was in contact with a majority of
 // the voters, itself counted; false while it never was, or has no say.
-func (c *Chain) Contact() (time.Duration, bool) {
+func (c *Chain) MajorityContactAt() (time.Duration, bool) {
 	if !c.agreement.Joined || c.Relay {
 		return 0, false
 	}
--- a/internal/controlplane/replica.go
+++ b/internal/controlplane/replica.go
@@ -98,7 +98,7 @@
 			r.readIndex.Store(&fresh)
 		}
 	}
-	if at, ok := r.machine.Contact(); ok {
+	if at, ok := r.machine.MajorityContactAt(); ok {
 		r.contactAt.Store(max(int64(at), 1))
 	} else {
 		r.contactAt.Store(0)
