--- a/internal/controlplane/chain/duties_test.go
+++ b/internal/controlplane/chain/duties_test.go
@@ -90,7 +90,7 @@
 func (w *dutyCluster) elect(n string) {
 	if w.leases[n] != nil && w.startedLife[n] == w.life[n] {
 		g := w.chain[n].Status()
-		w.leases[n].SetElectorate(w.network.Now, g.View.Epoch, g.View.VoterAddrs(), w.chain[n].LeavesElectorate())
+		w.leases[n].SetElectorate(w.network.Now, g.View.Epoch, g.View.VoterAddrs(), w.chain[n].ElectorateUncertain())
 	}
 }
 
--- a/internal/controlplane/chain/electorate.go
+++ b/internal/controlplane/chain/electorate.go
@@ -47,12 +47,12 @@
 	return v
 }
 
-// LeavesElectorate says whether this machine must not grant leases: it has accepted a
+// ElectorateUncertain says whether this machine must not grant leases: it has accepted a
 // view with another electorate, which may have been decided since. A promise alone does
 // not matter to leases, nor does a view with the same electorate. A machine that no view
 // has taken in with this disk counts as leaving: its address may be a voter's, whose
 // acceptance its disk has forgotten.
-func (c *Chain) LeavesElectorate() bool {
+func (c *Chain) ElectorateUncertain() bool {
 	accepted := c.agreement.Accepted != Ballot{}
 	return !c.agreement.Joined || accepted && c.agreement.Next.Epoch != c.agreement.View.Epoch
 }
--- a/internal/controlplane/chain/return_test.go
+++ b/internal/controlplane/chain/return_test.go
@@ -94,7 +94,7 @@
 	}
 	if l.leases[n] != nil && l.bornAs[n] == l.life[n] {
 		g := l.chain[n].Status()
-		l.leases[n].SetElectorate(l.network.Now, g.View.Epoch, g.View.VoterAddrs(), l.chain[n].LeavesElectorate())
+		l.leases[n].SetElectorate(l.network.Now, g.View.Epoch, g.View.VoterAddrs(), l.chain[n].ElectorateUncertain())
 	}
 }
 
--- a/internal/controlplane/replica.go
+++ b/internal/controlplane/replica.go
@@ -106,7 +106,7 @@
 }
 
 func (r *replica) publishStanding() {
-	view, joined, leaves := r.machine.View(), r.machine.Joined(), r.machine.LeavesElectorate()
+	view, joined, leaves := r.machine.View(), r.machine.Joined(), r.machine.ElectorateUncertain()
 	was := r.standing.Load()
 	if was != nil && was.view == view.Num && was.joined == joined && was.leaves == leaves {
 		return
--- a/internal/modelcheck/chainmodel/duties.go
+++ b/internal/modelcheck/chainmodel/duties.go
@@ -69,7 +69,7 @@
 		return
 	}
 	v := c.View()
-	o.lease.SetElectorate(m.world.Now, v.Epoch, v.VoterAddrs(), c.LeavesElectorate())
+	o.lease.SetElectorate(m.world.Now, v.Epoch, v.VoterAddrs(), c.ElectorateUncertain())
 	m.sendLease(n, o.lease.Tick(m.world.Now))
 	var rec duty.Record
 	if d := c.Committed(); d != nil {
