--- a/internal/controlplane/chain/electorate.go
+++ b/internal/controlplane/chain/electorate.go
@@ -214,9 +214,9 @@
 	return c.flush()
 }
 
-// Left says whether nothing depends on this machine any more: a decided view goes on
+// HasLeft says whether nothing depends on this machine any more: a decided view goes on
 // without it, or it never was in one.
-func (c *Chain) Left() bool { return !c.agreement.View.Has(c.Me) }
+func (c *Chain) HasLeft() bool { return !c.agreement.View.Has(c.Me) }
 
 // CanLeave says whether the others could go on without this machine, as far as it knows.
 func (c *Chain) CanLeave() bool {
--- a/internal/controlplane/chain/electorate_test.go
+++ b/internal/controlplane/chain/electorate_test.go
@@ -456,7 +456,7 @@
 		}
 		began := c.network.Now
 		c.run(n, c.life[n], func(ch *Chain) []Effect { return ch.Leave(c.network.Now) })
-		for !c.chain[n].Left() {
+		for !c.chain[n].HasLeft() {
 			if c.network.Now-began > constants.LeaveWait/2 {
 				t.Fatalf("seed %d: %s still counts after %v", seed, n, c.network.Now-began)
 			}
--- a/internal/controlplane/chain/return_test.go
+++ b/internal/controlplane/chain/return_test.go
@@ -124,7 +124,7 @@
 	l.carry(n, l.leases[n].Leave(l.network.Now))
 	began := l.network.Now
 	l.core.run(n, l.life[n], func(ch *Chain) []Effect { return ch.Leave(l.network.Now) })
-	for end := began + constants.LeaveWait; !l.chain[n].Left() && l.chain[n].CanLeave() && l.network.Now < end; {
+	for end := began + constants.LeaveWait; !l.chain[n].HasLeft() && l.chain[n].CanLeave() && l.network.Now < end; {
 		l.run(l.network.Now + constants.ChainTick/2)
 	}
 	l.kill(n)
--- a/internal/controlplane/replica.go
+++ b/internal/controlplane/replica.go
@@ -235,5 +235,5 @@
 func (r *replica) leaveState() (left, can bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	return r.machine.Left(), r.machine.CanLeave()
+	return r.machine.HasLeft(), r.machine.CanLeave()
 }
--- a/internal/modelcheck/chainmodel/machines.go
+++ b/internal/modelcheck/chainmodel/machines.go
@@ -85,14 +85,14 @@
 		return // stopped before
 	}
 	late := m.world.Now-l.began >= constants.LeaveWait
-	if !c.Left() && c.CanLeave() && !late || m.world.Frozen(n) {
+	if !c.HasLeft() && c.CanLeave() && !late || m.world.Frozen(n) {
 		m.world.After(constants.ChainTick/2, func() { m.awaitLeft(n, l) })
 		return
 	}
-	if !c.Left() && l.well && m.faults == l.faults {
+	if !c.HasLeft() && l.well && m.faults == l.faults {
 		m.broken(RuleLeaves, "%s stops after %v and is still a member: %s", n, m.world.Now-l.began, m.describe())
 	}
-	if c.Left() {
+	if c.HasLeft() {
 		m.left++
 	}
 	m.stop(n)
