--- a/internal/controlplane/admin.go
+++ b/internal/controlplane/admin.go
@@ -127,7 +127,7 @@
 	g := func(name string, v uint64) { metrics.WriteGaugeUint64(w, "slateridge_"+name, v) }
 	g("view_number", r.Chain.View.Num)
 	g("view_members", uint64(len(r.Chain.View.Members)))
-	g("view_member", adminhttp.Flag(r.Chain.View.Has(r.Chain.Me)))
+	g("view_member", adminhttp.Flag(r.Chain.View.HasMember(r.Chain.Me)))
 	g("view_sealed", adminhttp.Flag(r.Chain.Sealed))
 	g("disk_failed", adminhttp.Flag(r.Chain.Sick))
 	g("majority_heard", adminhttp.Flag(r.Current))
--- a/internal/controlplane/chain/chain.go
+++ b/internal/controlplane/chain/chain.go
@@ -56,8 +56,8 @@
 	return slices.IndexFunc(v.Members, func(m Member) bool { return m.Addr == addr })
 }
 
-// Has says whether a machine, with this life of its disk, is a member.
-func (v View) Has(m Member) bool { return slices.Contains(v.Members, m) }
+// HasMember says whether a machine, with this life of its disk, is a member.
+func (v View) HasMember(m Member) bool { return slices.Contains(v.Members, m) }
 
 // Ballot orders attempts to agree on one view.
 type Ballot struct {
@@ -234,7 +234,7 @@
 
 // Member says whether this machine is in the view, and sealed whether it has
 // promised to leave that view.
-func (c *Chain) member() bool { return c.agreement.Joined && c.agreement.View.Has(c.Me) }
+func (c *Chain) member() bool { return c.agreement.Joined && c.agreement.View.HasMember(c.Me) }
 func (c *Chain) sealed() bool { return c.agreement.Promised != Ballot{} }
 
 // serves says whether this machine has its part in the chain: a member of an unsealed
--- a/internal/controlplane/chain/chain_test.go
+++ b/internal/controlplane/chain/chain_test.go
@@ -376,7 +376,7 @@
 func (c *core) outsider() (name string, found bool) {
 	for _, n := range c.names {
 		for _, o := range c.names {
-			if c.chain[o] == nil || !c.chain[o].View().Has(c.chain[n].Me) {
+			if c.chain[o] == nil || !c.chain[o].View().HasMember(c.chain[n].Me) {
 				return n, true
 			}
 		}
@@ -615,7 +615,7 @@
 		}
 	}
 	c.network.Run(8*time.Second, nil)
-	if v := c.chain["c"].View(); !v.Has(c.chain["c"].Me) {
+	if v := c.chain["c"].View(); !v.HasMember(c.chain["c"].Me) {
 		t.Fatalf("it was not taken in: %+v", v)
 	}
 }
@@ -717,7 +717,7 @@
 	c.start("a", false)
 	c.network.Run(16*time.Second, nil)
 	for _, n := range c.names {
-		if v := c.chain[n].View(); len(v.Members) != 3 || len(v.Voters) != 3 || !v.Has(c.chain["a"].Me) {
+		if v := c.chain[n].View(); len(v.Members) != 3 || len(v.Voters) != 3 || !v.HasMember(c.chain["a"].Me) {
 			t.Fatalf("%s sees %+v", n, v)
 		}
 	}
--- a/internal/controlplane/chain/electorate.go
+++ b/internal/controlplane/chain/electorate.go
@@ -66,7 +66,7 @@
 func (c *Chain) lostVoters(v View) []Member {
 	var out []Member
 	for _, m := range v.Voters {
-		if !v.Has(m) {
+		if !v.HasMember(m) {
 			out = append(out, m)
 		}
 	}
@@ -216,7 +216,7 @@
 
 // HasLeft says whether nothing depends on this machine any more: a decided view goes on
 // without it, or it never was in one.
-func (c *Chain) HasLeft() bool { return !c.agreement.View.Has(c.Me) }
+func (c *Chain) HasLeft() bool { return !c.agreement.View.HasMember(c.Me) }
 
 // CanLeave says whether the others could go on without this machine, as far as it knows.
 func (c *Chain) CanLeave() bool {
@@ -269,7 +269,7 @@
 func (c *Chain) Electorate() (voters []Voter, margin int) {
 	v := c.agreement.View
 	for _, m := range v.Voters {
-		x := Voter{Addr: m.Addr, Member: v.Has(m), State: "in contact"}
+		x := Voter{Addr: m.Addr, Member: v.HasMember(m), State: "in contact"}
 		x.Zone, x.Region = c.place(m)
 		switch {
 		case m.Addr == c.Me.Addr && m != c.Me:
--- a/internal/controlplane/chain/load.go
+++ b/internal/controlplane/chain/load.go
@@ -70,7 +70,7 @@
 	a := agreement{}
 	// A founder that ended between these two writes founds all the same: it has said
 	// nothing yet, and were all to come back as newcomers, nobody would have founded.
-	if c.store.Get(agreementKey, &a) && a.Joined && a.View.Num == 1 && a.View.Has(Member{addr, foundersIncarnation}) {
+	if c.store.Get(agreementKey, &a) && a.Joined && a.View.Num == 1 && a.View.HasMember(Member{addr, foundersIncarnation}) {
 		founding, c.peers = true, nil
 		for _, m := range a.View.Members {
 			c.addPeer(m.Addr)
--- a/internal/controlplane/chain/view.go
+++ b/internal/controlplane/chain/view.go
@@ -34,7 +34,7 @@
 		c.addPeer(m.Addr)
 	}
 	for _, s := range c.peerStates {
-		if !v.Has(s.heartbeat.Me) {
+		if !v.HasMember(s.heartbeat.Me) {
 			s.heardSince = c.now // what was heard before the view left it out says nothing of now
 		}
 	}
@@ -142,7 +142,7 @@
 	var out []Member
 	c.others(func(p string) {
 		s := c.peerStates[p]
-		if s == nil || !c.alive(p) || s.heartbeat.Relay || c.agreement.View.Has(s.heartbeat.Me) || s.echoedAt < s.heardSince ||
+		if s == nil || !c.alive(p) || s.heartbeat.Relay || c.agreement.View.HasMember(s.heartbeat.Me) || s.echoedAt < s.heardSince ||
 			c.now-s.heardSince < constants.JoinPause || s.heardAt-s.heardSince < constants.JoinPause-constants.HeartbeatEvery {
 			return
 		}
