--- a/internal/controlplane/chain/chain.go
+++ b/internal/controlplane/chain/chain.go
@@ -150,9 +150,9 @@
 	Me Member
 	// Relay is set on a machine without a say; Tolerate is how many disks may be
 	// lost at once: a promise stands on more.
-	Relay        bool
-	Zone, Region string
-	Tolerate     int
+	Relay              bool
+	Zone, Region       string
+	MaxMachineFailures int
 	// Original is set on a machine that started with the founders and is none of them,
 	// until a view has taken it in.
 	Original bool
--- a/internal/controlplane/chain/chain_test.go
+++ b/internal/controlplane/chain/chain_test.go
@@ -120,7 +120,7 @@
 	if err != nil {
 		return // its disk refuses; it stays down
 	}
-	ch.Tolerate, ch.Relay, ch.Original = c.tolerate, n[0] == 'r', founding && !slices.Contains(c.seeds, n)
+	ch.MaxMachineFailures, ch.Relay, ch.Original = c.tolerate, n[0] == 'r', founding && !slices.Contains(c.seeds, n)
 	if r := c.region[n]; r != "" {
 		ch.Zone, ch.Region, ch.Zones, ch.Regions = "zone of "+n, r, 1, c.regions
 	}
--- a/internal/controlplane/chain/electorate.go
+++ b/internal/controlplane/chain/electorate.go
@@ -59,7 +59,7 @@
 
 // smallest is the size under which no electorate is shrunk: with fewer voters the
 // tolerance could not hold even if all of them lived.
-func (c *Chain) smallest(v View) int { return max(2*c.Tolerate+1, min(v.Base, 3)) }
+func (c *Chain) smallest(v View) int { return max(2*c.MaxMachineFailures+1, min(v.Base, 3)) }
 
 // lostVoters are a view's voters that are not its members: those an operator wants out first,
 // then those that said goodbye, then those unheard for longest.
@@ -139,7 +139,7 @@
 	voters := len(v.Voters) - retired
 	lost := len(v.Voters) - len(v.Members)
 	replaced := min(lost, max(0, len(v.Voters)-v.Base))
-	left := len(v.Members) - max(0, c.Tolerate-(lost-replaced))
+	left := len(v.Members) - max(0, c.MaxMachineFailures-(lost-replaced))
 	if lost == replaced {
 		left = min(left, len(v.Members)-c.most(v, c.Zones, func(m Member) string { z, _ := c.place(m); return z }),
 			len(v.Members)-c.most(v, c.Regions, func(m Member) string { _, r := c.place(m); return r }))
@@ -242,7 +242,7 @@
 	case addr == c.Me.Addr || c.inContact(addr):
 		return nil, fmt.Sprintf("%s is running and in contact: stop it first", addr)
 	case len(v.Voters) <= c.smallest(v):
-		return nil, fmt.Sprintf("%d voters are the fewest that can bear the loss of %d: start a successor first, which takes its place", len(v.Voters), c.Tolerate)
+		return nil, fmt.Sprintf("%d voters are the fewest that can bear the loss of %d: start a successor first, which takes its place", len(v.Voters), c.MaxMachineFailures)
 	case len(v.Members)-1 < c.fewest() && v.index(addr) >= 0:
 		return nil, "too few members would be left for a majority"
 	}
--- a/internal/controlplane/chain/view.go
+++ b/internal/controlplane/chain/view.go
@@ -159,7 +159,7 @@
 // fewest is how many members the view after this one has at least: a promise stands on a
 // majority, and on more disks than may be lost, as far as there are so many voters.
 func (c *Chain) fewest() int {
-	return max(c.majority(), min(c.Tolerate+1, len(c.agreement.View.Voters)))
+	return max(c.majority(), min(c.MaxMachineFailures+1, len(c.agreement.View.Voters)))
 }
 
 // candidates are the live members, in their order, then the newcomers; one that another
--- a/internal/modelcheck/chainmodel/machines.go
+++ b/internal/modelcheck/chainmodel/machines.go
@@ -30,7 +30,7 @@
 		}
 		return // it stays down
 	}
-	c.Tolerate = m.Tolerate
+	c.MaxMachineFailures = m.Tolerate
 	m.chain[n] = c
 	m.inForce[n], m.waiters[n] = nil, nil
 	m.reads[n], m.evacs[n] = map[uint64]reading{}, map[uint64]evacuation{}
