--- a/internal/controlplane/chain/chain.go
+++ b/internal/controlplane/chain/chain.go
@@ -156,9 +156,9 @@
 	// Original is set on a machine that started with the founders and is none of them,
 	// until a view has taken it in.
 	Original bool
-	// MaxZoneFailures and Regions are how many of them may be lost at once in place of that.
-	MaxZoneFailures, Regions int
-	Wall                     func() int64 // the time of day, to tell others; nil where there is none
+	// MaxZoneFailures and MaxRegionFailures are how many of them may be lost at once in place of that.
+	MaxZoneFailures, MaxRegionFailures int
+	Wall                               func() int64 // the time of day, to tell others; nil where there is none
 
 	seeds []string // as named at the start
 	peers []string // control machines known, this one too: voters, seeds, and who spoke up
--- a/internal/controlplane/chain/chain_test.go
+++ b/internal/controlplane/chain/chain_test.go
@@ -122,7 +122,7 @@
 	}
 	ch.MaxMachineFailures, ch.Relay, ch.Original = c.tolerate, n[0] == 'r', founding && !slices.Contains(c.seeds, n)
 	if r := c.region[n]; r != "" {
-		ch.Zone, ch.Region, ch.MaxZoneFailures, ch.Regions = "zone of "+n, r, 1, c.regions
+		ch.Zone, ch.Region, ch.MaxZoneFailures, ch.MaxRegionFailures = "zone of "+n, r, 1, c.regions
 	}
 	c.chain[n] = ch
 	c.inForce[n] = nil
--- a/internal/controlplane/chain/electorate.go
+++ b/internal/controlplane/chain/electorate.go
@@ -142,7 +142,7 @@
 	left := len(v.Members) - max(0, c.MaxMachineFailures-(lost-replaced))
 	if lost == replaced {
 		left = min(left, len(v.Members)-c.most(v, c.MaxZoneFailures, func(m Member) string { z, _ := c.place(m); return z }),
-			len(v.Members)-c.most(v, c.Regions, func(m Member) string { _, r := c.place(m); return r }))
+			len(v.Members)-c.most(v, c.MaxRegionFailures, func(m Member) string { _, r := c.place(m); return r }))
 	}
 	return left - (voters/2 + 1)
 }
--- a/internal/controlplane/daemon.go
+++ b/internal/controlplane/daemon.go
@@ -145,7 +145,7 @@
 	machine.Relay = set.DataDirectory == "" || !set.QuorumMember
 	machine.Original = set.Bootstrap && fresh && !founding && !machine.Relay
 	machine.MaxMachineFailures = set.FaultTolerance.MachineFailures
-	machine.MaxZoneFailures, machine.Regions = set.FaultTolerance.Zones, set.FaultTolerance.RegionFailures
+	machine.MaxZoneFailures, machine.MaxRegionFailures = set.FaultTolerance.Zones, set.FaultTolerance.RegionFailures
 	machine.Zone, machine.Region = set.Zone, set.Region
 	machine.Wall = d.wall
 	d.replica = &replica{
