--- a/internal/controlplane/chain/catchup.go
+++ b/internal/controlplane/chain/catchup.go
@@ -48,8 +48,8 @@
 		Version:   VersionOf(c.committed),
 		Dropped:   c.Dropped,
 	}
-	if c.Wall != nil {
-		g.Wall = c.Wall()
+	if c.WallClock != nil {
+		g.Wall = c.WallClock()
 	}
 	return g
 }
--- a/internal/controlplane/chain/chain.go
+++ b/internal/controlplane/chain/chain.go
@@ -158,7 +158,7 @@
 	Original bool
 	// MaxZoneFailures and MaxRegionFailures are how many of them may be lost at once in place of that.
 	MaxZoneFailures, MaxRegionFailures int
-	Wall                               func() int64 // the time of day, to tell others; nil where there is none
+	WallClock                          func() int64 // the time of day, to tell others; nil where there is none
 
 	seeds []string // as named at the start
 	peers []string // control machines known, this one too: voters, seeds, and who spoke up
--- a/internal/controlplane/daemon.go
+++ b/internal/controlplane/daemon.go
@@ -147,7 +147,7 @@
 	machine.MaxMachineFailures = set.FaultTolerance.MachineFailures
 	machine.MaxZoneFailures, machine.MaxRegionFailures = set.FaultTolerance.Zones, set.FaultTolerance.RegionFailures
 	machine.Zone, machine.Region = set.Zone, set.Region
-	machine.Wall = d.wall
+	machine.WallClock = d.wall
 	d.replica = &replica{
 		address: set.IPAddress,
 		seeds:   seeds,
