--- a/internal/controlplane/chain/catchup.go
+++ b/internal/controlplane/chain/catchup.go
@@ -46,7 +46,7 @@
 		Committed: revisionOf(c.committed),
 		Held:      revisionOf(c.held),
 		Version:   VersionOf(c.committed),
-		Dropped:   c.Dropped,
+		Dropped:   c.DroppedOrders,
 	}
 	if c.WallClock != nil {
 		g.Wall = c.WallClock()
--- a/internal/controlplane/chain/chain.go
+++ b/internal/controlplane/chain/chain.go
@@ -196,7 +196,7 @@
 	retire                 map[string]time.Duration // an operator's word on voters that are gone
 	effects                []Effect
 	bulks                  [2]bulk // configurations on disk; states name them
-	Dropped                uint64
+	DroppedOrders          uint64
 }
 
 // VersionOf is the version of a state's configuration; 0 without a state.
--- a/internal/controlplane/chain/receive.go
+++ b/internal/controlplane/chain/receive.go
@@ -190,7 +190,7 @@
 // onDutyOrder is a duty's order at the head. Only voters give any.
 func (c *Chain) onDutyOrder(from string, m duty.Order) {
 	if c.agreement.View.voter(from) < 0 {
-		c.Dropped++
+		c.DroppedOrders++
 		return
 	}
 	d := c.nextState()
