--- a/internal/controlplane/replica.go
+++ b/internal/controlplane/replica.go
@@ -26,7 +26,7 @@
 	view, epoch uint64
 	voters      []string // addresses, sorted
 	joined      bool     // the view names this machine's disk a voter
-	leaves      bool     // no lease is granted: see chain.Chain.LeavesElectorate
+	leaves      bool     // no lease is granted: see chain.Chain.ElectorateUncertain
 }
 
 // replica runs this machine's Chain: it steps it, carries out the effects, and publishes
@@ -193,7 +193,7 @@
 	r.store.Put(key, value()) // what cannot be kept is told again by others
 }
 
-// ahead is the machine with a say that was heard last; see chain.Chain.Ahead.
+// ahead is the machine with a say that was heard last; see chain.Chain.RedirectTarget.
 func (r *replica) ahead() (address string, ok bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
