--- a/internal/controlplane/chain/catchup.go
+++ b/internal/controlplane/chain/catchup.go
@@ -7,30 +7,32 @@
 	"slateridge/internal/constants"
 )
 
-// Catching up: what the machines tell each other regularly, what is kept on disk,
-// and how old copies are mended.
+// This file holds the heartbeats, the storage of states, and the catch-up of machines whose
+// state is old.
 
-// bulk is a configuration and the ledger, kept apart from the states that hold them.
+// bulk is a configuration body and the ledger, stored apart from the small states that
+// refer to them.
 type bulk struct {
 	Version, Sum uint64
 	Raw          []byte
 	Ledger       config.Ledger
 }
 
-func (r bulk) matches(d *config.Doc) bool {
-	return d != nil && r.Version == d.Version && r.Sum == d.Sum && r.Ledger.Sum == d.Ledger.Sum
+func (b bulk) matches(d *config.Doc) bool {
+	return d != nil && b.Version == d.Version && b.Sum == d.Sum && b.Ledger.Sum == d.Ledger.Sum
 }
 
 var bulkKeys = [2]string{"raw0", "raw1"}
 
-// Joined says whether the newest view known here names this machine's disk a voter.
+// Joined reports whether the newest view known here counts this machine, with its current
+// incarnation, among the voters.
 func (c *Chain) Joined() bool { return c.agreement.Joined }
 
 // Status describes this machine for operators.
 func (c *Chain) Status() Heartbeat { return c.heartbeat() }
 
 func (c *Chain) heartbeat() Heartbeat {
-	g := Heartbeat{
+	hb := Heartbeat{
 		Me:        c.Me,
 		View:      c.agreement.View,
 		Joined:    c.agreement.Joined,
@@ -41,7 +43,7 @@
 		Relay:     c.Relay,
 		Original:  c.Original,
 		Leaving:   c.leaving,
-		Unheard:   c.peersOutOfContact(),
+		Unheard:   c.unreachablePeers(),
 		Asks:      c.Relay || !c.agreement.Joined,
 		Committed: revisionOf(c.committed),
 		Held:      revisionOf(c.held),
@@ -49,68 +51,68 @@
 		Dropped:   c.DroppedOrders,
 	}
 	if c.WallClock != nil {
-		g.Wall = c.WallClock()
+		hb.Wall = c.WallClock()
 	}
-	return g
+	return hb
 }
 
-// sendHeartbeat sends a machine this one's heartbeat.
+// sendHeartbeat sends this machine's heartbeat to a peer.
 func (c *Chain) sendHeartbeat(p string) {
-	g := c.heartbeat()
-	if s := c.peerStates[p]; s != nil && s.heartbeat.View.Num >= g.View.Num {
-		g.View = View{Num: g.View.Num} // it has that view; its number is enough
+	hb := c.heartbeat()
+	if s := c.peerStates[p]; s != nil && s.heartbeat.View.Num >= hb.View.Num {
+		hb.View = View{Num: hb.View.Num} // the peer has the view already
 	}
-	g.At = c.clockBase + uint64(c.now)
+	hb.At = c.clockBase + uint64(c.now)
 	if s := c.peerStates[p]; s != nil {
-		g.Echo = s.heartbeat.At
+		hb.Echo = s.heartbeat.At
 	}
-	c.send(p, g)
+	c.send(p, hb)
 }
 
-// ask has a relay look at one machine after the other: whose answer came last
-// is where it sends those who call it.
-func (c *Chain) ask() {
-	if c.now < c.heartbeatAt {
+// pollNextPeer makes a relay send a heartbeat to its peers in rotation. The relay redirects
+// its callers to the machine that answered last.
+func (c *Chain) pollNextPeer() {
+	if c.now < c.nextHeartbeatAt {
 		return
 	}
-	c.heartbeatAt = c.now + constants.RelayEvery
+	c.nextHeartbeatAt = c.now + constants.RelayEvery
 	for range c.peers {
-		c.relayTurn++
-		if p := c.peers[c.relayTurn%len(c.peers)]; p != c.Me.Addr {
+		c.lastPolledPeer++
+		if p := c.peers[c.lastPolledPeer%len(c.peers)]; p != c.Me.Addr {
 			c.sendHeartbeat(p)
 			return
 		}
 	}
 }
 
-// RedirectTarget is the machine with a say that was heard last, for a relay to send its
-// callers to; none when nobody was heard lately.
+// RedirectTarget returns the voter that was heard from last, for a relay to redirect its
+// callers to; ok is false if none was heard from recently.
 func (c *Chain) RedirectTarget() (addr string, ok bool) {
 	last := c.now - constants.RelayFresh
 	for p, s := range c.peerStates {
-		if s.heartbeat.Joined && !s.heartbeat.Relay && s.heardAt > last {
-			addr, last, ok = p, s.heardAt, true
+		if s.heartbeat.Joined && !s.heartbeat.Relay && s.receivedAt > last {
+			addr, last, ok = p, s.receivedAt, true
 		}
 	}
 	return addr, ok
 }
 
-// updateReadIndex works out since when this machine is sure to know what is committed. A
-// state that is committed is held by every member of its view. So once so many voters
-// that one of them must be a member have told, after some moment, of nothing newer than
-// what is committed here, nothing newer had been committed in this view at that moment;
-// and with a majority of them unsealed after it, no later view had been decided. Their
-// words count from the moment of this machine's that they follow, however long they
-// were under way.
+// updateReadIndex advances the time at which this machine is known to have had the newest
+// committed state. A committed state is held by every member of its view. So let a set of
+// voters be large enough to contain at least one member of the view, and let each of them
+// report, after some time t, nothing newer than what is committed here: then nothing newer
+// had been committed in this view at t. If a majority of the voters was unsealed after t,
+// no later view had been decided at t either. A report counts from the local send time of
+// the heartbeat that it echoes, however long it was in flight.
 func (c *Chain) updateReadIndex() {
 	if !c.agreement.Joined || c.committed == nil || c.Relay || c.sealed() {
 		return
 	}
-	var since []time.Duration
+	var times []time.Duration
 	for _, v := range c.agreement.View.Voters {
 		if v == c.Me {
 			if revisionOf(c.committed) == revisionOf(c.held) {
-				since = append(since, c.now)
+				times = append(times, c.now)
 			}
 			continue
 		}
@@ -119,57 +121,58 @@
 			continue
 		}
 		if s.heartbeat.View.Num > c.agreement.View.Num || revisionOf(c.committed).Less(s.heartbeat.Held) {
-			continue // it knows more, or may
+			continue // it has, or may have, something newer
 		}
-		since = append(since, s.echoedAt)
+		times = append(times, s.echoedAt)
 	}
 	v := c.agreement.View
-	if at, ok := nthLatest(since, max(c.majority(), len(v.Voters)-len(v.Members)+1)); ok {
+	if at, ok := nthLatest(times, max(c.majority(), len(v.Voters)-len(v.Members)+1)); ok {
 		c.readIndexAt = max(c.readIndexAt, at)
 	}
 }
 
-// ReadIndexAt is the moment at which nothing newer than what is committed here had been
-// committed; false while none is known.
+// ReadIndexAt returns the latest time at which nothing newer than what is committed here is
+// known to have been committed, or false if there is none.
 func (c *Chain) ReadIndexAt() (time.Duration, bool) { return c.readIndexAt, c.readIndexAt >= 0 }
 
-// onHeartbeat takes a machine's word about itself. It says whether one of the two cannot know
-// yet that the path works both ways: the sender has just started, or was not heard here
-// lately. An answer at once then proves it in a round trip, where regular words take up to
-// two of their periods; it echoes the sender, so that answers end.
-func (c *Chain) onHeartbeat(from string, g Heartbeat) (unproven bool) {
+// onHeartbeat records a peer's heartbeat. It reports whether one of the two machines cannot
+// know yet that the path works both ways, because the sender has just started or was not
+// heard from recently. An immediate reply then proves the path within one round trip, where
+// regular heartbeats take up to two of their periods. The reply echoes the sender's
+// heartbeat, so the exchange of replies ends.
+func (c *Chain) onHeartbeat(from string, hb Heartbeat) (unproven bool) {
 	p := c.peerStates[from]
 	if p == nil {
-		p = &peerState{reached: -1}
+		p = &peerState{lastReachedAt: -1}
 		c.peerStates[from] = p
 	}
-	if !p.everSeen || c.now-p.heardAt > constants.MemberSilence || p.heartbeat.Me != g.Me {
-		p.heardSince, unproven = c.now, true
-		if p.heartbeat.Me != g.Me {
-			p.reached = -1
+	if !p.everSeen || c.now-p.receivedAt > constants.MemberSilence || p.heartbeat.Me != hb.Me {
+		p.receivingSince, unproven = c.now, true
+		if p.heartbeat.Me != hb.Me {
+			p.lastReachedAt = -1
 		}
-		if c.agreement.View.index(from) >= 0 {
-			c.passAt = 0 // what was passed while it was not there has been lost
+		if c.agreement.View.memberIndex(from) >= 0 {
+			c.nextRetransmitAt = 0 // anything sent while it was away has been lost
 		}
 	}
-	p.everSeen, p.heardAt, p.heartbeat = true, c.now, g
+	p.everSeen, p.receivedAt, p.heartbeat = true, c.now, hb
 	p.echoedAt = -1
-	if since := g.Echo - c.clockBase; since <= uint64(c.now) {
+	if since := hb.Echo - c.clockBase; since <= uint64(c.now) {
 		p.echoedAt = time.Duration(since)
 	} else {
 		unproven = true
 	}
-	p.reached = max(p.reached, p.echoedAt)
-	c.noteDeparture(from, g)
-	c.learn(g.View)
-	if revisionOf(c.committed).Less(g.Committed) && !c.Relay {
-		// Copies found old are mended: from what is held here when it is that
-		// very version, or else by asking for it.
-		if revisionOf(c.held) == g.Committed {
+	p.lastReachedAt = max(p.lastReachedAt, p.echoedAt)
+	c.recordDeparture(from, hb)
+	c.adoptView(hb.View)
+	if revisionOf(c.committed).Less(hb.Committed) && !c.Relay {
+		// This machine is behind: it commits what it holds if that is the committed
+		// revision, and fetches the state otherwise.
+		if revisionOf(c.held) == hb.Committed {
 			c.commit(*c.held)
-		} else if c.now >= c.fetchAt {
-			if c.inContact(from) { // the asking of one that may not hear it holds up no other
-				c.fetchAt = c.now + constants.HeartbeatEvery
+		} else if c.now >= c.nextFetchAt {
+			if c.inContact(from) { // a request that may not arrive must not delay one to another peer
+				c.nextFetchAt = c.now + constants.HeartbeatEvery
 			}
 			c.send(from, Fetch{revisionOf(c.committed)})
 		}
@@ -177,9 +180,9 @@
 	return unproven
 }
 
-// persistState makes a state durable here if it is newer than what is held. Its
-// configuration is written only when it is another one: a duty's decisions are
-// many and small.
+// persistState makes a state durable if it is newer than the one held, and reports whether
+// a state at least as new is durable. The bulk is written only when it has changed, since
+// duties commit many small states.
 func (c *Chain) persistState(d config.Doc) bool {
 	if !revisionOf(c.held).Less(d.Stamp) {
 		return true
@@ -187,14 +190,14 @@
 	d.Complete()
 	if d.Version > 0 && !c.bulks[0].matches(&d) && !c.bulks[1].matches(&d) {
 		if d.Raw == nil {
-			return false // it should have come whole; whoever sent it sends it again
+			return false // the body is missing; the sender retransmits the state
 		}
 		i := 0
 		if c.bulks[0].matches(c.held) {
 			i = 1
 		}
 		if c.store.Put(bulkKeys[i], bulk{d.Version, d.Sum, d.Raw, d.Ledger}) != nil {
-			c.bulks[i] = bulk{} // may or may not be there
+			c.bulks[i] = bulk{} // the write may or may not have taken effect
 			return false
 		}
 		c.bulks[i] = bulk{Version: d.Version, Sum: d.Sum, Ledger: config.Ledger{Sum: d.Ledger.Sum}}
@@ -206,7 +209,7 @@
 	return true
 }
 
-// commit takes a state that is known to be in force for good.
+// commit records a state that is known to be committed, and reports it as an effect.
 func (c *Chain) commit(d config.Doc) {
 	if !revisionOf(c.committed).Less(d.Stamp) {
 		return
@@ -214,10 +217,11 @@
 	d.Complete()
 	c.committed = &d
 	c.persistState(d)
-	c.expire()
+	c.expirePending()
 	c.effects = append(c.effects, Commit{d})
 }
 
+// commitAt commits the state held if it has revision s.
 func (c *Chain) commitAt(s config.Revision) {
 	if revisionOf(c.committed).Less(s) && revisionOf(c.held) == s {
 		c.commit(*c.held)
--- a/internal/controlplane/chain/chain.go
+++ b/internal/controlplane/chain/chain.go
@@ -1,9 +1,10 @@
-// Package chain is the replicated state of the control plane. The machines with a disk form
-// a chain: a configuration enters at the head, is synced by every member in turn, and is
-// committed at the tail (chain replication, van Renesse and Schneider, OSDI 2004). A small
-// view (number and ordered members), agreed by a majority of the machines, says who the
-// chain is. Chain is a deterministic machine: it takes moments and messages and gives
-// effects, and has no clock, goroutine or network of its own. Package controlplane runs it.
+// Package chain implements the replicated state of the control plane. The machines with a
+// disk form a chain: a configuration enters at the head, is synced by every member in turn,
+// and is committed at the tail (chain replication, van Renesse and Schneider, OSDI 2004).
+// The membership of the chain is a small view, a number and an ordered list of members,
+// which a majority of the voters agrees on with a consensus protocol. Chain is a
+// deterministic state machine: it takes times and messages and returns effects, and has no
+// clock, goroutine or network of its own. Package controlplane runs it.
 package chain
 
 import (
@@ -15,17 +16,17 @@
 	"slateridge/internal/config"
 )
 
-// Member is a machine and the life of its disk: a machine whose disk came back
-// empty is another member.
+// Member identifies a machine together with the incarnation of its disk: a machine whose
+// disk came back empty is a different member.
 type Member struct {
 	Addr        string
 	Incarnation uint64
 }
 
-// View is the agreed chain. Voters are the machines that agree on the view after
-// it, members or not: the electorate. Epoch is the number of the view that last
-// changed their addresses. Base is how many they were when the system was founded.
-// From is the state all members held when the view was agreed.
+// View is an agreed configuration of the chain. Voters is the electorate: the machines,
+// members or not, that agree on the next view. Epoch is the number of the view that last
+// changed the voters' addresses. Base is the number of voters when the system was founded.
+// From is the revision that all members held when the view was agreed.
 type View struct {
 	Num     uint64
 	Members []Member
@@ -35,14 +36,15 @@
 	From    config.Revision
 }
 
-func (v View) votes(m Member) bool { return slices.Contains(v.Voters, m) }
+func (v View) hasVoter(m Member) bool { return slices.Contains(v.Voters, m) }
 
-// voter is the place of an address among the voters, whatever its disk; -1: it is none.
-func (v View) voter(addr string) int {
+// voterIndex returns the index of the voter with the address, whatever its incarnation,
+// or -1.
+func (v View) voterIndex(addr string) int {
 	return slices.IndexFunc(v.Voters, func(m Member) bool { return m.Addr == addr })
 }
 
-// VoterAddrs lists the voters' addresses, sorted.
+// VoterAddrs returns the voters' addresses, sorted.
 func (v View) VoterAddrs() []string {
 	var out []string
 	for _, m := range v.Voters {
@@ -52,14 +54,16 @@
 	return out
 }
 
-func (v View) index(addr string) int {
+// memberIndex returns the index of the member with the address, whatever its incarnation,
+// or -1.
+func (v View) memberIndex(addr string) int {
 	return slices.IndexFunc(v.Members, func(m Member) bool { return m.Addr == addr })
 }
 
-// HasMember says whether a machine, with this life of its disk, is a member.
+// HasMember reports whether m, with the same incarnation, is a member.
 func (v View) HasMember(m Member) bool { return slices.Contains(v.Members, m) }
 
-// Ballot orders attempts to agree on one view.
+// Ballot orders the attempts to agree on one view.
 type Ballot struct {
 	Round uint64
 	Addr  string
@@ -69,8 +73,8 @@
 	return b.Round < o.Round || b.Round == o.Round && b.Addr < o.Addr
 }
 
-// Effect is what the caller of a step has to carry out, in the order given: a Send, a
-// Commit, a ReadDone or a Moved, and nothing else.
+// Effect is an action that the caller of a step must carry out, in the order given: a Send,
+// a Commit, a ReadDone or a ViewChanged.
 type Effect interface{ effect() }
 
 func (Send) effect()        {}
@@ -78,25 +82,24 @@
 func (ReadDone) effect()    {}
 func (ViewChanged) effect() {}
 
-// Effects of a step.
 type (
-	// Send is a message to another machine.
+	// Send sends a message to another machine.
 	Send struct {
 		To  string
 		Msg any
 	}
-	// Commit tells that a version is in force for good.
+	// Commit reports that a state has been committed.
 	Commit struct{ Doc config.Doc }
-	// ReadDone ends a read; Doc is nil when there is no configuration yet.
+	// ReadDone completes a read; Doc is nil if nothing has been committed yet.
 	ReadDone struct {
 		ID  uint64
 		Doc *config.Doc
 	}
-	// ViewChanged tells of a new view.
+	// ViewChanged reports that a new view has been adopted.
 	ViewChanged struct{ View View }
 )
 
-// Store keeps what must outlast the process.
+// Store is durable storage.
 type Store interface {
 	Get(key string, v any) bool
 	Put(key string, v any) error
@@ -104,7 +107,10 @@
 	Recover() error
 }
 
-// agreement is the acceptor's durable state for the slot after the view.
+// agreement is the acceptor's durable state: the newest decided view and, for the slot
+// after it, the promised and the accepted ballot. Joined is set while View counts this
+// machine, with its current incarnation, among the voters. Next is the view accepted under
+// ballot Accepted.
 type agreement struct {
 	View     View
 	Joined   bool
@@ -113,55 +119,60 @@
 	Next     View
 }
 
+// peerState is what this machine knows about another control machine. Times are of this
+// machine's clock.
 type peerState struct {
-	heartbeat  Heartbeat
-	echoedAt   time.Duration // moment here that its last heartbeat follows; negative: none known
-	reached    time.Duration // latest moment here that any heartbeat of its disk's life followed; negative: none known
-	heardAt    time.Duration // last heartbeat
-	heardSince time.Duration // first heartbeat of the present run of them
-	everSeen   bool
+	heartbeat      Heartbeat
+	echoedAt       time.Duration // send time of the heartbeat that its latest one echoes; negative: none
+	lastReachedAt  time.Duration // latest send time that any heartbeat of its incarnation echoed; negative: none
+	receivedAt     time.Duration // when its latest heartbeat was received
+	receivingSince time.Duration // when the first heartbeat of the current uninterrupted sequence was received
+	everSeen       bool
 }
 
-// round is one attempt of this machine at the next view.
+// round is one attempt of this machine to get the next view agreed.
 type round struct {
-	slot     uint64
-	ballot   Ballot
-	began    time.Duration
-	promises map[string]Promise // of voters
-	chosen   []Member
-	doc      *config.Doc
-	synced   map[string]bool
-	value    *View
-	accepted map[Member]bool
-	fixed    bool // the value was accepted before, by another's round
+	slot      uint64
+	ballot    Ballot
+	startedAt time.Duration
+	promises  map[string]Promise // by voter address
+	members   []Member           // of the view to propose
+	state     *config.Doc        // that all of them must hold first
+	synced    map[string]bool
+	proposed  *View // nil until the members are synced
+	accepted  map[Member]bool
+	fixed     bool // the proposed view was accepted in an earlier round
 }
 
-type reading struct {
+// pendingRead is a read at the tail that awaits confirmation of the view by a majority.
+type pendingRead struct {
 	id        uint64
-	from      string // "" is this machine
+	from      string // "" for this machine
 	nonce     uint64
-	began     time.Duration
-	sent      time.Duration
-	confirmed map[Member]bool // voters, this one too, that have confirmed the view unsealed
+	startedAt time.Duration
+	sentAt    time.Duration
+	confirmed map[Member]bool // voters, including this one, that have confirmed that they have not sealed the view
 }
 
-// Chain is one machine's part in the chain and in agreeing on the view.
+// Chain is one machine's replica: its part in the chain and in agreeing on views.
 type Chain struct {
 	Me Member
-	// Relay is set on a machine without a say; Tolerate is how many disks may be
-	// lost at once: a promise stands on more.
+	// Relay marks a machine that neither votes nor stores state and only redirects callers.
+	// MaxMachineFailures is the number of disks that may be lost at once: a commit is held
+	// by more than that.
 	Relay              bool
 	Zone, Region       string
 	MaxMachineFailures int
-	// Original is set on a machine that started with the founders and is none of them,
-	// until a view has taken it in.
+	// Original is set on a machine that started together with the founders without being one,
+	// until a view includes it.
 	Original bool
-	// MaxZoneFailures and MaxRegionFailures are how many of them may be lost at once in place of that.
+	// MaxZoneFailures and MaxRegionFailures are the numbers of zones and regions that may be
+	// lost at once, as alternatives to MaxMachineFailures.
 	MaxZoneFailures, MaxRegionFailures int
-	WallClock                          func() int64 // the time of day, to tell others; nil where there is none
+	WallClock                          func() int64 // time of day to report in heartbeats; may be nil
 
-	seeds []string // as named at the start
-	peers []string // control machines known, this one too: voters, seeds, and who spoke up
+	seeds []string // as given to New
+	peers []string // known control machines, including this one: voters, seeds and senders of heartbeats
 	store Store
 	rng   *rand.Rand
 
@@ -171,35 +182,35 @@
 
 	peerStates             map[string]*peerState
 	now                    time.Duration
-	started                time.Duration
-	heartbeatAt            time.Duration
-	relayTurn              int // a relay's: whom it asked last
-	passAt                 time.Duration
-	fetchAt                time.Duration
-	recoverAt              time.Duration
-	troubleAt              time.Duration // since when a change of view is wanted
-	rounds                 uint64
+	startedAt              time.Duration
+	nextHeartbeatAt        time.Duration
+	lastPolledPeer         int // index of the peer that a relay last sent a heartbeat to
+	nextRetransmitAt       time.Duration
+	nextFetchAt            time.Duration
+	nextRecoveryAt         time.Duration
+	nextRoundAt            time.Duration // when this machine may start a round; 0 while no view change is needed
+	lastRound              uint64        // highest round number used or seen
 	round                  *round
-	pendingConfigs         map[config.Taken]config.Doc // an operator's changes not yet committed, by number and content
+	pendingConfigs         map[config.Taken]config.Doc // configurations submitted here and not yet committed, by version and checksum
 	pendingConfigSince     map[config.Taken]time.Duration
-	pendingEvacuations     map[uint64]EvacuationOrder // likewise, evacuations
+	pendingEvacuations     map[uint64]EvacuationOrder // evacuation orders submitted here and not yet committed, by ID
 	pendingEvacuationSince map[uint64]time.Duration
-	arrivals               arrivals // a head's: the evacuations it has received
-	reads                  []*reading
+	receipts               receiptLog // evacuation orders received as head
+	reads                  []*pendingRead
 	nonce                  uint64
-	clockBase              uint64                   // moments of this life are told apart from those of others by it
-	readIndexAt            time.Duration            // nothing newer than what is committed here had been committed at this moment; negative: never known
-	leaving                bool                     // this machine is about to stop
-	lastTick               time.Duration            // to see that the process stood still
-	quietUntil             time.Duration            // its picture of the others is old until then
-	departures             map[string]time.Duration // who said that it leaves, and when
-	retire                 map[string]time.Duration // an operator's word on voters that are gone
+	clockBase              uint64                   // random offset that keeps heartbeat times of different runs of the process apart
+	readIndexAt            time.Duration            // at this time nothing newer than committed had been committed anywhere; negative: unknown
+	leaving                bool                     // a planned stop is in progress
+	lastTick               time.Duration            // detects pauses of the process
+	staleUntil             time.Duration            // after a pause, peerStates is out of date until then
+	departures             map[string]time.Duration // when each peer announced that it is leaving
+	retireRequests         map[string]time.Duration // when an operator asked to retire each voter
 	effects                []Effect
-	bulks                  [2]bulk // configurations on disk; states name them
-	DroppedOrders          uint64
+	bulks                  [2]bulk // what is stored under bulkKeys, without the bodies; states refer to it by version and checksum
+	DroppedOrders          uint64  // duty orders from machines that are not voters
 }
 
-// VersionOf is the version of a state's configuration; 0 without a state.
+// VersionOf returns the version of a state's configuration, or 0 for nil.
 func VersionOf(d *config.Doc) uint64 {
 	if d == nil {
 		return 0
@@ -207,7 +218,7 @@
 	return d.Version
 }
 
-// revisionOf is a state's place in the order; nothing is before all.
+// revisionOf returns a state's revision; that of nil precedes all others.
 func revisionOf(d *config.Doc) config.Revision {
 	if d == nil {
 		return config.Revision{}
@@ -215,7 +226,7 @@
 	return d.Stamp
 }
 
-// addPeer makes a control machine known.
+// addPeer adds a control machine to the known peers.
 func (c *Chain) addPeer(addr string) {
 	if addr != "" && !slices.Contains(c.peers, addr) {
 		c.peers = append(c.peers, addr)
@@ -223,46 +234,51 @@
 	}
 }
 
-// majority is how many voters of the present view decide on the next.
+// majority returns the number of voters of the current view that decide the next one.
 func (c *Chain) majority() int { return len(c.agreement.View.Voters)/2 + 1 }
 
-// View is the newest view known here.
+// View returns the newest view known here.
 func (c *Chain) View() View { return c.agreement.View }
 
-// Committed is the newest configuration known to be in force, or nil.
+// Committed returns the newest state known to be committed, or nil.
 func (c *Chain) Committed() *config.Doc { return c.committed }
 
-// Member says whether this machine is in the view, and sealed whether it has
-// promised to leave that view.
-func (c *Chain) member() bool { return c.agreement.Joined && c.agreement.View.HasMember(c.Me) }
+// isMember reports whether this machine is a member of the current view.
+func (c *Chain) isMember() bool { return c.agreement.Joined && c.agreement.View.HasMember(c.Me) }
+
+// sealed reports whether this machine has promised a ballot for the next view, which
+// ends its part in the current one.
 func (c *Chain) sealed() bool { return c.agreement.Promised != Ballot{} }
 
-// serves says whether this machine has its part in the chain: a member of an unsealed
-// view, and of the newest it knows of. One that holds a state of a later view has caught
-// up with what that view committed and not yet learnt of the view itself: were it to
-// head, its next state would bear a revision that the later view's head may give to another.
-func (c *Chain) serves() bool {
-	return c.member() && !c.sealed() && revisionOf(c.held).View <= c.agreement.View.Num && revisionOf(c.committed).View <= c.agreement.View.Num
+// isActiveMember reports whether this machine takes part in the chain: it is a member of
+// the current view, has not sealed it, and holds no state of a later view. A machine with
+// a state of a later view has caught up with what that view committed before learning of
+// the view itself. If it acted as head, its next state would get a revision that the later
+// view's head may give to a different state.
+func (c *Chain) isActiveMember() bool {
+	return c.isMember() && !c.sealed() && revisionOf(c.held).View <= c.agreement.View.Num && revisionOf(c.committed).View <= c.agreement.View.Num
 }
 
-// heads says whether orders enter here.
-func (c *Chain) heads() bool { return c.serves() && c.leads() }
+// isActiveHead reports whether this machine accepts orders as head.
+func (c *Chain) isActiveHead() bool { return c.isActiveMember() && c.isHead() }
 
-// leads says whether this machine is the first of its view, sealed or not.
-func (c *Chain) leads() bool {
+// isHead reports whether this machine is the first member of its view, sealed or not.
+func (c *Chain) isHead() bool {
 	m := c.agreement.View.Members
 	return len(m) > 0 && m[0] == c.Me
 }
 
+// send sends a message to a machine; a message to itself is handled at once.
 func (c *Chain) send(to string, m any) {
 	if to == c.Me.Addr {
-		c.take(to, m)
+		c.dispatch(to, m)
 		return
 	}
 	c.effects = append(c.effects, Send{to, m})
 }
 
-func (c *Chain) others(f func(p string)) {
+// forEachPeer calls f for every known control machine except this one.
+func (c *Chain) forEachPeer(f func(p string)) {
 	for _, p := range c.peers {
 		if p != c.Me.Addr {
 			f(p)
@@ -270,7 +286,8 @@
 	}
 }
 
-func (c *Chain) flush() []Effect {
+// takeEffects returns the effects gathered so far and clears them.
+func (c *Chain) takeEffects() []Effect {
 	out := c.effects
 	c.effects = nil
 	return out
--- a/internal/controlplane/chain/chain_test.go
+++ b/internal/controlplane/chain/chain_test.go
@@ -767,7 +767,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if v := c.View(); v.Num != 4 || len(v.Voters) != 3 || c.majority() != 2 || !v.votes(Member{"b", 1}) || c.Status().Held.Seq != 6 {
+	if v := c.View(); v.Num != 4 || len(v.Voters) != 3 || c.majority() != 2 || !v.hasVoter(Member{"b", 1}) || c.Status().Held.Seq != 6 {
 		t.Fatalf("opened as %+v holding %+v", v, c.Status().Held)
 	}
 }
@@ -808,7 +808,7 @@
 		kill("f") // its last word is young when the view without it is agreed
 		without := func() bool {
 			for _, n := range []string{"a", "b", "c", "d"} {
-				if c.chain[n].View().index("f") >= 0 {
+				if c.chain[n].View().memberIndex("f") >= 0 {
 					return false
 				}
 			}
@@ -831,7 +831,7 @@
 		})
 		c.start("f", false)
 		c.network.Run(c.network.Now+2*time.Second, nil)
-		if c.chain["a"].View().index("f") < 0 {
+		if c.chain["a"].View().memberIndex("f") < 0 {
 			t.Fatalf("seed %d: f is back and not taken in", seed)
 		}
 	}
--- a/internal/controlplane/chain/electorate.go
+++ b/internal/controlplane/chain/electorate.go
@@ -9,23 +9,23 @@
 	"slateridge/internal/constants"
 )
 
-// The electorate: who agrees on the next view. It changes with a decided view only,
-// agreed by a majority of the voters before it; each view's number is an agreement of
-// its own, so any change between two of them is safe as long as the new view's members
-// hold all that was confirmed (they are synced before it is proposed) and are a
-// majority of its voters. Newcomers become voters with the view that takes them in.
-// Voters leave with a view that goes on without them: in favour of a successor that
-// comes with it, when the tolerance would not hold otherwise, when an operator says so,
-// or when they have been gone for long.
+// The electorate is the set of voters that agree on the next view. It changes only with a
+// decided view, which a majority of the previous voters has accepted. Each view number is a
+// separate consensus instance, so any change between two views is safe as long as the new
+// view's members hold everything that was acknowledged (they are synced before the view is
+// proposed) and are a majority of its voters. A machine becomes a voter with the view that
+// adds it. A voter is removed with a view that it is no member of: in favor of a successor
+// that joins with that view, when the fault tolerance would not hold otherwise, on an
+// operator's request, or after a long absence.
 
-// nextView is the view a round proposes. A newcomer becomes a voter with it: in the
-// place of its earlier self, whose disk is gone, or as one more.
+// nextView returns the view that a round proposes. A machine that joins with it becomes a
+// voter: in place of its previous incarnation, whose disk is lost, or as an additional one.
 func (c *Chain) nextView(r *round) View {
 	old := c.agreement.View
-	v := View{Num: r.slot, Members: r.chosen, Voters: slices.Clone(old.Voters), Epoch: old.Epoch, Base: old.Base, From: revisionOf(r.doc)}
+	v := View{Num: r.slot, Members: r.members, Voters: slices.Clone(old.Voters), Epoch: old.Epoch, Base: old.Base, From: revisionOf(r.state)}
 	joined, original := 0, 0
-	for _, m := range r.chosen {
-		if i := v.voter(m.Addr); i >= 0 {
+	for _, m := range r.members {
+		if i := v.voterIndex(m.Addr); i >= 0 {
 			v.Voters[i] = m
 		} else {
 			v.Voters = append(v.Voters, m)
@@ -35,11 +35,11 @@
 			}
 		}
 	}
-	if v.Base == 0 { // agreed before this was kept
+	if v.Base == 0 { // agreed by a build that did not record Base
 		v.Base = len(old.Voters)
 	}
 	v.Base += original
-	retired := c.retired(v, joined)
+	retired := c.votersToRetire(v, joined)
 	v.Voters = slices.DeleteFunc(v.Voters, func(m Member) bool { return slices.Contains(retired, m) })
 	if joined+len(retired) > 0 {
 		v.Epoch = r.slot
@@ -47,23 +47,24 @@
 	return v
 }
 
-// ElectorateUncertain says whether this machine must not grant leases: it has accepted a
-// view with another electorate, which may have been decided since. A promise alone does
-// not matter to leases, nor does a view with the same electorate. A machine that no view
-// has taken in with this disk counts as leaving: its address may be a voter's, whose
-// acceptance its disk has forgotten.
+// ElectorateUncertain reports whether this machine must not grant leases, because it has
+// accepted a view with another electorate, which may have been decided since. Neither a
+// promise alone nor a view with the same electorate affects leases. It is also true for a
+// machine that no view has included with its current disk: its address may be a voter's,
+// whose acceptance was lost with the previous disk.
 func (c *Chain) ElectorateUncertain() bool {
 	accepted := c.agreement.Accepted != Ballot{}
 	return !c.agreement.Joined || accepted && c.agreement.Next.Epoch != c.agreement.View.Epoch
 }
 
-// smallest is the size under which no electorate is shrunk: with fewer voters the
-// tolerance could not hold even if all of them lived.
-func (c *Chain) smallest(v View) int { return max(2*c.MaxMachineFailures+1, min(v.Base, 3)) }
+// minVoters returns the size below which the electorate is not shrunk: with fewer voters
+// the fault tolerance could not hold even if all of them were running.
+func (c *Chain) minVoters(v View) int { return max(2*c.MaxMachineFailures+1, min(v.Base, 3)) }
 
-// lostVoters are a view's voters that are not its members: those an operator wants out first,
-// then those that said goodbye, then those unheard for longest.
-func (c *Chain) lostVoters(v View) []Member {
+// votersOutsideView returns the voters of a view that are not its members: first those that
+// an operator asked to retire, then those that announced that they leave, and among equals
+// those out of contact for longest first.
+func (c *Chain) votersOutsideView(v View) []Member {
 	var out []Member
 	for _, m := range v.Voters {
 		if !v.HasMember(m) {
@@ -71,83 +72,90 @@
 		}
 	}
 	slices.SortStableFunc(out, func(a, b Member) int {
-		return cmp.Or(-cmp.Compare(flag(c.retirementRequested(a)), flag(c.retirementRequested(b))), -cmp.Compare(flag(c.departures[a.Addr] > 0), flag(c.departures[b.Addr] > 0)),
-			cmp.Compare(c.lastHeard(a), c.lastHeard(b)))
+		return cmp.Or(-cmp.Compare(boolToInt(c.retirementRequested(a)), boolToInt(c.retirementRequested(b))), -cmp.Compare(boolToInt(c.departures[a.Addr] > 0), boolToInt(c.departures[b.Addr] > 0)),
+			cmp.Compare(c.lastContact(a), c.lastContact(b)))
 	})
 	return out
 }
 
-func flag(b bool) int {
+func boolToInt(b bool) int {
 	if b {
 		return 1
 	}
 	return 0
 }
 
-// lastHeard is when a voter was last in contact, as far as this life knows.
-func (c *Chain) lastHeard(m Member) time.Duration {
+// lastContact returns when this process was last in contact with a voter, and at the
+// earliest when the process started.
+func (c *Chain) lastContact(m Member) time.Duration {
 	if s := c.peerStates[m.Addr]; s != nil && s.heartbeat.Me == m {
-		return max(s.reached, c.started)
+		return max(s.lastReachedAt, c.startedAt)
 	}
-	return c.started
+	return c.startedAt
 }
 
 func (c *Chain) retirementRequested(m Member) bool {
-	at, ok := c.retire[m.Addr]
+	at, ok := c.retireRequests[m.Addr]
 	return ok && c.now-at < constants.RetireRequestLife
 }
 
-// long says whether a voter has been gone so long that it is not waited for.
-func (c *Chain) long(m Member) bool {
-	return !c.inContact(m.Addr) && c.now-c.lastHeard(m) >= constants.RetireAfter
+// absentTooLong reports whether a voter has been out of contact for so long that it is
+// retired.
+func (c *Chain) absentTooLong(m Member) bool {
+	return !c.inContact(m.Addr) && c.now-c.lastContact(m) >= constants.RetireAfter
 }
 
-// overdue are voters outside the present view that a change of view is wanted for.
-func (c *Chain) overdue() []Member {
+// overdueVoters returns the voters outside the current view that are to be retired by a new
+// view.
+func (c *Chain) overdueVoters() []Member {
 	v := c.agreement.View
-	if len(v.Voters) <= c.smallest(v) {
+	if len(v.Voters) <= c.minVoters(v) {
 		return nil
 	}
-	return slices.DeleteFunc(c.lostVoters(v), func(m Member) bool { return c.alive(m.Addr) || !c.retirementRequested(m) && !c.long(m) })
+	return slices.DeleteFunc(c.votersOutsideView(v), func(m Member) bool { return c.isEligible(m.Addr) || !c.retirementRequested(m) && !c.absentTooLong(m) })
 }
 
-// retired are the voters that leave with a view; joined is how many came with it.
-func (c *Chain) retired(v View, joined int) []Member {
-	gone := c.lostVoters(v)
-	gone = gone[:min(len(gone), max(0, len(v.Voters)-c.smallest(v)))]
+// votersToRetire returns the voters that leave with a view; joined is the number of voters
+// that join with it.
+func (c *Chain) votersToRetire(v View, joined int) []Member {
+	gone := c.votersOutsideView(v)
+	gone = gone[:min(len(gone), max(0, len(v.Voters)-c.minVoters(v)))]
 	n := 0
 	for i, m := range gone {
-		if i < joined || c.retirementRequested(m) || c.long(m) {
+		if i < joined || c.retirementRequested(m) || c.absentTooLong(m) {
 			n = i + 1
 		}
 	}
-	// As many more as the tolerance wants; as few as do when it cannot be had.
+	// Retires as many more as the failure margin requires. If it stays negative, retires
+	// the fewest that give the highest margin.
 	best := n
-	for k := n; k <= len(gone) && c.margin(v, best) < 0; k++ {
-		if c.margin(v, k) > c.margin(v, best) {
+	for k := n; k <= len(gone) && c.failureMargin(v, best) < 0; k++ {
+		if c.failureMargin(v, k) > c.failureMargin(v, best) {
 			best = k
 		}
 	}
 	return gone[:best]
 }
 
-// margin is how many more voters than a majority would stand, with some that are gone
-// retired, if as much were lost besides as may be. Those gone count as lost, but for
-// as many as there are voters beyond the founding number: their successors may be among
-// the members already, and then they are lost no more.
-func (c *Chain) margin(v View, retired int) int {
+// failureMargin returns by how many the remaining members would exceed a majority of the
+// voters, with some absent voters retired, after the largest loss that must be tolerated.
+// Voters outside the view count as part of that loss, except for as many as there are voters
+// beyond Base: their successors may be among the members already, and then they do not
+// count.
+func (c *Chain) failureMargin(v View, retired int) int {
 	voters := len(v.Voters) - retired
 	lost := len(v.Voters) - len(v.Members)
 	replaced := min(lost, max(0, len(v.Voters)-v.Base))
 	left := len(v.Members) - max(0, c.MaxMachineFailures-(lost-replaced))
 	if lost == replaced {
-		left = min(left, len(v.Members)-c.most(v, c.MaxZoneFailures, func(m Member) string { z, _ := c.place(m); return z }),
-			len(v.Members)-c.most(v, c.MaxRegionFailures, func(m Member) string { _, r := c.place(m); return r }))
+		left = min(left, len(v.Members)-c.membersInLargest(v, c.MaxZoneFailures, func(m Member) string { z, _ := c.location(m); return z }),
+			len(v.Members)-c.membersInLargest(v, c.MaxRegionFailures, func(m Member) string { _, r := c.location(m); return r }))
 	}
 	return left - (voters/2 + 1)
 }
 
-func (c *Chain) place(m Member) (zone, region string) {
+// location returns the zone and region of a machine as far as known.
+func (c *Chain) location(m Member) (zone, region string) {
 	if m == c.Me {
 		return c.Zone, c.Region
 	}
@@ -157,120 +165,123 @@
 	return "", ""
 }
 
-// most is how many members stand in the n fullest places.
-func (c *Chain) most(v View, n int, where func(Member) string) int {
+// membersInLargest returns the number of members in the n places with the most members.
+func (c *Chain) membersInLargest(v View, n int, placeOf func(Member) string) int {
 	count := map[string]int{}
 	for _, m := range v.Members {
-		if w := where(m); w != "" {
-			count[w]++
+		if place := placeOf(m); place != "" {
+			count[place]++
 		}
 	}
-	var ns []int
-	for _, x := range count {
-		ns = append(ns, x)
+	var sizes []int
+	for _, size := range count {
+		sizes = append(sizes, size)
 	}
-	slices.Sort(ns)
+	slices.Sort(sizes)
 	sum := 0
-	for _, x := range ns[max(0, len(ns)-n):] {
-		sum += x
+	for _, size := range sizes[max(0, len(sizes)-n):] {
+		sum += size
 	}
 	return sum
 }
 
-// noteDeparture notes who is about to stop, until it is there again.
-func (c *Chain) noteDeparture(from string, g Heartbeat) {
-	if g.Leaving {
+// recordDeparture records whether a peer announces in its heartbeat that it is leaving.
+func (c *Chain) recordDeparture(from string, hb Heartbeat) {
+	if hb.Leaving {
 		c.departures[from] = c.now
 	} else {
 		delete(c.departures, from)
 	}
 }
 
-// forget drops control machines that are no voters and have long been silent.
-func (c *Chain) forget() {
+// forgetStalePeers drops control machines that are neither seeds nor voters and have long
+// been silent, and retirement requests that have expired.
+func (c *Chain) forgetStalePeers() {
 	for p, s := range c.peerStates {
-		if c.now-s.heardAt > constants.PeerForget && !slices.Contains(c.seeds, p) && c.agreement.View.voter(p) < 0 {
+		if c.now-s.receivedAt > constants.PeerForget && !slices.Contains(c.seeds, p) && c.agreement.View.voterIndex(p) < 0 {
 			delete(c.peerStates, p)
 			delete(c.departures, p)
 			c.peers = slices.DeleteFunc(c.peers, func(o string) bool { return o == p })
 		}
 	}
-	for p, at := range c.retire {
+	for p, at := range c.retireRequests {
 		if c.now-at >= constants.RetireRequestLife {
-			delete(c.retire, p)
+			delete(c.retireRequests, p)
 		}
 	}
 }
 
-// Leave tells the others that this machine is about to stop, so that they go on without
-// it at once. Left says when they do.
+// Leave announces to the other machines that this one is about to stop, so that they form a
+// view without it at once. HasLeft reports when they have.
 func (c *Chain) Leave(now time.Duration) []Effect {
 	c.now = now
 	if !c.Relay {
 		c.leaving, c.round = true, nil
-		c.heartbeatAt = now + constants.HeartbeatEvery
-		c.others(c.sendHeartbeat)
+		c.nextHeartbeatAt = now + constants.HeartbeatEvery
+		c.forEachPeer(c.sendHeartbeat)
 	}
-	return c.flush()
+	return c.takeEffects()
 }
 
-// HasLeft says whether nothing depends on this machine any more: a decided view goes on
-// without it, or it never was in one.
+// HasLeft reports whether nothing depends on this machine any more: it is no member of the
+// newest view known.
 func (c *Chain) HasLeft() bool { return !c.agreement.View.HasMember(c.Me) }
 
-// CanLeave says whether the others could go on without this machine, as far as it knows.
+// CanLeave reports whether, as far as this machine knows, the others could form a view
+// without it.
 func (c *Chain) CanLeave() bool {
 	n := 0
 	for _, m := range c.agreement.View.Members {
-		if m != c.Me && c.alive(m.Addr) {
+		if m != c.Me && c.isEligible(m.Addr) {
 			n++
 		}
 	}
-	return n >= c.fewest()
+	return n >= c.minMembers()
 }
 
-// Retire takes an operator's word that a voter is gone for good. The answer says why it
-// cannot be; with none, a view without it is tried for, and Voters show whether it came.
+// Retire requests the removal of a voter that an operator reports as permanently lost. If
+// the request is refused, the result says why. Otherwise a view without the voter is
+// attempted; the list of voters shows whether it was decided.
 func (c *Chain) Retire(now time.Duration, addr string) (out []Effect, refused string) {
 	c.now = now
 	v := c.agreement.View
 	switch {
 	case !c.agreement.Joined || c.Relay:
-		return nil, "this machine has no vote: ask one that has"
-	case v.voter(addr) < 0:
-		return nil, fmt.Sprintf("%s is no voter", addr)
+		return nil, "this machine is not a voter: send the request to one that is"
+	case v.voterIndex(addr) < 0:
+		return nil, fmt.Sprintf("%s is not a voter", addr)
 	case addr == c.Me.Addr || c.inContact(addr):
 		return nil, fmt.Sprintf("%s is running and in contact: stop it first", addr)
-	case len(v.Voters) <= c.smallest(v):
-		return nil, fmt.Sprintf("%d voters are the fewest that can bear the loss of %d: start a successor first, which takes its place", len(v.Voters), c.MaxMachineFailures)
-	case len(v.Members)-1 < c.fewest() && v.index(addr) >= 0:
-		return nil, "too few members would be left for a majority"
+	case len(v.Voters) <= c.minVoters(v):
+		return nil, fmt.Sprintf("%d voters are the fewest that tolerate the loss of %d: start a successor first, which will replace it", len(v.Voters), c.MaxMachineFailures)
+	case len(v.Members)-1 < c.minMembers() && v.memberIndex(addr) >= 0:
+		return nil, "too few members would remain for a majority"
 	}
 	for _, m := range v.Members {
 		c.send(m.Addr, Retire{addr})
 	}
-	return c.flush(), ""
+	return c.takeEffects(), ""
 }
 
-func (c *Chain) requestRetirement(addr string) { c.retire[addr] = c.now }
+func (c *Chain) recordRetireRequest(addr string) { c.retireRequests[addr] = c.now }
 
-// Voter is a voter as this machine sees it, for operators.
+// Voter describes a voter, as seen by this machine, for operators.
 type Voter struct {
 	Addr         string
 	Zone, Region string
 	Member       bool
-	State        string        // in contact, out of contact, leaving, disk refuses writes
-	Gone         time.Duration // since it was last in contact, where it is not
-	WayOut       string        // why it is on its way out of the electorate; empty: it is not
+	State        string        // such as in contact, out of contact, leaving, disk refuses writes
+	Gone         time.Duration // time since the last contact, if out of contact
+	WayOut       string        // why it is going to leave the electorate; empty if it is not
 }
 
-// Electorate describes the voters for operators, and how many more than a majority are
-// left if as many were lost as may be.
+// Electorate describes the voters for operators, and by how many the voters remaining after
+// the largest tolerated loss exceed a majority.
 func (c *Chain) Electorate() (voters []Voter, margin int) {
 	v := c.agreement.View
 	for _, m := range v.Voters {
 		x := Voter{Addr: m.Addr, Member: v.HasMember(m), State: "in contact"}
-		x.Zone, x.Region = c.place(m)
+		x.Zone, x.Region = c.location(m)
 		switch {
 		case m.Addr == c.Me.Addr && m != c.Me:
 			x.State = "its disk came back empty: waits to be taken in"
@@ -279,18 +290,18 @@
 		case c.departures[m.Addr] > 0 || m == c.Me && c.leaving:
 			x.State = "leaving"
 		case !c.inContact(m.Addr):
-			x.State, x.Gone = "out of contact", c.now-c.lastHeard(m)
+			x.State, x.Gone = "out of contact", c.now-c.lastContact(m)
 		}
-		switch can := len(v.Voters) > c.smallest(v); {
+		switch can := len(v.Voters) > c.minVoters(v); {
 		case x.Member || x.State == "in contact":
 		case c.retirementRequested(m) && can:
-			x.WayOut = "an operator wants it out"
+			x.WayOut = "an operator requested its removal"
 		case can:
-			x.WayOut = fmt.Sprintf("leaves with a successor's coming, or after %v", max(0, constants.RetireAfter-x.Gone).Round(time.Second))
+			x.WayOut = fmt.Sprintf("leaves with a successor, or after %v", max(0, constants.RetireAfter-x.Gone).Round(time.Second))
 		default:
-			x.WayOut = "leaves with a successor's coming: too few voters to go without"
+			x.WayOut = "leaves with a successor: too few voters to do without it"
 		}
 		voters = append(voters, x)
 	}
-	return voters, c.margin(v, 0)
+	return voters, c.failureMargin(v, 0)
 }
--- a/internal/controlplane/chain/electorate_test.go
+++ b/internal/controlplane/chain/electorate_test.go
@@ -365,7 +365,7 @@
 	c.network.Run(c.network.Now+2*time.Second, nil)
 	c.come("d")
 	c.network.Run(c.network.Now+catchUp, nil)
-	if v := c.chain["d"].View(); len(v.Voters) != 3 || v.index(old) >= 0 {
+	if v := c.chain["d"].View(); len(v.Voters) != 3 || v.memberIndex(old) >= 0 {
 		t.Fatalf("the successor did not take the place: %+v", v)
 	}
 	for _, n := range c.names {
@@ -373,7 +373,7 @@
 	}
 	c.start(old, false)
 	c.network.Run(c.network.Now+time.Second, nil)
-	if g := c.chain[old].Status(); g.Joined || c.chain[old].participant() {
+	if g := c.chain[old].Status(); g.Joined || c.chain[old].mayVote() {
 		t.Fatalf("it still takes itself for a voter: %+v", g)
 	}
 	slot := c.chain[old].View().Num + 1
@@ -423,7 +423,7 @@
 			t.Fatalf("retiring %s at %s: %q", addr, n, no)
 		}
 	}
-	refused("a", "nobody", "no voter")
+	refused("a", "nobody", "not a voter")
 	refused("a", "b", "in contact")
 	refused("a", "a", "in contact")
 	c.leave("f", false)
--- a/internal/controlplane/chain/left_behind_test.go
+++ b/internal/controlplane/chain/left_behind_test.go
@@ -18,7 +18,7 @@
 		first := cfg{c.next, "left at a, of the first view"}
 		c.send("a", first)
 		c.network.Run(c.network.Now+catchUp, nil)
-		if v := c.chain["b"].View(); v.index("a") >= 0 || v.Members[0].Addr != "b" {
+		if v := c.chain["b"].View(); v.memberIndex("a") >= 0 || v.Members[0].Addr != "b" {
 			c.fail("the view after it is %+v", v)
 		}
 		c.cutPair("b", "c", true)
@@ -26,7 +26,7 @@
 		c.send("b", cfg{c.next, "left at b, of the second view"})
 		c.cutPair("a", "c", false)
 		c.network.Run(c.network.Now+catchUp, nil)
-		if v := c.chain["c"].View(); v.index("a") < 0 || v.index("b") >= 0 {
+		if v := c.chain["c"].View(); v.memberIndex("a") < 0 || v.memberIndex("b") >= 0 {
 			c.fail("the third view is %+v", v)
 		}
 		c.send("c", first)
--- a/internal/controlplane/chain/load.go
+++ b/internal/controlplane/chain/load.go
@@ -10,22 +10,23 @@
 	"slateridge/internal/config"
 )
 
-// Keys of what the chain keeps in its store; the bulks have theirs in bulkKeys.
+// Keys of the records in the store, besides bulkKeys.
 const (
-	incarnationKey = "incarnation" // uint64: tells the lives of a disk apart
-	agreementKey   = "agreement"   // agreement
-	heldKey        = "held"        // config.Doc, without its bulk
-	oldVotersKey   = "peers"       // []string: the voters, written before views named them
+	incarnationKey  = "incarnation" // uint64: identifies the incarnation of the disk
+	agreementKey    = "agreement"   // agreement
+	heldKey         = "held"        // config.Doc, without its bulk
+	legacyVotersKey = "peers"       // []string: the voters, written by builds whose views did not list them
 )
 
-// foundersIncarnation is that of every founder's disk, so that each can name the others.
+// foundersIncarnation is the incarnation of every founder's disk, so that each founder can
+// name the others.
 const foundersIncarnation = 1
 
-var errBulkMissing = errors.New("the configuration that the kept state names is not there")
+var errBulkMissing = errors.New("the configuration that the stored state refers to is missing")
 
-// New builds the machine from its store, knowing some control machines.
-// With founding set and an empty store the first view is made of them; otherwise
-// a machine without a history takes part in nothing until a view takes it in.
+// New restores a machine from its store; peers are some known control machines. If founding
+// is set and the store is empty, the first view consists of peers and this machine. A
+// machine without a stored history otherwise takes part in nothing until a view includes it.
 func New(now time.Duration, addr string, peers []string, founding bool, store Store, rng *rand.Rand) (*Chain, error) {
 	c := &Chain{
 		seeds:                  peers,
@@ -33,7 +34,7 @@
 		store:                  store,
 		rng:                    rng,
 		now:                    now,
-		started:                now,
+		startedAt:              now,
 		lastTick:               now,
 		peerStates:             map[string]*peerState{},
 		pendingConfigs:         map[config.Taken]config.Doc{},
@@ -41,7 +42,7 @@
 		pendingEvacuations:     map[uint64]EvacuationOrder{},
 		pendingEvacuationSince: map[uint64]time.Duration{},
 		departures:             map[string]time.Duration{},
-		retire:                 map[string]time.Duration{},
+		retireRequests:         map[string]time.Duration{},
 	}
 	c.addPeer(addr)
 	sort.Strings(c.peers)
@@ -55,12 +56,13 @@
 		return nil, err
 	}
 	c.nonce, c.clockBase, c.readIndexAt = rng.Uint64(), rng.Uint64()>>1, -1
-	c.rounds = c.agreement.Promised.Round
+	c.lastRound = c.agreement.Promised.Round
 	return c, nil
 }
 
-// loadIncarnation is the life of this machine's disk. An empty disk begins one, and with it
-// an agreement: on the first view when it founds, or else on none.
+// loadIncarnation returns the incarnation of this machine's disk. On an empty disk it
+// starts a new one and stores the initial agreement: the first view if this machine is a
+// founder, or none.
 func (c *Chain) loadIncarnation(addr string, founding bool) (uint64, error) {
 	var incarnation uint64
 	if c.store.Get(incarnationKey, &incarnation) {
@@ -68,8 +70,9 @@
 	}
 	incarnation = c.rng.Uint64() | 2
 	a := agreement{}
-	// A founder that ended between these two writes founds all the same: it has said
-	// nothing yet, and were all to come back as newcomers, nobody would have founded.
+	// A founder that stopped between the two writes below is still a founder: it has sent
+	// nothing yet, and if every founder came back as a joining machine, no first view would
+	// exist.
 	if c.store.Get(agreementKey, &a) && a.Joined && a.View.Num == 1 && a.View.HasMember(Member{addr, foundersIncarnation}) {
 		founding, c.peers = true, nil
 		for _, m := range a.View.Members {
@@ -79,7 +82,7 @@
 	}
 	if founding {
 		incarnation = foundersIncarnation
-		a.Joined, a.View = true, firstView(c.peers)
+		a.Joined, a.View = true, foundingView(c.peers)
 	}
 	if err := c.store.Put(agreementKey, a); err != nil {
 		return 0, err
@@ -90,8 +93,8 @@
 	return incarnation, nil
 }
 
-// firstView is the view that its founders make.
-func firstView(founders []string) View {
+// foundingView returns the first view, made of the founders.
+func foundingView(founders []string) View {
 	v := View{Num: 1, Epoch: 1, Base: len(founders)}
 	for _, f := range founders {
 		v.Members = append(v.Members, Member{f, foundersIncarnation})
@@ -100,17 +103,18 @@
 	return v
 }
 
-// loadAgreement takes up what this machine has agreed to.
+// loadAgreement restores what this machine has agreed to.
 func (c *Chain) loadAgreement() {
 	c.store.Get(agreementKey, &c.agreement)
 	if v := &c.agreement.View; len(v.Voters) == 0 && len(v.Members) > 0 {
-		// Written before views named their voters: those were fixed, and those
-		// of them outside the view are strangers until it takes them in.
+		// Written by a build whose views did not list their voters. The voters were
+		// fixed then, and those outside the view have no known incarnation until a
+		// view includes them.
 		var old []string
-		c.store.Get(oldVotersKey, &old)
+		c.store.Get(legacyVotersKey, &old)
 		v.Voters, v.Epoch = slices.Clone(v.Members), 1
 		for _, p := range old {
-			if v.index(p) < 0 {
+			if v.memberIndex(p) < 0 {
 				v.Voters = append(v.Voters, Member{Addr: p})
 			}
 		}
@@ -120,14 +124,14 @@
 	}
 }
 
-// loadHeld takes up the newest state on disk and fills in its bulk.
+// loadHeld restores the newest state on disk together with its bulk.
 func (c *Chain) loadHeld() error {
 	var d config.Doc
 	if !c.store.Get(heldKey, &d) {
 		return nil
 	}
 	if d.Stamp == (config.Revision{}) {
-		d.Stamp.Seq = d.Version // written when versions alone ordered states
+		d.Stamp.Seq = d.Version // written by a build that ordered states by version
 	}
 	if d.Raw != nil && d.Sum == 0 {
 		d.Sum = config.SumOf(d.Raw)
--- a/internal/controlplane/chain/messages.go
+++ b/internal/controlplane/chain/messages.go
@@ -7,110 +7,110 @@
 
 // Messages between control machines.
 type (
-	// Heartbeat is the regular word of one machine about itself.
+	// Heartbeat is a machine's periodic report about itself.
 	Heartbeat struct {
 		Me              Member
 		View            View
 		Joined, Sealed  bool
 		Sick            bool
 		Zone, Region    string
-		Relay           bool     // has no say: it has no disk, or is not counted
-		Original        bool     // was there at the founding, and no view has taken it in yet
-		Leaving         bool     // is about to stop in order: the others go on without it
-		Unheard         []string // control machines it has no contact with both ways
-		Asks            bool     // wants a heartbeat back: a relay, or a machine that no view has taken in yet
+		Relay           bool     // neither votes nor joins views: it has no disk, or does not count as a control machine
+		Original        bool     // started with the founders without being one, and no view has included it yet
+		Leaving         bool     // a planned stop is in progress: the others form a view without it
+		Unheard         []string // control machines without two-way contact
+		Asks            bool     // requests a heartbeat in reply: a relay, or a machine that is no voter yet
 		Committed, Held config.Revision
-		Version         uint64 // of the configuration in force
-		Wall            int64  // its time of day, in nanoseconds
-		At, Echo        uint64 // a moment of the sender's, and the latest of the receiver's that reached it
-		Dropped         uint64 // words on duties from who has no vote
+		Version         uint64 // of the committed configuration
+		Wall            int64  // the sender's time of day in nanoseconds
+		At, Echo        uint64 // the sender's clock, and the At of the latest heartbeat that it received from the receiver
+		Dropped         uint64 // duty orders from machines that are not voters
 	}
-	// Prepare asks for a promise, which seals the view before the slot.
+	// Prepare asks for a promise (phase 1 of Paxos), which seals the view before the slot.
 	Prepare struct {
 		Slot   uint64
 		Ballot Ballot
 		Held   config.Revision
 	}
-	// Promise answers a Prepare, and takes no part in earlier ballots any more.
+	// Promise answers a Prepare; its sender ignores earlier ballots from then on.
 	Promise struct {
 		Slot     uint64
 		Ballot   Ballot
 		Me       Member
-		Accepted Ballot // zero: nothing accepted
+		Accepted Ballot // zero if nothing was accepted
 		View     View
-		Held     *config.Doc // when newer than the asker's
+		Held     *config.Doc // if newer than the proposer's
 		HeldAt   config.Revision
 	}
-	// Nack tells a proposer of a higher ballot.
+	// Nack rejects a ballot because a higher one was promised.
 	Nack struct {
 		Slot     uint64
 		Promised Ballot
 	}
-	// Sync brings a member of a view to be to the state it starts from.
+	// Sync sends a prospective member of the next view the state that the view starts from.
 	Sync struct {
 		Slot   uint64
 		Ballot Ballot
 		Doc    *config.Doc
 	}
-	// Synced answers a Sync, once its state is on disk.
+	// Synced answers a Sync once the state is on disk.
 	Synced struct {
 		Slot   uint64
 		Ballot Ballot
 		Me     Member
 		HeldAt config.Revision
-		Held   *config.Doc // when newer
+		Held   *config.Doc // if newer than the Sync's
 	}
-	// Accept asks to accept a view under a ballot.
+	// Accept asks a voter to accept a view under a ballot (phase 2 of Paxos).
 	Accept struct {
 		Slot   uint64
 		Ballot Ballot
 		View   View
 	}
-	// Accepted answers an Accept, once the view is on disk.
+	// Accepted answers an Accept once the view is on disk.
 	Accepted struct {
 		Slot   uint64
 		Ballot Ballot
 		Me     Member
 	}
-	// Decide tells of a view that a majority of the voters has accepted.
+	// Decide announces a view that a majority of the voters has accepted.
 	Decide struct{ View View }
-	// Replicate hands a state down the chain. A bare one leaves out the configuration,
-	// which every member holds once it has been committed; a member that does not
-	// answers with a Lack.
+	// Replicate sends a state to the next member of the chain. A bare one leaves out the
+	// configuration, which every member holds once it has been committed; a member that does
+	// not answers with a ResendRequest.
 	Replicate struct {
 		View uint64
 		Doc  config.Doc
 		Bare bool
 	}
-	// ResendRequest asks the member before for a state with its configuration.
+	// ResendRequest asks the previous member for a state including its configuration.
 	ResendRequest struct {
 		View  uint64
 		Stamp config.Revision
 	}
-	// Ack tells all members what the tail has committed.
+	// Ack announces the tail's newest commit to all members.
 	Ack struct {
 		View  uint64
 		Stamp config.Revision
 	}
-	// NewerState gives the head a newer version that a later member holds.
+	// NewerState sends the head a newer state that a later member holds.
 	NewerState struct {
 		View uint64
 		Doc  config.Doc
 	}
-	// Forward brings an operator's configuration to the head. With PassOn a machine
-	// that is not the head sends it on, without: it goes through one other at most.
+	// Forward sends an operator's configuration to the head. A machine that is not the head
+	// forwards one with PassOn set, and clears PassOn, so it takes at most one extra hop.
 	Forward struct {
 		Doc    config.Doc
 		PassOn bool
 	}
-	// Retire wants a voter that is gone out of the electorate; its Member decides.
+	// Retire requests the removal of a lost voter; the members act on it.
 	Retire struct{ Voter string }
-	// EvacuationOrder starts or stops the evacuation of a zone. It is taken only while
-	// the zone's count of orders is still Base: one that was held up on its way
-	// must not undo what was ordered since. With a Watermark it is taken also after orders
-	// that the Watermark covers. PassOn is as in Forward. The head answers an order that is
-	// not taken with its present Watermark; its sender, if the caller still waits, sends it
-	// again with that.
+	// EvacuationOrder starts or stops the evacuation of a zone. The head applies it only while
+	// the number of orders on the zone is still Base, so that an order delayed in the network
+	// does not undo later ones. With a Watermark it is also applied after orders that the
+	// Watermark covers. PassOn works as in Forward. The head answers an order that it does not
+	// apply with its current Watermark (Answer is set); if the caller is still waiting, the
+	// sender sends the order again with that Watermark.
 	EvacuationOrder struct {
 		ID        uint64
 		Zone      string
@@ -120,26 +120,26 @@
 		Answer    bool
 		Watermark Watermark
 	}
-	// Watermark covers the evacuations that a head had received at some moment: how many,
-	// in which view, and in which life of its process.
+	// Watermark covers the evacuation orders that a head had received at some time: their
+	// number, the view, and the run of the head's process.
 	Watermark struct{ View, Life, Received uint64 }
-	// Confirm asks whether a view still stands unsealed.
+	// Confirm asks whether the receiver has not sealed a view.
 	Confirm struct{ View, Nonce uint64 }
-	// Confirmed answers it.
+	// Confirmed answers a Confirm: the sender has not sealed the view.
 	Confirmed struct {
 		Nonce uint64
 		Me    Member
 	}
-	// Read asks the tail for what is committed.
+	// Read asks the tail for the committed state.
 	Read struct{ ID uint64 }
-	// ReadAnswer brings what a Read asked for.
+	// ReadAnswer answers a Read.
 	ReadAnswer struct {
 		ID  uint64
 		Doc *config.Doc
 	}
-	// Fetch asks for a committed version newer than Have.
+	// Fetch asks for a committed state newer than Have.
 	Fetch struct{ Have config.Revision }
-	// Fetched brings what a Fetch asked for.
+	// Fetched answers a Fetch.
 	Fetched struct{ Doc config.Doc }
 )
 
--- a/internal/controlplane/chain/orders.go
+++ b/internal/controlplane/chain/orders.go
@@ -11,11 +11,12 @@
 	"slateridge/internal/duty"
 )
 
-// Orders: what the operator and the duties want enters at the head, is synced by
-// each member in turn and is committed by the tail.
+// Orders of operators and duties enter at the head, are synced by each member in turn and
+// are committed by the tail.
 
-// Submit takes an operator's valid change. What became of it stands in the ledger of
-// a committed state that has settled its number: the content taken, this one or another.
+// Submit forwards an operator's valid configuration to the head. Its outcome is in the
+// ledger of a committed state that has settled its version: this content was accepted, or a
+// different one.
 func (c *Chain) Submit(now time.Duration, d config.Doc) []Effect {
 	c.now = now
 	d.Sum = config.SumOf(d.Raw)
@@ -24,15 +25,15 @@
 		c.pendingConfigs[k], c.pendingConfigSince[k] = d, now
 		c.forward(d, 0)
 	}
-	return c.flush()
+	return c.takeEffects()
 }
 
-// Settled says whether a state has decided what a number stands for.
+// Settled reports whether a state has decided which content a version has.
 func Settled(d *config.Doc, version uint64) bool { return d != nil && d.Ledger.Settled(version) }
 
-// onForward is an operator's configuration at the head. One content is taken under a
-// number, whichever comes first; one below the number in force is only entered in the
-// ledger, so that it can be acknowledged, and no other under its number ever.
+// onForward handles an operator's configuration at the head. For each version the first
+// content to arrive is accepted, and no other ever. A version below the current one is only
+// entered in the ledger, so that it can be acknowledged.
 func (c *Chain) onForward(m config.Doc) {
 	if Settled(c.held, m.Version) {
 		c.admit(nil)
@@ -47,38 +48,38 @@
 	c.admit(&d)
 }
 
-// Evacuate takes an operator's order on a zone; it is committed when a Commit
-// comes out whose state names its ID.
+// Evacuate forwards an operator's evacuation order for a zone to the head. It is committed
+// when a Commit is returned whose state lists its ID.
 func (c *Chain) Evacuate(now time.Duration, id uint64, zone string, on bool) []Effect {
 	c.now = now
 	c.pendingEvacuations[id], c.pendingEvacuationSince[id] = EvacuationOrder{ID: id, Zone: zone, On: on}, now
 	c.forwardOrder(c.pendingEvacuations[id], 0)
-	return c.flush()
+	return c.takeEffects()
 }
 
-// Abandon stops trying for an evacuation whose caller has been told that it is not
-// acknowledged, or has gone: it may still be taken, but is not sent again.
+// Abandon stops resending an evacuation order whose caller has gone or has been answered
+// that it is not acknowledged. The order may still be applied.
 func (c *Chain) Abandon(now time.Duration, id uint64) []Effect {
 	c.now = now
 	delete(c.pendingEvacuations, id)
 	delete(c.pendingEvacuationSince, id)
-	return c.flush()
+	return c.takeEffects()
 }
 
-// forwardOrder sends an evacuation to the head; since is as for otherWay.
+// forwardOrder sends an evacuation order to the head; for since see forwardingPeer.
 func (c *Chain) forwardOrder(o EvacuationOrder, since time.Duration) {
 	if c.committed != nil {
 		o.Base = c.committed.Evac[o.Zone].Num
 	}
-	c.sendHead(o)
-	if via, ok := c.otherWay(since); ok {
+	c.sendToHead(o)
+	if via, ok := c.forwardingPeer(since); ok {
 		o.PassOn = true
 		c.send(via, o)
 	}
 }
 
-// Give up on forwarding changes whose caller has been answered.
-func (c *Chain) expire() {
+// expirePending stops resending orders that are settled or whose caller has been answered.
+func (c *Chain) expirePending() {
 	for k, at := range c.pendingConfigSince {
 		if Settled(c.committed, k.Version) || c.now-at > constants.SubmitWait {
 			delete(c.pendingConfigs, k)
@@ -93,45 +94,45 @@
 	}
 }
 
-// forward sends a configuration to the head; since is as for otherWay.
+// forward sends a configuration to the head; for since see forwardingPeer.
 func (c *Chain) forward(d config.Doc, since time.Duration) {
-	c.sendHead(Forward{Doc: d})
-	if via, ok := c.otherWay(since); ok {
+	c.sendToHead(Forward{Doc: d})
+	if via, ok := c.forwardingPeer(since); ok {
 		c.send(via, Forward{Doc: d, PassOn: true})
 	}
 }
 
-func (c *Chain) sendHead(m any) {
+func (c *Chain) sendToHead(m any) {
 	if members := c.agreement.View.Members; len(members) > 0 {
 		c.send(members[0].Addr, m)
 	}
 }
 
-// otherWay is a machine to pass an order on where the head has not shown that it hears
-// this one: it is out of contact, or has heard nothing sent after a moment. Any voter
-// will do that is in contact and does not miss the head itself; it is drawn, so that the
-// next try goes another way. An order that comes twice changes nothing.
-func (c *Chain) otherWay(since time.Duration) (addr string, ok bool) {
+// forwardingPeer returns a voter to forward an order through if the head is out of contact
+// or has not shown that it received anything sent after since. Any voter is suitable that
+// is in contact and does not report the head as unreachable; it is chosen at random, so
+// that a retry takes another path. An order that arrives twice has no further effect.
+func (c *Chain) forwardingPeer(since time.Duration) (addr string, ok bool) {
 	if len(c.agreement.View.Members) == 0 {
 		return "", false
 	}
 	head := c.agreement.View.Members[0].Addr
-	if head == c.Me.Addr || c.inContact(head) && c.peerStates[head].reached >= since {
+	if head == c.Me.Addr || c.inContact(head) && c.peerStates[head].lastReachedAt >= since {
 		return "", false
 	}
-	var ways []string
+	var candidates []string
 	for _, v := range c.agreement.View.Voters {
-		if v.Addr != c.Me.Addr && v.Addr != head && c.alive(v.Addr) && !slices.Contains(c.peerStates[v.Addr].heartbeat.Unheard, head) {
-			ways = append(ways, v.Addr)
+		if v.Addr != c.Me.Addr && v.Addr != head && c.isEligible(v.Addr) && !slices.Contains(c.peerStates[v.Addr].heartbeat.Unheard, head) {
+			candidates = append(candidates, v.Addr)
 		}
 	}
-	if len(ways) == 0 {
+	if len(candidates) == 0 {
 		return "", false
 	}
-	return ways[c.rng.IntN(len(ways))], true
+	return candidates[c.rng.IntN(len(candidates))], true
 }
 
-// nextRevision is the place of the head's next state.
+// nextRevision returns the revision of the head's next state.
 func (c *Chain) nextRevision() config.Revision {
 	s := revisionOf(c.held)
 	if s.View < c.agreement.View.Num {
@@ -140,7 +141,7 @@
 	return config.Revision{View: s.View, Seq: s.Seq + 1}
 }
 
-// nextState is what is held, under the head's next revision.
+// nextState returns the state held under the head's next revision.
 func (c *Chain) nextState() config.Doc {
 	var d config.Doc
 	if c.held != nil {
@@ -150,52 +151,53 @@
 	return d
 }
 
-// SubmitDutyOrder takes a duty's order to the head; whether it was taken shows in what is
-// committed.
+// SubmitDutyOrder sends a duty's order to the head; the committed state shows whether it
+// was applied.
 func (c *Chain) SubmitDutyOrder(now time.Duration, o duty.Order) []Effect {
 	c.now = now
 	if m := c.agreement.View.Members; len(m) > 0 {
 		c.send(m[0].Addr, o)
 	}
-	return c.flush()
+	return c.takeEffects()
 }
 
-func (c *Chain) evacuations() map[string]config.Evacuation {
+func (c *Chain) heldEvacuations() map[string]config.Evacuation {
 	if c.held == nil {
 		return nil
 	}
 	return c.held.Evac
 }
 
-// arrivals is the order in which a head has received the evacuations of one view.
-type arrivals struct {
+// receiptLog records the order in which a head has received the evacuation orders of one
+// view.
+type receiptLog struct {
 	view     uint64
 	received uint64
-	place    map[uint64]uint64 // by order: its place among those received
+	position map[uint64]uint64 // by order ID: its position among those received
 }
 
-// noteArrival notes an order at its first coming.
-func (c *Chain) noteArrival(id uint64) {
-	k := &c.arrivals
-	if k.view != c.agreement.View.Num || len(k.place) > constants.OrdersNoted {
-		k.view, k.place = c.agreement.View.Num, map[uint64]uint64{}
+// recordReceipt records the first receipt of an order.
+func (c *Chain) recordReceipt(id uint64) {
+	r := &c.receipts
+	if r.view != c.agreement.View.Num || len(r.position) > constants.OrdersNoted {
+		r.view, r.position = c.agreement.View.Num, map[uint64]uint64{}
 	}
-	if _, known := k.place[id]; !known {
-		k.received++
-		k.place[id] = k.received
+	if _, known := r.position[id]; !known {
+		r.received++
+		r.position[id] = r.received
 	}
 }
 
-// watermark covers the orders that this head has received so far.
+// watermark returns a watermark that covers the evacuation orders this head has received.
 func (c *Chain) watermark() Watermark {
-	return Watermark{View: c.agreement.View.Num, Life: c.clockBase, Received: c.arrivals.received}
+	return Watermark{View: c.agreement.View.Num, Life: c.clockBase, Received: c.receipts.received}
 }
 
-// mayFollow says whether an order may be taken after all that its zone has taken. One
-// made knowing them all may. One with a watermark of this head's may also follow orders
-// that the watermark covers: its caller still waited when it was given, so those were not
-// ordered after the caller had given up.
-func (c *Chain) mayFollow(o EvacuationOrder, zone config.Evacuation) bool {
+// mayApply reports whether an order may be applied after all orders that its zone has had.
+// It may if it was made with knowledge of all of them. With a watermark of this head it may
+// also follow orders that the watermark covers: its caller was still waiting when the
+// watermark was issued, so those orders were not made after the caller had given up.
+func (c *Chain) mayApply(o EvacuationOrder, zone config.Evacuation) bool {
 	if o.Base == zone.Num {
 		return true
 	}
@@ -204,14 +206,14 @@
 		return false
 	}
 	for _, id := range zone.IDs[uint64(len(zone.IDs))-since:] {
-		if place, known := c.arrivals.place[id]; !known || place > o.Watermark.Received {
+		if position, known := c.receipts.position[id]; !known || position > o.Watermark.Received {
 			return false
 		}
 	}
 	return true
 }
 
-// onWatermark sends an evacuation again at once with the watermark that the head gave it.
+// onWatermark resends an evacuation order at once with the watermark that the head returned.
 func (c *Chain) onWatermark(m EvacuationOrder) {
 	if o, waiting := c.pendingEvacuations[m.ID]; waiting {
 		o.Watermark = m.Watermark
@@ -219,28 +221,28 @@
 	}
 }
 
-// onOrder is an evacuation order at the head. Orders on a zone take effect in
-// the order in which the head takes them; one it has taken before, or that was
-// made knowing less than the head holds, changes nothing.
-func (c *Chain) onOrder(from string, o EvacuationOrder) {
-	if !c.heads() {
+// onEvacuationOrder handles an evacuation order at the head. Orders on a zone take effect in
+// the order in which the head applies them. One that was applied before, or that was made
+// without knowledge of later orders, changes nothing.
+func (c *Chain) onEvacuationOrder(from string, o EvacuationOrder) {
+	if !c.isActiveHead() {
 		return
 	}
-	cur := c.evacuations()[o.Zone]
-	c.noteArrival(o.ID)
+	cur := c.heldEvacuations()[o.Zone]
+	c.recordReceipt(o.ID)
 	if slices.Contains(cur.IDs, o.ID) {
 		c.admit(nil)
 		return
 	}
-	if !c.mayFollow(o, cur) {
+	if !c.mayApply(o, cur) {
 		c.admit(nil)
-		if o.Watermark = c.watermark(); c.mayFollow(o, cur) { // otherwise it would be refused again
+		if o.Watermark = c.watermark(); c.mayApply(o, cur) { // otherwise it would be rejected again
 			c.send(from, EvacuationOrder{ID: o.ID, Zone: o.Zone, On: o.On, Answer: true, Watermark: o.Watermark})
 		}
 		return
 	}
 	evac := map[string]config.Evacuation{}
-	for z, e := range c.evacuations() {
+	for z, e := range c.heldEvacuations() {
 		evac[z] = e
 	}
 	ids := append(slices.Clone(cur.IDs), o.ID)
@@ -250,44 +252,45 @@
 	c.admit(&d)
 }
 
-// admit is the head's entry: a newer state, or nil to pass on what it holds.
+// admit makes the head store and replicate a new state; with nil the head replicates again
+// what it holds.
 func (c *Chain) admit(d *config.Doc) {
-	if !c.heads() || d != nil && !c.persistState(*d) {
+	if !c.isActiveHead() || d != nil && !c.persistState(*d) {
 		return
 	}
-	if d == nil && c.now < c.passAt {
-		return // it is on its way
+	if d == nil && c.now < c.nextRetransmitAt {
+		return // already being replicated
 	}
-	c.passAt = 0
-	c.drive()
+	c.nextRetransmitAt = 0
+	c.retransmit()
 }
 
-// drive sends on what the head holds and has not seen committed, and repeats
-// what operators wait for.
-func (c *Chain) drive() {
-	c.expire()
-	if c.now < c.passAt {
+// retransmit repeats what has not been completed: the replication of the state held, the
+// orders submitted here, and the requests to confirm reads.
+func (c *Chain) retransmit() {
+	c.expirePending()
+	if c.now < c.nextRetransmitAt {
 		return
 	}
-	c.passAt = c.now + constants.PassRetry
+	c.nextRetransmitAt = c.now + constants.PassRetry
 	if c.held != nil {
-		// A large state is under way longer.
+		// A large state takes longer to replicate.
 		if !c.held.SameBulk(c.committed) {
-			c.passAt += time.Duration(len(c.held.Raw)*len(c.agreement.View.Members)) * time.Second / constants.PassBytes
+			c.nextRetransmitAt += time.Duration(len(c.held.Raw)*len(c.agreement.View.Members)) * time.Second / constants.PassBytes
 		}
 	}
-	if c.serves() && revisionOf(c.committed).Less(revisionOf(c.held)) {
+	if c.isActiveMember() && revisionOf(c.committed).Less(revisionOf(c.held)) {
 		head := c.agreement.View.Members[0]
 		if head == c.Me {
-			c.lead()
+			c.replicateHeld()
 		} else if s := c.peerStates[head.Addr]; s != nil && s.heartbeat.Held.Less(revisionOf(c.held)) {
 			c.send(head.Addr, NewerState{c.agreement.View.Num, *c.held})
 		}
 	}
-	ks := slices.SortedFunc(maps.Keys(c.pendingConfigs), func(a, b config.Taken) int {
+	keys := slices.SortedFunc(maps.Keys(c.pendingConfigs), func(a, b config.Taken) int {
 		return cmp.Or(cmp.Compare(a.Version, b.Version), cmp.Compare(a.Sum, b.Sum))
 	})
-	for _, k := range ks {
+	for _, k := range keys {
 		if at, ok := c.pendingConfigSince[k]; ok && c.now > at && !Settled(c.held, k.Version) {
 			c.forward(c.pendingConfigs[k], at)
 		}
@@ -303,29 +306,30 @@
 		}
 	}
 	for _, r := range c.reads {
-		if len(r.confirmed) < c.majority() && c.now-r.sent >= constants.PassRetry {
-			r.sent = c.now
-			c.others(func(p string) { c.send(p, Confirm{c.agreement.View.Num, r.nonce}) })
+		if len(r.confirmed) < c.majority() && c.now-r.sentAt >= constants.PassRetry {
+			r.sentAt = c.now
+			c.forEachPeer(func(p string) { c.send(p, Confirm{c.agreement.View.Num, r.nonce}) })
 		}
 	}
-	c.reads = slices.DeleteFunc(c.reads, func(r *reading) bool { return c.now-r.began > constants.SubmitWait })
+	c.reads = slices.DeleteFunc(c.reads, func(r *pendingRead) bool { return c.now-r.startedAt > constants.SubmitWait })
 	c.answerReads()
 }
 
-// lead has the chain take up what the head holds. What it was left by an earlier view
-// gets a revision of this one first: another state of a view between the two may have been
-// left elsewhere, by a head that was alone, and must not outrank what is committed now.
-func (c *Chain) lead() {
+// replicateHeld replicates the state that the head holds. A state left by an earlier view
+// gets a revision of the current view first: a head that was cut off may have left another
+// state of a view between the two on a machine, which must not outrank what is committed
+// now.
+func (c *Chain) replicateHeld() {
 	if revisionOf(c.held).View < c.agreement.View.Num && !c.persistState(c.nextState()) {
 		return
 	}
-	c.pass(*c.held)
+	c.replicate(*c.held)
 }
 
-// pass hands a version to the next member; the last one commits it.
-func (c *Chain) pass(d config.Doc) {
+// replicate sends a state to the next member; the last member commits it.
+func (c *Chain) replicate(d config.Doc) {
 	v := c.agreement.View
-	i := v.index(c.Me.Addr)
+	i := v.memberIndex(c.Me.Addr)
 	if i+1 < len(v.Members) {
 		p := Replicate{View: v.Num, Doc: d, Bare: d.SameBulk(c.committed)}
 		if p.Bare {
@@ -335,16 +339,16 @@
 		return
 	}
 	c.commit(d)
-	c.others(func(p string) { c.send(p, Ack{v.Num, d.Stamp}) })
+	c.forEachPeer(func(p string) { c.send(p, Ack{v.Num, d.Stamp}) })
 	c.answerReads()
 }
 
-func (c *Chain) onPass(from string, m Replicate) {
+func (c *Chain) onReplicate(from string, m Replicate) {
 	v := c.agreement.View
-	if m.View != v.Num || !c.serves() {
+	if m.View != v.Num || !c.isActiveMember() {
 		return
 	}
-	if i := v.index(c.Me.Addr); i == 0 || v.Members[i-1].Addr != from {
+	if i := v.memberIndex(c.Me.Addr); i == 0 || v.Members[i-1].Addr != from {
 		return
 	}
 	if m.Bare && m.Doc.Version > 0 {
@@ -359,15 +363,15 @@
 		return
 	}
 	if m.Doc.Stamp.Less(revisionOf(c.held)) && revisionOf(c.committed).Less(m.Doc.Stamp) {
-		// Something newer, never committed, was left here by a change of view:
-		// the chain takes it up from the head, since the highest version holds.
+		// A view change left a newer, never committed state here. The head replicates it,
+		// since the highest revision wins.
 		c.send(v.Members[0].Addr, NewerState{v.Num, *c.held})
 		return
 	}
 	if !revisionOf(c.committed).Less(m.Doc.Stamp) {
-		c.others(func(p string) { c.send(p, Ack{v.Num, revisionOf(c.committed)}) })
+		c.forEachPeer(func(p string) { c.send(p, Ack{v.Num, revisionOf(c.committed)}) })
 		c.send(from, Fetched{*c.committed})
 		return
 	}
-	c.pass(m.Doc)
+	c.replicate(m.Doc)
 }
--- a/internal/controlplane/chain/pass_on_test.go
+++ b/internal/controlplane/chain/pass_on_test.go
@@ -24,7 +24,7 @@
 					c.network.Cut(x, head, way != 2)
 					c.network.Cut(head, x, way != 1)
 					c.network.Run(c.network.Now+catchUp, nil)
-					if c.chain[x].View().Members[0].Addr == head && slices.Contains(c.chain[x].peersOutOfContact(), head) {
+					if c.chain[x].View().Members[0].Addr == head && slices.Contains(c.chain[x].unreachablePeers(), head) {
 						apart++
 					}
 					for range 3 {
--- a/internal/controlplane/chain/reads.go
+++ b/internal/controlplane/chain/reads.go
@@ -5,42 +5,42 @@
 	"time"
 )
 
-// Reads: answered by the tail, once a majority of the voters has confirmed that its
-// view still stands.
+// Reads are answered by the tail once a majority of the voters has confirmed that it has not
+// sealed the tail's view.
 
-// Read starts a read of what is in force.
+// Read starts a read of the committed state.
 func (c *Chain) Read(now time.Duration, id uint64) []Effect {
 	c.now = now
 	if m := c.agreement.View.Members; len(m) > 0 {
 		c.send(m[len(m)-1].Addr, Read{id})
 	}
-	return c.flush()
+	return c.takeEffects()
 }
 
 func (c *Chain) onRead(from string, m Read) {
 	v := c.agreement.View
-	if !c.member() || v.Members[len(v.Members)-1] != c.Me {
+	if !c.isMember() || v.Members[len(v.Members)-1] != c.Me {
 		return
 	}
 	c.nonce++
 	if from == c.Me.Addr {
 		from = ""
 	}
-	r := &reading{id: m.ID, from: from, nonce: c.nonce, began: c.now, sent: c.now, confirmed: map[Member]bool{}}
-	if c.agreement.View.votes(c.Me) && !c.sealed() {
+	r := &pendingRead{id: m.ID, from: from, nonce: c.nonce, startedAt: c.now, sentAt: c.now, confirmed: map[Member]bool{}}
+	if c.agreement.View.hasVoter(c.Me) && !c.sealed() {
 		r.confirmed[c.Me] = true
 	}
 	c.reads = append(c.reads, r)
 	c.answerReads()
 	if !c.sealed() {
-		c.others(func(p string) { c.send(p, Confirm{v.Num, r.nonce}) })
+		c.forEachPeer(func(p string) { c.send(p, Confirm{v.Num, r.nonce}) })
 	}
 }
 
 func (c *Chain) onConfirmed(m Confirmed) {
-	// Once a majority of the voters was unsealed after the read came, no later
-	// view had been decided when it did.
-	if !c.member() || c.sealed() || !c.agreement.View.votes(m.Me) {
+	// If a majority of the voters was unsealed after the read arrived, no later view had
+	// been decided at its arrival.
+	if !c.isMember() || c.sealed() || !c.agreement.View.hasVoter(m.Me) {
 		return
 	}
 	for _, r := range c.reads {
@@ -51,17 +51,17 @@
 	c.answerReads()
 }
 
-// answerReads answers confirmed reads once all that is held here has been
-// committed: a tail that was started again has forgotten what it committed, but
-// held it then, and what others tell of may be older.
+// answerReads answers confirmed reads once everything held here has been committed. A
+// restarted tail no longer knows what it committed, although it still holds it, and the
+// commits that other machines report may be older.
 func (c *Chain) answerReads() {
-	if !c.member() || c.sealed() {
+	if !c.isMember() || c.sealed() {
 		return
 	}
 	if revisionOf(c.committed).Less(revisionOf(c.held)) {
 		return
 	}
-	c.reads = slices.DeleteFunc(c.reads, func(r *reading) bool {
+	c.reads = slices.DeleteFunc(c.reads, func(r *pendingRead) bool {
 		if len(r.confirmed) < c.majority() {
 			return false
 		}
--- a/internal/controlplane/chain/receive.go
+++ b/internal/controlplane/chain/receive.go
@@ -8,71 +8,71 @@
 	"slateridge/internal/duty"
 )
 
-// Steps: time that passes, and messages that come, each handed to what it concerns.
+// The inputs of the state machine are time and messages, which are dispatched by kind here.
 
-// Tick advances time.
+// Tick advances time to now and carries out what is due.
 func (c *Chain) Tick(now time.Duration) []Effect {
 	c.now = now
 	if now-c.lastTick > constants.StallGap {
-		c.quietUntil = now + constants.StallQuiet
+		c.staleUntil = now + constants.StallQuiet
 	}
 	c.lastTick = now
 	if c.Relay {
-		c.ask()
-		return c.flush()
+		c.pollNextPeer()
+		return c.takeEffects()
 	}
-	if now >= c.heartbeatAt {
-		c.heartbeatAt = now + constants.HeartbeatEvery
-		c.forget()
-		c.others(c.sendHeartbeat)
+	if now >= c.nextHeartbeatAt {
+		c.nextHeartbeatAt = now + constants.HeartbeatEvery
+		c.forgetStalePeers()
+		c.forEachPeer(c.sendHeartbeat)
 	}
-	if c.store.Failed() && now >= c.recoverAt {
-		c.recoverAt = now + constants.MemberSilence
+	if c.store.Failed() && now >= c.nextRecoveryAt {
+		c.nextRecoveryAt = now + constants.MemberSilence
 		c.store.Recover()
 	}
-	c.drive()
-	c.mendView()
+	c.retransmit()
+	c.driveViewChange()
 	c.updateReadIndex()
-	return c.flush()
+	return c.takeEffects()
 }
 
-// Recv takes a message.
+// Recv handles a message from a machine.
 func (c *Chain) Recv(now time.Duration, from string, msg any) []Effect {
 	c.now = now
-	if g, ok := msg.(Heartbeat); ok {
-		answer := g.Asks
-		if g.Relay {
-			// It is told what it asks for and else left alone, however many there
-			// are of its kind.
+	if hb, ok := msg.(Heartbeat); ok {
+		reply := hb.Asks
+		if hb.Relay {
+			// A relay gets the heartbeat that it requests and is not tracked as a peer, so
+			// that the number of relays does not matter.
 			if c.Relay {
-				c.learn(g.View)
+				c.adoptView(hb.View)
 			}
 		} else {
 			c.addPeer(from)
-			unproven := c.onHeartbeat(from, g)
-			answer = answer || unproven && !c.Relay
+			unproven := c.onHeartbeat(from, hb)
+			reply = reply || unproven && !c.Relay
 		}
-		if answer {
+		if reply {
 			c.sendHeartbeat(from)
 		}
-		return c.flush()
+		return c.takeEffects()
 	}
 	if slices.Contains(c.peers, from) {
-		c.take(from, msg)
+		c.dispatch(from, msg)
 	}
-	return c.flush()
+	return c.takeEffects()
 }
 
-// take hands a message to the part it concerns; a kind that none knows is left.
-func (c *Chain) take(from string, msg any) {
-	if c.takeAgreement(from, msg) || c.takePass(from, msg) || c.takeOrder(from, msg) {
+// dispatch passes a message to its handler; unknown kinds are ignored.
+func (c *Chain) dispatch(from string, msg any) {
+	if c.handleAgreement(from, msg) || c.handleReplication(from, msg) || c.handleOrder(from, msg) {
 		return
 	}
-	c.takeRead(from, msg)
+	c.handleRead(from, msg)
 }
 
-// takeAgreement takes the messages that agree on a view; false when it is none of them.
-func (c *Chain) takeAgreement(from string, msg any) bool {
+// handleAgreement handles the messages of view agreement; it returns false for others.
+func (c *Chain) handleAgreement(from string, msg any) bool {
 	switch m := msg.(type) {
 	case Prepare:
 		c.onPrepare(from, m)
@@ -89,20 +89,21 @@
 	case Accepted:
 		c.onAccepted(m)
 	case Decide:
-		c.learn(m.View)
+		c.adoptView(m.View)
 	default:
 		return false
 	}
 	return true
 }
 
-// takePass takes the messages that bring states down the chain; false when it is none.
-func (c *Chain) takePass(from string, msg any) bool {
+// handleReplication handles the messages that replicate states along the chain; it returns
+// false for others.
+func (c *Chain) handleReplication(from string, msg any) bool {
 	switch m := msg.(type) {
 	case Replicate:
-		c.onPass(from, m)
+		c.onReplicate(from, m)
 	case Ack:
-		if m.View == c.agreement.View.Num && c.member() {
+		if m.View == c.agreement.View.Num && c.isMember() {
 			c.commitAt(m.Stamp)
 		}
 	case NewerState:
@@ -110,19 +111,19 @@
 			c.admit(&m.Doc)
 		}
 	case ResendRequest:
-		c.onLack(from, m)
+		c.onResendRequest(from, m)
 	default:
 		return false
 	}
 	return true
 }
 
-// takeOrder takes the orders of operators and duties; false when it is none.
-func (c *Chain) takeOrder(from string, msg any) bool {
+// handleOrder handles the orders of operators and duties; it returns false for others.
+func (c *Chain) handleOrder(from string, msg any) bool {
 	switch m := msg.(type) {
 	case Forward:
-		if m.PassOn && !c.leads() {
-			c.sendHead(Forward{Doc: m.Doc})
+		if m.PassOn && !c.isHead() {
+			c.sendToHead(Forward{Doc: m.Doc})
 		} else {
 			c.onForward(m.Doc)
 		}
@@ -130,14 +131,14 @@
 		switch {
 		case m.Answer:
 			c.onWatermark(m)
-		case m.PassOn && !c.leads():
+		case m.PassOn && !c.isHead():
 			m.PassOn = false
-			c.sendHead(m)
+			c.sendToHead(m)
 		default:
-			c.onOrder(from, m)
+			c.onEvacuationOrder(from, m)
 		}
 	case Retire:
-		c.requestRetirement(m.Voter)
+		c.recordRetireRequest(m.Voter)
 	case duty.Order:
 		c.onDutyOrder(from, m)
 	default:
@@ -146,11 +147,11 @@
 	return true
 }
 
-// takeRead takes the messages of reads, and of those that catch up.
-func (c *Chain) takeRead(from string, msg any) {
+// handleRead handles the messages of reads and of catching up.
+func (c *Chain) handleRead(from string, msg any) {
 	switch m := msg.(type) {
 	case Confirm:
-		if c.participant() && c.agreement.View.votes(c.Me) && !c.sealed() && m.View == c.agreement.View.Num {
+		if c.mayVote() && c.agreement.View.hasVoter(c.Me) && !c.sealed() && m.View == c.agreement.View.Num {
 			c.send(from, Confirmed{m.Nonce, c.Me})
 		}
 	case Confirmed:
@@ -168,28 +169,29 @@
 	}
 }
 
-// onNack ends a round that another's outbids.
+// onNack ends this machine's round if a higher ballot was promised.
 func (c *Chain) onNack(m Nack) {
 	if r := c.round; r != nil && m.Slot == r.slot && r.ballot.less(m.Promised) {
-		c.rounds = max(c.rounds, m.Promised.Round)
-		c.yield()
+		c.lastRound = max(c.lastRound, m.Promised.Round)
+		c.backOff()
 	}
 }
 
-// onLack sends the next member whole what it was passed without its bulk.
-func (c *Chain) onLack(from string, m ResendRequest) {
+// onResendRequest sends the next member the complete state that it got without its bulk.
+func (c *Chain) onResendRequest(from string, m ResendRequest) {
 	v := c.agreement.View
-	if m.View != v.Num || !c.member() || c.sealed() || revisionOf(c.held) != m.Stamp {
+	if m.View != v.Num || !c.isMember() || c.sealed() || revisionOf(c.held) != m.Stamp {
 		return
 	}
-	if i := v.index(c.Me.Addr); i+1 < len(v.Members) && v.Members[i+1].Addr == from {
+	if i := v.memberIndex(c.Me.Addr); i+1 < len(v.Members) && v.Members[i+1].Addr == from {
 		c.send(from, Replicate{View: v.Num, Doc: *c.held})
 	}
 }
 
-// onDutyOrder is a duty's order at the head. Only voters give any.
+// onDutyOrder handles a duty's order at the head. Orders from machines that are not voters
+// are dropped.
 func (c *Chain) onDutyOrder(from string, m duty.Order) {
-	if c.agreement.View.voter(from) < 0 {
+	if c.agreement.View.voterIndex(from) < 0 {
 		c.DroppedOrders++
 		return
 	}
--- a/internal/controlplane/chain/view.go
+++ b/internal/controlplane/chain/view.go
@@ -7,9 +7,9 @@
 	"slateridge/internal/constants"
 )
 
-// participant says whether this machine may promise and accept: one whose disk
-// came back empty has forgotten its promises and waits to be taken in.
-func (c *Chain) participant() bool { return c.agreement.Joined }
+// mayVote reports whether this machine may promise and accept. A machine whose disk came
+// back empty has lost its promises and must wait until a view includes it.
+func (c *Chain) mayVote() bool { return c.agreement.Joined }
 
 func (c *Chain) persistAgreement(a agreement) bool {
 	if c.store.Put(agreementKey, a) != nil {
@@ -19,13 +19,13 @@
 	return true
 }
 
-// learn takes up a decided view, if it is newer and told whole.
-func (c *Chain) learn(v View) {
+// adoptView records a decided view if it is newer and complete.
+func (c *Chain) adoptView(v View) {
 	if v.Num <= c.agreement.View.Num || len(v.Members) == 0 {
 		return
 	}
-	// Whoever is not among the voters any more has no say until a view takes it in.
-	a := agreement{View: v, Joined: v.votes(c.Me)}
+	// A machine that is no longer among the voters does not vote until a view includes it.
+	a := agreement{View: v, Joined: v.hasVoter(c.Me)}
 	if !c.persistAgreement(a) {
 		return
 	}
@@ -35,119 +35,122 @@
 	}
 	for _, s := range c.peerStates {
 		if !v.HasMember(s.heartbeat.Me) {
-			s.heardSince = c.now // what was heard before the view left it out says nothing of now
+			s.receivingSince = c.now // heartbeats from before the view that excludes it do not show that it is running now
 		}
 	}
 	c.round = nil
-	c.troubleAt = 0
-	c.passAt = 0
+	c.nextRoundAt = 0
+	c.nextRetransmitAt = 0
 	c.reads = nil
 	c.effects = append(c.effects, ViewChanged{v})
 }
 
-// inContact says whether a peer was heard lately, and has heard this machine lately:
-// a path one way alone carries no agreement. A process that was started again has
-// heard nobody when it first speaks, and what the one before it heard still counts:
-// else each restart would change the view, however short.
+// inContact reports whether heartbeats have passed recently between this machine and a peer
+// in both directions: a one-way path cannot carry an agreement. A restarted process has
+// heard from nobody when it sends its first heartbeat, so what its predecessor received
+// still counts: otherwise each restart, however short, would change the view.
 func (c *Chain) inContact(addr string) bool {
 	if addr == c.Me.Addr {
 		return true
 	}
 	p := c.peerStates[addr]
-	return p != nil && c.now-p.heardAt <= constants.MemberSilence && p.reached >= 0 && c.now-p.reached <= constants.ContactFresh
+	return p != nil && c.now-p.receivedAt <= constants.MemberSilence && p.lastReachedAt >= 0 && c.now-p.lastReachedAt <= constants.ContactFresh
 }
 
-// alive says whether a machine can be a member: in contact, its disk works, and it
-// stays.
-func (c *Chain) alive(addr string) bool {
+// isEligible reports whether a machine can be a member: it is in contact, its disk works,
+// and it is not leaving.
+func (c *Chain) isEligible(addr string) bool {
 	if addr == c.Me.Addr {
 		return !c.store.Failed() && !c.leaving
 	}
 	return c.inContact(addr) && !c.peerStates[addr].heartbeat.Sick && !c.peerStates[addr].heartbeat.Leaving
 }
 
-// peersOutOfContact are the control machines that this one should be in contact with and is not.
-func (c *Chain) peersOutOfContact() []string {
+// unreachablePeers returns the control machines that this one should be in contact with and
+// is not.
+func (c *Chain) unreachablePeers() []string {
 	var out []string
-	c.others(func(p string) {
+	c.forEachPeer(func(p string) {
 		s := c.peerStates[p]
-		if !c.inContact(p) && (s != nil && s.everSeen || c.agreement.View.voter(p) >= 0) {
+		if !c.inContact(p) && (s != nil && s.everSeen || c.agreement.View.voterIndex(p) >= 0) {
 			out = append(out, p)
 		}
 	})
 	return out
 }
 
-// apart says whether one of two machines has told that it has no contact with the other.
-func (c *Chain) apart(a, b string) bool {
-	tells := func(x, y string) bool {
-		if x == c.Me.Addr {
-			return !c.inContact(y)
+// disconnected reports whether one of two machines has reported that it is not in contact
+// with the other.
+func (c *Chain) disconnected(a, b string) bool {
+	reportsUnreachable := func(from, to string) bool {
+		if from == c.Me.Addr {
+			return !c.inContact(to)
 		}
-		s := c.peerStates[x]
-		return s != nil && slices.Contains(s.heartbeat.Unheard, y)
+		s := c.peerStates[from]
+		return s != nil && slices.Contains(s.heartbeat.Unheard, to)
 	}
-	return a != b && (tells(a, b) || tells(b, a))
+	return a != b && (reportsUnreachable(a, b) || reportsUnreachable(b, a))
 }
 
-// MajorityContactAt is the latest moment at which this machine was in contact with a majority of
-// the voters, itself counted; false while it never was, or has no say.
+// MajorityContactAt returns the latest time at which this machine was in contact with a
+// majority of the voters, including itself, or false if it never was or does not vote.
 func (c *Chain) MajorityContactAt() (time.Duration, bool) {
 	if !c.agreement.Joined || c.Relay {
 		return 0, false
 	}
-	var since []time.Duration
+	var times []time.Duration
 	for _, v := range c.agreement.View.Voters {
 		if v.Addr == c.Me.Addr {
-			since = append(since, c.now)
-		} else if s := c.peerStates[v.Addr]; s != nil && s.reached >= 0 && s.heartbeat.Me == v {
-			since = append(since, s.reached)
+			times = append(times, c.now)
+		} else if s := c.peerStates[v.Addr]; s != nil && s.lastReachedAt >= 0 && s.heartbeat.Me == v {
+			times = append(times, s.lastReachedAt)
 		}
 	}
-	return nthLatest(since, c.majority())
+	return nthLatest(times, c.majority())
 }
 
-// nthLatest is the moment that n of some are not before; false when they are fewer.
-func nthLatest(moments []time.Duration, n int) (time.Duration, bool) {
-	if len(moments) < n {
+// nthLatest returns the n-th latest of some times, or false if there are fewer than n.
+func nthLatest(times []time.Duration, n int) (time.Duration, bool) {
+	if len(times) < n {
 		return 0, false
 	}
-	slices.SortFunc(moments, func(a, b time.Duration) int { return int(b - a) })
-	return moments[n-1], true
+	slices.SortFunc(times, func(a, b time.Duration) int { return int(b - a) })
+	return times[n-1], true
 }
 
-// wantsChange says whether the view should be mended: a member is silent, sick
-// or another incarnation, or a machine outside it has come back; and whether
-// the change has waited long enough.
-func (c *Chain) wantsChange() bool {
-	if c.now-c.started < constants.StartQuiet || c.now < c.quietUntil {
-		return false // nobody could have been heard yet, or not since this process stood still
+// needsViewChange reports whether a new view is needed: a member is silent, has a failed
+// disk or is another incarnation, a machine outside the view can join, an absent voter is to
+// be retired, or this machine has sealed the view. It returns false while a recent start or
+// pause of this process leaves too little information about the peers.
+func (c *Chain) needsViewChange() bool {
+	if c.now-c.startedAt < constants.StartQuiet || c.now < c.staleUntil {
+		return false // too early for heartbeats to have arrived since the start or the pause
 	}
 	for _, m := range c.agreement.View.Members {
 		if m == c.Me {
 			continue
 		}
-		if s := c.peerStates[m.Addr]; !c.alive(m.Addr) || s == nil || s.heartbeat.Me != m {
+		if s := c.peerStates[m.Addr]; !c.isEligible(m.Addr) || s == nil || s.heartbeat.Me != m {
 			return true
 		}
 	}
-	return len(c.newcomers()) > 0 || len(c.overdue()) > 0 || c.sealed()
+	return len(c.joinCandidates()) > 0 || len(c.overdueVoters()) > 0 || c.sealed()
 }
 
-// newcomers are live machines outside the view, heard long enough since it was
-// agreed, that have heard this one since, and that no live member is apart from: taken
-// in over a path one way, or past a member that cannot reach them, they would be left
-// out and taken in again and again.
-func (c *Chain) newcomers() []Member {
+// joinCandidates returns the eligible machines outside the view that have sent heartbeats
+// for long enough since the view was agreed, have received one from this machine since, and
+// are not disconnected from any eligible member. If a machine joined over a one-way path, or
+// while a member cannot reach it, it would be excluded and included again repeatedly.
+func (c *Chain) joinCandidates() []Member {
 	var out []Member
-	c.others(func(p string) {
+	c.forEachPeer(func(p string) {
 		s := c.peerStates[p]
-		if s == nil || !c.alive(p) || s.heartbeat.Relay || c.agreement.View.HasMember(s.heartbeat.Me) || s.echoedAt < s.heardSince ||
-			c.now-s.heardSince < constants.JoinPause || s.heardAt-s.heardSince < constants.JoinPause-constants.HeartbeatEvery {
+		if s == nil || !c.isEligible(p) || s.heartbeat.Relay || c.agreement.View.HasMember(s.heartbeat.Me) || s.echoedAt < s.receivingSince ||
+			c.now-s.receivingSince < constants.JoinPause || s.receivedAt-s.receivingSince < constants.JoinPause-constants.HeartbeatEvery {
 			return
 		}
 		for _, m := range c.agreement.View.Members {
-			if m.Addr != p && c.alive(m.Addr) && c.apart(m.Addr, p) {
+			if m.Addr != p && c.isEligible(m.Addr) && c.disconnected(m.Addr, p) {
 				return
 			}
 		}
@@ -156,35 +159,38 @@
 	return out
 }
 
-// fewest is how many members the view after this one has at least: a promise stands on a
-// majority, and on more disks than may be lost, as far as there are so many voters.
-func (c *Chain) fewest() int {
+// minMembers returns the smallest number of members for the next view: a commit must be held
+// by a majority of the voters, and by more disks than may be lost, as far as there are so
+// many voters.
+func (c *Chain) minMembers() int {
 	return max(c.majority(), min(c.MaxMachineFailures+1, len(c.agreement.View.Voters)))
 }
 
-// candidates are the live members, in their order, then the newcomers; one that another
-// before it is apart from is left out, since the chain could not pass between them.
-func (c *Chain) candidates(there func(Member) bool) []Member {
+// nextMembers returns the members to propose for the next view: the eligible current members
+// that include accepts, in their order, then the machines that can join. A machine that is
+// disconnected from an earlier one in this order is omitted, since the chain could not
+// replicate between them.
+func (c *Chain) nextMembers(include func(Member) bool) []Member {
 	var out []Member
 	add := func(m Member) {
-		if !slices.ContainsFunc(out, func(o Member) bool { return o.Addr == m.Addr || c.apart(o.Addr, m.Addr) }) {
+		if !slices.ContainsFunc(out, func(o Member) bool { return o.Addr == m.Addr || c.disconnected(o.Addr, m.Addr) }) {
 			out = append(out, m)
 		}
 	}
 	for _, m := range c.agreement.View.Members {
-		if c.alive(m.Addr) && there(m) {
+		if c.isEligible(m.Addr) && include(m) {
 			add(m)
 		}
 	}
-	for _, m := range c.newcomers() {
+	for _, m := range c.joinCandidates() {
 		add(m)
 	}
 	return out
 }
 
-// mendView starts and drives this machine's rounds.
-func (c *Chain) mendView() {
-	if !c.member() || c.Relay || c.store.Failed() || c.leaving {
+// driveViewChange starts this machine's rounds and drives them.
+func (c *Chain) driveViewChange() {
+	if !c.isMember() || c.Relay || c.store.Failed() || c.leaving {
 		c.round = nil
 		return
 	}
@@ -192,60 +198,61 @@
 		c.driveRound(r)
 		return
 	}
-	if !c.wantsChange() {
-		c.troubleAt = 0
+	if !c.needsViewChange() {
+		c.nextRoundAt = 0
 		return
 	}
-	if c.troubleAt == 0 {
-		// The first live member proposes with the next step, the others wait
-		// their turn.
-		c.troubleAt = c.now + time.Duration(c.rank())*constants.ProposeStagger + 1
+	if c.nextRoundAt == 0 {
+		// The first eligible member proposes with the next step, the others after a
+		// delay that grows with their rank.
+		c.nextRoundAt = c.now + time.Duration(c.rank())*constants.ProposeStagger + 1
 	}
-	if c.now < c.troubleAt {
+	if c.now < c.nextRoundAt {
 		return
 	}
-	if c.liveVoters() < c.majority() || len(c.candidates(c.known)) < c.fewest() {
-		return // none to be had; stay as we are, and seal nothing
+	if c.respondingVoters() < c.majority() || len(c.nextMembers(c.isCurrentIncarnation)) < c.minMembers() {
+		return // no view could be agreed: do not seal the current one
 	}
-	c.beginRound()
+	c.startRound()
 }
 
-// rank is how many live members stand before this one in the view.
+// rank returns the number of eligible members before this one in the view.
 func (c *Chain) rank() int {
 	rank := 0
 	for _, m := range c.agreement.View.Members {
 		if m == c.Me {
 			break
 		}
-		if c.alive(m.Addr) {
+		if c.isEligible(m.Addr) {
 			rank++
 		}
 	}
 	return rank
 }
 
-// liveVoters counts the voters that would answer a round: one that leaves votes until it is
-// gone.
-func (c *Chain) liveVoters() int {
-	live := 0
+// respondingVoters returns the number of voters that would answer a round. A machine that is
+// leaving still votes until it has stopped.
+func (c *Chain) respondingVoters() int {
+	n := 0
 	for _, m := range c.agreement.View.Voters {
-		if m == c.Me || c.inContact(m.Addr) && c.known(m) && !c.peerStates[m.Addr].heartbeat.Sick {
-			live++
+		if m == c.Me || c.inContact(m.Addr) && c.isCurrentIncarnation(m) && !c.peerStates[m.Addr].heartbeat.Sick {
+			n++
 		}
 	}
-	return live
+	return n
 }
 
-// known says whether a member's heartbeat is of that same life of its disk.
-func (c *Chain) known(m Member) bool {
+// isCurrentIncarnation reports whether a member's heartbeats come from the incarnation that
+// the view lists.
+func (c *Chain) isCurrentIncarnation(m Member) bool {
 	s := c.peerStates[m.Addr]
 	return m == c.Me || s != nil && s.heartbeat.Me == m
 }
 
-// beginRound asks all voters for a promise, this machine first.
-func (c *Chain) beginRound() {
-	c.rounds = max(c.rounds, c.agreement.Promised.Round) + 1
-	r := &round{slot: c.agreement.View.Num + 1, ballot: Ballot{c.rounds, c.Me.Addr}, began: c.now,
+// startRound asks all voters for a promise, this machine first.
+func (c *Chain) startRound() {
+	c.lastRound = max(c.lastRound, c.agreement.Promised.Round) + 1
+	r := &round{slot: c.agreement.View.Num + 1, ballot: Ballot{c.lastRound, c.Me.Addr}, startedAt: c.now,
 		promises: map[string]Promise{}, synced: map[string]bool{}, accepted: map[Member]bool{}}
 	c.round = r
 	p := Prepare{r.slot, r.ballot, revisionOf(c.held)}
@@ -254,31 +261,31 @@
 		c.round = nil
 		return
 	}
-	c.others(func(a string) { c.send(a, p) })
+	c.forEachPeer(func(a string) { c.send(a, p) })
 }
 
-// yield ends this machine's round and leaves time for another's, so that two
-// proposers do not outbid each other for ever.
-func (c *Chain) yield() {
+// backOff ends this machine's round and delays the next one, so that two proposers do not
+// outbid each other forever.
+func (c *Chain) backOff() {
 	c.round = nil
-	c.troubleAt = c.now + constants.RoundLimit + time.Duration(c.rng.Int64N(int64(constants.ProposeStagger)))
+	c.nextRoundAt = c.now + constants.RoundLimit + time.Duration(c.rng.Int64N(int64(constants.ProposeStagger)))
 }
 
 func (c *Chain) driveRound(r *round) {
-	if c.now-r.began > constants.RoundLimit {
+	if c.now-r.startedAt > constants.RoundLimit {
 		c.round = nil
-		c.troubleAt = c.now + time.Duration(c.rng.Int64N(int64(constants.ProposeStagger))) + 1
+		c.nextRoundAt = c.now + time.Duration(c.rng.Int64N(int64(constants.ProposeStagger))) + 1
 		return
 	}
-	if r.chosen == nil && r.value == nil {
+	if r.members == nil && r.proposed == nil {
 		c.chooseMembers(r)
 	}
 }
 
-// mayTakePart says whether this machine takes part in a ballot for the next view. A
-// proposer whose ballot is lower than what was promised here is told so.
-func (c *Chain) mayTakePart(from string, slot uint64, ballot Ballot) bool {
-	if slot != c.agreement.View.Num+1 || !c.participant() {
+// acceptsBallot reports whether this machine takes part in a ballot for the next view. A
+// ballot lower than the promised one is rejected with a Nack.
+func (c *Chain) acceptsBallot(from string, slot uint64, ballot Ballot) bool {
+	if slot != c.agreement.View.Num+1 || !c.mayVote() {
 		return false
 	}
 	if ballot.less(c.agreement.Promised) {
@@ -293,7 +300,7 @@
 		c.send(from, Decide{c.agreement.View})
 		return
 	}
-	if !c.mayTakePart(from, m.Slot, m.Ballot) {
+	if !c.acceptsBallot(from, m.Slot, m.Ballot) {
 		return
 	}
 	a := c.agreement
@@ -302,7 +309,7 @@
 		return
 	}
 	if from != c.Me.Addr {
-		c.yield() // to its round
+		c.backOff() // in favor of the sender's round
 	}
 	p := Promise{Slot: m.Slot, Ballot: m.Ballot, Me: c.Me, Accepted: a.Accepted, View: a.Next, HeldAt: revisionOf(c.held)}
 	if m.Held.Less(revisionOf(c.held)) {
@@ -313,7 +320,7 @@
 
 func (c *Chain) onPromise(from string, m Promise) {
 	r := c.round
-	if r == nil || m.Slot != r.slot || m.Ballot != r.ballot || r.chosen != nil || r.value != nil || !c.agreement.View.votes(m.Me) {
+	if r == nil || m.Slot != r.slot || m.Ballot != r.ballot || r.members != nil || r.proposed != nil || !c.agreement.View.hasVoter(m.Me) {
 		return
 	}
 	r.promises[from] = m
@@ -322,11 +329,11 @@
 	}
 }
 
-// chooseMembers goes on once a majority has promised: with the value that an
-// earlier round may have decided, or else with the live members of the sealed
-// view in their order and the newcomers after them.
+// chooseMembers continues a round once a majority has promised: it proposes the view that an
+// earlier round may have decided, if there is one, and otherwise syncs the members for a new
+// view. It waits up to PromiseWait for the remaining voters.
 func (c *Chain) chooseMembers(r *round) {
-	if len(r.promises) < c.majority() || len(r.promises) < len(c.agreement.View.Voters) && c.now-r.began < constants.PromiseWait {
+	if len(r.promises) < c.majority() || len(r.promises) < len(c.agreement.View.Voters) && c.now-r.startedAt < constants.PromiseWait {
 		return
 	}
 	var best Promise
@@ -346,13 +353,13 @@
 			doc = p.Held
 		}
 	}
-	r.chosen = c.candidates(func(m Member) bool { p, ok := r.promises[m.Addr]; return ok && p.Me == m })
-	if len(r.chosen) < c.fewest() {
-		r.chosen = nil
+	r.members = c.nextMembers(func(m Member) bool { p, ok := r.promises[m.Addr]; return ok && p.Me == m })
+	if len(r.members) < c.minMembers() {
+		r.members = nil
 		return
 	}
-	r.doc = doc
-	for _, m := range r.chosen {
+	r.state = doc
+	for _, m := range r.members {
 		c.send(m.Addr, Sync{r.slot, r.ballot, doc})
 		if c.round != r {
 			return
@@ -361,7 +368,7 @@
 }
 
 func (c *Chain) onSync(from string, m Sync) {
-	if m.Slot != c.agreement.View.Num+1 && c.participant() || m.Slot <= c.agreement.View.Num {
+	if m.Slot != c.agreement.View.Num+1 && c.mayVote() || m.Slot <= c.agreement.View.Num {
 		return
 	}
 	if m.Doc != nil && !c.persistState(*m.Doc) {
@@ -376,41 +383,41 @@
 
 func (c *Chain) onSynced(from string, m Synced) {
 	r := c.round
-	if r == nil || m.Slot != r.slot || m.Ballot != r.ballot || r.value != nil || !slices.Contains(r.chosen, m.Me) {
+	if r == nil || m.Slot != r.slot || m.Ballot != r.ballot || r.proposed != nil || !slices.Contains(r.members, m.Me) {
 		return
 	}
-	if revisionOf(r.doc).Less(revisionOf(m.Held)) {
-		// Held by a member since before it was sealed: all take it up.
-		r.doc = m.Held
+	if revisionOf(r.state).Less(revisionOf(m.Held)) {
+		// The member held a newer state before it was sealed: sync all members to that.
+		r.state = m.Held
 		r.synced = map[string]bool{}
-		for _, x := range r.chosen {
-			c.send(x.Addr, Sync{r.slot, r.ballot, r.doc})
-			if c.round != r || r.value != nil {
+		for _, x := range r.members {
+			c.send(x.Addr, Sync{r.slot, r.ballot, r.state})
+			if c.round != r || r.proposed != nil {
 				return
 			}
 		}
 		return
 	}
-	if m.HeldAt.Less(revisionOf(r.doc)) {
-		return // answers an earlier Sync
+	if m.HeldAt.Less(revisionOf(r.state)) {
+		return // the answer to an earlier Sync
 	}
 	r.synced[from] = true
-	if len(r.synced) == len(r.chosen) {
+	if len(r.synced) == len(r.members) {
 		c.propose(r, c.nextView(r))
 	}
 }
 
 func (c *Chain) propose(r *round, v View) {
-	r.value = &v
+	r.proposed = &v
 	a := Accept{r.slot, r.ballot, v}
 	c.send(c.Me.Addr, a)
 	if c.round == r {
-		c.others(func(p string) { c.send(p, a) })
+		c.forEachPeer(func(p string) { c.send(p, a) })
 	}
 }
 
 func (c *Chain) onAccept(from string, m Accept) {
-	if !c.mayTakePart(from, m.Slot, m.Ballot) {
+	if !c.acceptsBallot(from, m.Slot, m.Ballot) {
 		return
 	}
 	a := c.agreement
@@ -422,15 +429,15 @@
 
 func (c *Chain) onAccepted(m Accepted) {
 	r := c.round
-	if r == nil || r.value == nil || m.Slot != r.slot || m.Ballot != r.ballot {
+	if r == nil || r.proposed == nil || m.Slot != r.slot || m.Ballot != r.ballot {
 		return
 	}
-	if c.agreement.View.votes(m.Me) {
+	if c.agreement.View.hasVoter(m.Me) {
 		r.accepted[m.Me] = true
 	}
 	if len(r.accepted) >= c.majority() {
-		v := *r.value
-		c.learn(v)
-		c.others(func(p string) { c.send(p, Decide{v}) })
+		v := *r.proposed
+		c.adoptView(v)
+		c.forEachPeer(func(p string) { c.send(p, Decide{v}) })
 	}
 }
