--- a/internal/controlplane/chain/chain_test.go
+++ b/internal/controlplane/chain/chain_test.go
@@ -29,7 +29,7 @@
 	ackedEvacuationsAtRead map[uint64]map[string]uint64 // by read: ackedEvacuations when it started
 	disks                  map[string]*simnet.Disk
 	chains                 map[string]*Chain // nil while down
-	life                   map[string]int
+	generation             map[string]int
 	frozen                 map[string]bool
 	pending                map[string][]func()      // events to run when a frozen machine resumes
 	activeFaults           map[string]int           // number of faults that affect a machine now
@@ -97,7 +97,7 @@
 
 func newCluster(t *testing.T, seed uint64, names []string, maxFailures int) *cluster {
 	c := &cluster{t: t, seed: seed, network: simnet.New(seed), names: names, seeds: names[:3], disks: map[string]*simnet.Disk{}, chains: map[string]*Chain{},
-		life: map[string]int{}, frozen: map[string]bool{}, pending: map[string][]func(){}, activeFaults: map[string]int{}, recoveredAt: map[string]time.Duration{},
+		generation: map[string]int{}, frozen: map[string]bool{}, pending: map[string][]func(){}, activeFaults: map[string]int{}, recoveredAt: map[string]time.Duration{},
 		sentKeys: map[config.Taken]bool{}, settledSums: map[uint64]uint64{}, committedStates: map[string]*config.Doc{}, views: map[uint64]string{}, maxFailures: maxFailures, pendingEvacuations: map[string]map[uint64]evacuationOrder{}, ackedEvacuationsAtRead: map[uint64]map[string]uint64{}, ackedEvacuations: map[string]uint64{}, committedEvacuations: map[string]map[string]config.Evacuation{},
 		pendingConfigs: map[string]map[config.Taken]bool{}, pendingReads: map[string]map[uint64]readStart{}}
 	for _, n := range c.names {
@@ -116,8 +116,8 @@
 	if c.chains[n] != nil {
 		return
 	}
-	c.life[n]++
-	ch, err := New(c.network.Now, n, c.seeds, founding && slices.Contains(c.seeds, n), c.disks[n], rand.New(rand.NewPCG(c.seed, uint64(c.life[n])*31+uint64(n[0]))))
+	c.generation[n]++
+	ch, err := New(c.network.Now, n, c.seeds, founding && slices.Contains(c.seeds, n), c.disks[n], rand.New(rand.NewPCG(c.seed, uint64(c.generation[n])*31+uint64(n[0]))))
 	if err != nil {
 		return // its disk refuses writes; it stays down
 	}
@@ -129,25 +129,25 @@
 	c.committedStates[n] = nil
 	c.pendingEvacuations[n], c.committedEvacuations[n] = map[uint64]evacuationOrder{}, nil
 	c.pendingConfigs[n], c.pendingReads[n] = map[config.Taken]bool{}, map[uint64]readStart{}
-	c.tick(n, c.life[n])
+	c.tick(n, c.generation[n])
 }
 
-func (c *cluster) tick(n string, life int) {
-	c.step(n, life, func(ch *Chain) []Effect { return ch.Tick(c.network.Now) })
+func (c *cluster) tick(n string, generation int) {
+	c.step(n, generation, func(ch *Chain) []Effect { return ch.Tick(c.network.Now) })
 	c.network.After(constants.ChainTick, func() {
-		if c.life[n] == life && c.chains[n] != nil {
-			c.tick(n, life)
+		if c.generation[n] == generation && c.chains[n] != nil {
+			c.tick(n, generation)
 		}
 	})
 }
 
-func (c *cluster) step(n string, life int, f func(*Chain) []Effect) {
-	if c.life[n] != life || c.chains[n] == nil {
+func (c *cluster) step(n string, generation int, f func(*Chain) []Effect) {
+	if c.generation[n] != generation || c.chains[n] == nil {
 		return
 	}
 	if c.frozen[n] {
 		if len(c.pending[n]) < 100 {
-			c.pending[n] = append(c.pending[n], func() { c.step(n, life, f) })
+			c.pending[n] = append(c.pending[n], func() { c.step(n, generation, f) })
 		}
 		return
 	}
@@ -161,7 +161,7 @@
 		case Send:
 			to := o.To
 			c.network.Send(n, to, func() {
-				c.step(to, c.life[to], func(ch *Chain) []Effect { return ch.Recv(c.network.Now, n, o.Msg) })
+				c.step(to, c.generation[to], func(ch *Chain) []Effect { return ch.Recv(c.network.Now, n, o.Msg) })
 			})
 		case Commit:
 			c.checkEvacuations(n, o.Doc)
@@ -202,7 +202,7 @@
 func (c *cluster) runOperator() {
 	r := c.network.Rng
 	n := c.names[r.IntN(len(c.names))]
-	life := c.life[n]
+	generation := c.generation[n]
 	if r.IntN(5) == 0 {
 		c.submitEvacuation(n)
 	} else if r.IntN(3) == 0 {
@@ -210,7 +210,7 @@
 		if c.chains[n] != nil {
 			c.pendingReads[n][id] = readStart{c.ackedVersion, len(c.ackedConfigs)}
 			c.ackedEvacuationsAtRead[id] = maps.Clone(c.ackedEvacuations)
-			c.step(n, life, func(ch *Chain) []Effect { return ch.Read(c.network.Now, id) })
+			c.step(n, generation, func(ch *Chain) []Effect { return ch.Read(c.network.Now, id) })
 		}
 	} else {
 		c.lastVersion += 1 + r.Uint64N(3)
@@ -233,7 +233,7 @@
 
 // submit submits an operator's configuration at a machine.
 func (c *cluster) submit(n string, o sentConfig) {
-	k, life := o.key(), c.life[n]
+	k, generation := o.key(), c.generation[n]
 	if !c.sentKeys[k] {
 		c.sentKeys[k] = true
 		c.sentConfigs = append(c.sentConfigs, o)
@@ -247,9 +247,9 @@
 		return
 	}
 	d := config.Doc{Version: o.version, Raw: []byte(o.content)}
-	c.step(n, life, func(ch *Chain) []Effect { return ch.Submit(c.network.Now, d) })
+	c.step(n, generation, func(ch *Chain) []Effect { return ch.Submit(c.network.Now, d) })
 	c.network.After(constants.SubmitWait, func() {
-		if c.life[n] == life {
+		if c.generation[n] == generation {
 			delete(c.pendingConfigs[n], k)
 		}
 	})
@@ -315,14 +315,14 @@
 func (c *cluster) submitEvacuation(n string) {
 	r := c.network.Rng
 	o := evacuationOrder{[]string{"y", "z"}[r.IntN(2)], r.IntN(2) == 0}
-	id, life := r.Uint64(), c.life[n]
+	id, generation := r.Uint64(), c.generation[n]
 	if c.chains[n] == nil {
 		return
 	}
 	c.pendingEvacuations[n][id] = o
-	c.step(n, life, func(ch *Chain) []Effect { return ch.Evacuate(c.network.Now, id, o.zone, o.on) })
+	c.step(n, generation, func(ch *Chain) []Effect { return ch.Evacuate(c.network.Now, id, o.zone, o.on) })
 	c.network.After(constants.SubmitWait, func() {
-		if c.life[n] == life {
+		if c.generation[n] == generation {
 			delete(c.pendingEvacuations[n], id)
 		}
 	})
@@ -422,7 +422,7 @@
 	if c.chains[n] != nil && !c.frozen[n] && (kind != 4 && kind < 6 || mayLose) {
 		c.faultBegins(n)
 		end := func(f func()) { c.network.After(duration, func() { f(); c.faultEnds(n) }) }
-		kill := func() { c.chains[n] = nil; c.life[n]++ }
+		kill := func() { c.chains[n] = nil; c.generation[n]++ }
 		switch kind {
 		case 0: // process killed or power lost: what was synced is kept
 			kill()
@@ -471,7 +471,7 @@
 			all := slices.Clone(c.names)
 			for _, o := range all {
 				c.chains[o] = nil
-				c.life[o]++
+				c.generation[o]++
 				c.faultBegins(o)
 			}
 			end(func() {
@@ -492,11 +492,11 @@
 func (c *cluster) replace(n string, graceful bool, after time.Duration) {
 	remove := func() {
 		c.chains[n] = nil
-		c.life[n]++
+		c.generation[n]++
 		c.names = slices.DeleteFunc(slices.Clone(c.names), func(o string) bool { return o == n })
 	}
 	if graceful {
-		c.step(n, c.life[n], func(ch *Chain) []Effect { return ch.Leave(c.network.Now) })
+		c.step(n, c.generation[n], func(ch *Chain) []Effect { return ch.Leave(c.network.Now) })
 		c.network.Run(c.network.Now+constants.ChainTick, nil)
 	}
 	remove()
@@ -608,7 +608,7 @@
 	c := newCluster(t, 5, threeMachines, 1)
 	c.network.Run(4*time.Second, nil)
 	c.chains["c"], c.disks["c"] = nil, simnet.NewDisk()
-	c.life["c"]++
+	c.generation["c"]++
 	c.start("c", false)
 	c.chains["c"].Recv(c.network.Now, "a", c.chains["a"].Status()) // adopts the view, which lists its previous incarnation
 	out := c.chains["c"].Recv(c.network.Now, "a", Prepare{Slot: 2, Ballot: Ballot{1, "a"}})
@@ -813,7 +813,7 @@
 		c := newCluster(t, seed, []string{"a", "b", "c", "d", "e", "f"}, 2)
 		c.network.Delay = 5 * time.Millisecond
 		c.network.Run(7*time.Second, nil)
-		kill := func(n string) { c.chains[n] = nil; c.life[n]++ }
+		kill := func(n string) { c.chains[n] = nil; c.generation[n]++ }
 		kill("e")
 		c.network.Run(c.network.Now+700*time.Millisecond, nil)
 		kill("f") // its last heartbeat is recent when the view without it is agreed
@@ -859,7 +859,7 @@
 		before := c.chains["a"].View()
 		restarted := c.names[seed%6]
 		c.chains[restarted] = nil
-		c.life[restarted]++
+		c.generation[restarted]++
 		c.network.Run(c.network.Now+500*time.Millisecond, nil)
 		c.start(restarted, false)
 		c.network.Run(c.network.Now+3*time.Second, func() {
@@ -883,7 +883,7 @@
 		c.network.Run(7*time.Second, nil)
 		for _, n := range c.names {
 			c.chains[n] = nil
-			c.life[n]++
+			c.generation[n]++
 		}
 		c.network.Run(c.network.Now+time.Second, nil)
 		var last time.Duration
--- a/internal/controlplane/chain/duties_test.go
+++ b/internal/controlplane/chain/duties_test.go
@@ -26,13 +26,13 @@
 // dutyCluster is a cluster with a duty, a simulated platform, and proxies that count usage.
 type dutyCluster struct {
 	*cluster
-	leases       map[string]*lease.Manager
-	holders      map[string]*duty.Holder
-	tallies      map[string]*usage.Tally
-	startedLife  map[string]int
-	startedAt    map[string]time.Duration
-	meters       map[string]*usage.Meter
-	actualCounts map[uint64]usage.Counts
+	leases            map[string]*lease.Manager
+	holders           map[string]*duty.Holder
+	tallies           map[string]*usage.Tally
+	startedGeneration map[string]int
+	startedAt         map[string]time.Duration
+	meters            map[string]*usage.Meter
+	actualCounts      map[uint64]usage.Counts
 
 	windowLength, delay, leaseLength time.Duration // usage window, usageDelay, lease
 	platformDown, platformSlow       bool
@@ -51,7 +51,7 @@
 
 func newDutyCluster(t *testing.T, seed uint64, names []string, maxFailures int, windowLength, delay, leaseLength time.Duration) *dutyCluster {
 	w := &dutyCluster{cluster: newCluster(t, seed, names, maxFailures), leases: map[string]*lease.Manager{}, holders: map[string]*duty.Holder{},
-		tallies: map[string]*usage.Tally{}, startedLife: map[string]int{}, startedAt: map[string]time.Duration{}, meters: map[string]*usage.Meter{},
+		tallies: map[string]*usage.Tally{}, startedGeneration: map[string]int{}, startedAt: map[string]time.Duration{}, meters: map[string]*usage.Meter{},
 		windowLength: windowLength, delay: delay, leaseLength: leaseLength, actualCounts: map[uint64]usage.Counts{}, holderByFence: map[uint64]string{}, reported: map[uint64]string{}}
 	w.afterStep = w.updateElectorate
 	for _, n := range names {
@@ -70,8 +70,8 @@
 	if w.chains[n] == nil || w.frozen[n] {
 		return
 	}
-	if w.leases[n] == nil || w.startedLife[n] != w.life[n] {
-		w.startedLife[n], w.startedAt[n] = w.life[n], w.network.Now
+	if w.leases[n] == nil || w.startedGeneration[n] != w.generation[n] {
+		w.startedGeneration[n], w.startedAt[n] = w.generation[n], w.network.Now
 		w.leases[n] = lease.New(w.network.Now, w.network.Rng.Uint64(), n, []string{testDuty})
 		w.holders[n] = duty.NewHolder(testDuty, n, w.leaseLength, 50, rand.New(rand.NewPCG(w.seed, w.network.Rng.Uint64())))
 		w.tallies[n] = usage.NewTally(w.network.Rng.Uint64())
@@ -89,7 +89,7 @@
 // updateElectorate passes a machine's view on to its leases, as the daemon does after each
 // step.
 func (w *dutyCluster) updateElectorate(n string) {
-	if w.leases[n] != nil && w.startedLife[n] == w.life[n] {
+	if w.leases[n] != nil && w.startedGeneration[n] == w.generation[n] {
 		g := w.chains[n].Status()
 		w.leases[n].SetElectorate(w.network.Now, g.View.Epoch, g.View.VoterAddrs(), w.chains[n].ElectorateUncertain())
 	}
@@ -102,14 +102,14 @@
 	return r
 }
 
-// runInLife runs f on a machine unless its process has been restarted; on a frozen machine
+// runInGeneration runs f on a machine unless its process has been restarted; on a frozen machine
 // after it resumes.
-func (w *dutyCluster) runInLife(n string, life int, f func()) {
-	if w.life[n] != life || w.chains[n] == nil || w.startedLife[n] != life {
+func (w *dutyCluster) runInGeneration(n string, generation int, f func()) {
+	if w.generation[n] != generation || w.chains[n] == nil || w.startedGeneration[n] != generation {
 		return
 	}
 	if w.frozen[n] {
-		w.pending[n] = append(w.pending[n], func() { w.runInLife(n, life, f) })
+		w.pending[n] = append(w.pending[n], func() { w.runInGeneration(n, generation, f) })
 		return
 	}
 	f()
@@ -118,31 +118,31 @@
 func (w *dutyCluster) sendLease(n string, out []lease.Send) {
 	for _, s := range out {
 		w.network.Send(n, s.To, func() {
-			w.runInLife(s.To, w.life[s.To], func() { w.sendLease(s.To, w.leases[s.To].Recv(w.network.Now, n, s.Msg)) })
+			w.runInGeneration(s.To, w.generation[s.To], func() { w.sendLease(s.To, w.leases[s.To].Recv(w.network.Now, n, s.Msg)) })
 		})
 	}
 }
 
 func (w *dutyCluster) applyEffects(n string, out []duty.Effect) {
-	life := w.life[n]
+	generation := w.generation[n]
 	for _, x := range out {
 		switch x := x.(type) {
 		case duty.Order:
-			w.step(n, life, func(ch *Chain) []Effect { return ch.SubmitDutyOrder(w.network.Now, x) })
+			w.step(n, generation, func(ch *Chain) []Effect { return ch.SubmitDutyOrder(w.network.Now, x) })
 		case duty.Yield:
 			w.sendLease(n, w.leases[n].Leave(w.network.Now, testDuty))
 		case duty.Act:
 			if _, ok := w.leases[n].Holds(w.network.Now, testDuty); !ok {
 				w.fail("%s calls for window %d with fence %d without holding the lease", n, x.Key, x.Fence)
 			}
-			w.network.Send(n, "platform", func() { w.onPlatformCall(n, life, x) })
+			w.network.Send(n, "platform", func() { w.onPlatformCall(n, generation, x) })
 		}
 	}
 }
 
 // onPlatformCall handles a call at the platform, checks the invariants, and answers, possibly
 // late.
-func (w *dutyCluster) onPlatformCall(n string, life int, p duty.Act) {
+func (w *dutyCluster) onPlatformCall(n string, generation int, p duty.Act) {
 	if w.platformDown {
 		w.lostCalls++
 		return
@@ -174,7 +174,7 @@
 	}
 	w.network.After(delay, func() {
 		w.network.Send("platform", n, func() {
-			w.runInLife(n, life, func() { w.applyEffects(n, w.holders[n].Answered(w.network.Now, p.ID, status)) })
+			w.runInGeneration(n, generation, func() { w.applyEffects(n, w.holders[n].Answered(w.network.Now, p.ID, status)) })
 		})
 	})
 }
@@ -227,7 +227,7 @@
 			if l := w.leases[n]; l != nil && w.chains[n] != nil && l.Until(w.network.Now, testDuty) > 0 {
 				for range 1 + w.network.Rng.IntN(2) { // some reports arrive twice
 					w.network.Send(p, n, func() {
-						w.runInLife(n, w.life[n], func() {
+						w.runInGeneration(n, w.generation[n], func() {
 							h, ok := w.tallies[n].Take(w.network.Now, w.currentWindow(), t)
 							if ok && w.leases[n].Until(w.network.Now, testDuty) > 0 {
 								w.network.Send(n, p, func() { w.meters[p].Acknowledged(t, h) })
@@ -275,7 +275,7 @@
 				h := w.calls[n-1].holder
 				if w.chains[h] != nil && !w.frozen[h] {
 					w.chains[h], w.recoveredAt[h] = nil, 1<<62
-					w.life[h]++
+					w.generation[h]++
 					w.network.After(time.Duration(w.network.Rng.IntN(3000))*time.Millisecond, func() { w.start(h, false); w.recoveredAt[h] = w.network.Now })
 				}
 			}
--- a/internal/controlplane/chain/electorate_test.go
+++ b/internal/controlplane/chain/electorate_test.go
@@ -36,7 +36,7 @@
 }
 
 // kill ends a process and keeps its disk.
-func (c *cluster) kill(n string) { c.chains[n] = nil; c.life[n]++ }
+func (c *cluster) kill(n string) { c.chains[n] = nil; c.generation[n]++ }
 
 // wipe ends a process and empties its disk.
 func (c *cluster) wipe(n string) { c.kill(n); c.disks[n] = simnet.NewDisk() }
@@ -44,7 +44,7 @@
 // removeMachine stops a machine for good, gracefully or not.
 func (c *cluster) removeMachine(n string, graceful bool) {
 	if graceful {
-		c.step(n, c.life[n], func(ch *Chain) []Effect { return ch.Leave(c.network.Now) })
+		c.step(n, c.generation[n], func(ch *Chain) []Effect { return ch.Leave(c.network.Now) })
 		c.network.Run(c.network.Now+500*time.Millisecond, nil)
 	}
 	c.kill(n)
@@ -93,7 +93,7 @@
 			}
 			id := c.network.Rng.Uint64()
 			c.pendingReads[n][id] = readStart{c.ackedVersion, len(c.ackedConfigs)}
-			c.step(n, c.life[n], func(ch *Chain) []Effect { return ch.Read(c.network.Now, id) })
+			c.step(n, c.generation[n], func(ch *Chain) []Effect { return ch.Read(c.network.Now, id) })
 			c.network.Run(c.network.Now+500*time.Millisecond, nil)
 		}
 	}
@@ -293,7 +293,7 @@
 							c.submit(x, o) // by an operator that reaches the machine cut off only
 							if id := c.network.Rng.Uint64(); c.chains[x] != nil {
 								c.pendingReads[x][id] = readStart{}
-								c.step(x, c.life[x], func(ch *Chain) []Effect { return ch.Read(c.network.Now, id) })
+								c.step(x, c.generation[x], func(ch *Chain) []Effect { return ch.Read(c.network.Now, id) })
 							}
 							reads := c.readsAnswered
 							c.network.Run(c.network.Now+500*time.Millisecond, nil)
@@ -437,7 +437,7 @@
 	checkRefused("a", "a", "in contact")
 	c.removeMachine("f", false)
 	c.network.Run(c.network.Now+4*time.Second, nil)
-	c.step("b", c.life["b"], func(ch *Chain) []Effect {
+	c.step("b", c.generation["b"], func(ch *Chain) []Effect {
 		out, refused := ch.Retire(c.network.Now, "f")
 		if refused != "" {
 			t.Fatal(refused)
@@ -465,7 +465,7 @@
 			t.Fatalf("seed %d: %s cannot leave", seed, n)
 		}
 		leftAt := c.network.Now
-		c.step(n, c.life[n], func(ch *Chain) []Effect { return ch.Leave(c.network.Now) })
+		c.step(n, c.generation[n], func(ch *Chain) []Effect { return ch.Leave(c.network.Now) })
 		for !c.chains[n].HasLeft() {
 			if c.network.Now-leftAt > constants.LeaveWait/2 {
 				t.Fatalf("seed %d: %s is still a member after %v", seed, n, c.network.Now-leftAt)
@@ -485,7 +485,7 @@
 		t.Fatal("b may leave c with the only copy")
 	}
 	views := len(c.views)
-	c.step("b", c.life["b"], func(ch *Chain) []Effect { return ch.Leave(c.network.Now) })
+	c.step("b", c.generation["b"], func(ch *Chain) []Effect { return ch.Leave(c.network.Now) })
 	c.network.Run(c.network.Now+2*time.Second, nil)
 	if len(c.views) != views {
 		t.Fatal("a view of one machine was decided")
@@ -670,7 +670,7 @@
 	before := fmt.Sprintf("%+v", c.chains["a"].View())
 	for _, m := range []any{Prepare{Slot: 99, Ballot: Ballot{7, "x"}}, Accept{Slot: 2, View: View{Num: 2}}, Accepted{Slot: 2}, Promise{Slot: 2}, Sync{Slot: 1 << 60},
 		Decide{View{Num: 9}}, Retire{"b"}, Retire{"nobody"}, NewerState{View: 1}, Replicate{View: 1}, Ack{View: 1, Stamp: config.Revision{View: 9}}, ResendRequest{}, Forward{}, Read{1}, ReadAnswer{ID: 5}, Fetch{}, Confirm{}, Confirmed{}} {
-		c.step("a", c.life["a"], func(ch *Chain) []Effect { return ch.Recv(c.network.Now, "x", m) })
+		c.step("a", c.generation["a"], func(ch *Chain) []Effect { return ch.Recv(c.network.Now, "x", m) })
 	}
 	c.network.Run(c.network.Now+catchUp, nil)
 	if now := fmt.Sprintf("%+v", c.chains["a"].View()); now != before {
--- a/internal/controlplane/chain/evacuation_contention_test.go
+++ b/internal/controlplane/chain/evacuation_contention_test.go
@@ -28,7 +28,7 @@
 					for i := range 8 {
 						id, n := c.network.Rng.Uint64(), c.names[i%len(c.names)]
 						pending[id] = n
-						c.step(n, c.life[n], func(ch *Chain) []Effect { return ch.Evacuate(c.network.Now, id, zones[i%len(zones)], i%3 == 0) })
+						c.step(n, c.generation[n], func(ch *Chain) []Effect { return ch.Evacuate(c.network.Now, id, zones[i%len(zones)], i%3 == 0) })
 					}
 					c.network.Run(submittedAt+constants.SubmitWait, func() {
 						for id, n := range pending {
--- a/internal/controlplane/chain/forwarding_test.go
+++ b/internal/controlplane/chain/forwarding_test.go
@@ -46,7 +46,7 @@
 							c.fail("another content under r%d is not refused at %s", o.version, x)
 						}
 						id := c.network.Rng.Uint64()
-						c.step(x, c.life[x], func(ch *Chain) []Effect { return ch.Evacuate(c.network.Now, id, "y", true) })
+						c.step(x, c.generation[x], func(ch *Chain) []Effect { return ch.Evacuate(c.network.Now, id, "y", true) })
 						c.network.Run(c.network.Now+constants.SubmitWait, nil)
 						if d := c.committedStates[x]; !slices.Contains(d.Evac["y"].IDs, id) {
 							c.fail("an evacuation is not acknowledged at %s", x)
--- a/internal/controlplane/chain/lease_handover_test.go
+++ b/internal/controlplane/chain/lease_handover_test.go
@@ -13,17 +13,17 @@
 // long each duty is without a holder.
 type leaseCluster struct {
 	*cluster
-	duties      []string
-	leases      map[string]*lease.Manager
-	startedLife map[string]int
-	driving     map[string]bool
-	lastHeldAt  map[string]time.Duration // by duty: when it last had a holder
-	longestGap  map[string]time.Duration // by duty: the longest time without a holder since the last reset
+	duties            []string
+	leases            map[string]*lease.Manager
+	startedGeneration map[string]int
+	driving           map[string]bool
+	lastHeldAt        map[string]time.Duration // by duty: when it last had a holder
+	longestGap        map[string]time.Duration // by duty: the longest time without a holder since the last reset
 }
 
 func newLeaseCluster(t *testing.T, seed uint64, machineCount, maxFailures int, delay time.Duration) *leaseCluster {
 	l := &leaseCluster{cluster: newCluster(t, seed, machines(machineCount), maxFailures), duties: []string{"poll", "track/0", "track/1", "track/2", "track/3", "track/4", "track/5"},
-		leases: map[string]*lease.Manager{}, startedLife: map[string]int{}, driving: map[string]bool{},
+		leases: map[string]*lease.Manager{}, startedGeneration: map[string]int{}, driving: map[string]bool{},
 		lastHeldAt: map[string]time.Duration{}, longestGap: map[string]time.Duration{}}
 	l.network.Delay = delay
 	l.afterStep = l.updateElectorate
@@ -59,7 +59,7 @@
 // holder returns the holder of a duty, or "", and fails if there are two.
 func (l *leaseCluster) holder(duty string) (holder string) {
 	for _, n := range l.names {
-		if l.chains[n] == nil || l.leases[n] == nil || l.startedLife[n] != l.life[n] {
+		if l.chains[n] == nil || l.leases[n] == nil || l.startedGeneration[n] != l.generation[n] {
 			continue
 		}
 		if _, ok := l.leases[n].Holds(l.network.Now, duty); ok {
@@ -78,8 +78,8 @@
 	if l.chains[n] == nil || l.frozen[n] {
 		return
 	}
-	if l.leases[n] == nil || l.startedLife[n] != l.life[n] {
-		l.startedLife[n] = l.life[n]
+	if l.leases[n] == nil || l.startedGeneration[n] != l.generation[n] {
+		l.startedGeneration[n] = l.generation[n]
 		l.leases[n] = lease.New(l.network.Now, l.network.Rng.Uint64()>>32, n, l.duties)
 	}
 	l.updateElectorate(n)
@@ -93,7 +93,7 @@
 		l.driving[n] = true
 		l.driveLeases(n)
 	}
-	if l.leases[n] != nil && l.startedLife[n] == l.life[n] {
+	if l.leases[n] != nil && l.startedGeneration[n] == l.generation[n] {
 		g := l.chains[n].Status()
 		l.leases[n].SetElectorate(l.network.Now, g.View.Epoch, g.View.VoterAddrs(), l.chains[n].ElectorateUncertain())
 	}
@@ -101,20 +101,20 @@
 
 func (l *leaseCluster) sendLeases(n string, out []lease.Send) {
 	for _, s := range out {
-		life := l.life[s.To]
+		generation := l.generation[s.To]
 		l.network.Send(n, s.To, func() {
-			l.runInLife(s.To, life, func() { l.sendLeases(s.To, l.leases[s.To].Recv(l.network.Now, n, s.Msg)) })
+			l.runInGeneration(s.To, generation, func() { l.sendLeases(s.To, l.leases[s.To].Recv(l.network.Now, n, s.Msg)) })
 		})
 	}
 }
 
-// runInLife runs f on a machine unless its process has been restarted; on a frozen machine
+// runInGeneration runs f on a machine unless its process has been restarted; on a frozen machine
 // after it resumes.
-func (l *leaseCluster) runInLife(n string, life int, f func()) {
+func (l *leaseCluster) runInGeneration(n string, generation int, f func()) {
 	switch {
-	case l.chains[n] == nil || l.life[n] != life || l.startedLife[n] != life:
+	case l.chains[n] == nil || l.generation[n] != generation || l.startedGeneration[n] != generation:
 	case l.frozen[n]:
-		l.pending[n] = append(l.pending[n], func() { l.runInLife(n, life, f) })
+		l.pending[n] = append(l.pending[n], func() { l.runInGeneration(n, generation, f) })
 	default:
 		f()
 	}
@@ -125,7 +125,7 @@
 func (l *leaseCluster) stopGracefully(n string) {
 	l.sendLeases(n, l.leases[n].Leave(l.network.Now))
 	startedAt := l.network.Now
-	l.cluster.step(n, l.life[n], func(ch *Chain) []Effect { return ch.Leave(l.network.Now) })
+	l.cluster.step(n, l.generation[n], func(ch *Chain) []Effect { return ch.Leave(l.network.Now) })
 	for end := startedAt + constants.LeaveWait; !l.chains[n].HasLeft() && l.chains[n].CanLeave() && l.network.Now < end; {
 		l.runUntil(l.network.Now + constants.ChainTick/2)
 	}
--- a/internal/controlplane/chain/rejoin_test.go
+++ b/internal/controlplane/chain/rejoin_test.go
@@ -32,7 +32,7 @@
 				c.network.Run(5*time.Second, nil)
 				wiped := threeMachines[seed%3]
 				c.chains[wiped], c.disks[wiped] = nil, simnet.NewDisk()
-				c.life[wiped]++
+				c.generation[wiped]++
 				c.network.Run(c.network.Now+time.Duration(200+c.network.Rng.IntN(4000))*time.Millisecond, nil)
 				c.start(wiped, false)
 				startedAt := c.network.Now
