--- a/internal/controlplane/admin.go
+++ b/internal/controlplane/admin.go
@@ -127,7 +127,7 @@
 	gauge := func(name string, v uint64) { metrics.WriteGaugeUint64(w, "slateridge_"+name, v) }
 	gauge("view_number", r.Chain.View.Num)
 	gauge("view_members", uint64(len(r.Chain.View.Members)))
-	gauge("view_member", adminhttp.Flag(r.Chain.View.Has(r.Chain.Me)))
+	gauge("view_member", adminhttp.Flag(r.Chain.View.HasMember(r.Chain.Me)))
 	gauge("view_sealed", adminhttp.Flag(r.Chain.Sealed))
 	gauge("disk_failed", adminhttp.Flag(r.Chain.Sick))
 	gauge("majority_heard", adminhttp.Flag(r.Current))
--- a/internal/controlplane/daemon.go
+++ b/internal/controlplane/daemon.go
@@ -146,10 +146,10 @@
 	}
 	chainMachine.Relay = nodeSettings.DataDirectory == "" || !nodeSettings.QuorumMember
 	chainMachine.Original = nodeSettings.Bootstrap && isNew && !founding && !chainMachine.Relay
-	chainMachine.Tolerate = nodeSettings.FaultTolerance.MachineFailures
-	chainMachine.Zones, chainMachine.Regions = nodeSettings.FaultTolerance.Zones, nodeSettings.FaultTolerance.RegionFailures
+	chainMachine.MaxMachineFailures = nodeSettings.FaultTolerance.MachineFailures
+	chainMachine.MaxZoneFailures, chainMachine.MaxRegionFailures = nodeSettings.FaultTolerance.Zones, nodeSettings.FaultTolerance.RegionFailures
 	chainMachine.Zone, chainMachine.Region = nodeSettings.Zone, nodeSettings.Region
-	chainMachine.Wall = d.wall
+	chainMachine.WallClock = d.wall
 	d.replica = &replica{
 		address:    nodeSettings.IPAddress,
 		seeds:      seeds,
--- a/internal/controlplane/duties.go
+++ b/internal/controlplane/duties.go
@@ -102,7 +102,7 @@
 	for _, effect := range effects {
 		switch effect := effect.(type) {
 		case duty.Order:
-			d.replica.step(func() []chain.Effect { return d.replica.chain.Act(d.now(), effect) })
+			d.replica.step(func() []chain.Effect { return d.replica.chain.SubmitDutyOrder(d.now(), effect) })
 		case duty.Cancel:
 			runner.mu.Lock()
 			if runner.cancel != nil && runner.callID == effect.ID {
--- a/internal/controlplane/replica.go
+++ b/internal/controlplane/replica.go
@@ -26,7 +26,7 @@
 	view, epoch      uint64
 	voters           []string // addresses, sorted
 	joined           bool     // the view lists this machine, with its current disk, as a voter
-	leavesElectorate bool     // this machine grants no leases; see chain.Chain.LeavesElectorate
+	leavesElectorate bool     // this machine grants no leases; see chain.Chain.ElectorateUncertain
 }
 
 // replica runs this machine's chain: it steps the state machine, executes the effects, and
@@ -75,7 +75,7 @@
 		r.onCommit(e.Doc)
 	case chain.ReadDone:
 		r.onReadDone(e.ID, e.Doc)
-	case chain.Moved:
+	case chain.ViewChanged:
 		v := e.View
 		r.events.Record("view", fmt.Sprintf("%d %v of %d voters from %d/%d", v.Num, memberAddresses(v), len(v.Voters), v.From.View, v.From.Seq))
 	}
@@ -99,7 +99,7 @@
 			r.readIndex.Store(&latest)
 		}
 	}
-	if at, ok := r.chain.Contact(); ok {
+	if at, ok := r.chain.MajorityContactAt(); ok {
 		r.contactAt.Store(max(int64(at), 1))
 	} else {
 		r.contactAt.Store(0)
@@ -107,7 +107,7 @@
 }
 
 func (r *replica) publishViewState() {
-	view, joined, leaves := r.chain.View(), r.chain.Joined(), r.chain.LeavesElectorate()
+	view, joined, leaves := r.chain.View(), r.chain.Joined(), r.chain.ElectorateUncertain()
 	previous := r.viewState.Load()
 	if previous != nil && previous.view == view.Num && previous.joined == joined && previous.leavesElectorate == leaves {
 		return
@@ -199,11 +199,11 @@
 	r.store.Put(key, makeValue())
 }
 
-// redirectTarget returns the voter that this relay heard from last; see chain.Chain.Ahead.
+// redirectTarget returns the voter that this relay heard from last; see chain.Chain.RedirectTarget.
 func (r *replica) redirectTarget() (address string, ok bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	return r.chain.Ahead()
+	return r.chain.RedirectTarget()
 }
 
 // status returns the chain's current state. It may wait for a disk write in progress.
@@ -242,5 +242,5 @@
 func (r *replica) leaveState() (left, canLeave bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	return r.chain.Left(), r.chain.CanLeave()
+	return r.chain.HasLeft(), r.chain.CanLeave()
 }
--- a/internal/modelcheck/chainmodel/duties.go
+++ b/internal/modelcheck/chainmodel/duties.go
@@ -69,7 +69,7 @@
 		return
 	}
 	v := c.View()
-	o.lease.SetElectorate(m.world.Now, v.Epoch, v.VoterAddrs(), c.LeavesElectorate())
+	o.lease.SetElectorate(m.world.Now, v.Epoch, v.VoterAddrs(), c.ElectorateUncertain())
 	m.sendLease(n, o.lease.Tick(m.world.Now))
 	var rec duty.Record
 	if d := c.Committed(); d != nil {
@@ -103,7 +103,7 @@
 	for _, x := range out {
 		switch x := x.(type) {
 		case duty.Order:
-			m.run(n, func(c *chain.Chain) []chain.Effect { return c.Act(m.world.Now, x) })
+			m.run(n, func(c *chain.Chain) []chain.Effect { return c.SubmitDutyOrder(m.world.Now, x) })
 		case duty.Yield:
 			m.sendLease(n, m.dutyHolders[n].lease.Leave(m.world.Now, dutyName))
 		case duty.Act:
