--- a/internal/proxy/daemon.go
+++ b/internal/proxy/daemon.go
@@ -230,7 +230,7 @@
 		group.Every(constants.ScaleEvery, d.reportLoad)
 	}
 	if d.meter != nil {
-		interval := usage.ReportEvery(nodeSettings.Bounds.UsageWindow.D(), nodeSettings.Bounds.UsageTolerance)
+		interval := usage.ReportInterval(nodeSettings.Bounds.UsageWindow.D(), nodeSettings.Bounds.UsageTolerance)
 		group.EveryAfter(usage.Phase(rand.Uint64(), interval), interval, d.reportUsage)
 	}
 	if d.accountsAgent != nil {
--- a/internal/usage/loss_test.go
+++ b/internal/usage/loss_test.go
@@ -31,7 +31,7 @@
 )
 
 // reportEvery is the time between reports in such windows.
-var reportEvery = ReportEvery(lossSpan, 0.05)
+var reportEvery = ReportInterval(lossSpan, 0.05)
 
 // lossEpoch makes simulated time a time of day at which a window begins.
 var lossEpoch = time.Unix(1_800_000_000, 0)
--- a/internal/usage/usage.go
+++ b/internal/usage/usage.go
@@ -52,9 +52,9 @@
 	return uint64(max(0, at.UnixNano())) / uint64(length)
 }
 
-// ReportEvery is the time between a proxy's reports: one that dies takes with it at most the
+// ReportInterval is the time between a proxy's reports: one that dies takes with it at most the
 // part of a window's requests by which the platform lets a report be off.
-func ReportEvery(window time.Duration, tolerance float64) time.Duration {
+func ReportInterval(window time.Duration, tolerance float64) time.Duration {
 	return max(constants.StepEvery, time.Duration(float64(window)*tolerance))
 }
 
--- a/internal/usage/usage_test.go
+++ b/internal/usage/usage_test.go
@@ -263,7 +263,7 @@
 		tolerance float64
 		every     time.Duration
 	}{{5 * time.Second, 0.05, 250 * time.Millisecond}, {time.Minute, 0.01, 600 * time.Millisecond}, {5 * time.Second, 0, constants.StepEvery}} {
-		if every := ReportEvery(c.window, c.tolerance); every != c.every {
+		if every := ReportInterval(c.window, c.tolerance); every != c.every {
 			t.Errorf("a window of %v that may be off by %v: reports every %v, want %v", c.window, c.tolerance, every, c.every)
 		}
 	}
