--- a/internal/proxy/daemon.go
+++ b/internal/proxy/daemon.go
@@ -231,7 +231,7 @@
 	}
 	if d.meter != nil {
 		interval := usage.ReportInterval(nodeSettings.Bounds.UsageWindow.D(), nodeSettings.Bounds.UsageTolerance)
-		group.EveryAfter(usage.Phase(rand.Uint64(), interval), interval, d.reportUsage)
+		group.EveryAfter(usage.ReportPhase(rand.Uint64(), interval), interval, d.reportUsage)
 	}
 	if d.accountsAgent != nil {
 		group.EveryAfter(rand.N(accounts.TellEvery), accounts.TellEvery, d.accountsAgent.Tell)
--- a/internal/usage/loss_test.go
+++ b/internal/usage/loss_test.go
@@ -151,7 +151,7 @@
 	p := &lossProxy{name: name, meter: NewMeter(f.Rng.Uint64()), every: every}
 	f.proxies[name] = p
 	f.After(time.Duration(f.Rng.Int64N(int64(2*every))), func() { f.serve(p) })
-	f.After(Phase(f.Rng.Uint64(), reportEvery), func() { f.tell(p) })
+	f.After(ReportPhase(f.Rng.Uint64(), reportEvery), func() { f.tell(p) })
 }
 
 // serve sends a request to an upstream, which works on it for a while; the proxy counts
--- a/internal/usage/usage.go
+++ b/internal/usage/usage.go
@@ -58,10 +58,10 @@
 	return max(constants.StepEvery, time.Duration(float64(window)*tolerance))
 }
 
-// Phase is when, within the time between two reports, a proxy sends its first one; lot is
+// ReportPhase is when, within the time between two reports, a proxy sends its first one; lot is
 // drawn. Proxies that started together would all report at the same moments, and many that are
 // killed together shortly before one would all lose the most that any can.
-func Phase(lot uint64, every time.Duration) time.Duration {
+func ReportPhase(lot uint64, every time.Duration) time.Duration {
 	return time.Duration(lot % uint64(every))
 }
 
--- a/internal/usage/usage_test.go
+++ b/internal/usage/usage_test.go
@@ -173,7 +173,7 @@
 		truth := 0
 		for p := range proxies {
 			m, name := NewMeter(rng.Uint64()), string(rune('A'+p))
-			phase := Phase(rng.Uint64(), reportEvery)
+			phase := ReportPhase(rng.Uint64(), reportEvery)
 			began := time.Duration(rng.Int64N(int64(runEvery)))
 			for now := time.Duration(0); now <= span+2*reportEvery; now += step {
 				if now < span && (now-began)%runEvery < step && now >= began {
