--- a/internal/proxy/attempt.go
+++ b/internal/proxy/attempt.go
@@ -103,7 +103,7 @@
 	}
 	sentAt := time.Now()
 	if p.proxy.meter != nil && p.tenant != nil && !p.route.Stream {
-		p.proxy.meter.Sent(p.usageRun, p.proxy.window(sentAt), p.tenant.Name)
+		p.proxy.meter.StartRun(p.usageRun, p.proxy.window(sentAt), p.tenant.Name)
 	}
 	return p.readResponse(pl, conn, attemptID, sentAt)
 }
--- a/internal/usage/loss_test.go
+++ b/internal/usage/loss_test.go
@@ -164,7 +164,7 @@
 	run, w, tenant := &Run{}, f.window(f.Now), fmt.Sprint(p.name, "-tenant-", f.Rng.IntN(lossTenants)) // each proxy's own, so that none makes up for another
 	f.runs = append(f.runs, sentRun{f.Now, p.name, w, tenant})
 	p.meter.Begin(w)
-	p.meter.Sent(run, w, tenant)
+	p.meter.StartRun(run, w, tenant)
 	work := time.Duration(20+f.Rng.IntN(400)) * time.Millisecond
 	if f.Rng.IntN(10) == 0 {
 		work *= 6
--- a/internal/usage/meter.go
+++ b/internal/usage/meter.go
@@ -44,9 +44,9 @@
 	running, over bool
 }
 
-// Sent notes a request that an upstream has been sent whole; again, or once the request
+// StartRun notes a request that an upstream has been sent whole; again, or once the request
 // is over, it changes nothing.
-func (m *Meter) Sent(r *Run, w uint64, tenant string) {
+func (m *Meter) StartRun(r *Run, w uint64, tenant string) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	if r.running || r.over {
--- a/internal/usage/usage_test.go
+++ b/internal/usage/usage_test.go
@@ -212,8 +212,8 @@
 	}
 	runs := []*Run{{}, {}, {}}
 	for _, r := range runs {
-		m.Sent(r, 7, "x")
-		m.Sent(r, 8, "x") // to a second upstream
+		m.StartRun(r, 7, "x")
+		m.StartRun(r, 8, "x") // to a second upstream
 	}
 	m.Count(7, "x")
 	tell()
@@ -223,7 +223,7 @@
 	m.Over(runs[0])
 	m.Count(7, "x")
 	m.Over(runs[1]) // it had not run
-	m.Sent(runs[1], 7, "x")
+	m.StartRun(runs[1], 7, "x")
 	tell()
 	if got := y.Sum(7)["x"]; got != 3 {
 		t.Fatalf("%d runs count, there are 3", got)
