--- a/internal/proxy/proxy.go
+++ b/internal/proxy/proxy.go
@@ -154,7 +154,7 @@
 	if meter == nil {
 		return
 	}
-	meter.Over(p.usageRun)
+	meter.EndRun(p.usageRun)
 	if p.executions > 0 && !p.route.Stream { // streams are counted at their first chunk
 		meter.Count(p.proxy.window(p.executedAt), p.tenant.Name)
 	}
--- a/internal/usage/loss_test.go
+++ b/internal/usage/loss_test.go
@@ -173,7 +173,7 @@
 		if p.killed > 0 {
 			return
 		}
-		p.meter.Over(run)
+		p.meter.EndRun(run)
 		p.meter.Count(w, tenant)
 		p.meter.End(w)
 	})
--- a/internal/usage/meter.go
+++ b/internal/usage/meter.go
@@ -60,8 +60,8 @@
 	m.changedSeq = m.seq + 1
 }
 
-// Over ends what Sent began: the request counts from now on, or it never will.
-func (m *Meter) Over(r *Run) {
+// EndRun ends what Sent began: the request counts from now on, or it never will.
+func (m *Meter) EndRun(r *Run) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	r.over = true
--- a/internal/usage/usage_test.go
+++ b/internal/usage/usage_test.go
@@ -220,9 +220,9 @@
 	if got := y.Sum(7)["x"]; got != 4 {
 		t.Fatalf("killed now, %d runs would count, there are 4", got)
 	}
-	m.Over(runs[0])
+	m.EndRun(runs[0])
 	m.Count(7, "x")
-	m.Over(runs[1]) // it had not run
+	m.EndRun(runs[1]) // it had not run
 	m.StartRun(runs[1], 7, "x")
 	tell()
 	if got := y.Sum(7)["x"]; got != 3 {
@@ -238,7 +238,7 @@
 	if got, then := y.Sum(7)["x"], next.Sum(7)["x"]; got != 3 || then != 3 {
 		t.Fatalf("%d and %d runs count, there are 3", got, then)
 	}
-	m.Over(runs[2])
+	m.EndRun(runs[2])
 	m.Count(7, "x")
 	tell()
 	if got := y.Sum(7)["x"]; got != 3 {
