--- a/internal/controlplane/chain/duties_test.go
+++ b/internal/controlplane/chain/duties_test.go
@@ -207,7 +207,7 @@
 func (w *dutyCluster) proxy(p string) {
 	for range w.network.Rng.IntN(8) {
 		tenant, k := []string{"x", "y", "z"}[w.network.Rng.IntN(3)], w.window()
-		w.meters[p].Begin(k)
+		w.meters[p].BeginRequest(k)
 		w.network.After(time.Duration(w.network.Rng.IntN(700))*time.Millisecond, func() {
 			w.meters[p].Count(k, tenant)
 			w.meters[p].End(k)
--- a/internal/proxy/proxy.go
+++ b/internal/proxy/proxy.go
@@ -129,7 +129,7 @@
 	}
 	if s.meter != nil && tenant != nil {
 		w := s.window(arrived)
-		s.meter.Begin(w)
+		s.meter.BeginRequest(w)
 		defer s.meter.End(w)
 	}
 	if code := p.readBody(w); code != 0 {
--- a/internal/usage/loss_test.go
+++ b/internal/usage/loss_test.go
@@ -163,7 +163,7 @@
 	f.After(time.Duration(f.Rng.Int64N(int64(2*p.every))), func() { f.serve(p) })
 	run, w, tenant := &Run{}, f.window(f.Now), fmt.Sprint(p.name, "-tenant-", f.Rng.IntN(lossTenants)) // each proxy's own, so that none makes up for another
 	f.runs = append(f.runs, sentRun{f.Now, p.name, w, tenant})
-	p.meter.Begin(w)
+	p.meter.BeginRequest(w)
 	p.meter.StartRun(run, w, tenant)
 	work := time.Duration(20+f.Rng.IntN(400)) * time.Millisecond
 	if f.Rng.IntN(10) == 0 {
--- a/internal/usage/meter.go
+++ b/internal/usage/meter.go
@@ -79,8 +79,8 @@
 	}
 }
 
-// Begin notes a request that came in a window and may count in it or a later one.
-func (m *Meter) Begin(w uint64) {
+// BeginRequest notes a request that came in a window and may count in it or a later one.
+func (m *Meter) BeginRequest(w uint64) {
 	m.mu.Lock()
 	m.open[w]++
 	m.mu.Unlock()
--- a/internal/usage/usage_test.go
+++ b/internal/usage/usage_test.go
@@ -69,7 +69,7 @@
 // A request under way keeps its window open; one that has been settled takes nothing.
 func TestOpenWindows(t *testing.T) {
 	m := NewMeter(1)
-	m.Begin(50)
+	m.BeginRequest(50)
 	if w, _ := m.Report("p", 53); w.Closed != 49 {
 		t.Fatalf("closed up to %d with a request of 50 under way", w.Closed)
 	}
