--- a/internal/controlplane/chain/duties_test.go
+++ b/internal/controlplane/chain/duties_test.go
@@ -210,7 +210,7 @@
 		w.meters[p].BeginRequest(k)
 		w.network.After(time.Duration(w.network.Rng.IntN(700))*time.Millisecond, func() {
 			w.meters[p].Count(k, tenant)
-			w.meters[p].End(k)
+			w.meters[p].EndRequest(k)
 			if w.truth[k] == nil {
 				w.truth[k] = usage.Counts{}
 			}
--- a/internal/proxy/proxy.go
+++ b/internal/proxy/proxy.go
@@ -130,7 +130,7 @@
 	if s.meter != nil && tenant != nil {
 		w := s.window(arrived)
 		s.meter.BeginRequest(w)
-		defer s.meter.End(w)
+		defer s.meter.EndRequest(w)
 	}
 	if code := p.readBody(w); code != 0 {
 		p.settleCost()
--- a/internal/usage/loss_test.go
+++ b/internal/usage/loss_test.go
@@ -175,7 +175,7 @@
 		}
 		p.meter.EndRun(run)
 		p.meter.Count(w, tenant)
-		p.meter.End(w)
+		p.meter.EndRequest(w)
 	})
 }
 
--- a/internal/usage/meter.go
+++ b/internal/usage/meter.go
@@ -86,8 +86,8 @@
 	m.mu.Unlock()
 }
 
-// End closes what Begin noted.
-func (m *Meter) End(w uint64) {
+// EndRequest closes what Begin noted.
+func (m *Meter) EndRequest(w uint64) {
 	m.mu.Lock()
 	if m.open[w]--; m.open[w] <= 0 {
 		delete(m.open, w)
--- a/internal/usage/usage_test.go
+++ b/internal/usage/usage_test.go
@@ -73,7 +73,7 @@
 	if w, _ := m.Report("p", 53); w.Closed != 49 {
 		t.Fatalf("closed up to %d with a request of 50 under way", w.Closed)
 	}
-	m.End(50)
+	m.EndRequest(50)
 	w, some := m.Report("p", 53)
 	if !some || w.Closed != 52 {
 		t.Fatalf("closed up to %d", w.Closed)
