--- a/internal/controlplane/chain/duties_test.go
+++ b/internal/controlplane/chain/duties_test.go
@@ -217,7 +217,7 @@
 			w.truth[k][tenant]++
 		})
 	}
-	if t, some := w.meters[p].Report(p, w.window()); some {
+	if t, some := w.meters[p].NextReport(p, w.window()); some {
 		for _, n := range w.names {
 			if l := w.leases[n]; l != nil && w.chain[n] != nil && l.Until(w.network.Now, testDuty) > 0 {
 				for range 1 + w.network.Rng.IntN(2) { // some words come twice
--- a/internal/proxy/reports.go
+++ b/internal/proxy/reports.go
@@ -50,7 +50,7 @@
 		return
 	}
 	for range 2 { // a new holder's first acknowledgement carries a new term and requires a second report
-		report, pending := d.meter.Report(d.nodeSettings.Load().IPAddress, d.usageWindowAt(time.Now()))
+		report, pending := d.meter.NextReport(d.nodeSettings.Load().IPAddress, d.usageWindowAt(time.Now()))
 		if !pending {
 			return
 		}
--- a/internal/proxy/stream_test.go
+++ b/internal/proxy/stream_test.go
@@ -96,7 +96,7 @@
 			t.Fatalf("round %d: the end: %v", round, err)
 		}
 	}
-	if report, _ := s.meter.Report("p", 41); report.Windows[40]["ten"] != 2 || requests.Load() != 2 {
+	if report, _ := s.meter.NextReport("p", 41); report.Windows[40]["ten"] != 2 || requests.Load() != 2 {
 		t.Errorf("%d requests, counted %v", requests.Load(), report.Windows)
 	}
 	s.pool.mu.Lock()
@@ -147,7 +147,7 @@
 	if w := sendRequest(s, "POST", "/flow/x", "hi"); w.Code != 503 || w.Header().Get("Retry-After") == "" || fullRequests.Load() != 1 {
 		t.Errorf("rejected: %d %v, sent %d times", w.Code, w.Header(), fullRequests.Load())
 	}
-	if report, _ := s.meter.Report("p", 41); len(report.Windows) > 0 {
+	if report, _ := s.meter.NextReport("p", 41); len(report.Windows) > 0 {
 		t.Errorf("counted %v", report.Windows)
 	}
 }
@@ -381,7 +381,7 @@
 		s.meter, s.window = usage.NewMeter(1), func(time.Time) uint64 { return 40 }
 		tally := usage.NewTally(1)
 		sum := func() uint64 {
-			report, _ := s.meter.Report("p", 41)
+			report, _ := s.meter.NextReport("p", 41)
 			if ack, ok := tally.Take(0, 41, report); ok {
 				s.meter.Acknowledged(report, ack)
 			}
--- a/internal/usage/loss_test.go
+++ b/internal/usage/loss_test.go
@@ -193,7 +193,7 @@
 
 // ask tells the holder, once more when it was told only what had changed.
 func (f *lossFleet) ask(p *lossProxy, tries int) {
-	word, some := p.meter.Report(p.name, f.window(f.Now))
+	word, some := p.meter.NextReport(p.name, f.window(f.Now))
 	m := f.machines[f.known]
 	if tries == 0 || !some || m == nil {
 		p.telling = false
@@ -352,7 +352,7 @@
 				truth++
 				meter.Count(7, fmt.Sprint("tenant-", rng.IntN(3)))
 			}
-			word, _ := meter.Report("proxy", 8)
+			word, _ := meter.NextReport("proxy", 8)
 			for range 1 + rng.IntN(2) {
 				heard, _ := tally.Take(0, 8, word)
 				meter.Acknowledged(word, heard)
--- a/internal/usage/meter.go
+++ b/internal/usage/meter.go
@@ -110,8 +110,8 @@
 	m.unreported[w][tenant] = true
 }
 
-// Report is what is to be reported in window now; false when there is nothing new.
-func (m *Meter) Report(proxy string, now uint64) (Report, bool) {
+// NextReport is what is to be reported in window now; false when there is nothing new.
+func (m *Meter) NextReport(proxy string, now uint64) (Report, bool) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	m.seq++
--- a/internal/usage/usage_test.go
+++ b/internal/usage/usage_test.go
@@ -13,7 +13,7 @@
 func TestSuccessorGathersAnew(t *testing.T) {
 	m, old, next := NewMeter(7), NewTally(10), NewTally(20)
 	tell := func(to *Tally, now uint64) Report {
-		w, _ := m.Report("p", now)
+		w, _ := m.NextReport("p", now)
 		if h, ok := to.Take(0, now, w); ok {
 			m.Acknowledged(w, h)
 		}
@@ -27,7 +27,7 @@
 		t.Fatalf("the first holder has %v", old.Sum(100))
 	}
 	m.Count(100, "x") // late
-	w, _ := m.Report("p", 101)
+	w, _ := m.NextReport("p", 101)
 	h, _ := next.Take(0, 101, w)
 	if next.Complete(100, 0, []string{"p"}) {
 		t.Fatal("the successor takes a difference for the whole")
@@ -70,17 +70,17 @@
 func TestOpenWindows(t *testing.T) {
 	m := NewMeter(1)
 	m.BeginRequest(50)
-	if w, _ := m.Report("p", 53); w.Closed != 49 {
+	if w, _ := m.NextReport("p", 53); w.Closed != 49 {
 		t.Fatalf("closed up to %d with a request of 50 under way", w.Closed)
 	}
 	m.EndRequest(50)
-	w, some := m.Report("p", 53)
+	w, some := m.NextReport("p", 53)
 	if !some || w.Closed != 52 {
 		t.Fatalf("closed up to %d", w.Closed)
 	}
 	m.Acknowledged(w, Ack{Term: 1, Settled: 52})
 	m.Count(52, "x")
-	if w, _ := m.Report("p", 53); m.Dropped != 1 || len(w.Windows) > 0 {
+	if w, _ := m.NextReport("p", 53); m.Dropped != 1 || len(w.Windows) > 0 {
 		t.Errorf("counted after it was settled: %v", w)
 	}
 }
@@ -107,9 +107,9 @@
 	m := NewMeter(1)
 	for w := uint64(1); w < 1000; w++ {
 		m.Count(w, "x")
-		m.Report("p", w)
+		m.NextReport("p", w)
 	}
-	if w, _ := m.Report("p", 1000); len(w.Windows) > constants.UsageKept+1 {
+	if w, _ := m.NextReport("p", 1000); len(w.Windows) > constants.UsageKept+1 {
 		t.Errorf("%d windows kept", len(w.Windows))
 	}
 }
@@ -184,7 +184,7 @@
 					break
 				}
 				if now >= phase && (now-phase)%reportEvery < step {
-					w, _ := m.Report(name, 7)
+					w, _ := m.NextReport(name, 7)
 					if h, ok := y.Take(now, 7, w); ok {
 						m.Acknowledged(w, h)
 					}
@@ -204,7 +204,7 @@
 	m, y := NewMeter(5), NewTally(1)
 	var words []Report
 	tell := func() {
-		w, _ := m.Report("p", 8)
+		w, _ := m.NextReport("p", 8)
 		words = append(words, w)
 		if h, ok := y.Take(0, 8, w); ok {
 			m.Acknowledged(w, h)
