--- a/internal/controlplane/chain/duties_test.go
+++ b/internal/controlplane/chain/duties_test.go
@@ -225,7 +225,7 @@
 						w.later(n, w.life[n], func() {
 							h, ok := w.tallies[n].Take(w.network.Now, w.window(), t)
 							if ok && w.leases[n].Until(w.network.Now, testDuty) > 0 {
-								w.network.Send(n, p, func() { w.meters[p].Acknowledged(t, h) })
+								w.network.Send(n, p, func() { w.meters[p].Acknowledge(t, h) })
 							}
 						})
 					})
--- a/internal/proxy/reports.go
+++ b/internal/proxy/reports.go
@@ -60,7 +60,7 @@
 			d.events.Count("usage_untold", 1)
 			return
 		}
-		d.meter.Acknowledged(report, ack)
+		d.meter.Acknowledge(report, ack)
 		if ack.Term == report.Term {
 			return
 		}
--- a/internal/proxy/stream_test.go
+++ b/internal/proxy/stream_test.go
@@ -383,7 +383,7 @@
 		sum := func() uint64 {
 			report, _ := s.meter.NextReport("p", 41)
 			if ack, ok := tally.Take(0, 41, report); ok {
-				s.meter.Acknowledged(report, ack)
+				s.meter.Acknowledge(report, ack)
 			}
 			return uint64(tally.Sum(40)["ten"])
 		}
--- a/internal/usage/loss_test.go
+++ b/internal/usage/loss_test.go
@@ -216,7 +216,7 @@
 				return
 			}
 			answered = true
-			p.meter.Acknowledged(word, heard)
+			p.meter.Acknowledge(word, heard)
 			if heard.Term == word.Term {
 				p.telling = false
 				return
@@ -355,7 +355,7 @@
 			word, _ := meter.NextReport("proxy", 8)
 			for range 1 + rng.IntN(2) {
 				heard, _ := tally.Take(0, 8, word)
-				meter.Acknowledged(word, heard)
+				meter.Acknowledge(word, heard)
 			}
 			for _, out := range keeper.Step(true, "a") {
 				if save, ok := out.(Save); ok {
--- a/internal/usage/meter.go
+++ b/internal/usage/meter.go
@@ -141,9 +141,9 @@
 	return t, len(t.Windows) > 0 || t.Closed > m.closedReported || m.changedSeq > m.acknowledgedSeq
 }
 
-// Acknowledged takes the holder's answer to a report. Another term means another holder,
+// Acknowledge takes the holder's answer to a report. Another term means another holder,
 // or one that has restarted: it is sent all that is open.
-func (m *Meter) Acknowledged(t Report, h Ack) {
+func (m *Meter) Acknowledge(t Report, h Ack) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	m.acknowledgedSeq = max(m.acknowledgedSeq, t.Seq)
--- a/internal/usage/usage_test.go
+++ b/internal/usage/usage_test.go
@@ -15,7 +15,7 @@
 	tell := func(to *Tally, now uint64) Report {
 		w, _ := m.NextReport("p", now)
 		if h, ok := to.Take(0, now, w); ok {
-			m.Acknowledged(w, h)
+			m.Acknowledge(w, h)
 		}
 		return w
 	}
@@ -32,7 +32,7 @@
 	if next.Complete(100, 0, []string{"p"}) {
 		t.Fatal("the successor takes a difference for the whole")
 	}
-	m.Acknowledged(w, h)
+	m.Acknowledge(w, h)
 	tell(next, 101)
 	if got := next.Sum(100); !next.Complete(100, 0, []string{"p"}) || got["x"] != 2 || got["y"] != 1 {
 		t.Fatalf("the successor has %v", got)
@@ -78,7 +78,7 @@
 	if !some || w.Closed != 52 {
 		t.Fatalf("closed up to %d", w.Closed)
 	}
-	m.Acknowledged(w, Ack{Term: 1, Settled: 52})
+	m.Acknowledge(w, Ack{Term: 1, Settled: 52})
 	m.Count(52, "x")
 	if w, _ := m.NextReport("p", 53); m.Dropped != 1 || len(w.Windows) > 0 {
 		t.Errorf("counted after it was settled: %v", w)
@@ -186,7 +186,7 @@
 				if now >= phase && (now-phase)%reportEvery < step {
 					w, _ := m.NextReport(name, 7)
 					if h, ok := y.Take(now, 7, w); ok {
-						m.Acknowledged(w, h)
+						m.Acknowledge(w, h)
 					}
 				}
 			}
@@ -207,7 +207,7 @@
 		w, _ := m.NextReport("p", 8)
 		words = append(words, w)
 		if h, ok := y.Take(0, 8, w); ok {
-			m.Acknowledged(w, h)
+			m.Acknowledge(w, h)
 		}
 	}
 	runs := []*Run{{}, {}, {}}
