--- a/internal/proxy/admin.go
+++ b/internal/proxy/admin.go
@@ -77,7 +77,7 @@
 	}
 	r.Streams.Open, r.Streams.Cut, r.Streams.Left = d.streams.Load(), d.streamsCut.Load(), d.streamsAbandoned.Load()
 	if d.meter != nil {
-		r.Usage.Windows, r.Usage.Dropped = d.meter.Held()
+		r.Usage.Windows, r.Usage.Dropped = d.meter.Stats()
 		if holder := d.usageHolder.Load(); holder != nil {
 			r.Usage.Told = *holder
 		}
--- a/internal/usage/meter.go
+++ b/internal/usage/meter.go
@@ -176,8 +176,8 @@
 	}
 }
 
-// Held is how many windows are open here, and the runs that came too late for theirs.
-func (m *Meter) Held() (windows int, dropped uint64) {
+// Stats is how many windows are open here, and the runs that came too late for theirs.
+func (m *Meter) Stats() (windows int, dropped uint64) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	return len(m.windows), m.Dropped
