--- a/cmd/scalerun/slopes.go
+++ b/cmd/scalerun/slopes.go
@@ -124,7 +124,7 @@
 			for k := range 40 {
 				c[fmt.Sprintf("t%06d", (p*37+k*k)%200_000)] = 3
 			}
-			t.Take(0, 101, usage.Report{Proxy: fmt.Sprint(p), Life: uint64(p + 1), Windows: map[uint64]usage.Counts{100: c}})
+			t.Merge(0, 101, usage.Report{Proxy: fmt.Sprint(p), Life: uint64(p + 1), Windows: map[uint64]usage.Counts{100: c}})
 		}
 		held := heap() - base
 		c := usage.Counts{}
@@ -132,7 +132,7 @@
 			c[fmt.Sprintf("t%06d", k)] = 3
 		}
 		report := timed(1000, func() {
-			t.Take(0, 101, usage.Report{Proxy: "0", Life: 1, Windows: map[uint64]usage.Counts{100: c}})
+			t.Merge(0, 101, usage.Report{Proxy: "0", Life: 1, Windows: map[uint64]usage.Counts{100: c}})
 		})
 		many := []int{2_000, 20_000, 200_000}[i]
 		sum := usage.Counts{}
--- a/internal/controlplane/chain/duties_test.go
+++ b/internal/controlplane/chain/duties_test.go
@@ -223,7 +223,7 @@
 				for range 1 + w.network.Rng.IntN(2) { // some words come twice
 					w.network.Send(p, n, func() {
 						w.later(n, w.life[n], func() {
-							h, ok := w.tallies[n].Take(w.network.Now, w.window(), t)
+							h, ok := w.tallies[n].Merge(w.network.Now, w.window(), t)
 							if ok && w.leases[n].Until(w.network.Now, testDuty) > 0 {
 								w.network.Send(n, p, func() { w.meters[p].Acknowledge(t, h) })
 							}
--- a/internal/controlplane/duties.go
+++ b/internal/controlplane/duties.go
@@ -187,7 +187,7 @@
 	if until == 0 || !ok {
 		return usage.Ack{}
 	}
-	ack, _ := d.usageTally.Take(d.now(), usage.Window(at, d.settings.Bounds.UsageWindow.D()), m)
+	ack, _ := d.usageTally.Merge(d.now(), usage.Window(at, d.settings.Bounds.UsageWindow.D()), m)
 	return ack
 }
 
--- a/internal/proxy/stream_test.go
+++ b/internal/proxy/stream_test.go
@@ -382,7 +382,7 @@
 		tally := usage.NewTally(1)
 		sum := func() uint64 {
 			report, _ := s.meter.NextReport("p", 41)
-			if ack, ok := tally.Take(0, 41, report); ok {
+			if ack, ok := tally.Merge(0, 41, report); ok {
 				s.meter.Acknowledge(report, ack)
 			}
 			return uint64(tally.Sum(40)["ten"])
--- a/internal/usage/loss_test.go
+++ b/internal/usage/loss_test.go
@@ -115,7 +115,7 @@
 					return
 				}
 				for _, word := range out.Words {
-					to.tally.Take(f.Now, f.window(f.Now), word)
+					to.tally.Merge(f.Now, f.window(f.Now), word)
 				}
 				if out.Last {
 					to.tally.HandedOver(f.Now)
@@ -210,7 +210,7 @@
 		if !m.up || f.holder != m.name {
 			return
 		}
-		heard, _ := m.tally.Take(f.Now, f.window(f.Now), word)
+		heard, _ := m.tally.Merge(f.Now, f.window(f.Now), word)
 		f.Send(m.name, p.name, func() {
 			if f.Now >= late || p.killed > 0 {
 				return
@@ -354,7 +354,7 @@
 			}
 			word, _ := meter.NextReport("proxy", 8)
 			for range 1 + rng.IntN(2) {
-				heard, _ := tally.Take(0, 8, word)
+				heard, _ := tally.Merge(0, 8, word)
 				meter.Acknowledge(word, heard)
 			}
 			for _, out := range keeper.Step(true, "a") {
@@ -367,7 +367,7 @@
 		for _, out := range NewKeeper(next, disk.Get).Step(true, "a") {
 			if hand, ok := out.(HandOn); ok {
 				for _, word := range hand.Words {
-					next.Take(0, 8, word)
+					next.Merge(0, 8, word)
 				}
 			}
 		}
--- a/internal/usage/tally.go
+++ b/internal/usage/tally.go
@@ -35,9 +35,9 @@
 // NewTally makes an empty one; term is a number no other tally has.
 func NewTally(term uint64) *Tally { return &Tally{term: term | 1, reporters: map[uint64]*reporter{}} }
 
-// Take merges a proxy's report; window is the one at this moment. Reports that cannot
+// Merge merges a proxy's report; window is the one at this moment. Reports that cannot
 // be right are dropped and counted.
-func (t *Tally) Take(at time.Duration, window uint64, m Report) (Ack, bool) {
+func (t *Tally) Merge(at time.Duration, window uint64, m Report) (Ack, bool) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	if !m.plausible(window) {
--- a/internal/usage/usage_test.go
+++ b/internal/usage/usage_test.go
@@ -14,7 +14,7 @@
 	m, old, next := NewMeter(7), NewTally(10), NewTally(20)
 	tell := func(to *Tally, now uint64) Report {
 		w, _ := m.NextReport("p", now)
-		if h, ok := to.Take(0, now, w); ok {
+		if h, ok := to.Merge(0, now, w); ok {
 			m.Acknowledge(w, h)
 		}
 		return w
@@ -28,7 +28,7 @@
 	}
 	m.Count(100, "x") // late
 	w, _ := m.NextReport("p", 101)
-	h, _ := next.Take(0, 101, w)
+	h, _ := next.Merge(0, 101, w)
 	if next.Complete(100, 0, []string{"p"}) {
 		t.Fatal("the successor takes a difference for the whole")
 	}
@@ -48,17 +48,17 @@
 	a, b := NewTally(1), NewTally(2)
 	dead := Report{Proxy: "p", Life: 1, Windows: map[uint64]Counts{5: {"x": 3}}}
 	live := Report{Proxy: "q", Life: 2, Windows: map[uint64]Counts{5: {"x": 4}}}
-	a.Take(0, 6, dead)
-	a.Take(0, 6, live)
+	a.Merge(0, 6, dead)
+	a.Merge(0, 6, live)
 	kept, changed := a.Keep()
 	if _, again := a.Keep(); !changed || again || len(kept) != 2 {
 		t.Fatalf("kept %v, changed %v, again %v", kept, changed, again)
 	}
 	live.Windows[5]["x"] = 6
-	b.Take(0, 6, live)
+	b.Merge(0, 6, live)
 	for range 2 {
 		for _, m := range kept {
-			b.Take(0, 6, m)
+			b.Merge(0, 6, m)
 		}
 	}
 	if got := b.Sum(5)["x"]; got != 9 {
@@ -97,7 +97,7 @@
 		{Proxy: "p", Windows: map[uint64]Counts{1 << 60: {"x": 1}}},
 		{Proxy: "p", Windows: map[uint64]Counts{9: {"": 1}}},
 	} {
-		if _, ok := y.Take(0, 10, w); ok {
+		if _, ok := y.Merge(0, 10, w); ok {
 			t.Errorf("%+.60v was taken", w)
 		}
 	}
@@ -185,7 +185,7 @@
 				}
 				if now >= phase && (now-phase)%reportEvery < step {
 					w, _ := m.NextReport(name, 7)
-					if h, ok := y.Take(now, 7, w); ok {
+					if h, ok := y.Merge(now, 7, w); ok {
 						m.Acknowledge(w, h)
 					}
 				}
@@ -206,7 +206,7 @@
 	tell := func() {
 		w, _ := m.NextReport("p", 8)
 		words = append(words, w)
-		if h, ok := y.Take(0, 8, w); ok {
+		if h, ok := y.Merge(0, 8, w); ok {
 			m.Acknowledge(w, h)
 		}
 	}
@@ -231,8 +231,8 @@
 	next := NewTally(2)
 	for range 2 {
 		for _, w := range append([]Report{words[1], words[0]}, y.All()...) {
-			y.Take(0, 8, w)
-			next.Take(0, 8, w)
+			y.Merge(0, 8, w)
+			next.Merge(0, 8, w)
 		}
 	}
 	if got, then := y.Sum(7)["x"], next.Sum(7)["x"]; got != 3 || then != 3 {
@@ -245,12 +245,12 @@
 		t.Fatalf("%d runs count, there are 3", got)
 	}
 	y.Settle(8)
-	y.Take(0, 8, words[0])
+	y.Merge(0, 8, words[0])
 	if got := y.Sum(7); len(got) > 0 || len(m.running) > 0 {
 		t.Errorf("kept: %v, %v", got, m.running)
 	}
 	bad := Report{Proxy: "p", Life: 5, Seq: 99, Running: map[uint64]Counts{7: {"x": constants.UsageMost + 1}}}
-	if _, ok := y.Take(0, 8, bad); ok || y.Garbage != 1 {
+	if _, ok := y.Merge(0, 8, bad); ok || y.Garbage != 1 {
 		t.Error("garbage was taken")
 	}
 }
