--- a/internal/usage/keeper.go
+++ b/internal/usage/keeper.go
@@ -80,7 +80,7 @@
 // else the reports that have come since the step before.
 func (k *Keeper) save() (Save, bool) {
 	if k.turn = (k.turn + 1) % constants.UsageSaves; k.turn == 0 {
-		words, changed := k.tally.Keep()
+		words, changed := k.tally.SnapshotIfChanged()
 		return Save{StoreKey, words}, changed
 	}
 	words := k.tally.Recent()
--- a/internal/usage/tally.go
+++ b/internal/usage/tally.go
@@ -112,9 +112,9 @@
 	}
 }
 
-// Keep is what a tally knows of open windows, as reports that can be sent to another:
-// incarnations that have ended report nothing any more. Changed since the last Keep, or false.
-func (t *Tally) Keep() ([]Report, bool) {
+// SnapshotIfChanged is what a tally knows of open windows, as reports that can be sent to another:
+// incarnations that have ended report nothing any more. Changed since the last SnapshotIfChanged, or false.
+func (t *Tally) SnapshotIfChanged() ([]Report, bool) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	if !t.dirty {
--- a/internal/usage/usage_test.go
+++ b/internal/usage/usage_test.go
@@ -50,8 +50,8 @@
 	live := Report{Proxy: "q", Life: 2, Windows: map[uint64]Counts{5: {"x": 4}}}
 	a.Merge(0, 6, dead)
 	a.Merge(0, 6, live)
-	kept, changed := a.Keep()
-	if _, again := a.Keep(); !changed || again || len(kept) != 2 {
+	kept, changed := a.SnapshotIfChanged()
+	if _, again := a.SnapshotIfChanged(); !changed || again || len(kept) != 2 {
 		t.Fatalf("kept %v, changed %v, again %v", kept, changed, again)
 	}
 	live.Windows[5]["x"] = 6
