--- a/internal/usage/keeper.go
+++ b/internal/usage/keeper.go
@@ -83,6 +83,6 @@
 		words, changed := k.tally.SnapshotIfChanged()
 		return Save{StoreKey, words}, changed
 	}
-	words := k.tally.Recent()
+	words := k.tally.TakeRecent()
 	return Save{recentKey(k.turn), words}, len(words) > 0
 }
--- a/internal/usage/tally.go
+++ b/internal/usage/tally.go
@@ -124,9 +124,9 @@
 	return t.allLocked(), true
 }
 
-// Recent is the reports taken since the latest Keep or Recent, as they can be sent to
+// TakeRecent is the reports taken since the latest Keep or TakeRecent, as they can be sent to
 // another tally: marked as not complete for their incarnations.
-func (t *Tally) Recent() []Report {
+func (t *Tally) TakeRecent() []Report {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	reports := t.recent
