--- a/internal/usage/keeper.go
+++ b/internal/usage/keeper.go
@@ -55,7 +55,7 @@
 // holder who does, as far as is known here. What it gives is Save and HandOn.
 func (k *Keeper) Step(held bool, holder string) []any {
 	if k.held && !held {
-		k.kept = append(k.kept, k.tally.All()...)
+		k.kept = append(k.kept, k.tally.Snapshot()...)
 		k.handOn = true
 	}
 	k.held = held
--- a/internal/usage/tally.go
+++ b/internal/usage/tally.go
@@ -137,8 +137,8 @@
 	return reports
 }
 
-// All is the same, changed or not.
-func (t *Tally) All() []Report {
+// Snapshot is the same, changed or not.
+func (t *Tally) Snapshot() []Report {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	return t.allLocked()
--- a/internal/usage/usage_test.go
+++ b/internal/usage/usage_test.go
@@ -230,7 +230,7 @@
 	}
 	next := NewTally(2)
 	for range 2 {
-		for _, w := range append([]Report{words[1], words[0]}, y.All()...) {
+		for _, w := range append([]Report{words[1], words[0]}, y.Snapshot()...) {
 			y.Merge(0, 8, w)
 			next.Merge(0, 8, w)
 		}
