--- a/internal/controlplane/duties.go
+++ b/internal/controlplane/duties.go
@@ -217,7 +217,7 @@
 		d.handleUsageReport(report)
 	}
 	if m.Last {
-		d.usageTally.HandedOver(d.now())
+		d.usageTally.HandoverReceived(d.now())
 	}
 }
 
--- a/internal/usage/loss_test.go
+++ b/internal/usage/loss_test.go
@@ -118,7 +118,7 @@
 					to.tally.Merge(f.Now, f.window(f.Now), word)
 				}
 				if out.Last {
-					to.tally.HandedOver(f.Now)
+					to.tally.HandoverReceived(f.Now)
 				}
 			})
 		}
--- a/internal/usage/tally.go
+++ b/internal/usage/tally.go
@@ -144,8 +144,8 @@
 	return t.allLocked()
 }
 
-// HandedOver notes that a holder before has handed on what it knew.
-func (t *Tally) HandedOver(at time.Duration) {
+// HandoverReceived notes that a holder before has handed on what it knew.
+func (t *Tally) HandoverReceived(at time.Duration) {
 	t.mu.Lock()
 	t.handedOverAt = at
 	t.mu.Unlock()
--- a/internal/usage/usage_test.go
+++ b/internal/usage/usage_test.go
@@ -134,7 +134,7 @@
 	if w, _, ok := y.Next(at(11+decideBy(delay).Seconds()), 1009, span, delay, nil); !ok || w != 1010 {
 		t.Fatal("held up for ever")
 	}
-	y.HandedOver(11 * time.Second)
+	y.HandoverReceived(11 * time.Second)
 	if w, _, ok := y.Next(at(12), 1009, span, delay, nil); !ok || w != 1010 {
 		t.Fatal("waits after all has been handed on")
 	}
