--- a/internal/usage/tally.go
+++ b/internal/usage/tally.go
@@ -29,7 +29,7 @@
 	first        uint64        // window in which this tally was first asked, nothing being decided yet
 	reporters    map[uint64]*reporter
 	recent       []Report // taken since the latest Keep or Recent
-	Garbage      uint64
+	Rejected     uint64
 }
 
 // NewTally makes an empty one; term is a number no other tally has.
@@ -41,7 +41,7 @@
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	if !m.plausible(window) {
-		t.Garbage++
+		t.Rejected++
 		return Ack{}, false
 	}
 	r := t.reporters[m.Life]
--- a/internal/usage/usage_test.go
+++ b/internal/usage/usage_test.go
@@ -101,8 +101,8 @@
 			t.Errorf("%+.60v was taken", w)
 		}
 	}
-	if y.Garbage != 6 || y.Reporters() != 0 {
-		t.Errorf("%d counted, %d tellers", y.Garbage, y.Reporters())
+	if y.Rejected != 6 || y.Reporters() != 0 {
+		t.Errorf("%d counted, %d tellers", y.Rejected, y.Reporters())
 	}
 	m := NewMeter(1)
 	for w := uint64(1); w < 1000; w++ {
@@ -250,7 +250,7 @@
 		t.Errorf("kept: %v, %v", got, m.running)
 	}
 	bad := Report{Proxy: "p", Life: 5, Seq: 99, Running: map[uint64]Counts{7: {"x": constants.UsageMost + 1}}}
-	if _, ok := y.Merge(0, 8, bad); ok || y.Garbage != 1 {
+	if _, ok := y.Merge(0, 8, bad); ok || y.Rejected != 1 {
 		t.Error("garbage was taken")
 	}
 }
