--- a/internal/usage/tally.go
+++ b/internal/usage/tally.go
@@ -227,9 +227,9 @@
 	return out
 }
 
-// Moment is when Next is asked: by the steady clock, by the agreed time of day, and
+// Timing is when Next is asked: by the steady clock, by the agreed time of day, and
 // how long the duty has been held here.
-type Moment struct {
+type Timing struct {
 	Steady time.Duration
 	Agreed time.Time
 	Held   time.Duration
@@ -239,7 +239,7 @@
 // have reported, or when waiting longer would leave the platform too little time.
 // Windows that ended longer ago than proxies keep theirs are passed over; with none
 // before, the first is the one under way.
-func (t *Tally) Next(m Moment, after uint64, length, delay time.Duration, live []string) (uint64, []byte, bool) {
+func (t *Tally) Next(m Timing, after uint64, length, delay time.Duration, live []string) (uint64, []byte, bool) {
 	cur := Window(m.Agreed, length)
 	if after == 0 {
 		t.mu.Lock()
--- a/internal/usage/usage_test.go
+++ b/internal/usage/usage_test.go
@@ -119,8 +119,8 @@
 func TestHandoverIsWaitedFor(t *testing.T) {
 	const span, delay = time.Second, 5 * time.Second
 	y := NewTally(1)
-	at := func(s float64) Moment {
-		return Moment{Steady: time.Duration(s * 1e9), Agreed: time.Unix(1000, 0).Add(time.Duration(s * 1e9)), Held: time.Duration((s - 10.5) * 1e9)}
+	at := func(s float64) Timing {
+		return Timing{Steady: time.Duration(s * 1e9), Agreed: time.Unix(1000, 0).Add(time.Duration(s * 1e9)), Held: time.Duration((s - 10.5) * 1e9)}
 	}
 	if _, _, ok := y.Next(at(12), 1009, span, delay, nil); ok {
 		t.Fatal("decided without what the holder before knew")
@@ -144,8 +144,8 @@
 func TestNextInOrder(t *testing.T) {
 	const span, delay = time.Second, 5 * time.Second
 	y := NewTally(1)
-	at := func(s float64) Moment {
-		return Moment{Steady: time.Duration(s * 1e9), Agreed: time.Unix(1000, 0).Add(time.Duration(s * 1e9)), Held: time.Hour}
+	at := func(s float64) Timing {
+		return Timing{Steady: time.Duration(s * 1e9), Agreed: time.Unix(1000, 0).Add(time.Duration(s * 1e9)), Held: time.Hour}
 	}
 	if w, _, ok := y.Next(at(30), 900, span, delay, nil); !ok || w != 1030-constants.UsageKept {
 		t.Fatalf("after 900 comes %d %v", w, ok)
