--- a/internal/usage/loss_test.go
+++ b/internal/usage/loss_test.go
@@ -124,7 +124,7 @@
 		}
 	}
 	if f.holder == m.name {
-		moment := Timing{Monotonic: f.Now, Agreed: lossEpoch.Add(f.Now), Held: f.Now - m.since}
+		moment := Timing{Monotonic: f.Now, Agreed: lossEpoch.Add(f.Now), HeldFor: f.Now - m.since}
 		var live []string
 		for name := range f.proxies {
 			live = append(live, name)
--- a/internal/usage/tally.go
+++ b/internal/usage/tally.go
@@ -232,7 +232,7 @@
 type Timing struct {
 	Monotonic time.Duration
 	Agreed    time.Time
-	Held      time.Duration
+	HeldFor   time.Duration
 }
 
 // Next is the report that follows the window named, once all that may know of it
@@ -261,9 +261,9 @@
 	// Of a window that another holder gathered in, that one may know of incarnations that
 	// have ended: it, or its successor from its disk, hands on what it knew.
 	t.mu.Lock()
-	alone := m.Agreed.Add(-m.Held).Before(time.Unix(0, int64(w)*int64(length))) || t.handedOverAt > m.Monotonic-m.Held
+	alone := m.Agreed.Add(-m.HeldFor).Before(time.Unix(0, int64(w)*int64(length))) || t.handedOverAt > m.Monotonic-m.HeldFor
 	t.mu.Unlock()
-	if !(alone && t.Complete(w, m.Monotonic-delay, live)) && (age < decideBy(delay) || m.Held < 2*constants.UsageEvery) {
+	if !(alone && t.Complete(w, m.Monotonic-delay, live)) && (age < decideBy(delay) || m.HeldFor < 2*constants.UsageEvery) {
 		return 0, nil, false
 	}
 	return w, Body(w, t.Sum(w)), true
--- a/internal/usage/usage_test.go
+++ b/internal/usage/usage_test.go
@@ -120,7 +120,7 @@
 	const span, delay = time.Second, 5 * time.Second
 	y := NewTally(1)
 	at := func(s float64) Timing {
-		return Timing{Monotonic: time.Duration(s * 1e9), Agreed: time.Unix(1000, 0).Add(time.Duration(s * 1e9)), Held: time.Duration((s - 10.5) * 1e9)}
+		return Timing{Monotonic: time.Duration(s * 1e9), Agreed: time.Unix(1000, 0).Add(time.Duration(s * 1e9)), HeldFor: time.Duration((s - 10.5) * 1e9)}
 	}
 	if _, _, ok := y.Next(at(12), 1009, span, delay, nil); ok {
 		t.Fatal("decided without what the holder before knew")
@@ -145,7 +145,7 @@
 	const span, delay = time.Second, 5 * time.Second
 	y := NewTally(1)
 	at := func(s float64) Timing {
-		return Timing{Monotonic: time.Duration(s * 1e9), Agreed: time.Unix(1000, 0).Add(time.Duration(s * 1e9)), Held: time.Hour}
+		return Timing{Monotonic: time.Duration(s * 1e9), Agreed: time.Unix(1000, 0).Add(time.Duration(s * 1e9)), HeldFor: time.Hour}
 	}
 	if w, _, ok := y.Next(at(30), 900, span, delay, nil); !ok || w != 1030-constants.UsageKept {
 		t.Fatalf("after 900 comes %d %v", w, ok)
