--- a/internal/controlplane/chain/duties_test.go
+++ b/internal/controlplane/chain/duties_test.go
@@ -82,7 +82,7 @@
 	since, _ := l.Holds(w.network.Now, testDuty)
 	rec := w.record(n)
 	w.carry(n, h.Step(w.network.Now, l.Until(w.network.Now, testDuty), rec, func(after uint64) (uint64, []byte, bool) {
-		return w.tallies[n].Next(usage.Timing{Monotonic: w.network.Now, Agreed: w.agreed(), HeldFor: w.network.Now - since}, after, w.span, w.delay, []string{"p", "q"})
+		return w.tallies[n].NextWindow(usage.Timing{Monotonic: w.network.Now, Agreed: w.agreed(), HeldFor: w.network.Now - since}, after, w.span, w.delay, []string{"p", "q"})
 	}))
 }
 
--- a/internal/controlplane/duties.go
+++ b/internal/controlplane/duties.go
@@ -229,7 +229,7 @@
 	}
 	_, since := d.leases.term(settings.DutyUsage)
 	bounds := d.settings.Bounds
-	return d.usageTally.Next(usage.Timing{Monotonic: now, Agreed: at, HeldFor: now - since}, after, bounds.UsageWindow.D(), bounds.UsageDelay.D(), d.roster.recentProxies())
+	return d.usageTally.NextWindow(usage.Timing{Monotonic: now, Agreed: at, HeldFor: now - since}, after, bounds.UsageWindow.D(), bounds.UsageDelay.D(), d.roster.recentProxies())
 }
 
 // Scaling duty.
--- a/internal/usage/loss_test.go
+++ b/internal/usage/loss_test.go
@@ -129,7 +129,7 @@
 		for name := range f.proxies {
 			live = append(live, name)
 		}
-		if w, body, ok := m.tally.Next(moment, f.after, lossSpan, lossDelay, live); ok {
+		if w, body, ok := m.tally.NextWindow(moment, f.after, lossSpan, lossDelay, live); ok {
 			var report struct{ InstanceCounts Counts }
 			if err := json.Unmarshal(body, &report); err != nil {
 				f.t.Fatal(err)
--- a/internal/usage/tally.go
+++ b/internal/usage/tally.go
@@ -235,11 +235,11 @@
 	HeldFor   time.Duration
 }
 
-// Next is the report that follows the window named, once all that may know of it
+// NextWindow is the report that follows the window named, once all that may know of it
 // have reported, or when waiting longer would leave the platform too little time.
 // Windows that ended longer ago than proxies keep theirs are passed over; with none
 // before, the first is the one under way.
-func (t *Tally) Next(m Timing, after uint64, length, delay time.Duration, live []string) (uint64, []byte, bool) {
+func (t *Tally) NextWindow(m Timing, after uint64, length, delay time.Duration, live []string) (uint64, []byte, bool) {
 	cur := Window(m.Agreed, length)
 	if after == 0 {
 		t.mu.Lock()
--- a/internal/usage/usage_test.go
+++ b/internal/usage/usage_test.go
@@ -122,20 +122,20 @@
 	at := func(s float64) Timing {
 		return Timing{Monotonic: time.Duration(s * 1e9), Agreed: time.Unix(1000, 0).Add(time.Duration(s * 1e9)), HeldFor: time.Duration((s - 10.5) * 1e9)}
 	}
-	if _, _, ok := y.Next(at(12), 1009, span, delay, nil); ok {
+	if _, _, ok := y.NextWindow(at(12), 1009, span, delay, nil); ok {
 		t.Fatal("decided without what the holder before knew")
 	}
-	if w, _, ok := y.Next(at(12), 1010, span, delay, nil); ok || w != 0 {
+	if w, _, ok := y.NextWindow(at(12), 1010, span, delay, nil); ok || w != 0 {
 		t.Fatal("decided before its time")
 	}
-	if w, _, ok := y.Next(at(13), 1010, span, delay, nil); !ok || w != 1011 {
+	if w, _, ok := y.NextWindow(at(13), 1010, span, delay, nil); !ok || w != 1011 {
 		t.Fatal("a window of its own waits")
 	}
-	if w, _, ok := y.Next(at(11+decideBy(delay).Seconds()), 1009, span, delay, nil); !ok || w != 1010 {
+	if w, _, ok := y.NextWindow(at(11+decideBy(delay).Seconds()), 1009, span, delay, nil); !ok || w != 1010 {
 		t.Fatal("held up for ever")
 	}
 	y.HandoverReceived(11 * time.Second)
-	if w, _, ok := y.Next(at(12), 1009, span, delay, nil); !ok || w != 1010 {
+	if w, _, ok := y.NextWindow(at(12), 1009, span, delay, nil); !ok || w != 1010 {
 		t.Fatal("waits after all has been handed on")
 	}
 }
@@ -147,16 +147,16 @@
 	at := func(s float64) Timing {
 		return Timing{Monotonic: time.Duration(s * 1e9), Agreed: time.Unix(1000, 0).Add(time.Duration(s * 1e9)), HeldFor: time.Hour}
 	}
-	if w, _, ok := y.Next(at(30), 900, span, delay, nil); !ok || w != 1030-constants.UsageKept {
+	if w, _, ok := y.NextWindow(at(30), 900, span, delay, nil); !ok || w != 1030-constants.UsageKept {
 		t.Fatalf("after 900 comes %d %v", w, ok)
 	}
-	if w, _, ok := y.Next(at(30), 1020, span, delay, nil); !ok || w != 1021 {
+	if w, _, ok := y.NextWindow(at(30), 1020, span, delay, nil); !ok || w != 1021 {
 		t.Fatalf("after 1020 comes %d %v", w, ok)
 	}
-	if _, _, ok := y.Next(at(30.9), 1028, span, delay, []string{"p"}); ok {
+	if _, _, ok := y.NextWindow(at(30.9), 1028, span, delay, []string{"p"}); ok {
 		t.Error("decided before its proxies have told")
 	}
-	if w, _, ok := y.Next(at(30+decideBy(delay).Seconds()), 1028, span, delay, []string{"p"}); !ok || w != 1029 {
+	if w, _, ok := y.NextWindow(at(30+decideBy(delay).Seconds()), 1028, span, delay, []string{"p"}); !ok || w != 1029 {
 		t.Error("held up for ever by a silent proxy")
 	}
 }
