--- a/cmd/scalerun/slopes.go
+++ b/cmd/scalerun/slopes.go
@@ -140,7 +140,7 @@
 			sum[fmt.Sprintf("t%06d", k)] = 30
 		}
 		var body []byte
-		wrote := timed(1, func() { body = usage.Body(100, sum) })
+		wrote := timed(1, func() { body = usage.MarshalWindow(100, sum) })
 		fmt.Fprintf(w, "  %d, %.1f, %.2f; %d, %.2f, %.1f\n", n, float64(report.Nanoseconds())/1e3, held/1e6, many, float64(len(body))/1e6, wrote.Seconds()*1e3)
 	}
 }
--- a/internal/usage/tally.go
+++ b/internal/usage/tally.go
@@ -266,7 +266,7 @@
 	if !(alone && t.Complete(w, m.Monotonic-delay, live)) && (age < decideBy(delay) || m.HeldFor < 2*constants.UsageEvery) {
 		return 0, nil, false
 	}
-	return w, Body(w, t.Sum(w)), true
+	return w, MarshalWindow(w, t.Sum(w)), true
 }
 
 // Reporters is how many incarnations of proxies are known.
@@ -276,8 +276,8 @@
 	return len(t.reporters)
 }
 
-// Body is a window's report as the platform wants it.
-func Body(w uint64, c Counts) []byte {
+// MarshalWindow is a window's report as the platform wants it.
+func MarshalWindow(w uint64, c Counts) []byte {
 	b, err := json.Marshal(struct {
 		Window uint64 `json:"windowNumber"`
 		Counts Counts `json:"instanceCounts"`
