--- a/internal/controlplane/duties.go
+++ b/internal/controlplane/duties.go
@@ -207,7 +207,7 @@
 			d.events.Record("usage_handed_on", strconv.Itoa(len(effect.Words))+" reports to "+effect.To)
 		case usage.Save:
 			// If the write fails, the proxies send their reports again while they run.
-			d.replica.put(effect.Key, func() any { return effect.Words })
+			d.replica.put(effect.Key, func() any { return effect.Reports })
 		}
 	}
 }
--- a/internal/usage/keeper.go
+++ b/internal/usage/keeper.go
@@ -9,8 +9,8 @@
 type (
 	// Save replaces a value on the machine's disk.
 	Save struct {
-		Key   string
-		Words []Report
+		Key     string
+		Reports []Report
 	}
 	// HandOn goes to the duty's holder, which may be this machine.
 	HandOn struct {
--- a/internal/usage/loss_test.go
+++ b/internal/usage/loss_test.go
@@ -105,7 +105,7 @@
 			// The sync takes its time, and a kill before its end loses the value.
 			f.After(5*time.Millisecond, func() {
 				if m.up && m.life == life {
-					m.disk.Put(out.Key, out.Words)
+					m.disk.Put(out.Key, out.Reports)
 				}
 			})
 		case HandOn:
@@ -359,7 +359,7 @@
 			}
 			for _, out := range keeper.Step(true, "a") {
 				if save, ok := out.(Save); ok {
-					disk.Put(save.Key, save.Words)
+					disk.Put(save.Key, save.Reports)
 				}
 			}
 		}
