--- a/internal/controlplane/duties.go
+++ b/internal/controlplane/duties.go
@@ -198,7 +198,7 @@
 	holder := d.leases.holder(settings.DutyUsage)
 	for _, effect := range d.usageKeeper.Step(until > 0, holder) {
 		switch effect := effect.(type) {
-		case usage.HandOn:
+		case usage.SendHandover:
 			if effect.To == d.settings.IPAddress {
 				d.handleUsageHandover(effect.Handover)
 			} else {
--- a/internal/usage/keeper.go
+++ b/internal/usage/keeper.go
@@ -12,8 +12,8 @@
 		Key     string
 		Reports []Report
 	}
-	// HandOn goes to the duty's holder, which may be this machine.
-	HandOn struct {
+	// SendHandover goes to the duty's holder, which may be this machine.
+	SendHandover struct {
 		To string
 		Handover
 	}
@@ -63,7 +63,7 @@
 	if (k.handOn || len(k.kept) > 0) && holder != "" {
 		for i := 0; i == 0 || i < len(k.kept); i += constants.UsageBatch {
 			end := min(i+constants.UsageBatch, len(k.kept))
-			out = append(out, HandOn{holder, Handover{Words: k.kept[i:end], Last: end == len(k.kept)}})
+			out = append(out, SendHandover{holder, Handover{Words: k.kept[i:end], Last: end == len(k.kept)}})
 		}
 		k.kept, k.handOn = nil, false
 	}
--- a/internal/usage/loss_test.go
+++ b/internal/usage/loss_test.go
@@ -108,7 +108,7 @@
 					m.disk.Put(out.Key, out.Reports)
 				}
 			})
-		case HandOn:
+		case SendHandover:
 			to := f.machines[out.To]
 			f.Send(m.name, to.name, func() {
 				if !to.up || f.holder != to.name {
@@ -365,7 +365,7 @@
 		}
 		next := NewTally(2)
 		for _, out := range NewKeeper(next, disk.Get).Step(true, "a") {
-			if hand, ok := out.(HandOn); ok {
+			if hand, ok := out.(SendHandover); ok {
 				for _, word := range hand.Words {
 					next.Merge(0, 8, word)
 				}
