--- a/internal/controlplane/daemon.go
+++ b/internal/controlplane/daemon.go
@@ -57,7 +57,7 @@
 	clock       *clock.Clock  // synchronized among the control machines
 	dutyRunners []*dutyRunner // duties performed at the platform
 	usageTally  *usage.Tally
-	usageKeeper *usage.Keeper // used by saveUsage only
+	usageKeeper *usage.Persister // used by saveUsage only
 
 	loadSum        *autoscale.LoadSum
 	scaler         *autoscale.Controller
--- a/internal/usage/keeper.go
+++ b/internal/usage/keeper.go
@@ -26,10 +26,10 @@
 
 func recentKey(turn int) string { return StoreKey + "-" + strconv.Itoa(turn) }
 
-// Keeper has what a tally gathered outlast its process, while this machine holds the
+// Persister has what a tally gathered outlast its process, while this machine holds the
 // duty, and hands it on to the next holder. Of incarnations of proxies that have ended that is all
 // that is left. It has no clock, disk or network of its own.
-type Keeper struct {
+type Persister struct {
 	tally  *Tally
 	kept   []Report // what another holder should know
 	held   bool     // the duty was held at the last step
@@ -39,8 +39,8 @@
 
 // NewKeeper makes the keeper of a tally; get reads a value from the machine's disk, on
 // which the incarnation before may have left something.
-func NewKeeper(tally *Tally, get func(key string, v any) bool) *Keeper {
-	k := &Keeper{tally: tally}
+func NewKeeper(tally *Tally, get func(key string, v any) bool) *Persister {
+	k := &Persister{tally: tally}
 	get(StoreKey, &k.kept)
 	for turn := 1; turn < constants.UsageSaves; turn++ {
 		var recent []Report
@@ -53,7 +53,7 @@
 
 // Step is driven every constants.UsageSave; held says that this machine holds the duty, and
 // holder who does, as far as is known here. What it gives is Save and HandOn.
-func (k *Keeper) Step(held bool, holder string) []any {
+func (k *Persister) Step(held bool, holder string) []any {
 	if k.held && !held {
 		k.kept = append(k.kept, k.tally.Snapshot()...)
 		k.handOn = true
@@ -78,7 +78,7 @@
 
 // save is the next value for the disk: one step in constants.UsageSaves all that is known,
 // else the reports that have come since the step before.
-func (k *Keeper) save() (Save, bool) {
+func (k *Persister) save() (Save, bool) {
 	if k.turn = (k.turn + 1) % constants.UsageSaves; k.turn == 0 {
 		words, changed := k.tally.SnapshotIfChanged()
 		return Save{StoreKey, words}, changed
--- a/internal/usage/loss_test.go
+++ b/internal/usage/loss_test.go
@@ -61,7 +61,7 @@
 	life   int // rises with each end of the process
 	up     bool
 	tally  *Tally
-	keeper *Keeper
+	keeper *Persister
 	since  time.Duration // when it took the duty
 }
 
