--- a/internal/controlplane/daemon.go
+++ b/internal/controlplane/daemon.go
@@ -92,7 +92,7 @@
 	if err != nil {
 		return nil, err
 	}
-	d.usageKeeper = usage.NewKeeper(d.usageTally, store.Get)
+	d.usageKeeper = usage.NewPersister(d.usageTally, store.Get)
 	nameHash := fnv.New64a()
 	nameHash.Write([]byte(nodeSettings.NodeName))
 	rng := rand.New(rand.NewPCG(nameHash.Sum64(), uint64(time.Now().UnixNano())))
--- a/internal/usage/keeper.go
+++ b/internal/usage/keeper.go
@@ -37,9 +37,9 @@
 	turn   int      // saves since the latest whole one
 }
 
-// NewKeeper makes the keeper of a tally; get reads a value from the machine's disk, on
+// NewPersister makes the keeper of a tally; get reads a value from the machine's disk, on
 // which the incarnation before may have left something.
-func NewKeeper(tally *Tally, get func(key string, v any) bool) *Persister {
+func NewPersister(tally *Tally, get func(key string, v any) bool) *Persister {
 	k := &Persister{tally: tally}
 	get(StoreKey, &k.kept)
 	for turn := 1; turn < constants.UsageSaves; turn++ {
--- a/internal/usage/loss_test.go
+++ b/internal/usage/loss_test.go
@@ -85,7 +85,7 @@
 func (f *lossFleet) start(m *lossMachine) {
 	m.up, m.life = true, m.life+1
 	m.tally = NewTally(f.Rng.Uint64())
-	m.keeper = NewKeeper(m.tally, m.disk.Get)
+	m.keeper = NewPersister(m.tally, m.disk.Get)
 	f.drive(m, m.life)
 }
 
@@ -345,7 +345,7 @@
 	for seed := uint64(1); seed <= 60; seed++ {
 		rng := rand.New(rand.NewPCG(seed, 11))
 		disk, tally := simnet.NewDisk(), NewTally(1)
-		keeper, truth := NewKeeper(tally, disk.Get), 0
+		keeper, truth := NewPersister(tally, disk.Get), 0
 		meter := NewMeter(seed)
 		for range 5 + rng.IntN(20) {
 			for range rng.IntN(4) {
@@ -364,7 +364,7 @@
 			}
 		}
 		next := NewTally(2)
-		for _, out := range NewKeeper(next, disk.Get).Step(true, "a") {
+		for _, out := range NewPersister(next, disk.Get).Step(true, "a") {
 			if hand, ok := out.(SendHandover); ok {
 				for _, word := range hand.Words {
 					next.Merge(0, 8, word)
