--- a/internal/autoscale/autoscale.go
+++ b/internal/autoscale/autoscale.go
@@ -54,18 +54,18 @@
 	report Report
 }
 
-// LoadSum adds up the proxies' words.
-type LoadSum struct {
+// LoadAggregator adds up the proxies' words.
+type LoadAggregator struct {
 	mu      sync.Mutex
 	byProxy map[string]sample
 	Garbage uint64
 }
 
 // NewLoadSum makes an empty one.
-func NewLoadSum() *LoadSum { return &LoadSum{byProxy: map[string]sample{}} }
+func NewLoadSum() *LoadAggregator { return &LoadAggregator{byProxy: map[string]sample{}} }
 
 // Take keeps a proxy's latest word; one that cannot be is dropped and counted.
-func (g *LoadSum) Take(now time.Duration, t Report) bool {
+func (g *LoadAggregator) Take(now time.Duration, t Report) bool {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	bad := t.Proxy == "" || len(t.Proxy) > constants.NameMax || len(t.Zone) > constants.NameMax || len(t.Running) > constants.ScaleServices
@@ -81,7 +81,7 @@
 }
 
 // Sum is what runs, by subject, and whether all live proxies have spoken lately.
-func (g *LoadSum) Sum(now time.Duration, live []string) (sum map[Subject]float64, whole bool) {
+func (g *LoadAggregator) Sum(now time.Duration, live []string) (sum map[Subject]float64, whole bool) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	sum, whole = map[Subject]float64{}, len(live) > 0
--- a/internal/controlplane/daemon.go
+++ b/internal/controlplane/daemon.go
@@ -59,7 +59,7 @@
 	usageTally  *usage.Tally
 	usageKeeper *usage.Persister // used by saveUsage only
 
-	loadSum        *autoscale.LoadSum
+	loadSum        *autoscale.LoadAggregator
 	scaler         *autoscale.Controller
 	subjectSlotsMu sync.Mutex
 	subjectSlots   map[autoscale.Subject]int // slots per upstream, for every subject seen in the list; guarded by subjectSlotsMu
