--- a/internal/autoscale/autoscale.go
+++ b/internal/autoscale/autoscale.go
@@ -61,8 +61,8 @@
 	Garbage uint64
 }
 
-// NewLoadSum makes an empty one.
-func NewLoadSum() *LoadAggregator { return &LoadAggregator{byProxy: map[string]sample{}} }
+// NewLoadAggregator makes an empty one.
+func NewLoadAggregator() *LoadAggregator { return &LoadAggregator{byProxy: map[string]sample{}} }
 
 // Take keeps a proxy's latest word; one that cannot be is dropped and counted.
 func (g *LoadAggregator) Take(now time.Duration, t Report) bool {
--- a/internal/autoscale/autoscale_test.go
+++ b/internal/autoscale/autoscale_test.go
@@ -177,7 +177,7 @@
 
 // Words that cannot be are dropped, old ones count for nothing.
 func TestLoadSumBounds(t *testing.T) {
-	g := NewLoadSum()
+	g := NewLoadAggregator()
 	if g.Take(0, Report{Proxy: "p", Zone: "z", Running: map[string]int{"svc": -1}}) || g.Take(0, Report{Running: map[string]int{"svc": 1}}) || g.Garbage != 2 {
 		t.Error("a word that cannot be was taken")
 	}
