--- a/internal/autoscale/autoscale.go
+++ b/internal/autoscale/autoscale.go
@@ -56,9 +56,9 @@
 
 // LoadAggregator adds up the proxies' words.
 type LoadAggregator struct {
-	mu      sync.Mutex
-	byProxy map[string]sample
-	Garbage uint64
+	mu       sync.Mutex
+	byProxy  map[string]sample
+	Rejected uint64
 }
 
 // NewLoadAggregator makes an empty one.
@@ -73,7 +73,7 @@
 		bad = bad || n < 0 || n > constants.ScaleMost
 	}
 	if bad {
-		g.Garbage++
+		g.Rejected++
 		return false
 	}
 	g.byProxy[t.Proxy] = sample{now, t}
--- a/internal/autoscale/autoscale_test.go
+++ b/internal/autoscale/autoscale_test.go
@@ -178,7 +178,7 @@
 // Words that cannot be are dropped, old ones count for nothing.
 func TestLoadSumBounds(t *testing.T) {
 	g := NewLoadAggregator()
-	if g.Take(0, Report{Proxy: "p", Zone: "z", Running: map[string]int{"svc": -1}}) || g.Take(0, Report{Running: map[string]int{"svc": 1}}) || g.Garbage != 2 {
+	if g.Take(0, Report{Proxy: "p", Zone: "z", Running: map[string]int{"svc": -1}}) || g.Take(0, Report{Running: map[string]int{"svc": 1}}) || g.Rejected != 2 {
 		t.Error("a word that cannot be was taken")
 	}
 	g.Take(0, Report{Proxy: "p", Zone: "z", Running: map[string]int{"svc": 3}})
