--- a/internal/autoscale/autoscale.go
+++ b/internal/autoscale/autoscale.go
@@ -64,8 +64,8 @@
 // NewLoadAggregator makes an empty one.
 func NewLoadAggregator() *LoadAggregator { return &LoadAggregator{byProxy: map[string]sample{}} }
 
-// Take keeps a proxy's latest word; one that cannot be is dropped and counted.
-func (g *LoadAggregator) Take(now time.Duration, t Report) bool {
+// Record keeps a proxy's latest word; one that cannot be is dropped and counted.
+func (g *LoadAggregator) Record(now time.Duration, t Report) bool {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	bad := t.Proxy == "" || len(t.Proxy) > constants.NameMax || len(t.Zone) > constants.NameMax || len(t.Running) > constants.ScaleServices
--- a/internal/autoscale/autoscale_test.go
+++ b/internal/autoscale/autoscale_test.go
@@ -178,11 +178,11 @@
 // Words that cannot be are dropped, old ones count for nothing.
 func TestLoadSumBounds(t *testing.T) {
 	g := NewLoadAggregator()
-	if g.Take(0, Report{Proxy: "p", Zone: "z", Running: map[string]int{"svc": -1}}) || g.Take(0, Report{Running: map[string]int{"svc": 1}}) || g.Rejected != 2 {
+	if g.Record(0, Report{Proxy: "p", Zone: "z", Running: map[string]int{"svc": -1}}) || g.Record(0, Report{Running: map[string]int{"svc": 1}}) || g.Rejected != 2 {
 		t.Error("a word that cannot be was taken")
 	}
-	g.Take(0, Report{Proxy: "p", Zone: "z", Running: map[string]int{"svc": 3}})
-	g.Take(0, Report{Proxy: "p", Zone: "z", Running: map[string]int{"svc": 3}}) // twice
+	g.Record(0, Report{Proxy: "p", Zone: "z", Running: map[string]int{"svc": 3}})
+	g.Record(0, Report{Proxy: "p", Zone: "z", Running: map[string]int{"svc": 3}}) // twice
 	if sum, whole := g.Sum(time.Second, []string{"p"}); sum[subject] != 3 || !whole {
 		t.Errorf("%v %v, want 3 of all", sum, whole)
 	}
--- a/internal/controlplane/duties.go
+++ b/internal/controlplane/duties.go
@@ -239,7 +239,7 @@
 	if until, _ := d.leases.term(settings.DutyScaling); until == 0 {
 		return autoscale.Ack{}
 	}
-	return autoscale.Ack{OK: d.loadSum.Take(d.now(), report)}
+	return autoscale.Ack{OK: d.loadSum.Record(d.now(), report)}
 }
 
 // scalableSubjects returns the bounds of each service with scaling settings, in each zone where
