--- a/internal/autoscale/autoscale.go
+++ b/internal/autoscale/autoscale.go
@@ -104,8 +104,8 @@
 	return sum, whole
 }
 
-// Bound is what is known of a subject beside its load.
-type Bound struct {
+// Bounds is what is known of a subject beside its load.
+type Bounds struct {
 	Min, Max int
 	Boot     time.Duration
 	Slots    int
@@ -114,7 +114,7 @@
 
 // hold is the time within which an order's effect is seen: new upstreams boot, proxies report
 // what runs there, and the reports are averaged. A rise is measured over a part of it.
-func (b Bound) hold() time.Duration {
+func (b Bounds) hold() time.Duration {
 	return max(b.Boot, constants.ScaleRise) + constants.ScaleEvery + constants.ScaleSmooth
 }
 
@@ -180,7 +180,7 @@
 
 // Step takes a measurement and gives the orders that are wanted now, given the
 // present ones; changed says that they differ.
-func (l *Controller) Step(now time.Duration, load map[Subject]float64, whole bool, bounds map[Subject]Bound, present Orders) (wanted Orders, changed bool) {
+func (l *Controller) Step(now time.Duration, load map[Subject]float64, whole bool, bounds map[Subject]Bounds, present Orders) (wanted Orders, changed bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	subjects := make([]Subject, 0, len(bounds))
@@ -222,7 +222,7 @@
 
 // next is the count wanted when is are ordered; known is false while nothing has
 // been measured.
-func (l *Controller) next(now time.Duration, t *track, b Bound, is int, whole bool) (count int, known bool) {
+func (l *Controller) next(now time.Duration, t *track, b Bounds, is int, whole bool) (count int, known bool) {
 	if len(t.past) == 0 || b.Slots < 1 {
 		return is, false
 	}
--- a/internal/controlplane/duties.go
+++ b/internal/controlplane/duties.go
@@ -244,12 +244,12 @@
 
 // scalableSubjects returns the bounds of each service with scaling settings, in each zone where
 // this process has seen the service in the platform's list.
-func (d *Daemon) scalableSubjects() map[autoscale.Subject]autoscale.Bound {
+func (d *Daemon) scalableSubjects() map[autoscale.Subject]autoscale.Bounds {
 	cfg := d.activeState.Config()
 	list, _ := d.upstreamList.current()
 	d.subjectSlotsMu.Lock()
 	defer d.subjectSlotsMu.Unlock()
-	out := map[autoscale.Subject]autoscale.Bound{}
+	out := map[autoscale.Subject]autoscale.Bounds{}
 	if cfg == nil || list == nil {
 		return out
 	}
