--- a/internal/autoscale/autoscale.go
+++ b/internal/autoscale/autoscale.go
@@ -107,7 +107,7 @@
 // Bounds is what is known of a subject beside its load.
 type Bounds struct {
 	Min, Max int
-	Boot     time.Duration
+	BootTime time.Duration
 	Slots    int
 	Present  int // on the platform's list and not leaving
 }
@@ -115,7 +115,7 @@
 // hold is the time within which an order's effect is seen: new upstreams boot, proxies report
 // what runs there, and the reports are averaged. A rise is measured over a part of it.
 func (b Bounds) hold() time.Duration {
-	return max(b.Boot, constants.ScaleRise) + constants.ScaleEvery + constants.ScaleSmooth
+	return max(b.BootTime, constants.ScaleRise) + constants.ScaleEvery + constants.ScaleSmooth
 }
 
 // Orders are the counts ordered, as they are kept and sent.
@@ -248,7 +248,7 @@
 		return is, false // nobody asks: no measurement of what they would
 	}
 	if before, ok := mean(now - constants.ScaleRise); ok && before > 0 && last > before {
-		most = max(most, last+(last-before)*b.Boot.Seconds()/constants.ScaleRise.Seconds()*constants.ScaleAhead)
+		most = max(most, last+(last-before)*b.BootTime.Seconds()/constants.ScaleRise.Seconds()*constants.ScaleAhead)
 	}
 	want := int(math.Ceil(most / (constants.ScaleTaken * float64(b.Slots))))
 	taken := most / float64(max(1, is)*b.Slots)
--- a/internal/autoscale/autoscale_test.go
+++ b/internal/autoscale/autoscale_test.go
@@ -41,14 +41,14 @@
 
 // play runs a law over a load; each is asked every 100 ms.
 func play(l *Controller, p *plant, from, until time.Duration, load func(time.Duration) float64, whole func(time.Duration) bool, check func(now time.Duration)) {
-	b := Bounds{Min: 10, Max: 80, Boot: cmp.Or(p.boot, usualBoot), Slots: 4}
+	b := Bounds{Min: 10, Max: 80, BootTime: cmp.Or(p.boot, usualBoot), Slots: 4}
 	for now := from; now < until; now += 100 * time.Millisecond {
 		for len(p.boots) > 0 && p.boots[0] <= now {
 			p.boots, p.ready = p.boots[1:], p.ready+1
 		}
 		b.Present = p.ready
 		if os, changed := l.Step(now, map[Subject]float64{subject: load(now)}, whole(now), map[Subject]Bounds{subject: b}, p.orders); changed {
-			p.order(now, b.Boot, os)
+			p.order(now, b.BootTime, os)
 		}
 		if n, ok := p.orders.Of(subject); ok && (n < b.Min || n > b.Max) {
 			panic("out of bounds")
@@ -142,7 +142,7 @@
 	p := &plant{ready: 20}
 	play(NewController(), p, 0, 10*time.Second, flat(100), always, nil)
 	n, _ := p.orders.Of(subject)
-	play(NewController(), p, 10*time.Second, 10*time.Second+Bounds{Boot: usualBoot}.hold()/2, flat(30), always, nil)
+	play(NewController(), p, 10*time.Second, 10*time.Second+Bounds{BootTime: usualBoot}.hold()/2, flat(30), always, nil)
 	if m, _ := p.orders.Of(subject); m != n {
 		t.Fatalf("a successor's first order is %d, %d were ordered", m, n)
 	}
