--- a/internal/autoscale/autoscale.go
+++ b/internal/autoscale/autoscale.go
@@ -128,8 +128,8 @@
 	DesiredCount  int    `json:"desiredCount"`
 }
 
-// Read gives orders as they were written; none when they cannot be read.
-func Read(b []byte) Orders {
+// ParseOrders gives orders as they were written; none when they cannot be read.
+func ParseOrders(b []byte) Orders {
 	var os Orders
 	if json.Unmarshal(b, &os) != nil {
 		return nil
@@ -276,7 +276,7 @@
 // Split makes one call a subject of the orders.
 func Split(body []byte) map[string][]byte {
 	out := map[string][]byte{}
-	for _, o := range Read(body) {
+	for _, o := range ParseOrders(body) {
 		b, err := json.Marshal(o)
 		if err != nil {
 			panic("scaling: an order cannot be written: " + err.Error())
--- a/internal/controlplane/duties.go
+++ b/internal/controlplane/duties.go
@@ -281,7 +281,7 @@
 // planScaling returns the next scaling orders if they differ from the last decided ones.
 func (d *Daemon) planScaling(now time.Duration, after uint64) (uint64, []byte, bool) {
 	sum, complete := d.loadSum.Sum(now, d.roster.recentProxies())
-	decided := autoscale.Read(d.dutyRecord(settings.DutyScaling).Body)
+	decided := autoscale.ParseOrders(d.dutyRecord(settings.DutyScaling).Body)
 	wanted, changed := d.scaler.Step(now, sum, complete, d.scalableSubjects(), decided)
 	if !changed {
 		return 0, nil, false
@@ -321,7 +321,7 @@
 	if !d.settings.HasDuty(settings.DutyScaling) {
 		return nil
 	}
-	orders := autoscale.Read(d.dutyRecord(settings.DutyScaling).Body)
+	orders := autoscale.ParseOrders(d.dutyRecord(settings.DutyScaling).Body)
 	for subject, bound := range d.scalableSubjects() {
 		ordered, ok := orders.Of(subject)
 		if !ok {
