--- a/internal/autoscale/autoscale.go
+++ b/internal/autoscale/autoscale.go
@@ -137,8 +137,8 @@
 	return os
 }
 
-// Bytes writes orders.
-func (os Orders) Bytes() []byte {
+// Marshal writes orders.
+func (os Orders) Marshal() []byte {
 	b, err := json.Marshal(os)
 	if err != nil {
 		panic("scaling: orders cannot be written: " + err.Error())
--- a/internal/controlplane/duties.go
+++ b/internal/controlplane/duties.go
@@ -291,7 +291,7 @@
 			d.events.Record("scale", o.TargetService+" in "+o.Zone+": "+strconv.Itoa(previous)+" -> "+strconv.Itoa(o.DesiredCount)+" ("+d.scaler.Why(autoscale.Subject{Service: o.TargetService, Zone: o.Zone})+")")
 		}
 	}
-	return after + 1, wanted.Bytes(), true
+	return after + 1, wanted.Marshal(), true
 }
 
 // DutyReport describes one platform duty for operators.
