--- a/internal/autoscale/autoscale.go
+++ b/internal/autoscale/autoscale.go
@@ -146,8 +146,8 @@
 	return b
 }
 
-// Of is the count ordered of a subject.
-func (os Orders) Of(s Subject) (int, bool) {
+// DesiredCount is the count ordered of a subject.
+func (os Orders) DesiredCount(s Subject) (int, bool) {
 	for _, o := range os {
 		if o.TargetService == s.Service && o.Zone == s.Zone {
 			return o.DesiredCount, true
@@ -202,7 +202,7 @@
 		for len(t.past) > 0 && now-t.past[0].at > b.hold() {
 			t.past = t.past[1:]
 		}
-		is, ordered := present.Of(s)
+		is, ordered := present.DesiredCount(s)
 		if !ordered {
 			is = b.Present
 		}
--- a/internal/autoscale/autoscale_test.go
+++ b/internal/autoscale/autoscale_test.go
@@ -22,7 +22,7 @@
 }
 
 func (p *plant) order(now time.Duration, boot time.Duration, os Orders) {
-	n, _ := os.Of(subject)
+	n, _ := os.DesiredCount(subject)
 	for p.ready+len(p.boots) < n {
 		p.boots = append(p.boots, now+boot)
 	}
@@ -50,7 +50,7 @@
 		if os, changed := l.Step(now, map[Subject]float64{subject: load(now)}, whole(now), map[Subject]Bounds{subject: b}, p.orders); changed {
 			p.order(now, b.BootTime, os)
 		}
-		if n, ok := p.orders.Of(subject); ok && (n < b.Min || n > b.Max) {
+		if n, ok := p.orders.DesiredCount(subject); ok && (n < b.Min || n > b.Max) {
 			panic("out of bounds")
 		}
 		if check != nil {
@@ -141,9 +141,9 @@
 func TestSuccessorGoesOn(t *testing.T) {
 	p := &plant{ready: 20}
 	play(NewController(), p, 0, 10*time.Second, flat(100), always, nil)
-	n, _ := p.orders.Of(subject)
+	n, _ := p.orders.DesiredCount(subject)
 	play(NewController(), p, 10*time.Second, 10*time.Second+Bounds{BootTime: usualBoot}.hold()/2, flat(30), always, nil)
-	if m, _ := p.orders.Of(subject); m != n {
+	if m, _ := p.orders.DesiredCount(subject); m != n {
 		t.Fatalf("a successor's first order is %d, %d were ordered", m, n)
 	}
 }
@@ -161,7 +161,7 @@
 		}
 		most, at := 0, time.Duration(0)
 		play(NewController(), p, 0, 120*time.Second, peak, always, func(now time.Duration) {
-			n, _ := p.orders.Of(subject)
+			n, _ := p.orders.DesiredCount(subject)
 			most = max(most, n)
 			if at == 0 && now > 44*time.Second && n < most*3/4 {
 				at = now - 44*time.Second
--- a/internal/controlplane/duties.go
+++ b/internal/controlplane/duties.go
@@ -287,7 +287,7 @@
 		return 0, nil, false
 	}
 	for _, o := range wanted {
-		if previous, ok := decided.Of(autoscale.Subject{Service: o.TargetService, Zone: o.Zone}); !ok || previous != o.DesiredCount {
+		if previous, ok := decided.DesiredCount(autoscale.Subject{Service: o.TargetService, Zone: o.Zone}); !ok || previous != o.DesiredCount {
 			d.events.Record("scale", o.TargetService+" in "+o.Zone+": "+strconv.Itoa(previous)+" -> "+strconv.Itoa(o.DesiredCount)+" ("+d.scaler.Why(autoscale.Subject{Service: o.TargetService, Zone: o.Zone})+")")
 		}
 	}
@@ -323,7 +323,7 @@
 	}
 	orders := autoscale.ParseOrders(d.dutyRecord(settings.DutyScaling).Body)
 	for subject, bound := range d.scalableSubjects() {
-		ordered, ok := orders.Of(subject)
+		ordered, ok := orders.DesiredCount(subject)
 		if !ok {
 			ordered = -1
 		}
