--- a/internal/autoscale/autoscale.go
+++ b/internal/autoscale/autoscale.go
@@ -263,8 +263,8 @@
 	return max(want, int(math.Ceil(float64(is)*(1-constants.ScaleDown)))), true
 }
 
-// Why is the reason of a subject's last change.
-func (l *Controller) Why(s Subject) string {
+// Reason is the reason of a subject's last change.
+func (l *Controller) Reason(s Subject) string {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if t := l.history[s]; t != nil {
--- a/internal/controlplane/duties.go
+++ b/internal/controlplane/duties.go
@@ -288,7 +288,7 @@
 	}
 	for _, o := range wanted {
 		if previous, ok := decided.DesiredCount(autoscale.Subject{Service: o.TargetService, Zone: o.Zone}); !ok || previous != o.DesiredCount {
-			d.events.Record("scale", o.TargetService+" in "+o.Zone+": "+strconv.Itoa(previous)+" -> "+strconv.Itoa(o.DesiredCount)+" ("+d.scaler.Why(autoscale.Subject{Service: o.TargetService, Zone: o.Zone})+")")
+			d.events.Record("scale", o.TargetService+" in "+o.Zone+": "+strconv.Itoa(previous)+" -> "+strconv.Itoa(o.DesiredCount)+" ("+d.scaler.Reason(autoscale.Subject{Service: o.TargetService, Zone: o.Zone})+")")
 		}
 	}
 	return after + 1, wanted.Marshal(), true
@@ -327,7 +327,7 @@
 		if !ok {
 			ordered = -1
 		}
-		out = append(out, ScalingReport{subject.Service, subject.Zone, ordered, bound.Present, d.scaler.Why(subject)})
+		out = append(out, ScalingReport{subject.Service, subject.Zone, ordered, bound.Present, d.scaler.Reason(subject)})
 	}
 	slices.SortFunc(out, func(a, b ScalingReport) int {
 		return autoscale.Subject{Service: a.Service, Zone: a.Zone}.Compare(autoscale.Subject{Service: b.Service, Zone: b.Zone})
