--- a/internal/autoscale/autoscale.go
+++ b/internal/autoscale/autoscale.go
@@ -273,8 +273,8 @@
 	return ""
 }
 
-// Split makes one call a subject of the orders.
-func Split(body []byte) map[string][]byte {
+// SplitOrders makes one call a subject of the orders.
+func SplitOrders(body []byte) map[string][]byte {
 	out := map[string][]byte{}
 	for _, o := range ParseOrders(body) {
 		b, err := json.Marshal(o)
--- a/internal/controlplane/daemon.go
+++ b/internal/controlplane/daemon.go
@@ -203,7 +203,7 @@
 	if d.settings.HasDuty(settings.DutyScaling) {
 		duties = append(duties, settings.DutyScaling)
 		runner := d.newDutyRunner(settings.DutyScaling, "/scaling", d.planScaling)
-		runner.split, runner.holder.Latest = autoscale.Split, true
+		runner.split, runner.holder.Latest = autoscale.SplitOrders, true
 		d.dutyRunners = append(d.dutyRunners, runner)
 	}
 	return duties
