--- a/internal/controlplane/daemon.go
+++ b/internal/controlplane/daemon.go
@@ -54,12 +54,12 @@
 	proxyDirectory *directory.Directory
 	members        *membership.Agent
 
-	clock       *clock.Clock  // synchronized among the control machines
-	dutyRunners []*dutyRunner // duties performed at the platform
-	usageTally  *usage.Tally
-	usageKeeper *usage.Persister // used by saveUsage only
+	clock          *clock.Clock  // synchronized among the control machines
+	dutyRunners    []*dutyRunner // duties performed at the platform
+	usageTally     *usage.Tally
+	usagePersister *usage.Persister // used by saveUsage only
 
-	loadSum        *autoscale.LoadAggregator
+	loadAggregator *autoscale.LoadAggregator
 	scaler         *autoscale.Controller
 	subjectSlotsMu sync.Mutex
 	subjectSlots   map[autoscale.Subject]int // slots per upstream, for every subject seen in the list; guarded by subjectSlotsMu
@@ -75,7 +75,7 @@
 		startedAt:      time.Now(),
 		clock:          clock.New(),
 		usageTally:     usage.NewTally(rand.Uint64()),
-		loadSum:        autoscale.NewLoadAggregator(),
+		loadAggregator: autoscale.NewLoadAggregator(),
 		scaler:         autoscale.NewController(),
 		subjectSlots:   map[autoscale.Subject]int{},
 		locations:      newLocations(),
@@ -92,7 +92,7 @@
 	if err != nil {
 		return nil, err
 	}
-	d.usageKeeper = usage.NewPersister(d.usageTally, store.Get)
+	d.usagePersister = usage.NewPersister(d.usageTally, store.Get)
 	nameHash := fnv.New64a()
 	nameHash.Write([]byte(nodeSettings.NodeName))
 	rng := rand.New(rand.NewPCG(nameHash.Sum64(), uint64(time.Now().UnixNano())))
--- a/internal/controlplane/duties.go
+++ b/internal/controlplane/duties.go
@@ -196,7 +196,7 @@
 func (d *Daemon) saveUsage() {
 	until, _ := d.leases.term(settings.DutyUsage)
 	holder := d.leases.holder(settings.DutyUsage)
-	for _, effect := range d.usageKeeper.Step(until > 0, holder) {
+	for _, effect := range d.usagePersister.Step(until > 0, holder) {
 		switch effect := effect.(type) {
 		case usage.SendHandover:
 			if effect.To == d.settings.IPAddress {
@@ -239,7 +239,7 @@
 	if until, _ := d.leases.term(settings.DutyScaling); until == 0 {
 		return autoscale.Ack{}
 	}
-	return autoscale.Ack{OK: d.loadSum.Record(d.now(), report)}
+	return autoscale.Ack{OK: d.loadAggregator.Record(d.now(), report)}
 }
 
 // scalableSubjects returns the bounds of each service with scaling settings, in each zone where
@@ -280,7 +280,7 @@
 
 // planScaling returns the next scaling orders if they differ from the last decided ones.
 func (d *Daemon) planScaling(now time.Duration, after uint64) (uint64, []byte, bool) {
-	sum, complete := d.loadSum.Sum(now, d.roster.recentProxies())
+	sum, complete := d.loadAggregator.Sum(now, d.roster.recentProxies())
 	decided := autoscale.ParseOrders(d.dutyRecord(settings.DutyScaling).Body)
 	wanted, changed := d.scaler.Step(now, sum, complete, d.scalableSubjects(), decided)
 	if !changed {
