--- a/internal/autoscale/autoscale.go
+++ b/internal/autoscale/autoscale.go
@@ -1,18 +1,19 @@
-// Package autoscale decides how many upstreams of a service each zone is to have, by a
-// feed-forward control loop over concurrency (Little's law), fast up, slow down. Proxies
-// report what runs and waits for them, the duty's holder adds it up, and what it orders is
-// kept in the chain, so a successor goes on there.
+// Package autoscale decides how many upstreams each service should have in each zone. It is a
+// feed-forward control loop over concurrency, based on Little's law, that scales out quickly and
+// in slowly. Proxies report their running and waiting requests to the holder of the scaling duty,
+// which adds them up. The decided orders are stored in the chain, so that a new holder continues
+// from them.
 //
-// The law. With n requests running or waiting in a zone, slots places an upstream
-// and a part u of them to be taken, n/(u x slots) upstreams are wanted. n is the
-// largest mean over a second in the last hold time, or what its rise over the last
-// rise time makes of it until a new upstream has booted. Between a low and a high
-// part taken nothing is changed. Above the high one what is wanted is ordered at once.
-// Below the low one fewer are ordered, at most a part of them each pause, and only
-// while every live proxy's word is fresh and something has been asked lately. A service's
-// hold time is the boot of its upstreams and the time until their effect is measured, so an
-// order is not taken back before its effect is seen: that is what keeps the loop from
-// swinging.
+// With n requests running or waiting in a zone, a number of slots per upstream and a target
+// utilization u, the service needs n/(u x slots) upstreams. The load n is the peak, within the
+// hold time, of the load averaged over a second. If the load has risen over the last rise time,
+// n also anticipates part of the further rise until a new upstream has booted. The count does not
+// change while the utilization is between a low and a high threshold. Above the high threshold,
+// the needed count is ordered at once. Below the low threshold, the count is reduced by at most a
+// fixed fraction per pause, and only if the reports of all live proxies are fresh and there were
+// requests recently. The hold time of a service covers the boot of its upstreams and the time until
+// their effect is measured. An order is therefore not reverted before its effect is visible, which
+// prevents the loop from oscillating.
 package autoscale
 
 import (
@@ -30,18 +31,19 @@
 // Subject is a service in a zone.
 type Subject struct{ Service, Zone string }
 
-// Compare orders subjects by service and then zone.
-func (s Subject) Compare(o Subject) int {
-	return cmp.Or(cmp.Compare(s.Service, o.Service), cmp.Compare(s.Zone, o.Zone))
+// Compare orders subjects by service and then by zone.
+func (s Subject) Compare(other Subject) int {
+	return cmp.Or(cmp.Compare(s.Service, other.Service), cmp.Compare(s.Zone, other.Zone))
 }
 
-// Report is one proxy's word: what runs and waits for it now, by service.
+// Report is one proxy's current number of running and waiting requests, by service.
 type Report struct {
 	Proxy, Zone string
 	Running     map[string]int
 }
 
-// Ack answers it; false from who does not hold the duty.
+// Ack answers a Report. OK is false if the receiver does not hold the scaling duty or rejected
+// the report.
 type Ack struct{ OK bool }
 
 func init() {
@@ -49,140 +51,147 @@
 	transport.Register(transport.NameLoadAck, Ack{})
 }
 
-type sample struct {
+type receivedReport struct {
 	at     time.Duration
 	report Report
 }
 
-// LoadAggregator adds up the proxies' words.
+// LoadAggregator adds up the load reports of the proxies.
 type LoadAggregator struct {
 	mu       sync.Mutex
-	byProxy  map[string]sample
-	Rejected uint64
+	byProxy  map[string]receivedReport
+	Rejected uint64 // number of invalid reports
 }
 
-// NewLoadAggregator makes an empty one.
-func NewLoadAggregator() *LoadAggregator { return &LoadAggregator{byProxy: map[string]sample{}} }
+// NewLoadAggregator returns an aggregator without reports.
+func NewLoadAggregator() *LoadAggregator {
+	return &LoadAggregator{byProxy: map[string]receivedReport{}}
+}
 
-// Record keeps a proxy's latest word; one that cannot be is dropped and counted.
-func (g *LoadAggregator) Record(now time.Duration, t Report) bool {
-	g.mu.Lock()
-	defer g.mu.Unlock()
-	bad := t.Proxy == "" || len(t.Proxy) > constants.NameMax || len(t.Zone) > constants.NameMax || len(t.Running) > constants.ScaleServices
-	for _, n := range t.Running {
-		bad = bad || n < 0 || n > constants.ScaleMost
+// Record stores the latest report of a proxy. It drops and counts a report with missing or
+// out-of-range values and returns false for it.
+func (a *LoadAggregator) Record(now time.Duration, report Report) bool {
+	a.mu.Lock()
+	defer a.mu.Unlock()
+	invalid := report.Proxy == "" || len(report.Proxy) > constants.NameMax || len(report.Zone) > constants.NameMax || len(report.Running) > constants.ScaleServices
+	for _, n := range report.Running {
+		invalid = invalid || n < 0 || n > constants.ScaleMost
 	}
-	if bad {
-		g.Rejected++
+	if invalid {
+		a.Rejected++
 		return false
 	}
-	g.byProxy[t.Proxy] = sample{now, t}
+	a.byProxy[report.Proxy] = receivedReport{now, report}
 	return true
 }
 
-// Sum is what runs, by subject, and whether all live proxies have spoken lately.
-func (g *LoadAggregator) Sum(now time.Duration, live []string) (sum map[Subject]float64, whole bool) {
-	g.mu.Lock()
-	defer g.mu.Unlock()
-	sum, whole = map[Subject]float64{}, len(live) > 0
-	for p, w := range g.byProxy {
-		if now-w.at > constants.ScaleFresh {
-			if now-w.at > constants.ProxyForget {
-				delete(g.byProxy, p)
+// Sum returns the load of each subject from the fresh reports. complete is true if there are live
+// proxies and each of them has a fresh report.
+func (a *LoadAggregator) Sum(now time.Duration, live []string) (sum map[Subject]float64, complete bool) {
+	a.mu.Lock()
+	defer a.mu.Unlock()
+	sum, complete = map[Subject]float64{}, len(live) > 0
+	for proxy, received := range a.byProxy {
+		if now-received.at > constants.ScaleFresh {
+			if now-received.at > constants.ProxyForget {
+				delete(a.byProxy, proxy)
 			}
 			continue
 		}
-		for s, n := range w.report.Running {
-			sum[Subject{s, w.report.Zone}] += float64(n)
+		for service, n := range received.report.Running {
+			sum[Subject{service, received.report.Zone}] += float64(n)
 		}
 	}
-	for _, p := range live {
-		if w, ok := g.byProxy[p]; !ok || now-w.at > constants.ScaleFresh {
-			whole = false
+	for _, proxy := range live {
+		if received, ok := a.byProxy[proxy]; !ok || now-received.at > constants.ScaleFresh {
+			complete = false
 		}
 	}
-	return sum, whole
+	return sum, complete
 }
 
-// Bounds is what is known of a subject beside its load.
+// Bounds holds the limits of a subject's count and the properties of its upstreams.
 type Bounds struct {
 	Min, Max int
 	BootTime time.Duration
-	Slots    int
-	Present  int // on the platform's list and not leaving
+	Slots    int // per upstream
+	Present  int // upstreams in the platform's list that are not draining
 }
 
-// hold is the time within which an order's effect is seen: new upstreams boot, proxies report
-// what runs there, and the reports are averaged. A rise is measured over a part of it.
+// hold returns the time until the effect of an order is visible: new upstreams boot, proxies
+// report the requests running there, and the reports are averaged. It covers ScaleRise, the time
+// over which a rise of the load is measured.
 func (b Bounds) hold() time.Duration {
 	return max(b.BootTime, constants.ScaleRise) + constants.ScaleEvery + constants.ScaleSmooth
 }
 
-// Orders are the counts ordered, as they are kept and sent.
+// Orders is a list of ordered counts, as it is stored and sent.
 type Orders []Order
 
-// Order is one subject's count.
+// Order is the count ordered for one subject.
 type Order struct {
 	TargetService string `json:"targetService"`
 	Zone          string `json:"zone"`
 	DesiredCount  int    `json:"desiredCount"`
 }
 
-// ParseOrders gives orders as they were written; none when they cannot be read.
+// ParseOrders decodes orders written by Marshal. It returns nil if they are invalid.
 func ParseOrders(b []byte) Orders {
-	var os Orders
-	if json.Unmarshal(b, &os) != nil {
+	var orders Orders
+	if json.Unmarshal(b, &orders) != nil {
 		return nil
 	}
-	return os
+	return orders
 }
 
-// Marshal writes orders.
-func (os Orders) Marshal() []byte {
-	b, err := json.Marshal(os)
+// Marshal encodes the orders as JSON.
+func (orders Orders) Marshal() []byte {
+	b, err := json.Marshal(orders)
 	if err != nil {
-		panic("scaling: orders cannot be written: " + err.Error())
+		panic("autoscale: encoding orders: " + err.Error())
 	}
 	return b
 }
 
-// DesiredCount is the count ordered of a subject.
-func (os Orders) DesiredCount(s Subject) (int, bool) {
-	for _, o := range os {
-		if o.TargetService == s.Service && o.Zone == s.Zone {
-			return o.DesiredCount, true
+// DesiredCount returns the count ordered for a subject.
+func (orders Orders) DesiredCount(s Subject) (int, bool) {
+	for _, order := range orders {
+		if order.TargetService == s.Service && order.Zone == s.Zone {
+			return order.DesiredCount, true
 		}
 	}
 	return 0, false
 }
 
-type point struct {
+type loadPoint struct {
 	at time.Duration
 	n  float64
 }
 
-type track struct {
-	past   []point // as measured
-	smooth []point
-	downAt time.Duration
-	why    string
+// history holds the recent load of one subject.
+type history struct {
+	raw        []loadPoint // as measured
+	smooth     []loadPoint // averaged over ScaleSmooth
+	lastChange time.Duration
+	reason     string // of the last change
 }
 
-// Controller is the loop's memory of the load at one holder. What has been ordered is not
-// in it: that comes from the chain.
+// Controller is the control loop of one duty holder. It remembers only the recent load; the counts
+// ordered so far are stored in the chain and passed to Step.
 type Controller struct {
-	mu      sync.Mutex
-	history map[Subject]*track
+	mu        sync.Mutex
+	histories map[Subject]*history
 }
 
-// NewController makes one that has seen nothing.
-func NewController() *Controller { return &Controller{history: map[Subject]*track{}} }
+// NewController returns a controller without load history.
+func NewController() *Controller { return &Controller{histories: map[Subject]*history{}} }
 
-// Step takes a measurement and gives the orders that are wanted now, given the
-// present ones; changed says that they differ.
-func (l *Controller) Step(now time.Duration, load map[Subject]float64, whole bool, bounds map[Subject]Bounds, present Orders) (wanted Orders, changed bool) {
-	l.mu.Lock()
-	defer l.mu.Unlock()
+// Step adds a load measurement and returns the wanted orders, given the current ones. complete
+// tells whether the measurement covers all live proxies. changed tells whether the wanted orders
+// differ from the current ones.
+func (c *Controller) Step(now time.Duration, load map[Subject]float64, complete bool, bounds map[Subject]Bounds, current Orders) (wanted Orders, changed bool) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
 	subjects := make([]Subject, 0, len(bounds))
 	for s := range bounds {
 		subjects = append(subjects, s)
@@ -190,45 +199,45 @@
 	slices.SortFunc(subjects, Subject.Compare)
 	for _, s := range subjects {
 		b := bounds[s]
-		t := l.history[s]
-		if t == nil {
-			t = &track{downAt: now}
-			l.history[s] = t
+		h := c.histories[s]
+		if h == nil {
+			h = &history{lastChange: now}
+			c.histories[s] = h
 		}
 		n := load[s]
-		if whole || n > 0 {
-			t.past = append(t.past, point{now, n})
+		if complete || n > 0 {
+			h.raw = append(h.raw, loadPoint{now, n})
 		}
-		for len(t.past) > 0 && now-t.past[0].at > b.hold() {
-			t.past = t.past[1:]
+		for len(h.raw) > 0 && now-h.raw[0].at > b.hold() {
+			h.raw = h.raw[1:]
 		}
-		is, ordered := present.DesiredCount(s)
+		previous, ordered := current.DesiredCount(s)
 		if !ordered {
-			is = b.Present
+			previous = b.Present
 		}
-		count, known := l.next(now, t, b, is, whole)
-		if !ordered && !known {
-			continue // nothing is ordered before anything has been measured
+		count, measured := c.nextCount(now, h, b, previous, complete)
+		if !ordered && !measured {
+			continue // place no first order before the load has been measured
 		}
 		count = min(max(count, b.Min), b.Max)
-		if !ordered && count == is {
+		if !ordered && count == previous {
 			continue
 		}
 		wanted = append(wanted, Order{s.Service, s.Zone, count})
-		changed = changed || !ordered || count != is
+		changed = changed || !ordered || count != previous
 	}
 	return wanted, changed
 }
 
-// next is the count wanted when is are ordered; known is false while nothing has
+// nextCount returns the wanted count, given the previous one. measured is false if no load has
 // been measured.
-func (l *Controller) next(now time.Duration, t *track, b Bounds, is int, whole bool) (count int, known bool) {
-	if len(t.past) == 0 || b.Slots < 1 {
-		return is, false
+func (c *Controller) nextCount(now time.Duration, h *history, b Bounds, previous int, complete bool) (count int, measured bool) {
+	if len(h.raw) == 0 || b.Slots < 1 {
+		return previous, false
 	}
-	mean := func(until time.Duration) (sum float64, ok bool) { // over the smoothing time before
+	mean := func(until time.Duration) (sum float64, ok bool) { // over the ScaleSmooth interval that ends at until
 		n := 0.0
-		for _, p := range t.past {
+		for _, p := range h.raw {
 			if p.at <= until && until-p.at < constants.ScaleSmooth {
 				sum, n = sum+p.n, n+1
 			}
@@ -236,52 +245,52 @@
 		return sum / max(n, 1), n > 0
 	}
 	last, ok := mean(now)
-	t.smooth = append(t.smooth, point{now, last})
-	for now-t.smooth[0].at > b.hold() {
-		t.smooth = t.smooth[1:]
+	h.smooth = append(h.smooth, loadPoint{now, last})
+	for now-h.smooth[0].at > b.hold() {
+		h.smooth = h.smooth[1:]
 	}
-	most := 0.0
-	for _, p := range t.smooth {
-		most = max(most, p.n)
+	peak := 0.0
+	for _, p := range h.smooth {
+		peak = max(peak, p.n)
 	}
-	if most == 0 || !ok {
-		return is, false // nobody asks: no measurement of what they would
+	if peak == 0 || !ok {
+		return previous, false // without requests there is no measurement of the load they would cause
 	}
 	if before, ok := mean(now - constants.ScaleRise); ok && before > 0 && last > before {
-		most = max(most, last+(last-before)*b.BootTime.Seconds()/constants.ScaleRise.Seconds()*constants.ScaleAhead)
+		peak = max(peak, last+(last-before)*b.BootTime.Seconds()/constants.ScaleRise.Seconds()*constants.ScaleAhead)
 	}
-	want := int(math.Ceil(most / (constants.ScaleTaken * float64(b.Slots))))
-	taken := most / float64(max(1, is)*b.Slots)
-	if taken > constants.ScaleHigh {
-		t.why, t.downAt = "load", now
-		return want, true
+	needed := int(math.Ceil(peak / (constants.ScaleTaken * float64(b.Slots))))
+	utilization := peak / float64(max(1, previous)*b.Slots)
+	if utilization > constants.ScaleHigh {
+		h.reason, h.lastChange = "load", now
+		return needed, true
 	}
-	if !whole || now-t.smooth[0].at < b.hold()*3/4 || now-t.downAt < constants.ScalePause || taken >= constants.ScaleLow {
-		return is, true
+	if !complete || now-h.smooth[0].at < b.hold()*3/4 || now-h.lastChange < constants.ScalePause || utilization >= constants.ScaleLow {
+		return previous, true
 	}
-	t.why, t.downAt = "idle", now
-	return max(want, int(math.Ceil(float64(is)*(1-constants.ScaleDown)))), true
+	h.reason, h.lastChange = "idle", now
+	return max(needed, int(math.Ceil(float64(previous)*(1-constants.ScaleDown)))), true
 }
 
-// Reason is the reason of a subject's last change.
-func (l *Controller) Reason(s Subject) string {
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	if t := l.history[s]; t != nil {
-		return t.why
+// Reason returns the reason for the last change of a subject's count.
+func (c *Controller) Reason(s Subject) string {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	if h := c.histories[s]; h != nil {
+		return h.reason
 	}
 	return ""
 }
 
-// SplitOrders makes one call a subject of the orders.
+// SplitOrders splits encoded orders into one platform call per subject.
 func SplitOrders(body []byte) map[string][]byte {
 	out := map[string][]byte{}
-	for _, o := range ParseOrders(body) {
-		b, err := json.Marshal(o)
+	for _, order := range ParseOrders(body) {
+		b, err := json.Marshal(order)
 		if err != nil {
-			panic("scaling: an order cannot be written: " + err.Error())
+			panic("autoscale: encoding an order: " + err.Error())
 		}
-		out[o.TargetService+" "+o.Zone] = b
+		out[order.TargetService+" "+order.Zone] = b
 	}
 	return out
 }
