--- a/internal/autoscale/autoscale_test.go
+++ b/internal/autoscale/autoscale_test.go
@@ -12,45 +12,45 @@
 
 var subject = Subject{"svc", "z"}
 
-// plant is a zone of upstreams that boot, under a load.
-type plant struct {
-	boot   time.Duration // 0: the usual one
-	ready  int
-	boots  []time.Duration // when each one ordered becomes ready
-	orders Orders
-	counts []int // after each change
+// zoneSim simulates the upstreams of a service in one zone, which take time to boot.
+type zoneSim struct {
+	bootTime time.Duration // 0: defaultBootTime
+	ready    int
+	booting  []time.Duration // when each booting upstream becomes ready
+	orders   Orders
+	counts   []int // after each change
 }
 
-func (p *plant) order(now time.Duration, boot time.Duration, os Orders) {
-	n, _ := os.DesiredCount(subject)
-	for p.ready+len(p.boots) < n {
-		p.boots = append(p.boots, now+boot)
-	}
-	for p.ready+len(p.boots) > n {
-		if len(p.boots) > 0 {
-			p.boots = p.boots[:len(p.boots)-1]
+func (z *zoneSim) apply(now time.Duration, bootTime time.Duration, orders Orders) {
+	n, _ := orders.DesiredCount(subject)
+	for z.ready+len(z.booting) < n {
+		z.booting = append(z.booting, now+bootTime)
+	}
+	for z.ready+len(z.booting) > n {
+		if len(z.booting) > 0 {
+			z.booting = z.booting[:len(z.booting)-1]
 		} else {
-			p.ready--
+			z.ready--
 		}
 	}
-	p.orders = os
-	p.counts = append(p.counts, n)
+	z.orders = orders
+	z.counts = append(z.counts, n)
 }
 
-const usualBoot = 4 * time.Second
+const defaultBootTime = 4 * time.Second
 
-// play runs a law over a load; each is asked every 100 ms.
-func play(l *Controller, p *plant, from, until time.Duration, load func(time.Duration) float64, whole func(time.Duration) bool, check func(now time.Duration)) {
-	b := Bounds{Min: 10, Max: 80, BootTime: cmp.Or(p.boot, usualBoot), Slots: 4}
+// simulate runs the controller under a load, with a step every 100 ms.
+func simulate(controller *Controller, z *zoneSim, from, until time.Duration, load func(time.Duration) float64, complete func(time.Duration) bool, check func(now time.Duration)) {
+	b := Bounds{Min: 10, Max: 80, BootTime: cmp.Or(z.bootTime, defaultBootTime), Slots: 4}
 	for now := from; now < until; now += 100 * time.Millisecond {
-		for len(p.boots) > 0 && p.boots[0] <= now {
-			p.boots, p.ready = p.boots[1:], p.ready+1
+		for len(z.booting) > 0 && z.booting[0] <= now {
+			z.booting, z.ready = z.booting[1:], z.ready+1
 		}
-		b.Present = p.ready
-		if os, changed := l.Step(now, map[Subject]float64{subject: load(now)}, whole(now), map[Subject]Bounds{subject: b}, p.orders); changed {
-			p.order(now, b.BootTime, os)
+		b.Present = z.ready
+		if orders, changed := controller.Step(now, map[Subject]float64{subject: load(now)}, complete(now), map[Subject]Bounds{subject: b}, z.orders); changed {
+			z.apply(now, b.BootTime, orders)
 		}
-		if n, ok := p.orders.DesiredCount(subject); ok && (n < b.Min || n > b.Max) {
+		if n, ok := z.orders.DesiredCount(subject); ok && (n < b.Min || n > b.Max) {
 			panic("out of bounds")
 		}
 		if check != nil {
@@ -61,135 +61,139 @@
 
 func always(time.Duration) bool { return true }
 
-func flat(n float64) func(time.Duration) float64 { return func(time.Duration) float64 { return n } }
+func constant(n float64) func(time.Duration) float64 {
+	return func(time.Duration) float64 { return n }
+}
 
-// A load that falls is followed down in steps, one that rises at once, so that a boot
-// later there is room for it; the count settles and stays.
-func TestStep(t *testing.T) {
-	p := &plant{ready: 50}
+// The count follows a falling load in steps. It follows a rising load at once, so that there is
+// enough capacity one boot time later. Under a constant load it settles.
+func TestScalesOutAtOnceAndInGradually(t *testing.T) {
+	z := &zoneSim{ready: 50}
 	load := func(now time.Duration) float64 {
 		if now > 40*time.Second {
 			return 120
 		}
 		return 40
 	}
-	play(NewController(), p, 0, 39*time.Second, load, always, nil)
+	simulate(NewController(), z, 0, 39*time.Second, load, always, nil)
 	want := int(math.Ceil(40 / (4 * constants.ScaleTaken)))
-	if p.ready < want || p.ready > want+3 {
-		t.Fatalf("%d upstreams for 40 requests at once, want %d: %v", p.ready, want, p.counts)
+	if z.ready < want || z.ready > want+3 {
+		t.Fatalf("%d upstreams for 40 concurrent requests, want %d; counts: %v", z.ready, want, z.counts)
 	}
-	l := NewController()
-	play(l, p, 30*time.Second, 46*time.Second, load, always, nil)
-	if p.ready*4 < 120 {
-		t.Fatalf("%d upstreams of 4 places 6 s after the load rose to 120", p.ready)
+	controller := NewController()
+	simulate(controller, z, 30*time.Second, 46*time.Second, load, always, nil)
+	if z.ready*4 < 120 {
+		t.Fatalf("%d upstreams with 4 slots each 6 s after the load rose to 120", z.ready)
 	}
-	settled := len(p.counts)
-	play(l, p, 60*time.Second, 90*time.Second, load, always, nil)
-	if len(p.counts) > settled+3 {
-		t.Fatalf("the count does not settle: %v", p.counts[settled:])
+	settled := len(z.counts)
+	simulate(controller, z, 60*time.Second, 90*time.Second, load, always, nil)
+	if len(z.counts) > settled+3 {
+		t.Fatalf("the count does not settle: %v", z.counts[settled:])
 	}
 }
 
-// A wave and noise do not set it swinging: once it has settled it turns round seldom,
-// and there is always room for all.
-func TestWaveDoesNotSwing(t *testing.T) {
+// A periodic, noisy load does not make the count oscillate: once settled it rarely changes
+// direction, and there is always enough capacity.
+func TestPeriodicLoadDoesNotCauseOscillation(t *testing.T) {
 	for seed := uint64(1); seed <= 60; seed++ {
 		r := rand.New(rand.NewPCG(seed, 3))
 		base, period := 60+60*r.Float64(), 5+10*r.Float64()
-		p := &plant{ready: 60}
+		z := &zoneSim{ready: 60}
 		load := func(now time.Duration) float64 {
 			return math.Round(base * (1 + 0.15*math.Sin(now.Seconds()*2*math.Pi/period) + 0.05*r.NormFloat64()))
 		}
-		turns := 0
-		play(NewController(), p, 0, 90*time.Second, load, always, func(now time.Duration) {
-			if now > 20*time.Second && float64(p.ready*4) < base*1.3 {
-				t.Fatalf("seed %d at %v: %d upstreams for %.0f", seed, now, p.ready, base)
+		reversals := 0
+		simulate(NewController(), z, 0, 90*time.Second, load, always, func(now time.Duration) {
+			if now > 20*time.Second && float64(z.ready*4) < base*1.3 {
+				t.Fatalf("seed %d at %v: %d upstreams for a mean load of %.0f", seed, now, z.ready, base)
 			}
 		})
-		for i := 2; i < len(p.counts); i++ {
-			if (p.counts[i]-p.counts[i-1])*(p.counts[i-1]-p.counts[i-2]) < 0 {
-				turns++
+		for i := 2; i < len(z.counts); i++ {
+			if (z.counts[i]-z.counts[i-1])*(z.counts[i-1]-z.counts[i-2]) < 0 {
+				reversals++
 			}
 		}
-		if turns > 4 {
-			t.Errorf("seed %d: %d turns in 90 s: %v", seed, turns, p.counts)
+		if reversals > 4 {
+			t.Errorf("seed %d: %d changes of direction in 90 s: %v", seed, reversals, z.counts)
 		}
 	}
 }
 
-// Without a word from every proxy, or with nobody asking, nothing is given up; and a
-// rise is followed all the same.
-func TestStaleNeverScalesIn(t *testing.T) {
-	p := &plant{ready: 2} // fewer than minCount, and nothing known yet
-	play(NewController(), p, 0, 10*time.Second, flat(0), always, nil)
-	if len(p.counts) > 0 {
-		t.Fatalf("ordered before anything was measured: %v", p.counts)
-	}
-	p = &plant{ready: 50}
-	play(NewController(), p, 0, 60*time.Second, flat(10), func(time.Duration) bool { return false }, nil)
-	play(NewController(), p, 60*time.Second, 120*time.Second, flat(0), always, nil)
-	if p.ready != 50 || len(p.counts) > 0 {
-		t.Fatalf("%d left of 50: %v", p.ready, p.counts)
-	}
-	play(NewController(), p, 0, 10*time.Second, flat(150), func(time.Duration) bool { return false }, nil)
-	if p.ready < 60 {
-		t.Fatalf("%d upstreams for 150 while some proxies are silent", p.ready)
+// Without reports from every proxy, or without any requests, the count is never reduced, but a
+// rising load still increases it.
+func TestNoScaleInWithoutCompleteReports(t *testing.T) {
+	z := &zoneSim{ready: 2} // below Min, and no load measured yet
+	simulate(NewController(), z, 0, 10*time.Second, constant(0), always, nil)
+	if len(z.counts) > 0 {
+		t.Fatalf("ordered before any load was measured: %v", z.counts)
+	}
+	z = &zoneSim{ready: 50}
+	simulate(NewController(), z, 0, 60*time.Second, constant(10), func(time.Duration) bool { return false }, nil)
+	simulate(NewController(), z, 60*time.Second, 120*time.Second, constant(0), always, nil)
+	if z.ready != 50 || len(z.counts) > 0 {
+		t.Fatalf("%d upstreams left of 50; counts: %v", z.ready, z.counts)
+	}
+	simulate(NewController(), z, 0, 10*time.Second, constant(150), func(time.Duration) bool { return false }, nil)
+	if z.ready < 60 {
+		t.Fatalf("%d upstreams for a load of 150 with incomplete reports", z.ready)
 	}
 }
 
-// A successor goes on from what is ordered: it takes nothing back for a hold time.
-func TestSuccessorGoesOn(t *testing.T) {
-	p := &plant{ready: 20}
-	play(NewController(), p, 0, 10*time.Second, flat(100), always, nil)
-	n, _ := p.orders.DesiredCount(subject)
-	play(NewController(), p, 10*time.Second, 10*time.Second+Bounds{BootTime: usualBoot}.hold()/2, flat(30), always, nil)
-	if m, _ := p.orders.DesiredCount(subject); m != n {
-		t.Fatalf("a successor's first order is %d, %d were ordered", m, n)
+// A new duty holder starts without load history. It continues from the existing orders and does not
+// reduce them within the hold time.
+func TestNewControllerKeepsOrdersDuringHoldTime(t *testing.T) {
+	z := &zoneSim{ready: 20}
+	simulate(NewController(), z, 0, 10*time.Second, constant(100), always, nil)
+	n, _ := z.orders.DesiredCount(subject)
+	simulate(NewController(), z, 10*time.Second, 10*time.Second+Bounds{BootTime: defaultBootTime}.hold()/2, constant(30), always, nil)
+	if m, _ := z.orders.DesiredCount(subject); m != n {
+		t.Fatalf("the new holder ordered %d, the previous order was %d", m, n)
 	}
 }
 
-// What was ordered for a peak is kept until the upstreams that boot slowly have shown their
-// effect, however short the peak: a service whose upstreams boot fast gives up sooner.
-func TestOrdersStandUntilTheirEffectIsSeen(t *testing.T) {
-	givenUp := func(boot time.Duration) time.Duration {
-		p := &plant{ready: 20, boot: boot}
-		peak := func(now time.Duration) float64 {
+// However short a load peak is, the upstreams ordered for it are kept until the effect of the order
+// is visible. A service whose upstreams boot quickly therefore scales in sooner than one whose
+// upstreams boot slowly.
+func TestOrderStandsUntilItsEffectIsVisible(t *testing.T) {
+	timeToScaleIn := func(bootTime time.Duration) time.Duration {
+		z := &zoneSim{ready: 20, bootTime: bootTime}
+		load := func(now time.Duration) float64 {
 			if now > 40*time.Second && now < 44*time.Second {
 				return 100
 			}
 			return 35
 		}
-		most, at := 0, time.Duration(0)
-		play(NewController(), p, 0, 120*time.Second, peak, always, func(now time.Duration) {
-			n, _ := p.orders.DesiredCount(subject)
-			most = max(most, n)
-			if at == 0 && now > 44*time.Second && n < most*3/4 {
-				at = now - 44*time.Second
+		highest, after := 0, time.Duration(0)
+		simulate(NewController(), z, 0, 120*time.Second, load, always, func(now time.Duration) {
+			n, _ := z.orders.DesiredCount(subject)
+			highest = max(highest, n)
+			if after == 0 && now > 44*time.Second && n < highest*3/4 {
+				after = now - 44*time.Second
 			}
 		})
-		return at
+		return after
 	}
-	fast, slow := givenUp(usualBoot), givenUp(20*time.Second)
+	fast, slow := timeToScaleIn(defaultBootTime), timeToScaleIn(20*time.Second)
 	if slow < 15*time.Second || fast == 0 || fast > 10*time.Second {
-		t.Errorf("given up %v after the peak where upstreams boot in 4 s and %v where they take 20 s", fast, slow)
+		t.Errorf("scaled in %v after the peak with a boot time of 4 s and %v with a boot time of 20 s", fast, slow)
 	}
 }
 
-// Words that cannot be are dropped, old ones count for nothing.
-func TestLoadSumBounds(t *testing.T) {
-	g := NewLoadAggregator()
-	if g.Record(0, Report{Proxy: "p", Zone: "z", Running: map[string]int{"svc": -1}}) || g.Record(0, Report{Running: map[string]int{"svc": 1}}) || g.Rejected != 2 {
-		t.Error("a word that cannot be was taken")
-	}
-	g.Record(0, Report{Proxy: "p", Zone: "z", Running: map[string]int{"svc": 3}})
-	g.Record(0, Report{Proxy: "p", Zone: "z", Running: map[string]int{"svc": 3}}) // twice
-	if sum, whole := g.Sum(time.Second, []string{"p"}); sum[subject] != 3 || !whole {
-		t.Errorf("%v %v, want 3 of all", sum, whole)
-	}
-	if _, whole := g.Sum(time.Second, []string{"p", "q"}); whole {
-		t.Error("whole without q")
-	}
-	if sum, whole := g.Sum(constants.ScaleFresh+1, []string{"p"}); sum[subject] != 0 || whole {
-		t.Errorf("%v %v of an old word", sum, whole)
+// Invalid reports are rejected, and outdated ones do not contribute to the sum.
+func TestLoadAggregatorIgnoresInvalidAndOldReports(t *testing.T) {
+	a := NewLoadAggregator()
+	if a.Record(0, Report{Proxy: "p", Zone: "z", Running: map[string]int{"svc": -1}}) || a.Record(0, Report{Running: map[string]int{"svc": 1}}) || a.Rejected != 2 {
+		t.Error("an invalid report was accepted")
+	}
+	a.Record(0, Report{Proxy: "p", Zone: "z", Running: map[string]int{"svc": 3}})
+	a.Record(0, Report{Proxy: "p", Zone: "z", Running: map[string]int{"svc": 3}}) // duplicate
+	if sum, complete := a.Sum(time.Second, []string{"p"}); sum[subject] != 3 || !complete {
+		t.Errorf("sum %v, complete %v; want 3, true", sum, complete)
+	}
+	if _, complete := a.Sum(time.Second, []string{"p", "q"}); complete {
+		t.Error("complete without a report from q")
+	}
+	if sum, complete := a.Sum(constants.ScaleFresh+1, []string{"p"}); sum[subject] != 0 || complete {
+		t.Errorf("sum %v, complete %v from an outdated report", sum, complete)
 	}
 }
