--- a/internal/usage/meter.go
+++ b/internal/usage/meter.go
@@ -6,28 +6,28 @@
 	"slateridge/internal/constants"
 )
 
-// Meter is a proxy's counts. Its mutex guards all fields; requests use it from their own
-// goroutines.
+// Meter holds a proxy's counts. It is used concurrently by the goroutines of the requests; its
+// mutex guards all fields.
 type Meter struct {
-	mu              sync.Mutex
-	incarnation     uint64
-	windows         map[uint64]Counts
-	unreported      map[uint64]map[string]bool // changed since the holder's last answer
-	open            map[uint64]int             // requests that may still count, by the window they came in
-	settled         uint64
-	term            uint64
-	closedReported  uint64 // closed, as last answered
-	seq             uint64 // of the latest report
-	running         map[uint64]Counts
-	changedSeq      uint64 // the first report that says what is running now
-	acknowledgedSeq uint64 // the latest report that was acknowledged
-	Dropped         uint64 // counts of windows that were decided before they came
+	mu                 sync.Mutex
+	incarnation        uint64
+	windows            map[uint64]Counts
+	unreported         map[uint64]map[string]bool // changed since the holder's last acknowledgement
+	open               map[uint64]int             // requests that may still count, by the window of their arrival
+	settled            uint64
+	term               uint64
+	acknowledgedClosed uint64 // Closed of the latest report acknowledged by the current tally
+	seq                uint64 // of the latest report
+	running            map[uint64]Counts
+	runningSeq         uint64 // of the first report with the present state of running
+	acknowledgedSeq    uint64 // of the latest acknowledged report
+	Dropped            uint64 // runs counted after their window was decided
 }
 
-// NewMeter makes an empty meter for one incarnation of a proxy's process.
-func NewMeter(life uint64) *Meter {
+// NewMeter returns an empty meter for an incarnation of a proxy process.
+func NewMeter(incarnation uint64) *Meter {
 	return &Meter{
-		incarnation: life,
+		incarnation: incarnation,
 		windows:     map[uint64]Counts{},
 		unreported:  map[uint64]map[string]bool{},
 		open:        map[uint64]int{},
@@ -35,140 +35,141 @@
 	}
 }
 
-// Run is one request's, from when it has first been sent to an upstream until it is known
-// whether it counts. A process that is killed in between has reported it as running, and
-// mostly it has run.
+// Run tracks a request from when it is first sent to an upstream until it is known whether it
+// counts. If the proxy is killed in between, the request has been reported as running and most
+// likely has been executed.
 type Run struct {
-	window        uint64
-	tenant        string
-	running, over bool
+	window         uint64
+	tenant         string
+	running, ended bool
 }
 
-// StartRun notes a request that an upstream has been sent whole; again, or once the request
-// is over, it changes nothing.
-func (m *Meter) StartRun(r *Run, w uint64, tenant string) {
+// StartRun records that a request has been sent completely to an upstream. It has no effect if the
+// run has already started or ended.
+func (m *Meter) StartRun(r *Run, window uint64, tenant string) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	if r.running || r.over {
+	if r.running || r.ended {
 		return
 	}
-	r.window, r.tenant, r.running = w, tenant, true
-	if m.running[w] == nil {
-		m.running[w] = Counts{}
+	r.window, r.tenant, r.running = window, tenant, true
+	if m.running[window] == nil {
+		m.running[window] = Counts{}
 	}
-	m.running[w][tenant]++
-	m.changedSeq = m.seq + 1
+	m.running[window][tenant]++
+	m.runningSeq = m.seq + 1
 }
 
-// EndRun ends what Sent began: the request counts from now on, or it never will.
+// EndRun ends a run. From then on the request is either counted by Count or never counts.
 func (m *Meter) EndRun(r *Run) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	r.over = true
+	r.ended = true
 	if !r.running {
 		return
 	}
 	r.running = false
-	m.changedSeq = m.seq + 1
-	c := m.running[r.window]
-	if c[r.tenant]--; c[r.tenant] == 0 {
-		delete(c, r.tenant)
+	m.runningSeq = m.seq + 1
+	counts := m.running[r.window]
+	if counts[r.tenant]--; counts[r.tenant] == 0 {
+		delete(counts, r.tenant)
 	}
-	if len(c) == 0 {
+	if len(counts) == 0 {
 		delete(m.running, r.window)
 	}
 }
 
-// BeginRequest notes a request that came in a window and may count in it or a later one.
-func (m *Meter) BeginRequest(w uint64) {
+// BeginRequest records a request that arrived in a window and may count in it or in a later one.
+func (m *Meter) BeginRequest(window uint64) {
 	m.mu.Lock()
-	m.open[w]++
+	m.open[window]++
 	m.mu.Unlock()
 }
 
-// EndRequest closes what Begin noted.
-func (m *Meter) EndRequest(w uint64) {
+// EndRequest ends a request recorded by BeginRequest.
+func (m *Meter) EndRequest(window uint64) {
 	m.mu.Lock()
-	if m.open[w]--; m.open[w] <= 0 {
-		delete(m.open, w)
+	if m.open[window]--; m.open[window] <= 0 {
+		delete(m.open, window)
 	}
 	m.mu.Unlock()
 }
 
-// Count adds one run of a tenant's request in a window.
-func (m *Meter) Count(w uint64, tenant string) {
+// Count adds an executed request of a tenant to a window.
+func (m *Meter) Count(window uint64, tenant string) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	if w <= m.settled {
+	if window <= m.settled {
 		m.Dropped++
 		return
 	}
-	if m.windows[w] == nil {
-		m.windows[w], m.unreported[w] = Counts{}, map[string]bool{}
+	if m.windows[window] == nil {
+		m.windows[window], m.unreported[window] = Counts{}, map[string]bool{}
 	}
-	m.windows[w][tenant]++
-	m.unreported[w][tenant] = true
+	m.windows[window][tenant]++
+	m.unreported[window][tenant] = true
 }
 
-// NextReport is what is to be reported in window now; false when there is nothing new.
-func (m *Meter) NextReport(proxy string, now uint64) (Report, bool) {
+// NextReport returns the report to send in the current window. It returns false if there is
+// nothing new to report.
+func (m *Meter) NextReport(proxy string, current uint64) (Report, bool) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	m.seq++
-	t := Report{Proxy: proxy, Life: m.incarnation, Term: m.term, Windows: map[uint64]Counts{}, Seq: m.seq, Running: map[uint64]Counts{}}
-	for w, c := range m.running {
-		t.Running[w] = c.Clone()
+	report := Report{Proxy: proxy, Life: m.incarnation, Term: m.term, Windows: map[uint64]Counts{}, Seq: m.seq, Running: map[uint64]Counts{}}
+	for w, counts := range m.running {
+		report.Running[w] = counts.Clone()
 	}
-	if now > 0 {
-		t.Closed = now - 1
+	if current > 0 {
+		report.Closed = current - 1
 	}
 	for w := range m.open {
-		t.Closed = min(t.Closed, w-1)
+		report.Closed = min(report.Closed, w-1)
 	}
-	for w, ts := range m.unreported {
-		if w+constants.UsageKept < now {
-			delete(m.windows, w) // nobody has wanted it for so long
+	for w, tenants := range m.unreported {
+		if w+constants.UsageKept < current {
+			delete(m.windows, w) // no holder has settled the window within UsageKept windows
 			delete(m.unreported, w)
 			continue
 		}
-		if len(ts) > 0 {
-			t.Windows[w] = Counts{}
-			for tenant := range ts {
-				t.Windows[w][tenant] = m.windows[w][tenant]
+		if len(tenants) > 0 {
+			report.Windows[w] = Counts{}
+			for tenant := range tenants {
+				report.Windows[w][tenant] = m.windows[w][tenant]
 			}
 		}
 	}
-	return t, len(t.Windows) > 0 || t.Closed > m.closedReported || m.changedSeq > m.acknowledgedSeq
+	return report, len(report.Windows) > 0 || report.Closed > m.acknowledgedClosed || m.runningSeq > m.acknowledgedSeq
 }
 
-// Acknowledge takes the holder's answer to a report. Another term means another holder,
-// or one that has restarted: it is sent all that is open.
-func (m *Meter) Acknowledge(t Report, h Ack) {
+// Acknowledge handles the holder's answer to a report. A changed term means that there is a new
+// holder or that the holder has restarted; the counts of all open windows are then reported again.
+func (m *Meter) Acknowledge(report Report, ack Ack) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	m.acknowledgedSeq = max(m.acknowledgedSeq, t.Seq)
-	if h.Settled > m.settled {
-		m.settled = h.Settled
+	m.acknowledgedSeq = max(m.acknowledgedSeq, report.Seq)
+	if ack.Settled > m.settled {
+		m.settled = ack.Settled
 		for w := range m.windows {
-			if w <= h.Settled {
+			if w <= ack.Settled {
 				delete(m.windows, w)
 				delete(m.unreported, w)
 			}
 		}
 	}
-	if h.Term != m.term {
-		m.term, m.closedReported = h.Term, 0
-		for w, c := range m.windows {
-			for tenant := range c {
+	if ack.Term != m.term {
+		m.term, m.acknowledgedClosed = ack.Term, 0
+		for w, counts := range m.windows {
+			for tenant := range counts {
 				m.unreported[w][tenant] = true
 			}
 		}
 	}
-	if h.Term == t.Term {
-		m.closedReported = max(m.closedReported, t.Closed)
+	if ack.Term == report.Term {
+		m.acknowledgedClosed = max(m.acknowledgedClosed, report.Closed)
 	}
-	for w, c := range t.Windows { // acknowledged by this very tally
-		for tenant, n := range c {
+	for w, counts := range report.Windows { // the tally that sent ack has merged these counts, even if its term is new
+		for tenant, n := range counts {
 			if m.windows[w][tenant] == n {
 				delete(m.unreported[w], tenant)
 			}
@@ -176,7 +177,7 @@
 	}
 }
 
-// Stats is how many windows are open here, and the runs that came too late for theirs.
+// Stats returns the number of open windows and the number of runs counted too late for theirs.
 func (m *Meter) Stats() (windows int, dropped uint64) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
--- a/internal/usage/persister.go
+++ b/internal/usage/persister.go
@@ -7,82 +7,83 @@
 )
 
 type (
-	// Save replaces a value on the machine's disk.
+	// Save asks for a value on the machine's disk to be replaced.
 	Save struct {
 		Key     string
 		Reports []Report
 	}
-	// SendHandover goes to the duty's holder, which may be this machine.
+	// SendHandover asks for a handover to be sent to the duty holder, which may be this machine.
 	SendHandover struct {
 		To string
 		Handover
 	}
 )
 
-// StoreKey is where a holder keeps all that it has gathered. Between two such saves the
-// reports that have come since the latest save are kept under a key for each turn. Merged by
-// maximum with the whole, a report that is older than it changes nothing.
+// StoreKey is the key under which a holder stores a full snapshot of its tally. Reports that
+// arrive between two snapshots are stored under one further key per save. Merging is by maximum, so
+// a stored report that is older than the snapshot has no effect.
 const StoreKey = "usage"
 
 func recentKey(turn int) string { return StoreKey + "-" + strconv.Itoa(turn) }
 
-// Persister has what a tally gathered outlast its process, while this machine holds the
-// duty, and hands it on to the next holder. Of incarnations of proxies that have ended that is all
-// that is left. It has no clock, disk or network of its own.
+// Persister saves a tally while this machine holds the duty, so that the reports outlast the process,
+// and hands them over to the next holder. For proxy incarnations that have ended there is no
+// other copy. It does not access a clock, the disk or the network itself.
 type Persister struct {
-	tally  *Tally
-	kept   []Report // what another holder should know
-	held   bool     // the duty was held at the last step
-	handOn bool     // there is something to hand on, be it only that there was nothing
-	turn   int      // saves since the latest whole one
+	tally       *Tally
+	pending     []Report // to hand over to the next holder
+	held        bool     // the duty was held at the previous step
+	handoverDue bool     // a handover is due, even if it has no reports
+	turn        int      // number of saves since the latest snapshot
 }
 
-// NewPersister makes the keeper of a tally; get reads a value from the machine's disk, on
-// which the incarnation before may have left something.
+// NewPersister returns the persister of a tally. get reads a value from the machine's disk, which
+// may contain reports stored by an earlier process.
 func NewPersister(tally *Tally, get func(key string, v any) bool) *Persister {
-	k := &Persister{tally: tally}
-	get(StoreKey, &k.kept)
+	p := &Persister{tally: tally}
+	get(StoreKey, &p.pending)
 	for turn := 1; turn < constants.UsageSaves; turn++ {
 		var recent []Report
 		if get(recentKey(turn), &recent) {
-			k.kept = append(k.kept, recent...)
+			p.pending = append(p.pending, recent...)
 		}
 	}
-	return k
+	return p
 }
 
-// Step is driven every constants.UsageSave; held says that this machine holds the duty, and
-// holder who does, as far as is known here. What it gives is Save and HandOn.
-func (k *Persister) Step(held bool, holder string) []any {
-	if k.held && !held {
-		k.kept = append(k.kept, k.tally.Snapshot()...)
-		k.handOn = true
+// Step returns the actions to take, of type Save and SendHandover. It is called every
+// constants.UsageSave. held tells whether this machine holds the duty, and holder is the duty's
+// holder as far as this machine knows.
+func (p *Persister) Step(held bool, holder string) []any {
+	if p.held && !held {
+		p.pending = append(p.pending, p.tally.Snapshot()...)
+		p.handoverDue = true
 	}
-	k.held = held
-	var out []any
-	if (k.handOn || len(k.kept) > 0) && holder != "" {
-		for i := 0; i == 0 || i < len(k.kept); i += constants.UsageBatch {
-			end := min(i+constants.UsageBatch, len(k.kept))
-			out = append(out, SendHandover{holder, Handover{Words: k.kept[i:end], Last: end == len(k.kept)}})
+	p.held = held
+	var actions []any
+	if (p.handoverDue || len(p.pending) > 0) && holder != "" {
+		for i := 0; i == 0 || i < len(p.pending); i += constants.UsageBatch {
+			end := min(i+constants.UsageBatch, len(p.pending))
+			actions = append(actions, SendHandover{holder, Handover{Words: p.pending[i:end], Last: end == len(p.pending)}})
 		}
-		k.kept, k.handOn = nil, false
+		p.pending, p.handoverDue = nil, false
 	}
-	if !held || len(out) > 0 {
-		return out // what is handed to this machine itself is saved with the next step
+	if !held || len(actions) > 0 {
+		return actions // a handover to this machine itself is saved in the next step
 	}
-	if save, some := k.save(); some {
-		out = append(out, save)
+	if save, ok := p.save(); ok {
+		actions = append(actions, save)
 	}
-	return out
+	return actions
 }
 
-// save is the next value for the disk: one step in constants.UsageSaves all that is known,
-// else the reports that have come since the step before.
-func (k *Persister) save() (Save, bool) {
-	if k.turn = (k.turn + 1) % constants.UsageSaves; k.turn == 0 {
-		words, changed := k.tally.SnapshotIfChanged()
-		return Save{StoreKey, words}, changed
+// save returns the next value to store: a full snapshot once every constants.UsageSaves steps,
+// otherwise the reports merged since the previous step.
+func (p *Persister) save() (Save, bool) {
+	if p.turn = (p.turn + 1) % constants.UsageSaves; p.turn == 0 {
+		reports, changed := p.tally.SnapshotIfChanged()
+		return Save{StoreKey, reports}, changed
 	}
-	words := k.tally.TakeRecent()
-	return Save{recentKey(k.turn), words}, len(words) > 0
+	reports := p.tally.TakeRecent()
+	return Save{recentKey(p.turn), reports}, len(reports) > 0
 }
--- a/internal/usage/tally.go
+++ b/internal/usage/tally.go
@@ -8,68 +8,69 @@
 	"slateridge/internal/constants"
 )
 
-// reporter is one incarnation of a proxy's process, as a tally knows it.
+// reporter holds what one incarnation of a proxy process has reported.
 type reporter struct {
 	proxy      string
 	closed     uint64
 	reportedAt time.Duration
 	windows    map[uint64]Counts
 	seq        uint64            // of the latest report
-	running    map[uint64]Counts // as of that report
+	running    map[uint64]Counts // as of the latest report
 }
 
-// Tally gathers at the duty's holder, as long as the process runs: what a lost one had
-// gathered, the proxies report to its successor. Its mutex guards all fields and all reporters.
+// Tally collects the proxies' reports at the duty holder. It lives as long as the holder's process;
+// if it is lost, the proxies send their reports to the next holder's tally. Its mutex guards all
+// fields and all reporters.
 type Tally struct {
-	mu           sync.Mutex
-	term         uint64
-	settled      uint64
-	dirty        bool
-	handedOverAt time.Duration // when a holder before last handed on what it knew
-	first        uint64        // window in which this tally was first asked, nothing being decided yet
-	reporters    map[uint64]*reporter
-	recent       []Report // taken since the latest Keep or Recent
-	Rejected     uint64
+	mu          sync.Mutex
+	term        uint64
+	settled     uint64
+	dirty       bool
+	handoverAt  time.Duration // time of the latest complete handover from a previous holder
+	firstWindow uint64        // current window at the first call of NextWindow while no window was decided
+	reporters   map[uint64]*reporter
+	recent      []Report // merged since the latest SnapshotIfChanged or TakeRecent
+	Rejected    uint64   // number of invalid reports
 }
 
-// NewTally makes an empty one; term is a number no other tally has.
+// NewTally returns an empty tally. The term must differ from that of every other tally.
 func NewTally(term uint64) *Tally { return &Tally{term: term | 1, reporters: map[uint64]*reporter{}} }
 
-// Merge merges a proxy's report; window is the one at this moment. Reports that cannot
-// be right are dropped and counted.
-func (t *Tally) Merge(at time.Duration, window uint64, m Report) (Ack, bool) {
+// Merge merges a proxy's report; current is the present window. Invalid reports are dropped and
+// counted.
+func (t *Tally) Merge(at time.Duration, current uint64, report Report) (Ack, bool) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	if !m.plausible(window) {
+	if !report.valid(current) {
 		t.Rejected++
 		return Ack{}, false
 	}
-	r := t.reporters[m.Life]
+	r := t.reporters[report.Life]
 	if r == nil {
-		r = &reporter{proxy: m.Proxy, windows: map[uint64]Counts{}}
-		t.reporters[m.Life] = r
+		r = &reporter{proxy: report.Proxy, windows: map[uint64]Counts{}}
+		t.reporters[report.Life] = r
 	}
 	r.reportedAt = at
 	t.dirty = true
-	t.recent = append(t.recent, m)
-	if m.Term == t.term {
-		r.closed = max(r.closed, m.Closed) // else more is to come
+	t.recent = append(t.recent, report)
+	if report.Term == t.term {
+		r.closed = max(r.closed, report.Closed) // a report of another term may leave out counts that this tally lacks
 	}
-	r.merge(m, t.settled)
+	r.merge(report, t.settled)
 	return Ack{t.term, t.settled}, true
 }
 
-// plausible says whether a report is within the bounds that each honest one keeps to.
-func (m Report) plausible(window uint64) bool {
-	if m.Proxy == "" || len(m.Proxy) > constants.NameMax || m.Closed > window+1 {
+// valid reports whether a report is within the limits that every well-behaved proxy observes.
+func (report Report) valid(current uint64) bool {
+	if report.Proxy == "" || len(report.Proxy) > constants.NameMax || report.Closed > current+1 {
 		return false
 	}
-	for _, windows := range []map[uint64]Counts{m.Windows, m.Running} {
+	for _, windows := range []map[uint64]Counts{report.Windows, report.Running} {
 		if len(windows) > constants.UsageKept+2 {
 			return false
 		}
 		for w, counts := range windows {
-			if w > window+1 || !plausibleCounts(counts) {
+			if w > current+1 || !validCounts(counts) {
 				return false
 			}
 		}
@@ -77,12 +78,12 @@
 	return true
 }
 
-// plausibleCounts says whether the counts of one window are within their bounds.
-func plausibleCounts(c Counts) bool {
-	if len(c) > constants.UsageTenants {
+// validCounts reports whether the counts of one window are within their limits.
+func validCounts(counts Counts) bool {
+	if len(counts) > constants.UsageTenants {
 		return false
 	}
-	for tenant, n := range c {
+	for tenant, n := range counts {
 		if tenant == "" || len(tenant) > constants.NameMax || n > constants.UsageMost {
 			return false
 		}
@@ -90,9 +91,9 @@
 	return true
 }
 
-// merge takes what a report has of windows that are not settled yet.
-func (r *reporter) merge(m Report, settled uint64) {
-	for w, counts := range m.Windows {
+// merge merges the counts of windows that are not settled yet.
+func (r *reporter) merge(report Report, settled uint64) {
+	for w, counts := range report.Windows {
 		if w <= settled {
 			continue
 		}
@@ -101,19 +102,20 @@
 		}
 		r.windows[w].Join(counts)
 	}
-	if m.Seq <= r.seq {
+	if report.Seq <= r.seq {
 		return
 	}
-	r.seq, r.running = m.Seq, map[uint64]Counts{}
-	for w, counts := range m.Running {
+	r.seq, r.running = report.Seq, map[uint64]Counts{}
+	for w, counts := range report.Running {
 		if w > settled {
 			r.running[w] = counts.Clone()
 		}
 	}
 }
 
-// SnapshotIfChanged is what a tally knows of open windows, as reports that can be sent to another:
-// incarnations that have ended report nothing any more. Changed since the last SnapshotIfChanged, or false.
+// SnapshotIfChanged returns the open windows as reports that can be merged into another tally;
+// proxy incarnations that have ended cannot send theirs again. It returns false if nothing has
+// changed since the previous call.
 func (t *Tally) SnapshotIfChanged() ([]Report, bool) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -121,11 +123,12 @@
 		return nil, false
 	}
 	t.dirty, t.recent = false, nil
-	return t.allLocked(), true
+	return t.snapshotLocked(), true
 }
 
-// TakeRecent is the reports taken since the latest Keep or TakeRecent, as they can be sent to
-// another tally: marked as not complete for their incarnations.
+// TakeRecent returns the reports merged since the latest SnapshotIfChanged or TakeRecent, in a
+// form that can be merged into another tally: a zero term marks each as incomplete for its
+// incarnation.
 func (t *Tally) TakeRecent() []Report {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -137,43 +140,43 @@
 	return reports
 }
 
-// Snapshot is the same, changed or not.
+// Snapshot returns the same reports as SnapshotIfChanged, whether they have changed or not.
 func (t *Tally) Snapshot() []Report {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	return t.allLocked()
+	return t.snapshotLocked()
 }
 
-// HandoverReceived notes that a holder before has handed on what it knew.
+// HandoverReceived records that a previous holder has handed over all its reports.
 func (t *Tally) HandoverReceived(at time.Duration) {
 	t.mu.Lock()
-	t.handedOverAt = at
+	t.handoverAt = at
 	t.mu.Unlock()
 }
 
-func (t *Tally) allLocked() (out []Report) {
-	for id, r := range t.reporters {
+func (t *Tally) snapshotLocked() (reports []Report) {
+	for incarnation, r := range t.reporters {
 		if len(r.windows) == 0 && len(r.running) == 0 {
 			continue
 		}
-		m := Report{Proxy: r.proxy, Life: id, Windows: map[uint64]Counts{}, Seq: r.seq, Running: map[uint64]Counts{}}
-		for w, c := range r.running {
-			m.Running[w] = c.Clone()
+		report := Report{Proxy: r.proxy, Life: incarnation, Windows: map[uint64]Counts{}, Seq: r.seq, Running: map[uint64]Counts{}}
+		for w, counts := range r.running {
+			report.Running[w] = counts.Clone()
 		}
-		for w, c := range r.windows {
-			m.Windows[w] = c.Clone()
+		for w, counts := range r.windows {
+			report.Windows[w] = counts.Clone()
 		}
-		out = append(out, m)
+		reports = append(reports, report)
 	}
-	return out
+	return reports
 }
 
-// Settle forgets windows that are decided.
+// Settle discards the counts of decided windows.
 func (t *Tally) Settle(through uint64) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	t.settled = max(t.settled, through)
-	for id, r := range t.reporters {
+	for incarnation, r := range t.reporters {
 		for w := range r.windows {
 			if w <= t.settled {
 				delete(r.windows, w)
@@ -185,105 +188,105 @@
 			}
 		}
 		if len(r.windows) == 0 && len(r.running) == 0 && r.closed+constants.UsageKept < t.settled {
-			delete(t.reporters, id)
+			delete(t.reporters, incarnation)
 		}
 	}
 }
 
-// Complete says whether all that may know something of a window have reported it:
-// those that have sent anything since a moment, and the proxies named as live.
-func (t *Tally) Complete(w uint64, since time.Duration, live []string) bool {
+// Complete reports whether every proxy that may have counts for a window has reported them:
+// each proxy that has sent a report at or after since, and each live proxy.
+func (t *Tally) Complete(window uint64, since time.Duration, live []string) bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	newest := map[string]*reporter{}
 	for _, r := range t.reporters {
-		if o := newest[r.proxy]; o == nil || o.reportedAt < r.reportedAt {
+		if other := newest[r.proxy]; other == nil || other.reportedAt < r.reportedAt {
 			newest[r.proxy] = r
 		}
 	}
 	for _, r := range newest {
-		if r.closed < w && r.reportedAt >= since {
+		if r.closed < window && r.reportedAt >= since {
 			return false
 		}
 	}
-	for _, p := range live {
-		if newest[p] == nil {
+	for _, proxy := range live {
+		if newest[proxy] == nil {
 			return false
 		}
 	}
 	return true
 }
 
-// Sum adds up a window over all incarnations: what they have counted, and what was running
-// by their last report, which of one that has ended nobody will count any more.
-func (t *Tally) Sum(w uint64) Counts {
+// Sum adds up a window over all incarnations. It includes the requests that were running at the
+// latest report; if the incarnation has ended, nothing else counts them.
+func (t *Tally) Sum(window uint64) Counts {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	out := Counts{}
+	sum := Counts{}
 	for _, r := range t.reporters {
-		out.Plus(r.windows[w])
-		out.Plus(r.running[w])
+		sum.Plus(r.windows[window])
+		sum.Plus(r.running[window])
 	}
-	return out
+	return sum
 }
 
-// Timing is when Next is asked: by the steady clock, by the agreed time of day, and
-// how long the duty has been held here.
+// Timing is the time of a call to NextWindow.
 type Timing struct {
-	Monotonic time.Duration
-	Agreed    time.Time
-	HeldFor   time.Duration
+	Monotonic time.Duration // by the local monotonic clock
+	Agreed    time.Time     // time of day agreed in the fleet
+	HeldFor   time.Duration // how long this machine has held the duty
 }
 
-// NextWindow is the report that follows the window named, once all that may know of it
-// have reported, or when waiting longer would leave the platform too little time.
-// Windows that ended longer ago than proxies keep theirs are passed over; with none
-// before, the first is the one under way.
-func (t *Tally) NextWindow(m Timing, after uint64, length, delay time.Duration, live []string) (uint64, []byte, bool) {
-	cur := Window(m.Agreed, length)
+// NextWindow returns the number and the encoded report of the window after a given one. It returns
+// false until all proxies that may have counts for the window have reported, or until waiting
+// longer would leave too little time for the call to the platform. Windows that ended so long
+// ago that proxies no longer keep them are skipped. If after is 0, no window has been decided yet
+// and the first one is the window current at the first such call.
+func (t *Tally) NextWindow(now Timing, after uint64, length, delay time.Duration, live []string) (uint64, []byte, bool) {
+	current := Window(now.Agreed, length)
 	if after == 0 {
 		t.mu.Lock()
-		if t.first == 0 {
-			t.first = cur
+		if t.firstWindow == 0 {
+			t.firstWindow = current
 		}
-		after = t.first - 1
+		after = t.firstWindow - 1
 		t.mu.Unlock()
 	}
 	t.Settle(after)
-	w := max(after+1, cur-min(cur, constants.UsageKept))
-	if w >= cur {
+	w := max(after+1, current-min(current, constants.UsageKept))
+	if w >= current {
 		return 0, nil, false
 	}
-	age := m.Agreed.Sub(time.Unix(0, int64(w+1)*int64(length)))
-	if age < constants.RosterEvery { // others may know proxies that are not known here yet
+	age := now.Agreed.Sub(time.Unix(0, int64(w+1)*int64(length)))
+	if age < constants.RosterEvery { // other machines may know of proxies that are not in live yet
 		return 0, nil, false
 	}
-	// Of a window that another holder gathered in, that one may know of incarnations that
-	// have ended: it, or its successor from its disk, hands on what it knew.
+	// If the window began under a previous holder, that holder may have reports of incarnations
+	// that have ended. It hands them over, from its disk if its process has been restarted.
 	t.mu.Lock()
-	alone := m.Agreed.Add(-m.HeldFor).Before(time.Unix(0, int64(w)*int64(length))) || t.handedOverAt > m.Monotonic-m.HeldFor
+	handoverDone := now.Agreed.Add(-now.HeldFor).Before(time.Unix(0, int64(w)*int64(length))) || t.handoverAt > now.Monotonic-now.HeldFor
 	t.mu.Unlock()
-	if !(alone && t.Complete(w, m.Monotonic-delay, live)) && (age < decideBy(delay) || m.HeldFor < 2*constants.UsageEvery) {
+	if !(handoverDone && t.Complete(w, now.Monotonic-delay, live)) && (age < decisionAge(delay) || now.HeldFor < 2*constants.UsageEvery) {
 		return 0, nil, false
 	}
 	return w, MarshalWindow(w, t.Sum(w)), true
 }
 
-// Reporters is how many incarnations of proxies are known.
+// Reporters returns the number of known proxy incarnations.
 func (t *Tally) Reporters() int {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	return len(t.reporters)
 }
 
-// MarshalWindow is a window's report as the platform wants it.
-func MarshalWindow(w uint64, c Counts) []byte {
+// MarshalWindow encodes a window's counts in the format of the platform.
+func MarshalWindow(window uint64, counts Counts) []byte {
 	b, err := json.Marshal(struct {
 		Window uint64 `json:"windowNumber"`
 		Counts Counts `json:"instanceCounts"`
-	}{w, c})
+	}{window, counts})
 	if err != nil {
-		panic("usage: a report cannot be written: " + err.Error())
+		panic("usage: encoding the report of a window: " + err.Error())
 	}
 	return b
 }
--- a/internal/usage/usage_test.go
+++ b/internal/usage/usage_test.go
@@ -131,7 +131,7 @@
 	if w, _, ok := y.NextWindow(at(13), 1010, span, delay, nil); !ok || w != 1011 {
 		t.Fatal("a window of its own waits")
 	}
-	if w, _, ok := y.NextWindow(at(11+decideBy(delay).Seconds()), 1009, span, delay, nil); !ok || w != 1010 {
+	if w, _, ok := y.NextWindow(at(11+decisionAge(delay).Seconds()), 1009, span, delay, nil); !ok || w != 1010 {
 		t.Fatal("held up for ever")
 	}
 	y.HandoverReceived(11 * time.Second)
@@ -156,7 +156,7 @@
 	if _, _, ok := y.NextWindow(at(30.9), 1028, span, delay, []string{"p"}); ok {
 		t.Error("decided before its proxies have told")
 	}
-	if w, _, ok := y.NextWindow(at(30+decideBy(delay).Seconds()), 1028, span, delay, []string{"p"}); !ok || w != 1029 {
+	if w, _, ok := y.NextWindow(at(30+decisionAge(delay).Seconds()), 1028, span, delay, []string{"p"}); !ok || w != 1029 {
 		t.Error("held up for ever by a silent proxy")
 	}
 }
@@ -268,7 +268,7 @@
 		}
 	}
 	for _, delay := range []time.Duration{10 * time.Second, time.Minute} {
-		if left := delay - decideBy(delay); left < constants.DutyTimeout+constants.DutyPauseMax {
+		if left := delay - decisionAge(delay); left < constants.DutyTimeout+constants.DutyPauseMax {
 			t.Errorf("due after %v: %v are left for the platform", delay, left)
 		}
 	}
