--- a/internal/usage/loss_test.go
+++ b/internal/usage/loss_test.go
@@ -30,8 +30,8 @@
 	lossTenants  = 3                       // of each proxy
 )
 
-// reportEvery is the time between reports in such windows.
-var reportEvery = ReportInterval(lossSpan, 0.05)
+// reportInterval is the time between reports in such windows.
+var reportInterval = ReportInterval(lossSpan, 0.05)
 
 // lossEpoch makes simulated time a time of day at which a window begins.
 var lossEpoch = time.Unix(1_800_000_000, 0)
@@ -151,7 +151,7 @@
 	p := &lossProxy{name: name, meter: NewMeter(f.Rng.Uint64()), every: every}
 	f.proxies[name] = p
 	f.After(time.Duration(f.Rng.Int64N(int64(2*every))), func() { f.serve(p) })
-	f.After(ReportPhase(f.Rng.Uint64(), reportEvery), func() { f.tell(p) })
+	f.After(ReportPhase(f.Rng.Uint64(), reportInterval), func() { f.tell(p) })
 }
 
 // serve sends a request to an upstream, which works on it for a while; the proxy counts
@@ -184,7 +184,7 @@
 	if p.killed > 0 {
 		return
 	}
-	f.After(reportEvery, func() { f.tell(p) })
+	f.After(reportInterval, func() { f.tell(p) })
 	if !p.telling {
 		p.telling = true
 		f.ask(p, 2)
