--- a/internal/autoscale/autoscale.go
+++ b/internal/autoscale/autoscale.go
@@ -187,8 +187,8 @@
 func NewController() *Controller { return &Controller{histories: map[Subject]*history{}} }
 
 // Step adds a load measurement and returns the wanted orders, given the current ones. complete
-// tells whether the measurement covers all live proxies. changed tells whether the wanted orders
-// differ from the current ones.
+// indicates whether the measurement covers all live proxies. changed indicates whether the wanted
+// orders differ from the current ones.
 func (c *Controller) Step(now time.Duration, load map[Subject]float64, complete bool, bounds map[Subject]Bounds, current Orders) (wanted Orders, changed bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/internal/usage/persister.go
+++ b/internal/usage/persister.go
@@ -52,7 +52,7 @@
 }
 
 // Step returns the actions to take, of type Save and SendHandover. It is called every
-// constants.UsageSave. held tells whether this machine holds the duty, and holder is the duty's
+// constants.UsageSave. held indicates whether this machine holds the duty, and holder is the duty's
 // holder as far as this machine knows.
 func (p *Persister) Step(held bool, holder string) []any {
 	if p.held && !held {
