--- a/internal/controlplane/chain/duties_test.go
+++ b/internal/controlplane/chain/duties_test.go
@@ -82,7 +82,7 @@
 	since, _ := l.Holds(w.network.Now, testDuty)
 	rec := w.record(n)
 	w.applyEffects(n, h.Step(w.network.Now, l.Until(w.network.Now, testDuty), rec, func(after uint64) (uint64, []byte, bool) {
-		return w.tallies[n].Next(usage.Moment{Steady: w.network.Now, Agreed: w.wallClock(), Held: w.network.Now - since}, after, w.windowLength, w.delay, []string{"p", "q"})
+		return w.tallies[n].NextWindow(usage.Timing{Monotonic: w.network.Now, Agreed: w.wallClock(), HeldFor: w.network.Now - since}, after, w.windowLength, w.delay, []string{"p", "q"})
 	}))
 }
 
@@ -212,25 +212,25 @@
 func (w *dutyCluster) runProxy(p string) {
 	for range w.network.Rng.IntN(8) {
 		tenant, k := []string{"x", "y", "z"}[w.network.Rng.IntN(3)], w.currentWindow()
-		w.meters[p].Begin(k)
+		w.meters[p].BeginRequest(k)
 		w.network.After(time.Duration(w.network.Rng.IntN(700))*time.Millisecond, func() {
 			w.meters[p].Count(k, tenant)
-			w.meters[p].End(k)
+			w.meters[p].EndRequest(k)
 			if w.actualCounts[k] == nil {
 				w.actualCounts[k] = usage.Counts{}
 			}
 			w.actualCounts[k][tenant]++
 		})
 	}
-	if t, some := w.meters[p].Report(p, w.currentWindow()); some {
+	if t, some := w.meters[p].NextReport(p, w.currentWindow()); some {
 		for _, n := range w.names {
 			if l := w.leases[n]; l != nil && w.chains[n] != nil && l.Until(w.network.Now, testDuty) > 0 {
 				for range 1 + w.network.Rng.IntN(2) { // some reports arrive twice
 					w.network.Send(p, n, func() {
 						w.runInGeneration(n, w.generation[n], func() {
-							h, ok := w.tallies[n].Take(w.network.Now, w.currentWindow(), t)
+							h, ok := w.tallies[n].Merge(w.network.Now, w.currentWindow(), t)
 							if ok && w.leases[n].Until(w.network.Now, testDuty) > 0 {
-								w.network.Send(n, p, func() { w.meters[p].Acknowledged(t, h) })
+								w.network.Send(n, p, func() { w.meters[p].Acknowledge(t, h) })
 							}
 						})
 					})
--- a/internal/controlplane/duties.go
+++ b/internal/controlplane/duties.go
@@ -187,7 +187,7 @@
 	if until == 0 || !ok {
 		return usage.Ack{}
 	}
-	ack, _ := d.usageTally.Take(d.now(), usage.Window(at, d.settings.Bounds.UsageWindow.D()), m)
+	ack, _ := d.usageTally.Merge(d.now(), usage.Window(at, d.settings.Bounds.UsageWindow.D()), m)
 	return ack
 }
 
@@ -196,9 +196,9 @@
 func (d *Daemon) saveUsage() {
 	until, _ := d.leases.term(settings.DutyUsage)
 	holder := d.leases.holder(settings.DutyUsage)
-	for _, effect := range d.usageKeeper.Step(until > 0, holder) {
+	for _, effect := range d.usagePersister.Step(until > 0, holder) {
 		switch effect := effect.(type) {
-		case usage.HandOn:
+		case usage.SendHandover:
 			if effect.To == d.settings.IPAddress {
 				d.handleUsageHandover(effect.Handover)
 			} else {
@@ -207,7 +207,7 @@
 			d.events.Record("usage_handed_on", strconv.Itoa(len(effect.Words))+" reports to "+effect.To)
 		case usage.Save:
 			// If the write fails, the proxies send their reports again while they run.
-			d.replica.put(effect.Key, func() any { return effect.Words })
+			d.replica.put(effect.Key, func() any { return effect.Reports })
 		}
 	}
 }
@@ -217,7 +217,7 @@
 		d.handleUsageReport(report)
 	}
 	if m.Last {
-		d.usageTally.HandedOver(d.now())
+		d.usageTally.HandoverReceived(d.now())
 	}
 }
 
@@ -229,7 +229,7 @@
 	}
 	_, since := d.leases.term(settings.DutyUsage)
 	bounds := d.settings.Bounds
-	return d.usageTally.Next(usage.Moment{Steady: now, Agreed: at, Held: now - since}, after, bounds.UsageWindow.D(), bounds.UsageDelay.D(), d.roster.recentProxies())
+	return d.usageTally.NextWindow(usage.Timing{Monotonic: now, Agreed: at, HeldFor: now - since}, after, bounds.UsageWindow.D(), bounds.UsageDelay.D(), d.roster.recentProxies())
 }
 
 // Scaling duty.
@@ -239,17 +239,17 @@
 	if until, _ := d.leases.term(settings.DutyScaling); until == 0 {
 		return autoscale.Ack{}
 	}
-	return autoscale.Ack{OK: d.loadSum.Take(d.now(), report)}
+	return autoscale.Ack{OK: d.loadAggregator.Record(d.now(), report)}
 }
 
 // scalableSubjects returns the bounds of each service with scaling settings, in each zone where
 // this process has seen the service in the platform's list.
-func (d *Daemon) scalableSubjects() map[autoscale.Subject]autoscale.Bound {
+func (d *Daemon) scalableSubjects() map[autoscale.Subject]autoscale.Bounds {
 	cfg := d.activeState.Config()
 	list, _ := d.upstreamList.current()
 	d.subjectSlotsMu.Lock()
 	defer d.subjectSlotsMu.Unlock()
-	out := map[autoscale.Subject]autoscale.Bound{}
+	out := map[autoscale.Subject]autoscale.Bounds{}
 	if cfg == nil || list == nil {
 		return out
 	}
@@ -272,7 +272,7 @@
 			continue
 		}
 		bound := out[subject]
-		bound.Min, bound.Max, bound.Boot, bound.Slots = service.Scaling.Min, service.Scaling.Max, service.Scaling.Boot, slots
+		bound.Min, bound.Max, bound.BootTime, bound.Slots = service.Scaling.Min, service.Scaling.Max, service.Scaling.Boot, slots
 		out[subject] = bound
 	}
 	return out
@@ -280,18 +280,18 @@
 
 // planScaling returns the next scaling orders if they differ from the last decided ones.
 func (d *Daemon) planScaling(now time.Duration, after uint64) (uint64, []byte, bool) {
-	sum, complete := d.loadSum.Sum(now, d.roster.recentProxies())
-	decided := autoscale.Read(d.dutyRecord(settings.DutyScaling).Body)
+	sum, complete := d.loadAggregator.Sum(now, d.roster.recentProxies())
+	decided := autoscale.ParseOrders(d.dutyRecord(settings.DutyScaling).Body)
 	wanted, changed := d.scaler.Step(now, sum, complete, d.scalableSubjects(), decided)
 	if !changed {
 		return 0, nil, false
 	}
 	for _, o := range wanted {
-		if previous, ok := decided.Of(autoscale.Subject{Service: o.TargetService, Zone: o.Zone}); !ok || previous != o.DesiredCount {
-			d.events.Record("scale", o.TargetService+" in "+o.Zone+": "+strconv.Itoa(previous)+" -> "+strconv.Itoa(o.DesiredCount)+" ("+d.scaler.Why(autoscale.Subject{Service: o.TargetService, Zone: o.Zone})+")")
+		if previous, ok := decided.DesiredCount(autoscale.Subject{Service: o.TargetService, Zone: o.Zone}); !ok || previous != o.DesiredCount {
+			d.events.Record("scale", o.TargetService+" in "+o.Zone+": "+strconv.Itoa(previous)+" -> "+strconv.Itoa(o.DesiredCount)+" ("+d.scaler.Reason(autoscale.Subject{Service: o.TargetService, Zone: o.Zone})+")")
 		}
 	}
-	return after + 1, wanted.Bytes(), true
+	return after + 1, wanted.Marshal(), true
 }
 
 // DutyReport describes one platform duty for operators.
@@ -321,13 +321,13 @@
 	if !d.settings.HasDuty(settings.DutyScaling) {
 		return nil
 	}
-	orders := autoscale.Read(d.dutyRecord(settings.DutyScaling).Body)
+	orders := autoscale.ParseOrders(d.dutyRecord(settings.DutyScaling).Body)
 	for subject, bound := range d.scalableSubjects() {
-		ordered, ok := orders.Of(subject)
+		ordered, ok := orders.DesiredCount(subject)
 		if !ok {
 			ordered = -1
 		}
-		out = append(out, ScalingReport{subject.Service, subject.Zone, ordered, bound.Present, d.scaler.Why(subject)})
+		out = append(out, ScalingReport{subject.Service, subject.Zone, ordered, bound.Present, d.scaler.Reason(subject)})
 	}
 	slices.SortFunc(out, func(a, b ScalingReport) int {
 		return autoscale.Subject{Service: a.Service, Zone: a.Zone}.Compare(autoscale.Subject{Service: b.Service, Zone: b.Zone})
--- a/internal/proxy/proxy.go
+++ b/internal/proxy/proxy.go
@@ -129,8 +129,8 @@
 	}
 	if s.meter != nil && tenant != nil {
 		w := s.window(arrived)
-		s.meter.Begin(w)
-		defer s.meter.End(w)
+		s.meter.BeginRequest(w)
+		defer s.meter.EndRequest(w)
 	}
 	if code := p.readBody(w); code != 0 {
 		p.settleCost()
@@ -154,7 +154,7 @@
 	if meter == nil {
 		return
 	}
-	meter.Over(p.usageRun)
+	meter.EndRun(p.usageRun)
 	if p.executions > 0 && !p.route.Stream { // streams are counted at their first chunk
 		meter.Count(p.proxy.window(p.executedAt), p.tenant.Name)
 	}
--- a/internal/proxy/reports.go
+++ b/internal/proxy/reports.go
@@ -50,7 +50,7 @@
 		return
 	}
 	for range 2 { // a new holder's first acknowledgement carries a new term and requires a second report
-		report, pending := d.meter.Report(d.nodeSettings.Load().IPAddress, d.usageWindowAt(time.Now()))
+		report, pending := d.meter.NextReport(d.nodeSettings.Load().IPAddress, d.usageWindowAt(time.Now()))
 		if !pending {
 			return
 		}
@@ -60,7 +60,7 @@
 			d.events.Count("usage_untold", 1)
 			return
 		}
-		d.meter.Acknowledged(report, ack)
+		d.meter.Acknowledge(report, ack)
 		if ack.Term == report.Term {
 			return
 		}
