--- a/internal/admission/answers.go
+++ b/internal/admission/answers.go
@@ -20,9 +20,9 @@
 	Released    bool          // a share lent whole is given back
 }
 
-// Take applies an answer to a question asked at a time; all of it is reckoned
+// ApplyGrant applies an answer to a question asked at a time; all of it is reckoned
 // from then, which is before the tracker reckoned.
-func (l *Limiter) Take(now, asked time.Duration, given Given) {
+func (l *Limiter) ApplyGrant(now, asked time.Duration, given Given) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	ks := l.keys[given.Key]
--- a/internal/modelcheck/admissionmodel/proxy.go
+++ b/internal/modelcheck/admissionmodel/proxy.go
@@ -96,7 +96,7 @@
 	}
 	m.hear(n, q.tracker, a.Given.Stamp)
 	for _, g := range a.Given.Given {
-		p.limiter.Take(now, q.asked, g)
+		p.limiter.ApplyGrant(now, q.asked, g)
 	}
 	if a.Given.Retell {
 		p.limiter.ReportAgain(0)
--- a/internal/proxy/grants.go
+++ b/internal/proxy/grants.go
@@ -111,7 +111,7 @@
 // takeGrants takes what a tracker answered to a question asked at a moment.
 func (d *Daemon) takeGrants(asked time.Duration, grants admission.Grants) {
 	for _, given := range grants.Given {
-		d.limiter.Take(d.now(), asked, given)
+		d.limiter.ApplyGrant(d.now(), asked, given)
 	}
 }
 
