--- a/internal/admission/answers.go
+++ b/internal/admission/answers.go
@@ -84,9 +84,9 @@
 	l.resizeBuckets(ks, now)
 }
 
-// Unanswered notes that a key's tracker did not answer: the next requests do
+// MarkUnanswered notes that a key's tracker did not answer: the next requests do
 // not wait for it.
-func (l *Limiter) Unanswered(now time.Duration, key string) {
+func (l *Limiter) MarkUnanswered(now time.Duration, key string) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if ks := l.keys[key]; ks != nil {
--- a/internal/admission/retry_test.go
+++ b/internal/admission/retry_test.go
@@ -68,7 +68,7 @@
 	for _, silent := range []time.Duration{100 * time.Millisecond, 900 * time.Millisecond} {
 		l, now := emptied(proxies, 1, Quota{proxies, proxies})
 		now += silent
-		l.Unanswered(now, "k")
+		l.MarkUnanswered(now, "k")
 		told = append(told, l.Admit(now, "k", true).Retry)
 		if want := constants.StandbyAfter - silent; told[len(told)-1] < want/2 {
 			t.Errorf("silent for %v: told %v, the standby serves in %v", silent, told[len(told)-1], want)
--- a/internal/modelcheck/admissionmodel/proxy.go
+++ b/internal/modelcheck/admissionmodel/proxy.go
@@ -74,7 +74,7 @@
 		p.limiter.TrackerDown(0) // nobody listens there
 	}
 	if q.request {
-		p.limiter.Unanswered(m.clock(n), key)
+		p.limiter.MarkUnanswered(m.clock(n), key)
 	} else {
 		p.limiter.ReportAgain(0)
 	}
@@ -90,7 +90,7 @@
 	now := m.clock(n)
 	if a.Given.Refused {
 		if q.request {
-			p.limiter.Unanswered(now, key)
+			p.limiter.MarkUnanswered(now, key)
 		}
 		return
 	}
--- a/internal/proxy/grants.go
+++ b/internal/proxy/grants.go
@@ -58,7 +58,7 @@
 			return // it was the caller's time that ended, not the tracker's
 		}
 	}
-	d.limiter.Unanswered(d.now(), key)
+	d.limiter.MarkUnanswered(d.now(), key)
 }
 
 // echoOf is a tracker's latest time that has come here.
