--- a/internal/admission/limiter_test.go
+++ b/internal/admission/limiter_test.go
@@ -385,7 +385,7 @@
 		t.Errorf("%.2f served on standby while the tracker may still be giving", got)
 	}
 	for _, l := range f.proxies {
-		l.TrackerDown(Shard("k", 3)) // nobody listens there: no need to wait
+		l.MarkTrackerDown(Shard("k", 3)) // nobody listens there: no need to wait
 	}
 	if got := f.share(300 * time.Millisecond); got < 0.4 {
 		t.Errorf("%.2f served though the tracker is known to be gone", got)
--- a/internal/admission/standby.go
+++ b/internal/admission/standby.go
@@ -178,10 +178,10 @@
 	}
 }
 
-// TrackerDown notes that the tracker of a shard is known not to run: nothing listens
+// MarkTrackerDown notes that the tracker of a shard is known not to run: nothing listens
 // where it did. An incarnation that starts later knows of no standby and gives, to
 // begin with, only what standby leaves over.
-func (l *Limiter) TrackerDown(shard int) {
+func (l *Limiter) MarkTrackerDown(shard int) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if l.trackerDown == nil {
--- a/internal/modelcheck/admissionmodel/proxy.go
+++ b/internal/modelcheck/admissionmodel/proxy.go
@@ -71,7 +71,7 @@
 	}
 	delete(p.open, id)
 	if m.trackers[q.tracker] == nil || m.Planted == StandbyTooEarly {
-		p.limiter.TrackerDown(0) // nobody listens there
+		p.limiter.MarkTrackerDown(0) // nobody listens there
 	}
 	if q.request {
 		p.limiter.MarkUnanswered(m.clock(n), key)
--- a/internal/proxy/grants.go
+++ b/internal/proxy/grants.go
@@ -51,7 +51,7 @@
 		}
 		if errors.Is(err, transport.ErrRefused) {
 			for _, i := range d.shardsOf(to) {
-				d.limiter.TrackerDown(i)
+				d.limiter.MarkTrackerDown(i)
 			}
 		}
 		if cutShort && errors.Is(err, transport.ErrTimeout) {
