--- a/internal/admission/limiter_test.go
+++ b/internal/admission/limiter_test.go
@@ -72,7 +72,7 @@
 				l.ReportAgain(Shard(f.key, 3))
 			}
 			f.echo[n], f.echoAt[n] = got.Stamp, f.clock(n)
-			l.TrackerAnswered(f.clock(n), Shard(f.key, 3))
+			l.MarkTrackerAnswered(f.clock(n), Shard(f.key, 3))
 			for _, g := range got.Given {
 				l.ApplyGrant(f.clock(n), asked, g)
 			}
--- a/internal/admission/retry_test.go
+++ b/internal/admission/retry_test.go
@@ -13,7 +13,7 @@
 	l.SetProxies(0, proxies)
 	l.SetQuotas(0, map[string]Quota{"k": quota})
 	now = constants.StandbyAfter / 2
-	l.TrackerAnswered(now, 0)
+	l.MarkTrackerAnswered(now, 0)
 	for l.Admit(now, "k", true).OK {
 	}
 	return l, now
--- a/internal/admission/standby.go
+++ b/internal/admission/standby.go
@@ -190,8 +190,8 @@
 	l.trackerDown[shard] = true
 }
 
-// TrackerAnswered notes that the tracker of a shard has answered.
-func (l *Limiter) TrackerAnswered(now time.Duration, shard int) {
+// MarkTrackerAnswered notes that the tracker of a shard has answered.
+func (l *Limiter) MarkTrackerAnswered(now time.Duration, shard int) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if l.trackerHeardAt == nil {
--- a/internal/modelcheck/admissionmodel/proxy.go
+++ b/internal/modelcheck/admissionmodel/proxy.go
@@ -116,7 +116,7 @@
 	if was.Life != s.Life || was.Begun < s.Begun {
 		p.limiter.ReportAgain(0)
 	}
-	p.limiter.TrackerAnswered(m.clock(n), 0)
+	p.limiter.MarkTrackerAnswered(m.clock(n), 0)
 }
 
 // press has so many clients more send requests, and goes on as long as they are let
--- a/internal/proxy/grants.go
+++ b/internal/proxy/grants.go
@@ -129,7 +129,7 @@
 		go d.renewGrants()
 	}
 	for _, i := range shards {
-		d.limiter.TrackerAnswered(now, i)
+		d.limiter.MarkTrackerAnswered(now, i)
 	}
 }
 
