--- a/internal/admission/limiter_test.go
+++ b/internal/admission/limiter_test.go
@@ -69,7 +69,7 @@
 				l.SetProxies(f.clock(n), count) // control has spoken
 			}
 			if was := f.echo[n]; was.Life != got.Stamp.Life || was.Begun < got.Stamp.Begun || got.Retell {
-				l.ReportAgain(Shard(f.key, 3))
+				l.RequestFullReport(Shard(f.key, 3))
 			}
 			f.echo[n], f.echoAt[n] = got.Stamp, f.clock(n)
 			l.MarkTrackerAnswered(f.clock(n), Shard(f.key, 3))
@@ -577,7 +577,7 @@
 	}
 	heard := func(string) (time.Duration, uint64, bool) { return 33 * time.Second, 1, true }
 	ws[0].Wants(33*time.Second, heard)
-	ws[0].ReportAgain(2)
+	ws[0].RequestFullReport(2)
 	if len(ws[0].Wants(33*time.Second+constants.GrantEvery, heard)) < 20 {
 		t.Error("a word that was lost is not told again with the next")
 	}
--- a/internal/admission/wants.go
+++ b/internal/admission/wants.go
@@ -124,11 +124,11 @@
 	return out
 }
 
-// ReportAgain notes that the tracker of a shard does not have the last report, because
+// RequestFullReport notes that the tracker of a shard does not have the last report, because
 // the message was lost or because it has taken the shard over: the next message reports
 // all again. A new tracker gives little until every proxy has reported what it
 // holds, so one that is late holds all others up.
-func (l *Limiter) ReportAgain(shard int) {
+func (l *Limiter) RequestFullReport(shard int) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	delete(l.loansReportAt, shard)
--- a/internal/modelcheck/admissionmodel/proxy.go
+++ b/internal/modelcheck/admissionmodel/proxy.go
@@ -76,7 +76,7 @@
 	if q.request {
 		p.limiter.MarkUnanswered(m.clock(n), key)
 	} else {
-		p.limiter.ReportAgain(0)
+		p.limiter.RequestFullReport(0)
 	}
 }
 
@@ -99,7 +99,7 @@
 		p.limiter.ApplyGrant(now, q.asked, g)
 	}
 	if a.Given.Retell {
-		p.limiter.ReportAgain(0)
+		p.limiter.RequestFullReport(0)
 	}
 	if q.request {
 		m.press(n, 1)
@@ -114,7 +114,7 @@
 		p.echo[from] = trackerEcho{s, m.clock(n)}
 	}
 	if was.Life != s.Life || was.Begun < s.Begun {
-		p.limiter.ReportAgain(0)
+		p.limiter.RequestFullReport(0)
 	}
 	p.limiter.MarkTrackerAnswered(m.clock(n), 0)
 }
--- a/internal/proxy/grants.go
+++ b/internal/proxy/grants.go
@@ -185,6 +185,6 @@
 // untold notes that the tracker of some shards does not know what it was told.
 func (d *Daemon) untold(shards []int) {
 	for _, i := range shards {
-		d.limiter.ReportAgain(i)
+		d.limiter.RequestFullReport(i)
 	}
 }
