--- a/internal/admission/handover_test.go
+++ b/internal/admission/handover_test.go
@@ -82,7 +82,7 @@
 		if g.frozen[n] {
 			return // it has ended
 		}
-		wants := g.proxies[n].Wants(g.clock(n), func(string) (time.Duration, uint64, bool) {
+		wants := g.proxies[n].BuildReports(g.clock(n), func(string) (time.Duration, uint64, bool) {
 			return g.echoAt[n], g.echo[n].Life, g.echo[n] != TrackerTime{}
 		})
 		g.ask(n, wants, nil)
--- a/internal/admission/limiter_test.go
+++ b/internal/admission/limiter_test.go
@@ -122,7 +122,7 @@
 		n := fmt.Sprint("p", i)
 		var renew func()
 		renew = func() {
-			if ws := f.proxies[n].Wants(f.clock(n), func(string) (time.Duration, uint64, bool) {
+			if ws := f.proxies[n].BuildReports(f.clock(n), func(string) (time.Duration, uint64, bool) {
 				return f.echoAt[n], f.echo[n].Life, f.echo[n] != TrackerTime{}
 			}); !f.frozen[n] {
 				f.ask(n, ws, nil)
@@ -539,7 +539,7 @@
 				l.Admit(now, fmt.Sprint("k", b.Rng.IntN(keys)), false)
 			}
 			by := map[int][]Want{}
-			for _, x := range l.Wants(now, func(string) (time.Duration, uint64, bool) { return now - 100*time.Millisecond, 1, echo[i].Life > 0 }) {
+			for _, x := range l.BuildReports(now, func(string) (time.Duration, uint64, bool) { return now - 100*time.Millisecond, 1, echo[i].Life > 0 }) {
 				by[Shard(x.Key, shards)] = append(by[Shard(x.Key, shards)], x)
 			}
 			if now >= 13*time.Second && now < 23*time.Second {
@@ -576,9 +576,9 @@
 		}
 	}
 	heard := func(string) (time.Duration, uint64, bool) { return 33 * time.Second, 1, true }
-	ws[0].Wants(33*time.Second, heard)
+	ws[0].BuildReports(33*time.Second, heard)
 	ws[0].RequestFullReport(2)
-	if len(ws[0].Wants(33*time.Second+constants.GrantEvery, heard)) < 20 {
+	if len(ws[0].BuildReports(33*time.Second+constants.GrantEvery, heard)) < 20 {
 		t.Error("a word that was lost is not told again with the next")
 	}
 	if per := float64(words) / proxies / shards; per > 5 {
--- a/internal/admission/wants.go
+++ b/internal/admission/wants.go
@@ -54,14 +54,14 @@
 	return max(0, ks.demand*constants.GrantHeadroom-ks.split.rate)
 }
 
-// Wants closes a demand period and lists what to report to the trackers: the rates to
+// BuildReports closes a demand period and lists what to report to the trackers: the rates to
 // lease, and what of the split shares is lent. A share that is not used here
 // serves whoever asks the tracker; it is lowered before the tracker learns of
 // it, and raised only after the tracker has answered or the loan has run out.
 // heard is when the tracker's time that goes with a key's report reached this proxy:
 // the loan ends by that time, so it ends even when nothing gets through any
 // more. Without a time of the tracker's nothing is lent.
-func (l *Limiter) Wants(now time.Duration, heard func(key string) (at time.Duration, life uint64, ok bool)) []Want {
+func (l *Limiter) BuildReports(now time.Duration, heard func(key string) (at time.Duration, life uint64, ok bool)) []Want {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	span := (now - l.periodStart).Seconds()
--- a/internal/modelcheck/admissionmodel/proxy.go
+++ b/internal/modelcheck/admissionmodel/proxy.go
@@ -32,7 +32,7 @@
 	p := m.proxies[n]
 	now := m.clock(n)
 	echo, heard := p.echo[p.tracker]
-	wants := p.limiter.Wants(now, func(string) (time.Duration, uint64, bool) { return echo.at, echo.time.Life, heard })
+	wants := p.limiter.BuildReports(now, func(string) (time.Duration, uint64, bool) { return echo.at, echo.time.Life, heard })
 	if p.tracker == "" || len(wants) == 0 && now-echo.at <= constants.ContactEvery {
 		return
 	}
--- a/internal/proxy/grants.go
+++ b/internal/proxy/grants.go
@@ -147,7 +147,7 @@
 	echo := maps.Clone(d.trackerEchoes)
 	d.trackerEchoesMu.Unlock()
 	by := map[string][]admission.Want{}
-	for _, w := range d.limiter.Wants(asked, func(key string) (time.Duration, uint64, bool) {
+	for _, w := range d.limiter.BuildReports(asked, func(key string) (time.Duration, uint64, bool) {
 		h, ok := echo[d.tracker(d.shard(key))]
 		return h.at, h.time.Life, ok
 	}) {
