--- a/internal/admission/limiter_test.go
+++ b/internal/admission/limiter_test.go
@@ -95,7 +95,7 @@
 		return
 	}
 	if v.Ask {
-		f.ask(n, []Want{l.Need(f.clock(n), f.key)}, func() {
+		f.ask(n, []Want{l.TokenRequest(f.clock(n), f.key)}, func() {
 			if l.Admit(f.clock(n), f.key, true).OK {
 				f.spent = append(f.spent, f.network.Now)
 			}
--- a/internal/admission/wants.go
+++ b/internal/admission/wants.go
@@ -134,8 +134,8 @@
 	delete(l.loansReportAt, shard)
 }
 
-// Need is the question for a request that waits.
-func (l *Limiter) Need(now time.Duration, key string) Want {
+// TokenRequest is the question for a request that waits.
+func (l *Limiter) TokenRequest(now time.Duration, key string) Want {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	ks := l.keys[key]
--- a/internal/modelcheck/admissionmodel/proxy.go
+++ b/internal/modelcheck/admissionmodel/proxy.go
@@ -128,7 +128,7 @@
 		if v.OK {
 			m.ran(n)
 		} else if v.Ask && p.tracker != "" && !p.waits() {
-			m.askTracker(n, []admission.Want{p.limiter.Need(m.clock(n), key)}, true)
+			m.askTracker(n, []admission.Want{p.limiter.TokenRequest(m.clock(n), key)}, true)
 		} else if sent >= arrivals {
 			return
 		}
--- a/internal/proxy/grants.go
+++ b/internal/proxy/grants.go
@@ -43,7 +43,7 @@
 	if to := d.tracker(d.shard(key)); to != "" {
 		patience := d.trackerPatience(to)
 		cutShort := callersTime < patience
-		grants, err := d.ask(to, asked, d.echoOf(to), []admission.Want{d.limiter.Need(asked, key)}, min(patience, callersTime))
+		grants, err := d.ask(to, asked, d.echoOf(to), []admission.Want{d.limiter.TokenRequest(asked, key)}, min(patience, callersTime))
 		if err == nil && !grants.Refused {
 			d.heardTracker(to, grants.Stamp, d.shard(key))
 			d.takeGrants(asked, grants)
