--- a/internal/admission/limiter.go
+++ b/internal/admission/limiter.go
@@ -190,6 +190,6 @@
 	return l.proxies
 }
 
-// Life is the incarnation of this process, by which a tracker distinguishes its requests
+// Incarnation is the incarnation of this process, by which a tracker distinguishes its requests
 // from those of an earlier one.
-func (l *Limiter) Life() uint64 { return l.incarnation }
+func (l *Limiter) Incarnation() uint64 { return l.incarnation }
--- a/internal/admission/limiter_test.go
+++ b/internal/admission/limiter_test.go
@@ -60,7 +60,7 @@
 		return
 	}
 	f.network.Send(n, to, func() {
-		got := f.trackers[to].Ask(f.network.Now, GrantRequest{Proxy: n, Wants: wants, Echo: echo, Proxies: l.Proxies(), Life: l.Life(), Sent: asked}, func(int) (time.Duration, bool) { return f.since, f.holder == to })
+		got := f.trackers[to].Ask(f.network.Now, GrantRequest{Proxy: n, Wants: wants, Echo: echo, Proxies: l.Proxies(), Life: l.Incarnation(), Sent: asked}, func(int) (time.Duration, bool) { return f.since, f.holder == to })
 		f.network.Send(to, n, func() {
 			if f.life[n] != life || got.Refused {
 				return
--- a/internal/modelcheck/admissionmodel/proxy.go
+++ b/internal/modelcheck/admissionmodel/proxy.go
@@ -52,7 +52,7 @@
 		wait = constants.TrackerBusy
 	}
 	p.open[id] = openQuestion{m.clock(n), p.tracker, request}
-	m.world.Send(n, p.tracker, question{id, admission.GrantRequest{Proxy: n, Wants: wants, Echo: echo, Proxies: p.limiter.Proxies(), Life: p.limiter.Life(), Sent: m.clock(n)}})
+	m.world.Send(n, p.tracker, question{id, admission.GrantRequest{Proxy: n, Wants: wants, Echo: echo, Proxies: p.limiter.Proxies(), Life: p.limiter.Incarnation(), Sent: m.clock(n)}})
 	m.world.After(wait, func() {
 		m.world.Act(n, func() {
 			if m.world.Life(n) == life {
--- a/internal/proxy/grants.go
+++ b/internal/proxy/grants.go
@@ -76,7 +76,7 @@
 		Wants:   wants,
 		Echo:    echo,
 		Proxies: d.limiter.Proxies(),
-		Life:    d.limiter.Life(),
+		Life:    d.limiter.Incarnation(),
 		Sent:    asked,
 	}, patience)
 	if err != nil {
