--- a/internal/admission/handover_test.go
+++ b/internal/admission/handover_test.go
@@ -46,7 +46,7 @@
 		if !g.sharing[n] {
 			continue
 		}
-		if settled := g.proxies[n].Settled(g.clock(n)); settled < count {
+		if settled := g.proxies[n].SettledProxies(g.clock(n)); settled < count {
 			all = false
 		}
 		if !g.cut[n] {
@@ -104,7 +104,7 @@
 	}
 	g.life[n]++
 	g.frozen[n] = true
-	g.ended[n] = g.proxies[n].Settled(g.clock(n))
+	g.ended[n] = g.proxies[n].SettledProxies(g.clock(n))
 	g.network.After(forgetAfter, func() { delete(g.ended, n) })
 }
 
--- a/internal/admission/limiter.go
+++ b/internal/admission/limiter.go
@@ -172,10 +172,10 @@
 	return l.proxies
 }
 
-// Settled is the live count that control may take as the one this proxy reckons
+// SettledProxies is the live count that control may take as the one this proxy reckons
 // with: after a rise, the smaller one until the trackers know of every loan what it
 // is under the larger.
-func (l *Limiter) Settled(now time.Duration) int {
+func (l *Limiter) SettledProxies(now time.Duration) int {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if now >= l.countRise.ends {
--- a/internal/modelcheck/admissionmodel/proxy.go
+++ b/internal/modelcheck/admissionmodel/proxy.go
@@ -9,7 +9,7 @@
 
 func (m *Model) proxyTick(n string) {
 	p := m.proxies[n]
-	m.world.Send(n, control, heartbeat{m.clock(n), p.limiter.Settled(m.clock(n))})
+	m.world.Send(n, control, heartbeat{m.clock(n), p.limiter.SettledProxies(m.clock(n))})
 	m.renew(n)
 	if p.pressed {
 		m.press(n, pressedArrivals)
--- a/internal/proxy/daemon.go
+++ b/internal/proxy/daemon.go
@@ -89,7 +89,7 @@
 			return h(conn, body)
 		})
 	}, d.apply)
-	d.subscriber.ReckonBy(func() int { return d.limiter.Settled(d.now()) })
+	d.subscriber.ReckonBy(func() int { return d.limiter.SettledProxies(d.now()) })
 	if b.RevocationStrict {
 		s.trustFor, s.readIndexAt = b.Revoke.D()-constants.RevokeReserve, d.subscriber.ReadIndexAt
 	}
