--- a/internal/admission/limiter.go
+++ b/internal/admission/limiter.go
@@ -122,8 +122,8 @@
 	}
 }
 
-// Evaluate begins counting what coming limits would refuse, without refusing.
-func (l *Limiter) Evaluate(now time.Duration, qs map[string]Quota) {
+// SetShadowQuotas begins counting what coming limits would refuse, without refusing.
+func (l *Limiter) SetShadowQuotas(now time.Duration, qs map[string]Quota) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	for k, q := range qs {
--- a/internal/admission/limiter_test.go
+++ b/internal/admission/limiter_test.go
@@ -355,7 +355,7 @@
 	l := New(20, 3, 1)
 	l.SetProxies(0, 1)
 	l.SetQuotas(0, map[string]Quota{"k": {100, 100}})
-	l.Evaluate(5*time.Second, map[string]Quota{"k": {2, 2}})
+	l.SetShadowQuotas(5*time.Second, map[string]Quota{"k": {2, 2}})
 	for range 20 {
 		if !l.Admit(5*time.Second, "k", false).OK {
 			t.Fatal("a limit under evaluation refused a request")
--- a/internal/proxy/daemon.go
+++ b/internal/proxy/daemon.go
@@ -167,7 +167,7 @@
 		go d.tellUsage() // a successor gathers anew
 	}
 	if f.Coming != nil {
-		d.limiter.Evaluate(now, f.Coming)
+		d.limiter.SetShadowQuotas(now, f.Coming)
 	}
 	if old := d.trackers.Swap(&f.Trackers); !slices.Equal(*old, f.Trackers) {
 		go d.renewGrants() // a new one should know soon what is held here
