--- a/internal/admission/limiter_test.go
+++ b/internal/admission/limiter_test.go
@@ -60,7 +60,7 @@
 		return
 	}
 	f.network.Send(n, to, func() {
-		got := f.trackers[to].Ask(f.network.Now, GrantRequest{Proxy: n, Wants: wants, Echo: echo, Proxies: l.Proxies(), Life: l.Incarnation(), Sent: asked}, func(int) (time.Duration, bool) { return f.since, f.holder == to })
+		got := f.trackers[to].HandleRequest(f.network.Now, GrantRequest{Proxy: n, Wants: wants, Echo: echo, Proxies: l.Proxies(), Life: l.Incarnation(), Sent: asked}, func(int) (time.Duration, bool) { return f.since, f.holder == to })
 		f.network.Send(to, n, func() {
 			if f.life[n] != life || got.Refused {
 				return
@@ -550,7 +550,7 @@
 			}
 			by[0] = append(by[0], Want{Key: "k3", Need: 1, Long: true})
 			for s := range shards {
-				got := tracker.Ask(now, GrantRequest{Proxy: fmt.Sprint("p", i), Wants: by[s], Echo: echo[i], Proxies: proxies}, since)
+				got := tracker.HandleRequest(now, GrantRequest{Proxy: fmt.Sprint("p", i), Wants: by[s], Echo: echo[i], Proxies: proxies}, since)
 				if i%50 != 8 { // which hears nothing, and so stands alone
 					echo[i] = got.Stamp
 				}
--- a/internal/admission/tracker.go
+++ b/internal/admission/tracker.go
@@ -69,10 +69,10 @@
 	}
 }
 
-// Ask answers a proxy. since is when this machine began to track the shard
+// HandleRequest answers a proxy. since is when this machine began to track the shard
 // without a break: what an earlier tracker gave must have ended before anything
 // is given here, and the pools start empty.
-func (tracker *Tracker) Ask(now time.Duration, request GrantRequest, since func(shard int) (time.Duration, bool)) Grants {
+func (tracker *Tracker) HandleRequest(now time.Duration, request GrantRequest, since func(shard int) (time.Duration, bool)) Grants {
 	tracker.mu.Lock()
 	defer tracker.mu.Unlock()
 	out := Grants{Stamp: TrackerTime{tracker.incarnation, now, tracker.shardStarts}}
--- a/internal/controlplane/daemon.go
+++ b/internal/controlplane/daemon.go
@@ -348,7 +348,7 @@
 		return d.subscribed(conn, m)
 	case admission.GrantRequest:
 		now := d.now()
-		return d.quotaTracker.Ask(now, m, func(shard int) (time.Duration, bool) {
+		return d.quotaTracker.HandleRequest(now, m, func(shard int) (time.Duration, bool) {
 			return d.leases.holds(now, dutyTrack(shard))
 		})
 	case lease.Request, lease.Grant, lease.Release:
--- a/internal/modelcheck/admissionmodel/proxy.go
+++ b/internal/modelcheck/admissionmodel/proxy.go
@@ -146,7 +146,7 @@
 }
 
 func (m *Model) ask(n string, a admission.GrantRequest) admission.Grants {
-	return m.trackers[n].state.Ask(m.world.Now, a, func(int) (time.Duration, bool) {
+	return m.trackers[n].state.HandleRequest(m.world.Now, a, func(int) (time.Duration, bool) {
 		since := m.since
 		if m.Planted == TrackerAtOnce {
 			since -= 2 * constants.GrantLong
