--- a/internal/admission/tracker.go
+++ b/internal/admission/tracker.go
@@ -190,8 +190,8 @@
 	return out
 }
 
-// Held lists the leased rate of each key tracked here, for operators.
-func (tracker *Tracker) Held(now time.Duration) map[string]float64 {
+// LeasedRates lists the leased rate of each key tracked here, for operators.
+func (tracker *Tracker) LeasedRates(now time.Duration) map[string]float64 {
 	tracker.mu.Lock()
 	defer tracker.mu.Unlock()
 	out := map[string]float64{}
--- a/internal/controlplane/admin.go
+++ b/internal/controlplane/admin.go
@@ -99,7 +99,7 @@
 func (d *Daemon) Report() Report {
 	f := d.pushes.snapshot()
 	r := Report{accounts: d.accounts, Role: "control", Node: d.settings.NodeName, Chain: d.replica.status(), Current: f.Current,
-		ListNum: f.ListNum, ListAge: f.ListAge, Live: f.Proxies, Proxies: d.pushes.publisher.Proxies(), Leased: d.quotaTracker.Held(d.now()),
+		ListNum: f.ListNum, ListAge: f.ListAge, Live: f.Proxies, Proxies: d.pushes.publisher.Proxies(), Leased: d.quotaTracker.LeasedRates(d.now()),
 		Members: d.members.Members(), Evacuated: f.Evacuated, Events: d.events.Latest(20), Tallies: d.events.Tallies()}
 	r.Contact = d.replica.contactAge()
 	r.Voters, r.Margin = d.replica.electorate()
