--- a/internal/admission/keystate.go
+++ b/internal/admission/keystate.go
@@ -91,10 +91,10 @@
 	return 0
 }
 
-// Tiny says whether a key's split share is too small to serve requests with. It
+// ShareTooSmall says whether a key's split share is too small to serve requests with. It
 // is lent whole and not used where it is, and the key is carried by its tracker:
 // each request asks, and standby is there for when nobody answers.
-func Tiny(proxies int, slack float64, q Quota) bool {
+func ShareTooSmall(proxies int, slack float64, q Quota) bool {
 	return proxies > 0 && SplitFloor(proxies, slack) == 0 && constants.SplitPart*q.Burst/float64(proxies) < constants.TinyShare
 }
 
@@ -103,7 +103,7 @@
 // tracker agrees to it, since it may have promised the share to others, or when
 // everything that it can have promised has ended.
 func (l *Limiter) updateMode(ks *keyState, now time.Duration) {
-	tiny := Tiny(l.proxies, l.slack, ks.quota)
+	tiny := ShareTooSmall(l.proxies, l.slack, ks.quota)
 	switch {
 	case tiny && !ks.carried:
 		ks.carried, ks.releaseDeadline, ks.modeSince = true, 0, now
--- a/internal/admission/limiter_test.go
+++ b/internal/admission/limiter_test.go
@@ -136,7 +136,7 @@
 
 // tracker is one that has just been started, knowing the limits or not yet.
 func (f *fleet) tracker(knows bool) *Tracker {
-	tracker := NewTracker(f.network.Rng.Uint64(), 3, func(n int, q Quota) bool { return Tiny(n, 20, q) })
+	tracker := NewTracker(f.network.Rng.Uint64(), 3, func(n int, q Quota) bool { return ShareTooSmall(n, 20, q) })
 	if knows {
 		tracker.SetQuotas(f.network.Now, map[string]Quota{f.key: f.quota})
 	}
@@ -520,7 +520,7 @@
 		qs[fmt.Sprint("k", i)] = Quota{float64(5 + i), float64(5 + i)}
 	}
 	b := simnet.New(5)
-	tracker := NewTracker(1, shards, func(n int, q Quota) bool { return Tiny(n, 20, q) })
+	tracker := NewTracker(1, shards, func(n int, q Quota) bool { return ShareTooSmall(n, 20, q) })
 	tracker.SetQuotas(0, qs)
 	since := func(int) (time.Duration, bool) { return 0, true }
 	ws, echo, words := make([]*Limiter, proxies), make([]TrackerTime, proxies), 0
--- a/internal/controlplane/daemon.go
+++ b/internal/controlplane/daemon.go
@@ -239,7 +239,7 @@
 
 // quotaIsTiny says whether a quota is too small to be split among the proxies.
 func (d *Daemon) quotaIsTiny(proxies int, quota admission.Quota) bool {
-	return admission.Tiny(max(proxies, d.roster.size()), d.settings.Bounds.QuotaSlack, quota)
+	return admission.ShareTooSmall(max(proxies, d.roster.size()), d.settings.Bounds.QuotaSlack, quota)
 }
 
 // committed puts a state in force here, and answers the calls that wait for it.
--- a/internal/modelcheck/admissionmodel/processes.go
+++ b/internal/modelcheck/admissionmodel/processes.go
@@ -62,7 +62,7 @@
 func (m *Model) startTracker(n string) {
 	m.lives++
 	t := &tracker{count: len(m.roster)}
-	t.state = admission.NewTracker(m.lives, shards, func(told int, q admission.Quota) bool { return admission.Tiny(max(told, t.count), m.Slack, q) })
+	t.state = admission.NewTracker(m.lives, shards, func(told int, q admission.Quota) bool { return admission.ShareTooSmall(max(told, t.count), m.Slack, q) })
 	t.state.SetQuotas(m.world.Now, m.quotas())
 	m.trackers[n] = t
 	m.world.Start(n)
