--- a/internal/admission/admit.go
+++ b/internal/admission/admit.go
@@ -5,8 +5,8 @@
 // tokenEpsilon is a part of a token that counts as nothing.
 const tokenEpsilon = 1e-6
 
-// Verdict is what admission says of a request.
-type Verdict struct {
+// Decision is what admission says of a request.
+type Decision struct {
 	OK    bool
 	Ask   bool          // the tracker may have tokens: ask, then Admit again
 	Retry time.Duration // with a refusal: until a token is due for this request
@@ -14,12 +14,12 @@
 
 // Admit takes a token for a request, or refuses it. The first call counts the
 // arrival; a request that waited for its tracker is tried again with again set.
-func (l *Limiter) Admit(now time.Duration, key string, again bool) Verdict {
+func (l *Limiter) Admit(now time.Duration, key string, again bool) Decision {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	ks := l.keys[key]
 	if ks == nil {
-		return Verdict{OK: true}
+		return Decision{OK: true}
 	}
 	l.refresh(ks, now)
 	quotaHasRoom := ks.wholeQuota.tokens >= 1
@@ -33,18 +33,18 @@
 	available := ks.split.tokens + *grant + ks.waitingTokens
 	if ks.peakRate.tokens >= 1 && available >= 1-1e-9 {
 		ks.spendToken(now, grant)
-		return Verdict{OK: true}
+		return Decision{OK: true}
 	}
 	// One question to the tracker costs less than a wrong refusal, unless it
 	// has just said that there is nothing.
 	if !again && now >= ks.noTokensUntil && ks.peakRate.tokens >= 1 {
-		return Verdict{Ask: true}
+		return Decision{Ask: true}
 	}
 	ks.count.Refused++
 	if quotaHasRoom {
 		ks.count.FalseRefused++
 	}
-	return Verdict{Retry: l.retryAfter(ks, now, available)}
+	return Decision{Retry: l.retryAfter(ks, now, available)}
 }
 
 // countArrival counts a request once, in the demand and in the buckets that only audit.
