--- a/internal/admission/admit.go
+++ b/internal/admission/admit.go
@@ -7,9 +7,9 @@
 
 // Decision is what admission says of a request.
 type Decision struct {
-	OK    bool
-	Ask   bool          // the tracker may have tokens: ask, then Admit again
-	Retry time.Duration // with a refusal: until a token is due for this request
+	OK         bool
+	AskTracker bool          // the tracker may have tokens: ask, then Admit again
+	Retry      time.Duration // with a refusal: until a token is due for this request
 }
 
 // Admit takes a token for a request, or refuses it. The first call counts the
@@ -38,7 +38,7 @@
 	// One question to the tracker costs less than a wrong refusal, unless it
 	// has just said that there is nothing.
 	if !again && now >= ks.noTokensUntil && ks.peakRate.tokens >= 1 {
-		return Decision{Ask: true}
+		return Decision{AskTracker: true}
 	}
 	ks.count.Refused++
 	if quotaHasRoom {
--- a/internal/admission/limiter_test.go
+++ b/internal/admission/limiter_test.go
@@ -94,7 +94,7 @@
 		f.spent = append(f.spent, f.network.Now)
 		return
 	}
-	if v.Ask {
+	if v.AskTracker {
 		f.ask(n, []Want{l.TokenRequest(f.clock(n), f.key)}, func() {
 			if l.Admit(f.clock(n), f.key, true).OK {
 				f.spent = append(f.spent, f.network.Now)
--- a/internal/modelcheck/admissionmodel/proxy.go
+++ b/internal/modelcheck/admissionmodel/proxy.go
@@ -127,7 +127,7 @@
 		v := p.limiter.Admit(m.clock(n), key, false)
 		if v.OK {
 			m.ran(n)
-		} else if v.Ask && p.tracker != "" && !p.waits() {
+		} else if v.AskTracker && p.tracker != "" && !p.waits() {
 			m.askTracker(n, []admission.Want{p.limiter.TokenRequest(m.clock(n), key)}, true)
 		} else if sent >= arrivals {
 			return
--- a/internal/proxy/daemon.go
+++ b/internal/proxy/daemon.go
@@ -266,7 +266,7 @@
 // requests does, and sends it nowhere; false when it was refused.
 func (d *Daemon) Rehearse(tenant string) bool {
 	v := d.limiter.Admit(d.now(), tenant, false)
-	if v.Ask {
+	if v.AskTracker {
 		d.askTracker(tenant, time.Now().Add(constants.CallTimeout))
 		v = d.limiter.Admit(d.now(), tenant, true)
 	}
--- a/internal/proxy/grants_test.go
+++ b/internal/proxy/grants_test.go
@@ -48,7 +48,7 @@
 	trackers := d.trackers.Load()
 	d.inForce(slow, 2, nil)
 	d.trackers.Store(trackers)
-	asks := func() bool { return d.limiter.Admit(d.now(), "tight", false).Ask }
+	asks := func() bool { return d.limiter.Admit(d.now(), "tight", false).AskTracker }
 	for d.limiter.Admit(d.now(), "tight", true).OK {
 	}
 	time.Sleep(1100 * time.Millisecond) // the bucket for bursts has a token again, the one for the rate has none
--- a/internal/proxy/proxy.go
+++ b/internal/proxy/proxy.go
@@ -180,7 +180,7 @@
 		return false
 	}
 	v := s.limiter.Admit(s.now(), p.tenant.Name, false)
-	if v.Ask {
+	if v.AskTracker {
 		s.askFor(p.tenant.Name, p.timing().latestStart(time.Now()))
 		v = s.limiter.Admit(s.now(), p.tenant.Name, true)
 	}
