--- a/internal/admission/admit.go
+++ b/internal/admission/admit.go
@@ -9,7 +9,7 @@
 type Decision struct {
 	OK         bool
 	AskTracker bool          // the tracker may have tokens: ask, then Admit again
-	Retry      time.Duration // with a refusal: until a token is due for this request
+	RetryAfter time.Duration // with a refusal: until a token is due for this request
 }
 
 // Admit takes a token for a request, or refuses it. The first call counts the
@@ -44,7 +44,7 @@
 	if quotaHasRoom {
 		ks.count.FalseRefused++
 	}
-	return Decision{Retry: l.retryAfter(ks, now, available)}
+	return Decision{RetryAfter: l.retryAfter(ks, now, available)}
 }
 
 // countArrival counts a request once, in the demand and in the buckets that only audit.
--- a/internal/admission/retry_test.go
+++ b/internal/admission/retry_test.go
@@ -28,7 +28,7 @@
 		l, now := emptied(1, 1, Quota{rate, 1})
 		before := time.Duration(0)
 		for n := range clients {
-			retry := l.Admit(now, "k", true).Retry
+			retry := l.Admit(now, "k", true).RetryAfter
 			if retry <= before {
 				t.Errorf("rate %v: client %d is told %v, the one before it %v", rate, n, retry, before)
 			}
@@ -49,7 +49,7 @@
 	l, now := emptied(1, 1, Quota{20, 5})
 	var due []time.Duration
 	for range 10 {
-		due = append(due, now+l.Admit(now, "k", true).Retry)
+		due = append(due, now+l.Admit(now, "k", true).RetryAfter)
 	}
 	for n, at := range due {
 		// Trackers' part of the rate doesn't come here: allow for it.
@@ -69,7 +69,7 @@
 		l, now := emptied(proxies, 1, Quota{proxies, proxies})
 		now += silent
 		l.MarkUnanswered(now, "k")
-		told = append(told, l.Admit(now, "k", true).Retry)
+		told = append(told, l.Admit(now, "k", true).RetryAfter)
 		if want := constants.StandbyAfter - silent; told[len(told)-1] < want/2 {
 			t.Errorf("silent for %v: told %v, the standby serves in %v", silent, told[len(told)-1], want)
 		}
--- a/internal/proxy/proxy.go
+++ b/internal/proxy/proxy.go
@@ -187,7 +187,7 @@
 	if !v.OK {
 		s.counts[countOverQuota].Add(1)
 		p.account.Failure(accounts.Refused)
-		s.refuse(w, p.request, http.StatusTooManyRequests, v.Retry)
+		s.refuse(w, p.request, http.StatusTooManyRequests, v.RetryAfter)
 		return false
 	}
 	return true
