--- a/cmd/scalerun/slopes.go
+++ b/cmd/scalerun/slopes.go
@@ -161,7 +161,7 @@
 		for p := range n[1] {
 			for k := range 2 {
 				now += time.Microsecond
-				tracker.HandleRequest(now, admission.GrantRequest{Proxy: fmt.Sprint(p), Proxies: n[1], Wants: []admission.Want{{Key: fmt.Sprintf("t%06d", (p*31+k)%n[0]), Demand: 1}}},
+				tracker.HandleRequest(now, admission.GrantRequest{Proxy: fmt.Sprint(p), Proxies: n[1], Wants: []admission.KeyRequest{{Key: fmt.Sprintf("t%06d", (p*31+k)%n[0]), Demand: 1}}},
 					func(int) (time.Duration, bool) { return 0, true })
 				asked++
 			}
--- a/internal/admission/contacts.go
+++ b/internal/admission/contacts.go
@@ -29,7 +29,7 @@
 	if request.Echo.Life == tracker.incarnation {
 		c.echoedAt = max(c.echoedAt, request.Echo.At)
 	}
-	tells := slices.ContainsFunc(request.Wants, func(want Want) bool { return want.Lend })
+	tells := slices.ContainsFunc(request.Wants, func(want KeyRequest) bool { return want.Lend })
 	late = tells && request.Life != 0 && request.Life == c.incarnation && request.Sent < c.lastReport
 	if tells && !late {
 		c.incarnation, c.lastReport = request.Life, request.Sent
--- a/internal/admission/leases.go
+++ b/internal/admission/leases.go
@@ -37,7 +37,7 @@
 
 // grantLease answers a proxy that uses its split share. A question for a request
 // that waits gets tokens and leaves the lease as it is.
-func (tracker *Tracker) grantLease(now time.Duration, p *pool, request GrantRequest, want Want) Given {
+func (tracker *Tracker) grantLease(now time.Duration, p *pool, request GrantRequest, want KeyRequest) Given {
 	tracker.Asked++
 	p.resize(now, tracker)
 	if !want.Lend {
@@ -77,7 +77,7 @@
 // mostInUse is the most that a proxy may be using when it is offered a rate. What was
 // offered before counts until the proxy reports what it holds by the newest offer,
 // since answers may be lost or overtake each other.
-func mostInUse(counted float64, answered time.Duration, offer float64, want Want) float64 {
+func mostInUse(counted float64, answered time.Duration, offer float64, want KeyRequest) float64 {
 	if want.RateOf == answered {
 		return max(offer, min(want.Rate, counted))
 	}
--- a/internal/admission/limiter_test.go
+++ b/internal/admission/limiter_test.go
@@ -53,7 +53,7 @@
 	f.proxies[n] = l
 }
 
-func (f *fleet) ask(n string, wants []Want, then func()) {
+func (f *fleet) ask(n string, wants []KeyRequest, then func()) {
 	l, life, asked := f.proxies[n], f.life[n], f.clock(n)
 	to, echo := f.holder, f.echo[n]
 	if to == "" {
@@ -95,7 +95,7 @@
 		return
 	}
 	if v.AskTracker {
-		f.ask(n, []Want{l.TokenRequest(f.clock(n), f.key)}, func() {
+		f.ask(n, []KeyRequest{l.TokenRequest(f.clock(n), f.key)}, func() {
 			if l.Admit(f.clock(n), f.key, true).OK {
 				f.spent = append(f.spent, f.network.Now)
 			}
@@ -538,7 +538,7 @@
 			for range 3 {
 				l.Admit(now, fmt.Sprint("k", b.Rng.IntN(keys)), false)
 			}
-			by := map[int][]Want{}
+			by := map[int][]KeyRequest{}
 			for _, x := range l.BuildReports(now, func(string) (time.Duration, uint64, bool) { return now - 100*time.Millisecond, 1, echo[i].Life > 0 }) {
 				by[Shard(x.Key, shards)] = append(by[Shard(x.Key, shards)], x)
 			}
@@ -548,7 +548,7 @@
 			if i%50 == 7 && now > 20*time.Second {
 				continue // falls silent: what it had ends
 			}
-			by[0] = append(by[0], Want{Key: "k3", Need: 1, Long: true})
+			by[0] = append(by[0], KeyRequest{Key: "k3", Need: 1, Long: true})
 			for s := range shards {
 				got := tracker.HandleRequest(now, GrantRequest{Proxy: fmt.Sprint("p", i), Wants: by[s], Echo: echo[i], Proxies: proxies}, since)
 				if i%50 != 8 { // which hears nothing, and so stands alone
--- a/internal/admission/messages.go
+++ b/internal/admission/messages.go
@@ -11,7 +11,7 @@
 	// GrantRequest brings a proxy's wants to a tracker.
 	GrantRequest struct {
 		Proxy   string
-		Wants   []Want
+		Wants   []KeyRequest
 		Echo    TrackerTime   // the tracker's latest that has reached the proxy
 		Proxies int           // the live count the proxy reckons with
 		Life    uint64        // incarnation of the proxy's process; 0 is not stated
--- a/internal/admission/pool.go
+++ b/internal/admission/pool.go
@@ -118,7 +118,7 @@
 // noteReported notes, at a tracker that took over lately, that a proxy has reported what it
 // holds. When all have, nothing unknown is in use any more, and since the last of
 // them let a request through the quota has been filling.
-func (p *pool) noteReported(now time.Duration, request GrantRequest, want Want) {
+func (p *pool) noteReported(now time.Duration, request GrantRequest, want KeyRequest) {
 	if now >= p.recoveryUntil {
 		p.reported = nil
 		return
--- a/internal/admission/tracker.go
+++ b/internal/admission/tracker.go
@@ -118,7 +118,7 @@
 // waitAfterTakeover is how long a tracker that begins gives nothing, since what an
 // earlier one gave may still be used: tokens for waiting requests and, of a key
 // that is not carried or was not a moment ago, leases.
-func (tracker *Tracker) waitAfterTakeover(now time.Duration, want Want, q Quota, limited bool) time.Duration {
+func (tracker *Tracker) waitAfterTakeover(now time.Duration, want KeyRequest, q Quota, limited bool) time.Duration {
 	carried := limited && tracker.isTiny(tracker.proxyCount, q)
 	if was, seen := tracker.carried[want.Key]; seen && was != carried {
 		tracker.carriedChanged[want.Key] = now
@@ -133,7 +133,7 @@
 
 // answerWant takes one want of a proxy and gives what there is. Of a report that a newer
 // one has overtaken only the need counts.
-func (tracker *Tracker) answerWant(now time.Duration, p *pool, request GrantRequest, want Want, late bool) Given {
+func (tracker *Tracker) answerWant(now time.Duration, p *pool, request GrantRequest, want KeyRequest, late bool) Given {
 	if late {
 		want.Lend, want.Release = false, false
 	}
@@ -164,7 +164,7 @@
 }
 
 // grantRate answers with what the proxy's way of sharing asks for.
-func (tracker *Tracker) grantRate(now time.Duration, p *pool, request GrantRequest, want Want) Given {
+func (tracker *Tracker) grantRate(now time.Duration, p *pool, request GrantRequest, want KeyRequest) Given {
 	if want.Long {
 		return tracker.grantStandby(now, p, request, want)
 	}
@@ -172,7 +172,7 @@
 }
 
 // grantTokens gives tokens to a request that waits.
-func (tracker *Tracker) grantTokens(p *pool, want Want, out Given) Given {
+func (tracker *Tracker) grantTokens(p *pool, want KeyRequest, out Given) Given {
 	if want.Need > 0 {
 		if p.bucket.tokens >= want.Need {
 			p.bucket.tokens -= want.Need
--- a/internal/admission/wants.go
+++ b/internal/admission/wants.go
@@ -8,8 +8,8 @@
 	"slateridge/internal/constants"
 )
 
-// Want is what a proxy reports to a key's tracker, and asks of it.
-type Want struct {
+// KeyRequest is what a proxy reports to a key's tracker, and asks of it.
+type KeyRequest struct {
 	Key    string
 	Demand float64       // requests a second beyond the split share
 	Rate   float64       // leased or standby rate held now
@@ -61,7 +61,7 @@
 // heard is when the tracker's time that goes with a key's report reached this proxy:
 // the loan ends by that time, so it ends even when nothing gets through any
 // more. Without a time of the tracker's nothing is lent.
-func (l *Limiter) BuildReports(now time.Duration, heard func(key string) (at time.Duration, life uint64, ok bool)) []Want {
+func (l *Limiter) BuildReports(now time.Duration, heard func(key string) (at time.Duration, life uint64, ok bool)) []KeyRequest {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	span := (now - l.periodStart).Seconds()
@@ -71,7 +71,7 @@
 	l.periodStart = now
 	givenUp := now-l.controlHeardAt > constants.SplitHold // others may have the share by now
 	told := map[int]bool{}
-	var out []Want
+	var out []KeyRequest
 	for k, ks := range l.keys {
 		l.refresh(ks, now)
 		ks.demand += constants.DemandWeight * (ks.arrivals/span - ks.demand)
@@ -103,7 +103,7 @@
 		}
 		ks.loanIncarnation = life
 		ks.loanReported, ks.reportedProxies = now, l.proxies
-		out = append(out, Want{
+		out = append(out, KeyRequest{
 			Key:     k,
 			Demand:  beyond,
 			Rate:    ks.heldRate(now),
@@ -135,19 +135,19 @@
 }
 
 // TokenRequest is the question for a request that waits.
-func (l *Limiter) TokenRequest(now time.Duration, key string) Want {
+func (l *Limiter) TokenRequest(now time.Duration, key string) KeyRequest {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	ks := l.keys[key]
 	if ks == nil {
-		return Want{Key: key}
+		return KeyRequest{Key: key}
 	}
 	l.refresh(ks, now)
 	need := 1.0
 	if ks.carried {
 		need += max(0, -ks.split.tokens) // a share lent whole does not fill: what is owed has to be asked for too
 	}
-	return Want{
+	return KeyRequest{
 		Key:    key,
 		Demand: l.demandBeyondShare(ks),
 		Rate:   ks.heldRate(now),
--- a/internal/modelcheck/admissionmodel/proxy.go
+++ b/internal/modelcheck/admissionmodel/proxy.go
@@ -40,7 +40,7 @@
 }
 
 // askTracker sends a question; its answer is waited for as long as the daemon waits.
-func (m *Model) askTracker(n string, wants []admission.Want, request bool) {
+func (m *Model) askTracker(n string, wants []admission.KeyRequest, request bool) {
 	p := m.proxies[n]
 	echo := p.echo[p.tracker].time
 	if m.Planted == LoanOutlives && echo.Life > 0 {
@@ -128,7 +128,7 @@
 		if v.OK {
 			m.ran(n)
 		} else if v.AskTracker && p.tracker != "" && !p.waits() {
-			m.askTracker(n, []admission.Want{p.limiter.TokenRequest(m.clock(n), key)}, true)
+			m.askTracker(n, []admission.KeyRequest{p.limiter.TokenRequest(m.clock(n), key)}, true)
 		} else if sent >= arrivals {
 			return
 		}
--- a/internal/proxy/grants.go
+++ b/internal/proxy/grants.go
@@ -43,7 +43,7 @@
 	if to := d.tracker(d.shard(key)); to != "" {
 		patience := d.trackerPatience(to)
 		cutShort := callersTime < patience
-		grants, err := d.ask(to, asked, d.echoOf(to), []admission.Want{d.limiter.TokenRequest(asked, key)}, min(patience, callersTime))
+		grants, err := d.ask(to, asked, d.echoOf(to), []admission.KeyRequest{d.limiter.TokenRequest(asked, key)}, min(patience, callersTime))
 		if err == nil && !grants.Refused {
 			d.heardTracker(to, grants.Stamp, d.shard(key))
 			d.takeGrants(asked, grants)
@@ -70,7 +70,7 @@
 
 // ask sends a tracker wants that were reckoned with its time as echoed, and waits for its
 // answer.
-func (d *Daemon) ask(to string, asked time.Duration, echo admission.TrackerTime, wants []admission.Want, patience time.Duration) (admission.Grants, error) {
+func (d *Daemon) ask(to string, asked time.Duration, echo admission.TrackerTime, wants []admission.KeyRequest, patience time.Duration) (admission.Grants, error) {
 	answer, err := d.subscriber.Ask(to, admission.GrantRequest{
 		Proxy:   d.set.Load().IPAddress,
 		Wants:   wants,
@@ -146,7 +146,7 @@
 	d.trackerEchoesMu.Lock()
 	echo := maps.Clone(d.trackerEchoes)
 	d.trackerEchoesMu.Unlock()
-	by := map[string][]admission.Want{}
+	by := map[string][]admission.KeyRequest{}
 	for _, w := range d.limiter.BuildReports(asked, func(key string) (time.Duration, uint64, bool) {
 		h, ok := echo[d.tracker(d.shard(key))]
 		return h.at, h.time.Life, ok
