--- a/internal/admission/answers.go
+++ b/internal/admission/answers.go
@@ -6,8 +6,8 @@
 	"slateridge/internal/constants"
 )
 
-// Given is a tracker's answer for one key.
-type Given struct {
+// KeyGrant is a tracker's answer for one key.
+type KeyGrant struct {
 	Key         string
 	Rate, Depth float64       // the lease
 	Tokens      float64       // at once
@@ -22,7 +22,7 @@
 
 // ApplyGrant applies an answer to a question asked at a time; all of it is reckoned
 // from then, which is before the tracker reckoned.
-func (l *Limiter) ApplyGrant(now, asked time.Duration, given Given) {
+func (l *Limiter) ApplyGrant(now, asked time.Duration, given KeyGrant) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	ks := l.keys[given.Key]
@@ -63,7 +63,7 @@
 
 // takeLoan takes what a tracker answers about the share that was reported as lent. It may
 // keep more of it than was reported, while others hold leases of that part.
-func (l *Limiter) takeLoan(ks *keyState, now, asked time.Duration, given Given) {
+func (l *Limiter) takeLoan(ks *keyState, now, asked time.Duration, given KeyGrant) {
 	ks.loanProxies = ks.reportedProxies
 	if ks.carried {
 		if given.Released && ks.releaseDeadline > 0 {
--- a/internal/admission/leases.go
+++ b/internal/admission/leases.go
@@ -37,11 +37,11 @@
 
 // grantLease answers a proxy that uses its split share. A question for a request
 // that waits gets tokens and leaves the lease as it is.
-func (tracker *Tracker) grantLease(now time.Duration, p *pool, request GrantRequest, want KeyRequest) Given {
+func (tracker *Tracker) grantLease(now time.Duration, p *pool, request GrantRequest, want KeyRequest) KeyGrant {
 	tracker.Asked++
 	p.resize(now, tracker)
 	if !want.Lend {
-		return tracker.grantTokens(p, want, Given{Key: want.Key, Keep: true})
+		return tracker.grantTokens(p, want, KeyGrant{Key: want.Key, Keep: true})
 	}
 	l := p.leases[request.Proxy]
 	if l == nil {
@@ -70,7 +70,7 @@
 	l.rate, l.requestSent = share, request.Sent
 	l.expires = now + constants.GrantLength
 	p.resize(now, tracker)
-	out := Given{Key: want.Key, Rate: share, Depth: leaseDepth(share, p.quota), Lent: true}
+	out := KeyGrant{Key: want.Key, Rate: share, Depth: leaseDepth(share, p.quota), Lent: true}
 	return tracker.grantTokens(p, want, out)
 }
 
--- a/internal/admission/limiter_test.go
+++ b/internal/admission/limiter_test.go
@@ -317,7 +317,7 @@
 	l := New(20, 3, 1)
 	l.SetProxies(0, 2)
 	l.SetQuotas(0, map[string]Quota{"k": {100, 100}})
-	l.ApplyGrant(time.Second, time.Second, Given{Key: "k", Rate: 20, Depth: 20})
+	l.ApplyGrant(time.Second, time.Second, KeyGrant{Key: "k", Rate: 20, Depth: 20})
 	l.SetQuotas(1100*time.Millisecond, map[string]Quota{"k": {10, 10}})
 	r := l.Reports(1100 * time.Millisecond)[0]
 	if most := 10.0; r.SplitRate+r.GrantRate > most || r.Balance > most {
--- a/internal/admission/messages.go
+++ b/internal/admission/messages.go
@@ -20,7 +20,7 @@
 	// Grants answers a GrantRequest.
 	Grants struct {
 		Refused bool // the machine asked does not track, or not yet
-		Given   []Given
+		Given   []KeyGrant
 		Stamp   TrackerTime
 		Retell  bool // the request was overtaken by a newer one: its shares are to be reported again
 	}
--- a/internal/admission/standby.go
+++ b/internal/admission/standby.go
@@ -70,7 +70,7 @@
 }
 
 // grantStandby answers a proxy that the key's tracker carries.
-func (tracker *Tracker) grantStandby(now time.Duration, p *pool, request GrantRequest, want KeyRequest) Given {
+func (tracker *Tracker) grantStandby(now time.Duration, p *pool, request GrantRequest, want KeyRequest) KeyGrant {
 	tracker.Asked++
 	p.standbyTotals(now, tracker) // drops what has ended, so that the sums are of what stands
 	s := p.standbys[request.Proxy]
@@ -105,7 +105,7 @@
 	}
 	p.setStandby(tracker, request.Proxy, s, to)
 	p.resize(now, tracker)
-	return tracker.grantTokens(p, want, Given{Key: want.Key, Rate: s.rate, Long: true, Lent: want.Lend, Loan: want.Lent})
+	return tracker.grantTokens(p, want, KeyGrant{Key: want.Key, Rate: s.rate, Long: true, Lent: want.Lend, Loan: want.Lent})
 }
 
 // release gives a share that was lent whole back to its proxy, where the standby
--- a/internal/admission/tracker.go
+++ b/internal/admission/tracker.go
@@ -103,7 +103,7 @@
 		limited = limited && q.Rate > 0
 		wait := tracker.waitAfterTakeover(now, want, q, limited)
 		if now-at < wait {
-			out.Given = append(out.Given, Given{Key: want.Key, Keep: true, Dry: wait - (now - at), Lent: want.Lend})
+			out.Given = append(out.Given, KeyGrant{Key: want.Key, Keep: true, Dry: wait - (now - at), Lent: want.Lend})
 			continue
 		}
 		if limited {
@@ -133,7 +133,7 @@
 
 // answerWant takes one want of a proxy and gives what there is. Of a report that a newer
 // one has overtaken only the need counts.
-func (tracker *Tracker) answerWant(now time.Duration, p *pool, request GrantRequest, want KeyRequest, late bool) Given {
+func (tracker *Tracker) answerWant(now time.Duration, p *pool, request GrantRequest, want KeyRequest, late bool) KeyGrant {
 	if late {
 		want.Lend, want.Release = false, false
 	}
@@ -148,7 +148,7 @@
 	}
 	if want.Release && p.release(now, tracker, request.Proxy) {
 		p.resize(now, tracker)
-		return tracker.grantTokens(p, want, Given{Key: want.Key, Long: true, Keep: true, Lent: true, Released: true})
+		return tracker.grantTokens(p, want, KeyGrant{Key: want.Key, Long: true, Keep: true, Lent: true, Released: true})
 	}
 	to := loan{}
 	if request.Echo.Life == tracker.incarnation && want.Lent > 0 {
@@ -164,7 +164,7 @@
 }
 
 // grantRate answers with what the proxy's way of sharing asks for.
-func (tracker *Tracker) grantRate(now time.Duration, p *pool, request GrantRequest, want KeyRequest) Given {
+func (tracker *Tracker) grantRate(now time.Duration, p *pool, request GrantRequest, want KeyRequest) KeyGrant {
 	if want.Long {
 		return tracker.grantStandby(now, p, request, want)
 	}
@@ -172,7 +172,7 @@
 }
 
 // grantTokens gives tokens to a request that waits.
-func (tracker *Tracker) grantTokens(p *pool, want KeyRequest, out Given) Given {
+func (tracker *Tracker) grantTokens(p *pool, want KeyRequest, out KeyGrant) KeyGrant {
 	if want.Need > 0 {
 		if p.bucket.tokens >= want.Need {
 			p.bucket.tokens -= want.Need
