--- a/internal/admission/leases.go
+++ b/internal/admission/leases.go
@@ -38,7 +38,7 @@
 // grantLease answers a proxy that uses its split share. A question for a request
 // that waits gets tokens and leaves the lease as it is.
 func (tracker *Tracker) grantLease(now time.Duration, p *pool, request GrantRequest, want KeyRequest) KeyGrant {
-	tracker.Asked++
+	tracker.Requests++
 	p.resize(now, tracker)
 	if !want.Lend {
 		return tracker.grantTokens(p, want, KeyGrant{Key: want.Key, Keep: true})
--- a/internal/admission/standby.go
+++ b/internal/admission/standby.go
@@ -71,7 +71,7 @@
 
 // grantStandby answers a proxy that the key's tracker carries.
 func (tracker *Tracker) grantStandby(now time.Duration, p *pool, request GrantRequest, want KeyRequest) KeyGrant {
-	tracker.Asked++
+	tracker.Requests++
 	p.standbyTotals(now, tracker) // drops what has ended, so that the sums are of what stands
 	s := p.standbys[request.Proxy]
 	if s == nil {
--- a/internal/admission/tracker.go
+++ b/internal/admission/tracker.go
@@ -10,23 +10,23 @@
 // Tracker is the tracker of its shards' keys. Its mutex guards all fields and all pools; it
 // starts no goroutines and has no clock of its own.
 type Tracker struct {
-	incarnation               uint64
-	contacts                  map[string]contact // by proxy
-	outOfContact              map[string]bool    // those that may have stopped hearing this tracker, as of a turn
-	scan                      uint64
-	nextScanAt                time.Duration
-	carried                   map[string]bool          // keys that this tracker has seen to be carried, or not
-	carriedChanged            map[string]time.Duration // when that last changed
-	isTiny                    func(proxies int, q Quota) bool
-	proxyCount                int // the largest live count that proxies in contact reckon with
-	mu                        sync.Mutex
-	pools                     map[string]*pool
-	quotas                    map[string]Quota
-	limitSince                map[string]time.Duration // since when a key has its limit
-	shards                    int
-	shardSince                map[int]time.Duration
-	shardStarts               uint64
-	Asked, Offered, Exhausted uint64
+	incarnation                  uint64
+	contacts                     map[string]contact // by proxy
+	outOfContact                 map[string]bool    // those that may have stopped hearing this tracker, as of a turn
+	scan                         uint64
+	nextScanAt                   time.Duration
+	carried                      map[string]bool          // keys that this tracker has seen to be carried, or not
+	carriedChanged               map[string]time.Duration // when that last changed
+	isTiny                       func(proxies int, q Quota) bool
+	proxyCount                   int // the largest live count that proxies in contact reckon with
+	mu                           sync.Mutex
+	pools                        map[string]*pool
+	quotas                       map[string]Quota
+	limitSince                   map[string]time.Duration // since when a key has its limit
+	shards                       int
+	shardSince                   map[int]time.Duration
+	shardStarts                  uint64
+	Requests, Offered, Exhausted uint64
 }
 
 // NewTracker makes a tracker that knows no key yet; life distinguishes it
