--- a/internal/admission/tracker.go
+++ b/internal/admission/tracker.go
@@ -26,7 +26,7 @@
 	shards                       int
 	shardSince                   map[int]time.Duration
 	shardStarts                  uint64
-	Requests, Offered, Exhausted uint64
+	Requests, Granted, Exhausted uint64
 }
 
 // NewTracker makes a tracker that knows no key yet; life distinguishes it
@@ -178,7 +178,7 @@
 			p.bucket.tokens -= want.Need
 			p.tokensGiven += want.Need
 			out.Tokens, out.Life = want.Need, tracker.incarnation
-			tracker.Offered++
+			tracker.Granted++
 		} else {
 			tracker.Exhausted++
 			out.Dry = constants.GrantEvery
