--- a/internal/admission/admit.go
+++ b/internal/admission/admit.go
@@ -27,12 +27,12 @@
 		ks.countArrival(now, quotaHasRoom)
 	}
 	grant := &ks.grant.tokens
-	if ks.carried && !ks.onStandby {
+	if ks.trackerOnly && !ks.onStandby {
 		grant = new(float64) // the standby is not to be used
 	}
-	available := ks.split.tokens + *grant + ks.waitingTokens
+	available := ks.split.tokens + *grant + ks.oneOffTokens
 	if ks.peakRate.tokens >= 1 && available >= 1-1e-9 {
-		ks.spendToken(now, grant)
+		ks.takeToken(now, grant)
 		return Decision{OK: true}
 	}
 	// One question to the tracker costs less than a wrong refusal, unless it
@@ -64,12 +64,12 @@
 	}
 }
 
-// spendToken takes one token: from what was granted at once, then from the grant, and the
+// takeToken takes one token: from what was granted at once, then from the grant, and the
 // rest from the split share.
-func (ks *keyState) spendToken(now time.Duration, grant *float64) {
+func (ks *keyState) takeToken(now time.Duration, grant *float64) {
 	ks.peakRate.tokens--
 	need, before := 1.0, *grant
-	need -= takeUpTo(&ks.waitingTokens, need)
+	need -= takeUpTo(&ks.oneOffTokens, need)
 	if need > 0 {
 		need -= takeUpTo(grant, need)
 	}
@@ -82,13 +82,13 @@
 	ks.count.Admitted++
 	fromGrant := before - *grant
 	switch {
-	case ks.carried && need < tokenEpsilon && fromGrant > 0:
+	case ks.trackerOnly && need < tokenEpsilon && fromGrant > 0:
 		ks.standbyUsed += fromGrant
 	case need > 0 || fromGrant > 0:
 		ks.lastAdmitted, ks.standbyUsed = now, 0
 	}
 	if fromGrant < 1-tokenEpsilon {
-		ks.tokensUsedAt = now
+		ks.trackerTokensUsedAt = now
 	}
 }
 
--- a/internal/admission/answers.go
+++ b/internal/admission/answers.go
@@ -30,8 +30,8 @@
 		return
 	}
 	l.refresh(ks, now)
-	if ends := asked + grantLength(given.Long); !given.Keep && given.Long == ks.carried && asked >= ks.modeSince && ends > now && ends > ks.grantExpires {
-		ks.grantExpires, ks.grantRequested = ends, asked
+	if ends := asked + grantLength(given.Long); !given.Keep && given.Long == ks.trackerOnly && asked >= ks.modeChangedAt && ends > now && ends > ks.grantExpires {
+		ks.grantExpires, ks.grantRequestedAt = ends, asked
 		if given.Long {
 			ks.standbyRate = min(given.Rate, ks.quota.Rate)
 			l.resizeStandby(ks, now)
@@ -41,46 +41,46 @@
 			ks.grant.set(now, min(given.Rate, max(0, ks.quota.Rate-ks.split.rate)), min(given.Depth, max(0, ks.quota.Burst-ks.split.depth)))
 		}
 	}
-	if given.Lent && asked == ks.loanReported && l.proxies > 0 {
-		l.takeLoan(ks, now, asked, given)
+	if given.Lent && asked == ks.loanReportedAt && l.proxies > 0 {
+		l.applyLoan(ks, now, asked, given)
 	}
 	if ends := asked + constants.OneOffLife; given.Tokens > 0 && ends > now {
-		if owed := max(0, -ks.split.tokens); ks.carried && owed > 0 {
+		if owed := max(0, -ks.split.tokens); ks.trackerOnly && owed > 0 {
 			paid := min(owed, max(0, given.Tokens-1))
 			ks.split.tokens += paid
 			given.Tokens -= paid
 		}
-		if given.Life != ks.tokensIncarnation {
-			ks.lastAdmitted, ks.tokensIncarnation = ks.lastSpentAt(given.Life), given.Life
+		if given.Life != ks.trackerTokensIncarnation {
+			ks.lastAdmitted, ks.trackerTokensIncarnation = ks.lastAdmittedAt(given.Life), given.Life
 		}
-		ks.waitingTokens += given.Tokens
-		ks.waitingTokensExpire = ends
+		ks.oneOffTokens += given.Tokens
+		ks.oneOffExpires = ends
 	}
 	if given.Dry > 0 {
 		ks.noTokensUntil = now + given.Dry
 	}
 }
 
-// takeLoan takes what a tracker answers about the share that was reported as lent. It may
+// applyLoan takes what a tracker answers about the share that was reported as lent. It may
 // keep more of it than was reported, while others hold leases of that part.
-func (l *Limiter) takeLoan(ks *keyState, now, asked time.Duration, given KeyGrant) {
-	ks.loanProxies = ks.reportedProxies
-	if ks.carried {
+func (l *Limiter) applyLoan(ks *keyState, now, asked time.Duration, given KeyGrant) {
+	ks.ackedProxies = ks.reportedProxies
+	if ks.trackerOnly {
 		if given.Released && ks.releaseDeadline > 0 {
-			l.takeShareBack(ks, now)
+			l.reclaimShare(ks, now)
 		} else if given.Keep {
-			ks.lentPart = 0 // not noted there yet: the next report has it again
+			ks.lentFraction = 0 // not noted there yet: the next report has it again
 		}
 		return
 	}
 	part := min(1, given.Loan*float64(l.proxies)/(constants.SplitPart*ks.quota.Rate))
-	if part == ks.lentPart {
+	if part == ks.lentFraction {
 		return
 	}
-	if part > ks.lentPart {
+	if part > ks.lentFraction {
 		ks.loanExpires = max(ks.loanExpires, asked+constants.LendLength)
 	}
-	ks.lentPart = max(0, part)
+	ks.lentFraction = max(0, part)
 	l.resizeBuckets(ks, now)
 }
 
@@ -91,7 +91,7 @@
 	defer l.mu.Unlock()
 	if ks := l.keys[key]; ks != nil {
 		ks.noTokensUntil = now + constants.GrantEvery
-		if ks.carried {
+		if ks.trackerOnly {
 			ks.noTokensUntil = now + constants.AskRetryPause // there is nobody else to ask
 			ks.unansweredAt = now
 		}
--- a/internal/admission/handover_test.go
+++ b/internal/admission/handover_test.go
@@ -132,7 +132,7 @@
 		b := l.keys[g.key]
 		l.refresh(b, g.clock(n))
 		split += b.split.rate
-		if !b.carried || b.onStandby {
+		if !b.trackerOnly || b.onStandby {
 			held += b.grant.rate
 		}
 	}
@@ -231,7 +231,7 @@
 			t.Errorf("seed %d, quota %v, steps of %d: %d of %d requests within the quota were refused, over a second's %.0f", seed, q, step, refused, g.asked, perS)
 		}
 		for _, n := range g.members {
-			if g.proxies[n].keys[g.key].carried {
+			if g.proxies[n].keys[g.key].trackerOnly {
 				t.Errorf("seed %d: the tracker still carries the key at %s, with %d proxies", seed, n, len(g.members))
 			}
 		}
--- a/internal/admission/keystate.go
+++ b/internal/admission/keystate.go
@@ -39,39 +39,39 @@
 
 // keyState is one throttle key at one proxy.
 type keyState struct {
-	quota               Quota
-	split               bucket // the share by live count
-	grant               bucket // leased from the tracker
-	grantExpires        time.Duration
-	grantRequested      time.Duration // the question that brought it
-	waitingTokens       float64       // granted for waiting requests, short-lived
-	waitingTokensExpire time.Duration
-	peakRate            bucket // second in the chain: bounds the rate of a burst
-	wholeQuota          bucket // the entire quota against this proxy's traffic alone: an audit, decides nothing
-	shadow              *shadow
-	fillSince           time.Duration // fill the split bucket from here, once
-	lentPart            float64       // part of the split share, 0 to 1, lent to the tracker
-	loanReported        time.Duration // when the last report of it was sent
-	loanExpires         time.Duration // by then the tracker has stopped using it
-	loanIncarnation     uint64        // the tracker's incarnation it was last reported to
-	reportedProxies     int           // the live count of that report
-	loanProxies         int           // the live count that the tracker's newest answer to a report counts with
-	noTokensUntil       time.Duration
-	unansweredAt        time.Duration // a question brought no answer
-	toldUntil           time.Duration // when the refused client that was told last is to come again
-	arrivals            float64       // since the last period
-	demand              float64       // requests a second, running mean
-	lastAdmitted        time.Duration // a request was let through, other than by tokens of the tracker by
-	tokensIncarnation   uint64        // incarnation of the tracker that last gave tokens
-	tokensUsedAt        time.Duration // a request was let through by them
-	shard               int           // of trackers
-	onStandby           bool          // no contact with the tracker: the grant bucket holds the standby
-	carried             bool          // carried by its tracker: the split share is lent whole, each request asks
-	releaseDeadline     time.Duration // carried, though the share could serve again: it does not before this unless the tracker agrees; 0 is no
-	modeSince           time.Duration // carried, or not, since then: answers to earlier questions lease nothing
-	standbyRate         float64       // standby rate that the tracker has granted, until grantExpires
-	standbyUsed         float64       // tokens of standby used since lastAdmitted
-	count               Count
+	quota                    Quota
+	split                    bucket // the share by live count
+	grant                    bucket // leased from the tracker
+	grantExpires             time.Duration
+	grantRequestedAt         time.Duration // the question that brought it
+	oneOffTokens             float64       // granted for waiting requests, short-lived
+	oneOffExpires            time.Duration
+	peakRate                 bucket // second in the chain: bounds the rate of a burst
+	wholeQuota               bucket // the entire quota against this proxy's traffic alone: an audit, decides nothing
+	shadow                   *shadow
+	initialFillFrom          time.Duration // fill the split bucket from here, once
+	lentFraction             float64       // part of the split share, 0 to 1, lent to the tracker
+	loanReportedAt           time.Duration // when the last report of it was sent
+	loanExpires              time.Duration // by then the tracker has stopped using it
+	reportedIncarnation      uint64        // the tracker's incarnation it was last reported to
+	reportedProxies          int           // the live count of that report
+	ackedProxies             int           // the live count that the tracker's newest answer to a report counts with
+	noTokensUntil            time.Duration
+	unansweredAt             time.Duration // a question brought no answer
+	lastRetryAt              time.Duration // when the refused client that was told last is to come again
+	arrivals                 float64       // since the last period
+	demand                   float64       // requests a second, running mean
+	lastAdmitted             time.Duration // a request was let through, other than by tokens of the tracker by
+	trackerTokensIncarnation uint64        // incarnation of the tracker that last gave tokens
+	trackerTokensUsedAt      time.Duration // a request was let through by them
+	shard                    int           // of trackers
+	onStandby                bool          // no contact with the tracker: the grant bucket holds the standby
+	trackerOnly              bool          // carried by its tracker: the split share is lent whole, each request asks
+	releaseDeadline          time.Duration // carried, though the share could serve again: it does not before this unless the tracker agrees; 0 is no
+	modeChangedAt            time.Duration // carried, or not, since then: answers to earlier questions lease nothing
+	standbyRate              float64       // standby rate that the tracker has granted, until grantExpires
+	standbyUsed              float64       // tokens of standby used since lastAdmitted
+	count                    Count
 }
 
 // Quota is a key's limit; Rate 0 is none.
@@ -105,20 +105,20 @@
 func (l *Limiter) updateMode(ks *keyState, now time.Duration) {
 	tiny := ShareTooSmall(l.proxies, l.slack, ks.quota)
 	switch {
-	case tiny && !ks.carried:
-		ks.carried, ks.releaseDeadline, ks.modeSince = true, 0, now
+	case tiny && !ks.trackerOnly:
+		ks.trackerOnly, ks.releaseDeadline, ks.modeChangedAt = true, 0, now
 		ks.standbyRate, ks.grantExpires = 0, 0
 		ks.grant = bucket{filledAt: now, tokens: l.rng.Float64(), depth: 1}
 	case tiny:
 		ks.releaseDeadline = 0
-	case ks.carried && ks.releaseDeadline == 0:
+	case ks.trackerOnly && ks.releaseDeadline == 0:
 		ks.releaseDeadline = now + constants.LendLong + constants.GrantLong
 	}
 }
 
-// takeShareBack ends a key's time with its tracker: the split share serves again.
-func (l *Limiter) takeShareBack(ks *keyState, now time.Duration) {
-	ks.carried, ks.releaseDeadline, ks.lentPart, ks.modeSince = false, 0, 0, now
+// reclaimShare ends a key's time with its tracker: the split share serves again.
+func (l *Limiter) reclaimShare(ks *keyState, now time.Duration) {
+	ks.trackerOnly, ks.releaseDeadline, ks.lentFraction, ks.modeChangedAt = false, 0, 0, now
 	ks.standbyRate, ks.grantExpires = 0, 0
 	ks.grant.set(now, 0, 0)
 	l.resizeBuckets(ks, now)
@@ -132,48 +132,48 @@
 	} else {
 		n := float64(l.proxies)
 		rate, depth := constants.SplitPart*q.Rate/n, constants.SplitPart*q.Burst/n
-		if ks.fillSince != 0 {
-			ks.split.filledAt, ks.fillSince = ks.fillSince, 0
+		if ks.initialFillFrom != 0 {
+			ks.split.filledAt, ks.initialFillFrom = ks.initialFillFrom, 0
 			ks.split.rate, ks.split.depth = rate, depth
 		}
-		if ks.carried {
+		if ks.trackerOnly {
 			ks.split.set(now, 0, 0)
 		} else {
-			ks.split.set(now, rate*(1-ks.lentPart), max(depth*(1-ks.lentPart), SplitFloor(l.proxies, l.slack)))
+			ks.split.set(now, rate*(1-ks.lentFraction), max(depth*(1-ks.lentFraction), SplitFloor(l.proxies, l.slack)))
 		}
 	}
 	ks.peakRate.set(now, constants.FastBucketRate*q.Rate, max(1, q.Rate*constants.FastBucketTime.Seconds()))
 	ks.wholeQuota.set(now, q.Rate, max(1, q.Burst))
-	if !ks.carried {
+	if !ks.trackerOnly {
 		// A lowered limit cuts what was leased under the old one at once.
 		ks.grant.set(now, min(ks.grant.rate, max(0, q.Rate-ks.split.rate)), min(ks.grant.depth, max(0, q.Burst-ks.split.depth)))
 	}
 }
 
 func (l *Limiter) refresh(ks *keyState, now time.Duration) {
-	if ks.carried && ks.releaseDeadline > 0 && now >= max(ks.releaseDeadline, ks.loanExpires+constants.GrantLong) {
-		l.takeShareBack(ks, now)
+	if ks.trackerOnly && ks.releaseDeadline > 0 && now >= max(ks.releaseDeadline, ks.loanExpires+constants.GrantLong) {
+		l.reclaimShare(ks, now)
 	}
 	if now-l.controlHeardAt > constants.SplitHold {
 		ks.split.set(now, 0, 0) // others may share it by now
-	} else if ks.lentPart > 0 && now >= ks.loanExpires {
-		ks.lentPart = 0 // no report has renewed the loan: it is over
+	} else if ks.lentFraction > 0 && now >= ks.loanExpires {
+		ks.lentFraction = 0 // no report has renewed the loan: it is over
 		l.resizeBuckets(ks, now)
 	}
 	ks.split.fill(now)
-	if ks.carried {
+	if ks.trackerOnly {
 		l.resizeStandby(ks, now)
 	} else if now >= ks.grantExpires {
 		ks.grant.set(now, 0, 0)
 	}
 	ks.grant.fill(now)
-	if owed := -ks.split.tokens; owed > 0 && ks.grant.tokens > 0 && ks.onStandby && ks.carried {
+	if owed := -ks.split.tokens; owed > 0 && ks.grant.tokens > 0 && ks.onStandby && ks.trackerOnly {
 		paid := min(owed, ks.grant.tokens) // a share that does not fill cannot pay
 		ks.grant.tokens -= paid
 		ks.split.tokens += paid
 	}
-	if now >= ks.waitingTokensExpire {
-		ks.waitingTokens = 0
+	if now >= ks.oneOffExpires {
+		ks.oneOffTokens = 0
 	}
 	ks.peakRate.fill(now)
 	ks.wholeQuota.fill(now)
@@ -183,7 +183,7 @@
 // for a key that the tracker carries, its lease for any other.
 func (ks *keyState) heldRate(now time.Duration) float64 {
 	switch {
-	case !ks.carried:
+	case !ks.trackerOnly:
 		return ks.grant.rate
 	case now < ks.grantExpires:
 		return ks.standbyRate
@@ -191,11 +191,11 @@
 	return 0
 }
 
-// lastSpentAt is when a request was last let through, as far as the tracker of an
+// lastAdmittedAt is when a request was last let through, as far as the tracker of an
 // incarnation does not know it from what it gave.
-func (ks *keyState) lastSpentAt(life uint64) time.Duration {
-	if ks.tokensIncarnation != life {
-		return max(ks.lastAdmitted, ks.tokensUsedAt)
+func (ks *keyState) lastAdmittedAt(life uint64) time.Duration {
+	if ks.trackerTokensIncarnation != life {
+		return max(ks.lastAdmitted, ks.trackerTokensUsedAt)
 	}
 	return ks.lastAdmitted
 }
--- a/internal/admission/leases.go
+++ b/internal/admission/leases.go
@@ -66,7 +66,7 @@
 		share = l.demand * leasable / total
 	}
 	share = min(share, max(0, rate-p.leased(request.Proxy)))
-	l.reserved = mostInUse(l.reserved, l.requestSent, share, want)
+	l.reserved = maxInUse(l.reserved, l.requestSent, share, want)
 	l.rate, l.requestSent = share, request.Sent
 	l.expires = now + constants.GrantLength
 	p.resize(now, tracker)
@@ -74,10 +74,10 @@
 	return tracker.grantTokens(p, want, out)
 }
 
-// mostInUse is the most that a proxy may be using when it is offered a rate. What was
+// maxInUse is the most that a proxy may be using when it is offered a rate. What was
 // offered before counts until the proxy reports what it holds by the newest offer,
 // since answers may be lost or overtake each other.
-func mostInUse(counted float64, answered time.Duration, offer float64, want KeyRequest) float64 {
+func maxInUse(counted float64, answered time.Duration, offer float64, want KeyRequest) float64 {
 	if want.RateOf == answered {
 		return max(offer, min(want.Rate, counted))
 	}
--- a/internal/admission/limiter.go
+++ b/internal/admission/limiter.go
@@ -30,7 +30,7 @@
 	awaitingQuotas bool                  // no quotas have come since the process started
 	controlHeardAt time.Duration         // when control last sent a count
 	incarnation    uint64                // distinguishes this process's requests from those of an earlier one
-	countRise      countChange           // the count before the last ones, while loans of that time stand
+	countIncrease  countChange           // the count before the last ones, while loans of that time stand
 }
 
 // countChange is a live proxy count that loans still reckon with.
@@ -65,10 +65,10 @@
 	}
 	if n > l.proxies {
 		// What was lent under the smaller count was more of a share than is ours now.
-		if now >= l.countRise.ends {
-			l.countRise.from = l.proxies
+		if now >= l.countIncrease.ends {
+			l.countIncrease.from = l.proxies
 		}
-		l.countRise.ends = now + constants.LendLong
+		l.countIncrease.ends = now + constants.LendLong
 	}
 	l.proxies = n
 	clear(l.loansReportAt)
@@ -99,8 +99,8 @@
 			ks.split.filledAt, ks.grant.filledAt, ks.peakRate.filledAt, ks.wholeQuota.filledAt = now, now, now, now
 			ks.lastAdmitted = now
 			if l.awaitingQuotas {
-				ks.fillSince = -constants.RestartTime
-				ks.peakRate.filledAt, ks.lastAdmitted = ks.fillSince, ks.fillSince
+				ks.initialFillFrom = -constants.RestartTime
+				ks.peakRate.filledAt, ks.lastAdmitted = ks.initialFillFrom, ks.initialFillFrom
 			}
 			l.keys[k] = ks
 		} else if ks.quota == q {
@@ -158,7 +158,7 @@
 	var out []Report
 	for k, ks := range l.keys {
 		l.refresh(ks, now)
-		bal := ks.split.tokens + ks.grant.tokens + ks.waitingTokens
+		bal := ks.split.tokens + ks.grant.tokens + ks.oneOffTokens
 		out = append(out, Report{k, ks.quota.Rate, ks.quota.Burst, ks.demand, ks.split.rate, ks.grant.rate, math.Round(bal*100) / 100, ks.count})
 	}
 	sort.Slice(out, func(i, j int) bool { return out[i].Key < out[j].Key })
@@ -178,15 +178,15 @@
 func (l *Limiter) SettledProxies(now time.Duration) int {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	if now >= l.countRise.ends {
+	if now >= l.countIncrease.ends {
 		return l.proxies
 	}
 	for _, ks := range l.keys {
-		if ks.lentPart > 0 && now < ks.loanExpires && ks.loanProxies < l.proxies {
-			return min(l.countRise.from, l.proxies)
+		if ks.lentFraction > 0 && now < ks.loanExpires && ks.ackedProxies < l.proxies {
+			return min(l.countIncrease.from, l.proxies)
 		}
 	}
-	l.countRise.ends = now
+	l.countIncrease.ends = now
 	return l.proxies
 }
 
--- a/internal/admission/limiter_test.go
+++ b/internal/admission/limiter_test.go
@@ -570,8 +570,8 @@
 				}
 			}
 			off := func(a, b float64) bool { return math.Abs(a-b) > 1e-6 }
-			if off(l.rate, p.loanTotals.rate) || off(l.depth, p.loanTotals.depth) || off(count, p.standbyCount) || off(demand, p.standbyDemand) || p.standbyInUse < alone-1e-6 {
-				t.Fatalf("%v, %s: sums %+v, %v, %v, %v of entries that make %+v, %v, %v, %v", now, k, p.loanTotals, p.standbyCount, p.standbyDemand, p.standbyInUse, l, count, demand, alone)
+			if off(l.rate, p.loanTotals.rate) || off(l.depth, p.loanTotals.depth) || off(count, p.standbyReserved) || off(demand, p.standbyDemand) || p.standbyInUse < alone-1e-6 {
+				t.Fatalf("%v, %s: sums %+v, %v, %v, %v of entries that make %+v, %v, %v, %v", now, k, p.loanTotals, p.standbyReserved, p.standbyDemand, p.standbyInUse, l, count, demand, alone)
 			}
 		}
 	}
--- a/internal/admission/loans.go
+++ b/internal/admission/loans.go
@@ -10,7 +10,7 @@
 type loan struct {
 	rate, depth float64
 	expires     time.Duration
-	whole       float64 // the rate again, if the share is lent whole
+	wholeRate   float64 // the rate again, if the share is lent whole
 }
 
 // setLoan notes what a proxy leaves to the tracker from now on; an empty loan is none.
@@ -18,7 +18,7 @@
 	was := p.loans[proxy]
 	p.loanTotals.rate += l.rate - was.rate
 	p.loanTotals.depth += l.depth - was.depth
-	p.loanTotals.whole += l.whole - was.whole
+	p.loanTotals.wholeRate += l.wholeRate - was.wholeRate
 	if l == (loan{}) {
 		delete(p.loans, proxy)
 		return
@@ -27,17 +27,17 @@
 	p.loanTotals.expires = min(p.loanTotals.expires, l.expires)
 }
 
-// changeLoan takes what a proxy lends from now on, and returns the rate that counts
+// updateLoan takes what a proxy lends from now on, and returns the rate that counts
 // as lent. A larger loan counts at once, and so does a smaller one, except of a share
 // that was lent whole: of that as much is given back as no standby rests on.
-func (p *pool) changeLoan(now time.Duration, tracker *Tracker, proxy string, to loan) float64 {
-	p.sumLoans(now)
+func (p *pool) updateLoan(now time.Duration, tracker *Tracker, proxy string, to loan) float64 {
+	p.refreshLoanTotals(now)
 	was := p.loans[proxy]
-	if to.rate < was.rate && was.whole > 0 {
+	if to.rate < was.rate && was.wholeRate > 0 {
 		back := min(was.rate-to.rate, max(0, p.uncommitted(now, tracker)))
 		if kept := was.rate - back; kept > rateEpsilon {
 			part := kept / was.rate
-			to = loan{rate: kept, depth: was.depth * part, expires: max(was.expires, to.expires), whole: was.whole * part}
+			to = loan{rate: kept, depth: was.depth * part, expires: max(was.expires, to.expires), wholeRate: was.wholeRate * part}
 		} else {
 			to = loan{}
 		}
@@ -46,8 +46,8 @@
 	return to.rate
 }
 
-// sumLoans drops loans that have ended and sums the others anew.
-func (p *pool) sumLoans(now time.Duration) {
+// refreshLoanTotals drops loans that have ended and sums the others anew.
+func (p *pool) refreshLoanTotals(now time.Duration) {
 	if now < p.loanTotals.expires {
 		return
 	}
@@ -59,7 +59,7 @@
 		}
 		p.loanTotals.rate += l.rate
 		p.loanTotals.depth += l.depth
-		p.loanTotals.whole += l.whole
+		p.loanTotals.wholeRate += l.wholeRate
 		p.loanTotals.expires = min(p.loanTotals.expires, l.expires)
 	}
 }
--- a/internal/admission/pool.go
+++ b/internal/admission/pool.go
@@ -15,10 +15,10 @@
 	recoveryUntil time.Duration      // until then standby granted by an earlier tracker may be in use
 	reported      map[string]float64 // proxies that have reported what they hold of these, during recovery, and the tokens of standby they used
 	splitInUse    bool               // one of them uses its split share
-	lastSpent     time.Duration      // the latest moment, by their reports, at which any let a request through
-	tokensGiven   float64            // tokens since the beginning
+	lastAdmitted  time.Duration      // the latest moment, by their reports, at which any let a request through
+	tokensGranted float64            // tokens since the beginning
 	refillPending bool               // what has accrued since lastSpent is still to be added
-	proxies       int                // how many there are, by the largest count reported
+	proxyCount    int                // how many there are, by the largest count reported
 	bucket        bucket
 	leases        map[string]*lease
 	loans         map[string]loan
@@ -26,12 +26,12 @@
 	// Sums of the maps above, so that a question costs the same however many
 	// proxies there are: kept as entries change, and taken anew when the first
 	// entry ends.
-	loanTotals    loan // until is when the first loan ends
-	standbyCount  float64
-	standbyDemand float64
-	standbysEnd   time.Duration // when the first stand ends
-	standbyInUse  float64       // count of those that may be using their standby, as of a turn
-	scan          uint64
+	loanTotals        loan // until is when the first loan ends
+	standbyReserved   float64
+	standbyDemand     float64
+	nextStandbyExpiry time.Duration // when the first stand ends
+	standbyInUse      float64       // count of those that may be using their standby, as of a turn
+	contactScan       uint64
 }
 
 // rateEpsilon is a rate, in requests a second, that counts as nothing: sums of
@@ -48,14 +48,14 @@
 // nobody has reported here, that part of what is lent whole stays out; what is known
 // to be unused at proxies in contact does not.
 func (p *pool) available(now time.Duration, tracker *Tracker) (rate, burst float64) {
-	p.sumLoans(now)
+	p.refreshLoanTotals(now)
 	rate, burst = p.tracked()
 	if now >= p.recoveryUntil {
 		return min(rate+p.loanTotals.rate, p.quota.Rate), min(burst+p.loanTotals.depth, p.quota.Burst)
 	}
 	_, resting := p.standbyTotals(now, tracker)
-	sure := min(constants.StandbyReserve*p.quota.Rate, p.loanTotals.whole*(1-constants.StandbyBasic))
-	lent := p.loanTotals.rate - p.loanTotals.whole + sure
+	sure := min(constants.StandbyReserve*p.quota.Rate, p.loanTotals.wholeRate*(1-constants.StandbyBasic))
+	lent := p.loanTotals.rate - p.loanTotals.wholeRate + sure
 	if p.loanTotals.rate > 0 {
 		burst += p.loanTotals.depth * lent / p.loanTotals.rate
 	}
@@ -91,7 +91,7 @@
 	p.bucket.set(now, max(0, rate-leased-p.standbyRateInUse(now, tracker)), max(0, burst-leaseDepth(leased, p.quota)))
 	if p.refillPending && burst >= constants.NearlyAll*p.quota.Burst {
 		p.refillPending = false // once, when the shares have been lent
-		p.bucket.tokens = max(p.bucket.tokens, min(p.bucket.depth, p.quota.Rate*(now-p.lastSpent).Seconds()-p.tokensGiven))
+		p.bucket.tokens = max(p.bucket.tokens, min(p.bucket.depth, p.quota.Rate*(now-p.lastAdmitted).Seconds()-p.tokensGranted))
 	}
 }
 
@@ -115,21 +115,21 @@
 	return p
 }
 
-// noteReported notes, at a tracker that took over lately, that a proxy has reported what it
+// recordReport notes, at a tracker that took over lately, that a proxy has reported what it
 // holds. When all have, nothing unknown is in use any more, and since the last of
 // them let a request through the quota has been filling.
-func (p *pool) noteReported(now time.Duration, request GrantRequest, want KeyRequest) {
+func (p *pool) recordReport(now time.Duration, request GrantRequest, want KeyRequest) {
 	if now >= p.recoveryUntil {
 		p.reported = nil
 		return
 	}
 	p.reported[request.Proxy] = want.Stood
 	p.splitInUse = p.splitInUse || !want.Long
-	p.lastSpent = max(p.lastSpent, now-want.Idle)
-	if p.proxies = max(p.proxies, request.Proxies); p.proxies > 0 && len(p.reported) >= p.proxies {
+	p.lastAdmitted = max(p.lastAdmitted, now-want.Idle)
+	if p.proxyCount = max(p.proxyCount, request.Proxies); p.proxyCount > 0 && len(p.reported) >= p.proxyCount {
 		p.recoveryUntil, p.refillPending = now, !p.splitInUse
 		for _, used := range p.reported {
-			p.tokensGiven += used
+			p.tokensGranted += used
 		}
 	}
 }
--- a/internal/admission/retry.go
+++ b/internal/admission/retry.go
@@ -10,19 +10,19 @@
 // behind those that were told to come again before. Its next try reaches another proxy, so
 // the key's whole rate counts and not this proxy's part of it.
 func (l *Limiter) retryAfter(ks *keyState, now time.Duration, available float64) time.Duration {
-	due := now + l.tokenDue(ks, now, available)
-	if ks.toldUntil > now {
-		due = max(due, ks.toldUntil+tokenTime(1, ks.quota.Rate))
+	due := now + l.timeToToken(ks, now, available)
+	if ks.lastRetryAt > now {
+		due = max(due, ks.lastRetryAt+tokenTime(1, ks.quota.Rate))
 	}
-	ks.toldUntil = min(due, now+constants.RetryMost)
-	return ks.toldUntil - now
+	ks.lastRetryAt = min(due, now+constants.RetryMost)
+	return ks.lastRetryAt - now
 }
 
-// tokenDue is how long it takes until there is a token, with so many available here now.
-func (l *Limiter) tokenDue(ks *keyState, now time.Duration, available float64) time.Duration {
+// timeToToken is how long it takes until there is a token, with so many available here now.
+func (l *Limiter) timeToToken(ks *keyState, now time.Duration, available float64) time.Duration {
 	here := constants.GrantLength // leases and shares are dealt out anew by then
 	rate := ks.split.rate
-	if !ks.carried || ks.onStandby {
+	if !ks.trackerOnly || ks.onStandby {
 		rate += ks.grant.rate
 	}
 	if rate > 0 {
--- a/internal/admission/standby.go
+++ b/internal/admission/standby.go
@@ -28,44 +28,44 @@
 // standbyTotals sums the standby rates: of those who may be using them now, and of
 // the others.
 func (p *pool) standbyTotals(now time.Duration, tracker *Tracker) (alone, inTouch float64) {
-	if now >= p.standbysEnd {
-		p.standbyCount, p.standbyDemand, p.standbysEnd, p.scan = 0, 0, now+constants.GrantLong, 0
+	if now >= p.nextStandbyExpiry {
+		p.standbyReserved, p.standbyDemand, p.nextStandbyExpiry, p.contactScan = 0, 0, now+constants.GrantLong, 0
 		for k, s := range p.standbys {
 			if now >= s.expires {
 				delete(p.standbys, k)
 				continue
 			}
-			p.standbyCount += s.reserved
+			p.standbyReserved += s.reserved
 			p.standbyDemand += s.demand
-			p.standbysEnd = min(p.standbysEnd, s.expires)
+			p.nextStandbyExpiry = min(p.nextStandbyExpiry, s.expires)
 		}
 	}
-	if p.scan != tracker.scan {
-		p.scan, p.standbyInUse = tracker.scan, 0
+	if p.contactScan != tracker.contactScan {
+		p.contactScan, p.standbyInUse = tracker.contactScan, 0
 		for n := range tracker.outOfContact {
 			if s := p.standbys[n]; s != nil {
 				p.standbyInUse += s.reserved
 			}
 		}
 	}
-	return max(0, p.standbyInUse), max(0, p.standbyCount-p.standbyInUse)
+	return max(0, p.standbyInUse), max(0, p.standbyReserved-p.standbyInUse)
 }
 
 // setStandby alters one proxy's standby and the sums with it.
 func (p *pool) setStandby(tracker *Tracker, proxy string, s *standby, to standby) {
-	p.standbyCount += to.reserved - s.reserved
+	p.standbyReserved += to.reserved - s.reserved
 	p.standbyDemand += to.demand - s.demand
-	if p.scan == tracker.scan && tracker.outOfContact[proxy] {
+	if p.contactScan == tracker.contactScan && tracker.outOfContact[proxy] {
 		p.standbyInUse += to.reserved - s.reserved
 	}
 	*s = to
 }
 
-// standbyMost is the most that all standby of a key may add up to, by what carried
+// maxStandby is the most that all standby of a key may add up to, by what carried
 // proxies have lent: a tracker that begins without knowing any of it may still give
 // its own part and a tenth. Every proxy's basic standby fits into it.
-func (p *pool) standbyMost() float64 {
-	lent := min(p.loanTotals.whole, constants.SplitPart*p.quota.Rate)
+func (p *pool) maxStandby() float64 {
+	lent := min(p.loanTotals.wholeRate, constants.SplitPart*p.quota.Rate)
 	return max(lent*constants.StandbyBasic, lent-constants.StandbyReserve*p.quota.Rate)
 }
 
@@ -80,7 +80,7 @@
 	}
 	to := *s
 	to.expires = now + constants.GrantLong
-	p.standbysEnd = min(p.standbysEnd, to.expires)
+	p.nextStandbyExpiry = min(p.nextStandbyExpiry, to.expires)
 	basic := p.loans[request.Proxy].rate * constants.StandbyBasic
 	switch {
 	case !want.Lend: // a question of a request; what stands, stands
@@ -90,8 +90,8 @@
 	default:
 		to.demand = want.Demand
 		total := p.standbyDemand - s.demand + to.demand
-		others := max(0, p.standbyCount-s.reserved)
-		most := p.standbyMost()
+		others := max(0, p.standbyReserved-s.reserved)
+		most := p.maxStandby()
 		share := to.demand * constants.StandbyHeadroom
 		if total > 0 {
 			share = min(share, to.demand*most/total)
@@ -100,7 +100,7 @@
 		if want.Release {
 			share = 0 // it is about to need none
 		}
-		to.reserved = max(mostInUse(s.reserved, s.requestSent, share, want), basic)
+		to.reserved = max(maxInUse(s.reserved, s.requestSent, share, want), basic)
 		to.rate, to.requestSent = share, request.Sent
 	}
 	p.setStandby(tracker, request.Proxy, s, to)
@@ -108,16 +108,16 @@
 	return tracker.grantTokens(p, want, KeyGrant{Key: want.Key, Rate: s.rate, Long: true, Lent: want.Lend, Loan: want.Lent})
 }
 
-// release gives a share that was lent whole back to its proxy, where the standby
+// releaseShare gives a share that was lent whole back to its proxy, where the standby
 // of the others and what is leased need it no longer.
-func (p *pool) release(now time.Duration, tracker *Tracker, proxy string) bool {
+func (p *pool) releaseShare(now time.Duration, tracker *Tracker, proxy string) bool {
 	if now < p.recoveryUntil {
 		return false // unknown standby may rest on it
 	}
 	p.standbyTotals(now, tracker)
 	kept := p.loans[proxy] // an empty loan is none
 	s := p.standbys[proxy]
-	others := p.standbyCount
+	others := p.standbyReserved
 	if s != nil {
 		others -= s.reserved
 	}
@@ -126,16 +126,16 @@
 	if s != nil {
 		free += s.reserved
 	}
-	if others > p.standbyMost()+rateEpsilon || free < -rateEpsilon {
+	if others > p.maxStandby()+rateEpsilon || free < -rateEpsilon {
 		p.setLoan(proxy, kept)
 		return false
 	}
-	p.dropStandby(tracker, proxy)
+	p.removeStandby(tracker, proxy)
 	return true
 }
 
-// dropStandby forgets the standby of a proxy that holds none.
-func (p *pool) dropStandby(tracker *Tracker, proxy string) {
+// removeStandby forgets the standby of a proxy that holds none.
+func (p *pool) removeStandby(tracker *Tracker, proxy string) {
 	if s := p.standbys[proxy]; s != nil {
 		p.setStandby(tracker, proxy, s, standby{})
 		delete(p.standbys, proxy)
--- a/internal/admission/tracker.go
+++ b/internal/admission/tracker.go
@@ -13,19 +13,19 @@
 	incarnation                  uint64
 	contacts                     map[string]contact // by proxy
 	outOfContact                 map[string]bool    // those that may have stopped hearing this tracker, as of a turn
-	scan                         uint64
+	contactScan                  uint64
 	nextScanAt                   time.Duration
-	carried                      map[string]bool          // keys that this tracker has seen to be carried, or not
-	carriedChanged               map[string]time.Duration // when that last changed
-	isTiny                       func(proxies int, q Quota) bool
+	trackerOnly                  map[string]bool          // keys that this tracker has seen to be carried, or not
+	modeChangedAt                map[string]time.Duration // when that last changed
+	shareTooSmall                func(proxies int, q Quota) bool
 	proxyCount                   int // the largest live count that proxies in contact reckon with
 	mu                           sync.Mutex
 	pools                        map[string]*pool
 	quotas                       map[string]Quota
-	limitSince                   map[string]time.Duration // since when a key has its limit
+	quotaSince                   map[string]time.Duration // since when a key has its limit
 	shards                       int
 	shardSince                   map[int]time.Duration
-	shardStarts                  uint64
+	takeovers                    uint64
 	Requests, Granted, Exhausted uint64
 }
 
@@ -34,17 +34,17 @@
 // nobody.
 func NewTracker(life uint64, shards int, tiny func(proxies int, q Quota) bool) *Tracker {
 	return &Tracker{
-		isTiny:         tiny,
-		contacts:       map[string]contact{},
-		outOfContact:   map[string]bool{},
-		carried:        map[string]bool{},
-		carriedChanged: map[string]time.Duration{},
-		incarnation:    life,
-		shards:         shards,
-		shardSince:     map[int]time.Duration{},
-		pools:          map[string]*pool{},
-		quotas:         map[string]Quota{},
-		limitSince:     map[string]time.Duration{},
+		shareTooSmall: tiny,
+		contacts:      map[string]contact{},
+		outOfContact:  map[string]bool{},
+		trackerOnly:   map[string]bool{},
+		modeChangedAt: map[string]time.Duration{},
+		incarnation:   life,
+		shards:        shards,
+		shardSince:    map[int]time.Duration{},
+		pools:         map[string]*pool{},
+		quotas:        map[string]Quota{},
+		quotaSince:    map[string]time.Duration{},
 	}
 }
 
@@ -54,7 +54,7 @@
 	defer tracker.mu.Unlock()
 	for k, q := range qs {
 		if tracker.quotas[k] != q {
-			tracker.limitSince[k] = now
+			tracker.quotaSince[k] = now
 		}
 	}
 	tracker.quotas = qs
@@ -75,13 +75,13 @@
 func (tracker *Tracker) HandleRequest(now time.Duration, request GrantRequest, since func(shard int) (time.Duration, bool)) Grants {
 	tracker.mu.Lock()
 	defer tracker.mu.Unlock()
-	out := Grants{Stamp: TrackerTime{tracker.incarnation, now, tracker.shardStarts}}
+	out := Grants{Stamp: TrackerTime{tracker.incarnation, now, tracker.takeovers}}
 	if len(tracker.quotas) == 0 {
 		// Started anew, and the configuration has not come yet: as good as nobody.
 		out.Refused = true
 		return out
 	}
-	late := tracker.noteContact(now, request)
+	late := tracker.recordContact(now, request)
 	out.Retell = late
 	for _, want := range request.Wants {
 		shard := Shard(want.Key, tracker.shards)
@@ -92,7 +92,7 @@
 		}
 		if tracker.shardSince[shard] != at {
 			tracker.shardSince[shard] = at
-			tracker.shardStarts++
+			tracker.takeovers++
 			for k := range tracker.pools {
 				if Shard(k, tracker.shards) == shard {
 					delete(tracker.pools, k)
@@ -101,52 +101,52 @@
 		}
 		q, limited := tracker.quotas[want.Key]
 		limited = limited && q.Rate > 0
-		wait := tracker.waitAfterTakeover(now, want, q, limited)
+		wait := tracker.takeoverDelay(now, want, q, limited)
 		if now-at < wait {
 			out.Given = append(out.Given, KeyGrant{Key: want.Key, Keep: true, Dry: wait - (now - at), Lent: want.Lend})
 			continue
 		}
 		if limited {
-			p := tracker.poolFor(want.Key, q, at, max(at+wait, tracker.limitSince[want.Key]), now)
-			out.Given = append(out.Given, tracker.answerWant(now, p, request, want, late))
+			p := tracker.poolFor(want.Key, q, at, max(at+wait, tracker.quotaSince[want.Key]), now)
+			out.Given = append(out.Given, tracker.handleKeyRequest(now, p, request, want, late))
 		}
 	}
-	out.Stamp.Begun = tracker.shardStarts // shards asked for may have begun just now
+	out.Stamp.Begun = tracker.takeovers // shards asked for may have begun just now
 	return out
 }
 
-// waitAfterTakeover is how long a tracker that begins gives nothing, since what an
+// takeoverDelay is how long a tracker that begins gives nothing, since what an
 // earlier one gave may still be used: tokens for waiting requests and, of a key
 // that is not carried or was not a moment ago, leases.
-func (tracker *Tracker) waitAfterTakeover(now time.Duration, want KeyRequest, q Quota, limited bool) time.Duration {
-	carried := limited && tracker.isTiny(tracker.proxyCount, q)
-	if was, seen := tracker.carried[want.Key]; seen && was != carried {
-		tracker.carriedChanged[want.Key] = now
+func (tracker *Tracker) takeoverDelay(now time.Duration, want KeyRequest, q Quota, limited bool) time.Duration {
+	carried := limited && tracker.shareTooSmall(tracker.proxyCount, q)
+	if was, seen := tracker.trackerOnly[want.Key]; seen && was != carried {
+		tracker.modeChangedAt[want.Key] = now
 	}
-	tracker.carried[want.Key] = carried
-	changed, ok := tracker.carriedChanged[want.Key]
+	tracker.trackerOnly[want.Key] = carried
+	changed, ok := tracker.modeChangedAt[want.Key]
 	if carried && want.Long && (!ok || now-changed >= constants.GrantLength) {
 		return constants.OneOffLife
 	}
 	return constants.GrantLength
 }
 
-// answerWant takes one want of a proxy and gives what there is. Of a report that a newer
+// handleKeyRequest takes one want of a proxy and gives what there is. Of a report that a newer
 // one has overtaken only the need counts.
-func (tracker *Tracker) answerWant(now time.Duration, p *pool, request GrantRequest, want KeyRequest, late bool) KeyGrant {
+func (tracker *Tracker) handleKeyRequest(now time.Duration, p *pool, request GrantRequest, want KeyRequest, late bool) KeyGrant {
 	if late {
 		want.Lend, want.Release = false, false
 	}
 	if !want.Lend {
 		return tracker.grantRate(now, p, request, want)
 	}
-	p.noteReported(now, request, want)
+	p.recordReport(now, request, want)
 	if want.Long {
 		delete(p.leases, request.Proxy) // its lease ended with its split share
 	} else {
-		p.dropStandby(tracker, request.Proxy)
+		p.removeStandby(tracker, request.Proxy)
 	}
-	if want.Release && p.release(now, tracker, request.Proxy) {
+	if want.Release && p.releaseShare(now, tracker, request.Proxy) {
 		p.resize(now, tracker)
 		return tracker.grantTokens(p, want, KeyGrant{Key: want.Key, Long: true, Keep: true, Lent: true, Released: true})
 	}
@@ -154,10 +154,10 @@
 	if request.Echo.Life == tracker.incarnation && want.Lent > 0 {
 		to = loan{rate: want.Lent, depth: want.Depth, expires: request.Echo.At + lendLength(want.Long)}
 		if want.Long {
-			to.whole = to.rate
+			to.wholeRate = to.rate
 		}
 	}
-	kept := p.changeLoan(now, tracker, request.Proxy, to)
+	kept := p.updateLoan(now, tracker, request.Proxy, to)
 	out := tracker.grantRate(now, p, request, want)
 	out.Loan = kept
 	return out
@@ -176,7 +176,7 @@
 	if want.Need > 0 {
 		if p.bucket.tokens >= want.Need {
 			p.bucket.tokens -= want.Need
-			p.tokensGiven += want.Need
+			p.tokensGranted += want.Need
 			out.Tokens, out.Life = want.Need, tracker.incarnation
 			tracker.Granted++
 		} else {
--- a/internal/admission/wants.go
+++ b/internal/admission/wants.go
@@ -45,7 +45,7 @@
 // of others nothing, since a leased rate that lies unused here is missed where
 // the next requests come.
 func (l *Limiter) demandBeyondShare(ks *keyState) float64 {
-	if ks.carried {
+	if ks.trackerOnly {
 		return ks.demand // for its standby
 	}
 	if ks.demand < constants.HotRate {
@@ -79,7 +79,7 @@
 		n := float64(l.proxies)
 		rate, depth := constants.SplitPart*ks.quota.Rate/n, constants.SplitPart*ks.quota.Burst/n
 		lend := 0.0
-		long := ks.carried
+		long := ks.trackerOnly
 		returning := long && ks.releaseDeadline > 0
 		at, life, ok := heard(k)
 		if ok && now < at+lendLength(long) && !givenUp {
@@ -88,7 +88,7 @@
 			}
 		}
 		beyond := l.demandBeyondShare(ks)
-		if long && !returning && math.Abs(lend-ks.lentPart) < 1e-6 && life == ks.loanIncarnation && now < l.loansReportAt[ks.shard] {
+		if long && !returning && math.Abs(lend-ks.lentFraction) < 1e-6 && life == ks.reportedIncarnation && now < l.loansReportAt[ks.shard] {
 			continue // the tracker knows all there is to know
 		}
 		if now >= l.loansReportAt[ks.shard] {
@@ -96,23 +96,23 @@
 		}
 		if lend > 0 {
 			ks.loanExpires = max(ks.loanExpires, at+lendLength(long))
-			if lend > ks.lentPart {
-				ks.lentPart = lend
+			if lend > ks.lentFraction {
+				ks.lentFraction = lend
 				l.resizeBuckets(ks, now)
 			}
 		}
-		ks.loanIncarnation = life
-		ks.loanReported, ks.reportedProxies = now, l.proxies
+		ks.reportedIncarnation = life
+		ks.loanReportedAt, ks.reportedProxies = now, l.proxies
 		out = append(out, KeyRequest{
 			Key:     k,
 			Demand:  beyond,
 			Rate:    ks.heldRate(now),
-			RateOf:  ks.grantRequested,
+			RateOf:  ks.grantRequestedAt,
 			Lend:    true,
 			Lent:    lend * rate,
 			Depth:   lend * depth,
 			Long:    long,
-			Idle:    now - ks.lastSpentAt(life),
+			Idle:    now - ks.lastAdmittedAt(life),
 			Stood:   ks.standbyUsed,
 			Release: returning,
 		})
@@ -144,15 +144,15 @@
 	}
 	l.refresh(ks, now)
 	need := 1.0
-	if ks.carried {
+	if ks.trackerOnly {
 		need += max(0, -ks.split.tokens) // a share lent whole does not fill: what is owed has to be asked for too
 	}
 	return KeyRequest{
 		Key:    key,
 		Demand: l.demandBeyondShare(ks),
 		Rate:   ks.heldRate(now),
-		RateOf: ks.grantRequested,
+		RateOf: ks.grantRequestedAt,
 		Need:   need,
-		Long:   ks.carried,
+		Long:   ks.trackerOnly,
 	}
 }
--- a/internal/modelcheck/admissionmodel/choices.go
+++ b/internal/modelcheck/admissionmodel/choices.go
@@ -133,7 +133,7 @@
 }
 
 // skip are numbers that only rise, and counts that decide nothing.
-var skip = []string{"keyState.count", "keyState.wholeQuota", "Tracker.Requests", "Tracker.Granted", "Tracker.Exhausted", "Tracker.scan", "pool.scan", "question.ID", "answer.ID", "World.seq"}
+var skip = []string{"keyState.count", "keyState.wholeQuota", "Tracker.Requests", "Tracker.Granted", "Tracker.Exhausted", "Tracker.contactScan", "pool.contactScan", "question.ID", "answer.ID", "World.seq"}
 
 // Hash distinguishes states, as package modelcheck asks.
 func (m *Model) Hash() uint64 {
