--- a/internal/admission/admit.go
+++ b/internal/admission/admit.go
@@ -2,19 +2,19 @@
 
 import "time"
 
-// tokenEpsilon is a part of a token that counts as nothing.
+// tokenEpsilon is the fraction of a token below which a balance counts as zero.
 const tokenEpsilon = 1e-6
 
-// Decision is what admission says of a request.
+// Decision is the result of an admission check.
 type Decision struct {
 	OK         bool
-	AskTracker bool          // the tracker may have tokens: ask, then Admit again
-	RetryAfter time.Duration // with a refusal: until a token is due for this request
+	AskTracker bool          // the tracker may have tokens: ask it, then call Admit again
+	RetryAfter time.Duration // set on a refusal: time until a token is due for this request
 }
 
-// Admit takes a token for a request, or refuses it. The first call counts the
-// arrival; a request that waited for its tracker is tried again with again set.
-func (l *Limiter) Admit(now time.Duration, key string, again bool) Decision {
+// Admit takes a token for a request or refuses the request. The first call counts the
+// arrival; a request that has waited for its tracker is checked again with retry set.
+func (l *Limiter) Admit(now time.Duration, key string, retry bool) Decision {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	ks := l.keys[key]
@@ -23,21 +23,21 @@
 	}
 	l.refresh(ks, now)
 	quotaHasRoom := ks.wholeQuota.tokens >= 1
-	if !again {
+	if !retry {
 		ks.countArrival(now, quotaHasRoom)
 	}
 	grant := &ks.grant.tokens
 	if ks.trackerOnly && !ks.onStandby {
-		grant = new(float64) // the standby is not to be used
+		grant = new(float64) // the standby rate must not be used while in contact
 	}
 	available := ks.split.tokens + *grant + ks.oneOffTokens
 	if ks.peakRate.tokens >= 1 && available >= 1-1e-9 {
 		ks.takeToken(now, grant)
 		return Decision{OK: true}
 	}
-	// One question to the tracker costs less than a wrong refusal, unless it
-	// has just said that there is nothing.
-	if !again && now >= ks.noTokensUntil && ks.peakRate.tokens >= 1 {
+	// Asking the tracker once costs less than a wrong refusal, unless the tracker
+	// has just reported that it has no tokens.
+	if !retry && now >= ks.noTokensUntil && ks.peakRate.tokens >= 1 {
 		return Decision{AskTracker: true}
 	}
 	ks.count.Refused++
@@ -47,7 +47,8 @@
 	return Decision{RetryAfter: l.retryAfter(ks, now, available)}
 }
 
-// countArrival counts a request once, in the demand and in the buckets that only audit.
+// countArrival counts a request once, in the demand and in the audit buckets, which
+// do not affect admission.
 func (ks *keyState) countArrival(now time.Duration, quotaHasRoom bool) {
 	ks.arrivals++
 	if quotaHasRoom {
@@ -64,8 +65,8 @@
 	}
 }
 
-// takeToken takes one token: from what was granted at once, then from the grant, and the
-// rest from the split share.
+// takeToken takes one token: first from the one-off tokens, then from the grant, and the
+// remainder from the split share.
 func (ks *keyState) takeToken(now time.Duration, grant *float64) {
 	ks.peakRate.tokens--
 	need, before := 1.0, *grant
@@ -92,7 +93,7 @@
 	}
 }
 
-// takeUpTo takes at most need from a balance, and returns what it took.
+// takeUpTo takes at most need from a balance and returns the amount taken.
 func takeUpTo(balance *float64, need float64) float64 {
 	taken := min(need, max(0, *balance))
 	if taken > 0 {
@@ -101,7 +102,8 @@
 	return taken
 }
 
-// Settle debits the true cost of an admitted request once it is over.
+// Settle charges the actual cost of an admitted request after it has finished. runs is
+// the number of times that it was executed.
 func (l *Limiter) Settle(now time.Duration, key string, runs int) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -110,8 +112,8 @@
 		return
 	}
 	l.refresh(ks, now)
-	// The true cost is known now: none gives the token back, a further run
-	// costs one more, below zero if need be.
+	// A request that was never executed gets its token back. Each further execution
+	// costs one more token, even if the balance becomes negative.
 	if runs == 0 {
 		ks.split.tokens = min(ks.split.depth, ks.split.tokens+1)
 		ks.peakRate.tokens = min(ks.peakRate.depth, ks.peakRate.tokens+1)
--- a/internal/admission/contacts.go
+++ b/internal/admission/contacts.go
@@ -7,56 +7,56 @@
 	"slateridge/internal/constants"
 )
 
-// contact is what a tracker knows of its contact with a proxy.
+// contact is a tracker's record of its communication with a proxy.
 type contact struct {
-	echoedAt         time.Duration // the latest that has reached it; none yet is long ago
-	lastRequestAt    time.Duration // when it last asked here
-	proxies          int           // the live count it reported last
-	incarnation      uint64        // of its process
+	echoedAt         time.Duration // latest tracker time that the proxy has echoed; far in the past if none
+	lastRequestAt    time.Duration // when the proxy's last request arrived
+	proxies          int           // live count that the proxy reported last
+	incarnation      uint64        // of the proxy's process
 	lastReportSentAt time.Duration // when that incarnation sent its newest report of shares
 }
 
-// recordContact notes a proxy's message, and every so often which proxies this tracker may have
-// lost contact with. It says whether a newer report of shares, by the same process, came
-// before.
-func (tracker *Tracker) recordContact(now time.Duration, request GrantRequest) (late bool) {
-	c, ok := tracker.contacts[request.Proxy]
+// recordContact records a proxy's request and periodically updates the set of proxies that
+// may have lost contact with this tracker. It returns true if a newer report of shares from
+// the same process has already arrived.
+func (t *Tracker) recordContact(now time.Duration, request GrantRequest) (late bool) {
+	c, ok := t.contacts[request.Proxy]
 	if !ok {
 		c.echoedAt = now - 2*constants.GrantLong
-		tracker.outOfContact[request.Proxy] = true
-		tracker.contactScan++
+		t.outOfContact[request.Proxy] = true
+		t.contactScan++
 	}
-	if request.Echo.Life == tracker.incarnation {
+	if request.Echo.Life == t.incarnation {
 		c.echoedAt = max(c.echoedAt, request.Echo.At)
 	}
-	tells := slices.ContainsFunc(request.Wants, func(want KeyRequest) bool { return want.Lend })
-	late = tells && request.Life != 0 && request.Life == c.incarnation && request.Sent < c.lastReportSentAt
-	if tells && !late {
+	hasReport := slices.ContainsFunc(request.Wants, func(want KeyRequest) bool { return want.Lend })
+	late = hasReport && request.Life != 0 && request.Life == c.incarnation && request.Sent < c.lastReportSentAt
+	if hasReport && !late {
 		c.incarnation, c.lastReportSentAt = request.Life, request.Sent
 	}
 	if request.Proxies > 0 && !late {
 		c.proxies = request.Proxies
 	}
 	c.lastRequestAt = now
-	tracker.contacts[request.Proxy] = c
-	tracker.proxyCount = max(tracker.proxyCount, c.proxies)
-	if now < tracker.nextScanAt {
+	t.contacts[request.Proxy] = c
+	t.proxyCount = max(t.proxyCount, c.proxies)
+	if now < t.nextScanAt {
 		return late
 	}
-	tracker.nextScanAt = now + constants.ContactScanEvery
-	tracker.contactScan++
-	clear(tracker.outOfContact)
-	tracker.proxyCount = 0
-	for n, c := range tracker.contacts {
+	t.nextScanAt = now + constants.ContactScanEvery
+	t.contactScan++
+	clear(t.outOfContact)
+	t.proxyCount = 0
+	for n, c := range t.contacts {
 		if now-c.lastRequestAt > 2*constants.GrantLong {
-			delete(tracker.contacts, n) // what it was granted has ended
+			delete(t.contacts, n) // all its grants have expired
 			continue
 		}
 		if now-c.lastRequestAt <= constants.SubscriptionSilence {
-			tracker.proxyCount = max(tracker.proxyCount, c.proxies)
+			t.proxyCount = max(t.proxyCount, c.proxies)
 		}
 		if now+constants.ContactScanEvery-c.echoedAt > constants.StandbyRoom {
-			tracker.outOfContact[n] = true // it may begin before the next scan
+			t.outOfContact[n] = true // it may start using its standby rate before the next scan
 		}
 	}
 	return late
--- a/internal/admission/grants.go
+++ b/internal/admission/grants.go
@@ -9,90 +9,90 @@
 // KeyGrant is a tracker's answer for one key.
 type KeyGrant struct {
 	Key         string
-	Rate, Depth float64       // the lease
-	Tokens      float64       // at once
-	Life        uint64        // of the tracker that gives them
-	Keep        bool          // nothing is given yet; what an earlier tracker gave stands to its end
-	Long        bool          // the lease lasts for the longer time
-	Dry         time.Duration // no use asking again before
-	Lent        bool          // what was lent is known to be Loan
-	Loan        float64       // rate
-	Released    bool          // a share lent whole is given back
+	Rate, Depth float64       // leased rate and burst
+	Tokens      float64       // one-off tokens for a waiting request
+	Life        uint64        // incarnation of the tracker that grants the tokens
+	Keep        bool          // no new lease; what was granted before, by an earlier tracker too, is valid until it expires
+	Long        bool          // the lease lasts for GrantLong instead of GrantLength
+	Dry         time.Duration // no tokens will be available before this time has passed
+	Lent        bool          // the loan was reported, and Loan is the rate that the tracker recorded
+	Loan        float64       // requests a second
+	Released    bool          // a share that was lent whole is returned
 }
 
-// ApplyGrant applies an answer to a question asked at a time; all of it is reckoned
-// from then, which is before the tracker reckoned.
-func (l *Limiter) ApplyGrant(now, asked time.Duration, given KeyGrant) {
+// ApplyGrant applies a tracker's answer to a request that was sent at asked. All
+// lifetimes are measured from then, which is before the tracker computed the answer.
+func (l *Limiter) ApplyGrant(now, asked time.Duration, grant KeyGrant) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	ks := l.keys[given.Key]
+	ks := l.keys[grant.Key]
 	if ks == nil {
 		return
 	}
 	l.refresh(ks, now)
-	if ends := asked + grantLength(given.Long); !given.Keep && given.Long == ks.trackerOnly && asked >= ks.modeChangedAt && ends > now && ends > ks.grantExpires {
-		ks.grantExpires, ks.grantRequestedAt = ends, asked
-		if given.Long {
-			ks.standbyRate = min(given.Rate, ks.quota.Rate)
+	if expires := asked + grantLength(grant.Long); !grant.Keep && grant.Long == ks.trackerOnly && asked >= ks.modeChangedAt && expires > now && expires > ks.grantExpires {
+		ks.grantExpires, ks.grantRequestedAt = expires, asked
+		if grant.Long {
+			ks.standbyRate = min(grant.Rate, ks.quota.Rate)
 			l.resizeStandby(ks, now)
 		} else {
-			// Never more than the limit leaves beside the split share: the lease may
-			// have been given under a higher one.
-			ks.grant.set(now, min(given.Rate, max(0, ks.quota.Rate-ks.split.rate)), min(given.Depth, max(0, ks.quota.Burst-ks.split.depth)))
+			// The lease may have been granted under a higher quota, so cap it to what
+			// the quota leaves beside the split share.
+			ks.grant.set(now, min(grant.Rate, max(0, ks.quota.Rate-ks.split.rate)), min(grant.Depth, max(0, ks.quota.Burst-ks.split.depth)))
 		}
 	}
-	if given.Lent && asked == ks.loanReportedAt && l.proxies > 0 {
-		l.applyLoan(ks, now, asked, given)
+	if grant.Lent && asked == ks.loanReportedAt && l.proxies > 0 {
+		l.applyLoan(ks, now, asked, grant)
 	}
-	if ends := asked + constants.OneOffLife; given.Tokens > 0 && ends > now {
-		if owed := max(0, -ks.split.tokens); ks.trackerOnly && owed > 0 {
-			paid := min(owed, max(0, given.Tokens-1))
+	if expires := asked + constants.OneOffLife; grant.Tokens > 0 && expires > now {
+		if debt := max(0, -ks.split.tokens); ks.trackerOnly && debt > 0 {
+			paid := min(debt, max(0, grant.Tokens-1))
 			ks.split.tokens += paid
-			given.Tokens -= paid
+			grant.Tokens -= paid
 		}
-		if given.Life != ks.trackerTokensIncarnation {
-			ks.lastAdmitted, ks.trackerTokensIncarnation = ks.lastAdmittedAt(given.Life), given.Life
+		if grant.Life != ks.trackerTokensIncarnation {
+			ks.lastAdmitted, ks.trackerTokensIncarnation = ks.lastAdmittedAt(grant.Life), grant.Life
 		}
-		ks.oneOffTokens += given.Tokens
-		ks.oneOffExpires = ends
+		ks.oneOffTokens += grant.Tokens
+		ks.oneOffExpires = expires
 	}
-	if given.Dry > 0 {
-		ks.noTokensUntil = now + given.Dry
+	if grant.Dry > 0 {
+		ks.noTokensUntil = now + grant.Dry
 	}
 }
 
-// applyLoan takes what a tracker answers about the share that was reported as lent. It may
-// keep more of it than was reported, while others hold leases of that part.
-func (l *Limiter) applyLoan(ks *keyState, now, asked time.Duration, given KeyGrant) {
+// applyLoan applies a tracker's answer to a report of the share that is lent. The tracker
+// may keep more than was reported while others hold leases of that part.
+func (l *Limiter) applyLoan(ks *keyState, now, asked time.Duration, grant KeyGrant) {
 	ks.ackedProxies = ks.reportedProxies
 	if ks.trackerOnly {
-		if given.Released && ks.releaseDeadline > 0 {
+		if grant.Released && ks.releaseDeadline > 0 {
 			l.reclaimShare(ks, now)
-		} else if given.Keep {
-			ks.lentFraction = 0 // not noted there yet: the next report has it again
+		} else if grant.Keep {
+			ks.lentFraction = 0 // the tracker has not recorded it yet: report it again next time
 		}
 		return
 	}
-	part := min(1, given.Loan*float64(l.proxies)/(constants.SplitPart*ks.quota.Rate))
-	if part == ks.lentFraction {
+	fraction := min(1, grant.Loan*float64(l.proxies)/(constants.SplitPart*ks.quota.Rate))
+	if fraction == ks.lentFraction {
 		return
 	}
-	if part > ks.lentFraction {
+	if fraction > ks.lentFraction {
 		ks.loanExpires = max(ks.loanExpires, asked+constants.LendLength)
 	}
-	ks.lentFraction = max(0, part)
+	ks.lentFraction = max(0, fraction)
 	l.resizeBuckets(ks, now)
 }
 
-// MarkUnanswered notes that a key's tracker did not answer: the next requests do
-// not wait for it.
+// MarkUnanswered records that a key's tracker did not answer, so that the next requests
+// do not wait for it.
 func (l *Limiter) MarkUnanswered(now time.Duration, key string) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if ks := l.keys[key]; ks != nil {
 		ks.noTokensUntil = now + constants.GrantEvery
 		if ks.trackerOnly {
-			ks.noTokensUntil = now + constants.AskRetryPause // there is nobody else to ask
+			ks.noTokensUntil = now + constants.AskRetryPause // the tracker is the only source of tokens
 			ks.unansweredAt = now
 		}
 	}
--- a/internal/admission/keystate.go
+++ b/internal/admission/keystate.go
@@ -6,7 +6,7 @@
 	"slateridge/internal/constants"
 )
 
-// bucket is a token bucket; its balance may be below zero.
+// bucket is a token bucket. Its balance may be negative.
 type bucket struct {
 	rate, depth, tokens float64
 	filledAt            time.Duration
@@ -20,61 +20,65 @@
 	b.tokens = min(b.tokens, b.depth)
 }
 
-// set changes rate and depth; what is already there stays, within the depth,
-// and nothing is added.
+// set changes rate and depth. It keeps the balance, capped to the new depth, and adds no
+// tokens.
 func (b *bucket) set(now time.Duration, rate, depth float64) {
 	b.fill(now)
 	b.rate, b.depth = rate, depth
 	b.tokens = min(b.tokens, depth)
 }
 
-// Count is what admission has seen of one key.
+// Count holds the admission counters of one key.
 type Count struct {
 	Admitted, Refused    uint64
 	FromSplit, FromGrant uint64
-	ShadowRefused        uint64 // would have been refused under a limit not yet in force
-	FalseRefused         uint64 // refused while the key's whole quota, at this proxy alone, had room
+	ShadowRefused        uint64 // would have been refused under a quota that is not in force yet
+	FalseRefused         uint64 // refused although the whole quota, against this proxy's traffic alone, had room
 	Returned, Debited    uint64
 }
 
-// keyState is one throttle key at one proxy.
+// keyState is the state of one throttle key at one proxy.
+//
+// A key is tracker-only if its split share is too small to serve requests: the whole share
+// is lent to the tracker, every request asks the tracker for a token, and a standby rate
+// serves requests while the tracker is out of contact.
 type keyState struct {
 	quota                    Quota
-	split                    bucket // the share by live count
-	grant                    bucket // leased from the tracker
+	split                    bucket // share of the quota by live proxy count
+	grant                    bucket // leased from the tracker; for a tracker-only key the standby
 	grantExpires             time.Duration
-	grantRequestedAt         time.Duration // the question that brought it
+	grantRequestedAt         time.Duration // send time of the request that was answered with the grant
 	oneOffTokens             float64       // granted for waiting requests, short-lived
 	oneOffExpires            time.Duration
-	peakRate                 bucket // second in the chain: bounds the rate of a burst
-	wholeQuota               bucket // the entire quota against this proxy's traffic alone: an audit, decides nothing
+	peakRate                 bucket // checked in addition to the others; bounds the rate of a burst
+	wholeQuota               bucket // audit only: the entire quota against this proxy's traffic alone
 	shadow                   *shadow
-	initialFillFrom          time.Duration // fill the split bucket from here, once
-	lentFraction             float64       // part of the split share, 0 to 1, lent to the tracker
-	loanReportedAt           time.Duration // when the last report of it was sent
-	loanExpires              time.Duration // by then the tracker has stopped using it
-	reportedIncarnation      uint64        // the tracker's incarnation it was last reported to
-	reportedProxies          int           // the live count of that report
-	ackedProxies             int           // the live count that the tracker's newest answer to a report counts with
+	initialFillFrom          time.Duration // if not 0, fill the split bucket once from this time
+	lentFraction             float64       // fraction of the split share that is lent to the tracker, 0 to 1
+	loanReportedAt           time.Duration // when the last report of the loan was sent
+	loanExpires              time.Duration // the tracker stops using the loan by this time
+	reportedIncarnation      uint64        // incarnation of the tracker that received the last report
+	reportedProxies          int           // live count at the time of that report
+	ackedProxies             int           // live count of the report that the tracker answered last
 	noTokensUntil            time.Duration
-	unansweredAt             time.Duration // a question brought no answer
-	lastRetryAt              time.Duration // when the refused client that was told last is to come again
-	arrivals                 float64       // since the last period
-	demand                   float64       // requests a second, running mean
-	lastAdmitted             time.Duration // a request was let through, other than by tokens of the tracker by
-	trackerTokensIncarnation uint64        // incarnation of the tracker that last gave tokens
-	trackerTokensUsedAt      time.Duration // a request was let through by them
-	shard                    int           // of trackers
-	onStandby                bool          // no contact with the tracker: the grant bucket holds the standby
-	trackerOnly              bool          // carried by its tracker: the split share is lent whole, each request asks
-	releaseDeadline          time.Duration // carried, though the share could serve again: it does not before this unless the tracker agrees; 0 is no
-	modeChangedAt            time.Duration // carried, or not, since then: answers to earlier questions lease nothing
-	standbyRate              float64       // standby rate that the tracker has granted, until grantExpires
-	standbyUsed              float64       // tokens of standby used since lastAdmitted
+	unansweredAt             time.Duration // when a request to the tracker last stayed without an answer
+	lastRetryAt              time.Duration // retry time given to the most recently refused client
+	arrivals                 float64       // since the last demand period
+	demand                   float64       // moving average in requests a second
+	lastAdmitted             time.Duration // last admission, except with tokens of the tracker in trackerTokensIncarnation
+	trackerTokensIncarnation uint64        // incarnation of the tracker that last granted one-off tokens
+	trackerTokensUsedAt      time.Duration // last admission that the grant bucket did not cover completely
+	shard                    int           // of the key's tracker
+	onStandby                bool          // out of contact with the tracker: the standby rate may be used
+	trackerOnly              bool          // the split share is lent whole and each request asks the tracker
+	releaseDeadline          time.Duration // tracker-only although the share is large enough: reclaimed at this time or earlier if the tracker agrees; 0 if not pending
+	modeChangedAt            time.Duration // last change of trackerOnly; answers to earlier requests grant no lease
+	standbyRate              float64       // standby rate granted by the tracker, valid until grantExpires
+	standbyUsed              float64       // standby tokens used since lastAdmitted
 	count                    Count
 }
 
-// Quota is a key's limit; Rate 0 is none.
+// Quota is the rate limit of a key. Rate 0 means no limit.
 type Quota struct{ Rate, Burst float64 }
 
 type shadow struct {
@@ -82,8 +86,8 @@
 	bucket bucket
 }
 
-// SplitFloor is the least a split share may hold: one request, as long as such
-// floors of all proxies stay inside the quota's slack.
+// SplitFloor returns the minimum burst of a split share: one request, provided that the
+// floors of all proxies together fit in the quota's slack.
 func SplitFloor(proxies int, slack float64) float64 {
 	if float64(proxies)*constants.SplitFloor <= slack*constants.SlackUsed {
 		return constants.SplitFloor
@@ -91,32 +95,32 @@
 	return 0
 }
 
-// ShareTooSmall says whether a key's split share is too small to serve requests with. It
-// is lent whole and not used where it is, and the key is carried by its tracker:
-// each request asks, and standby is there for when nobody answers.
+// ShareTooSmall reports whether a key's split share is too small to serve requests. Such a
+// key is tracker-only: its share is lent whole, every request asks the tracker, and the
+// standby rate serves requests while the tracker does not answer.
 func ShareTooSmall(proxies int, slack float64, q Quota) bool {
 	return proxies > 0 && SplitFloor(proxies, slack) == 0 && constants.SplitPart*q.Burst/float64(proxies) < constants.TinyShare
 }
 
-// updateMode decides whether the tracker carries a key. A share that becomes too
-// small is given up at once. One that has grown again is taken back only when the
-// tracker agrees to it, since it may have promised the share to others, or when
-// everything that it can have promised has ended.
+// updateMode decides whether a key is tracker-only. A share that becomes too small is given
+// up at once. A share that has grown again is reclaimed only with the tracker's consent,
+// since the tracker may have promised it to other proxies, or after everything that it can
+// have promised has expired.
 func (l *Limiter) updateMode(ks *keyState, now time.Duration) {
-	tiny := ShareTooSmall(l.proxies, l.slack, ks.quota)
+	tooSmall := ShareTooSmall(l.proxies, l.slack, ks.quota)
 	switch {
-	case tiny && !ks.trackerOnly:
+	case tooSmall && !ks.trackerOnly:
 		ks.trackerOnly, ks.releaseDeadline, ks.modeChangedAt = true, 0, now
 		ks.standbyRate, ks.grantExpires = 0, 0
 		ks.grant = bucket{filledAt: now, tokens: l.rng.Float64(), depth: 1}
-	case tiny:
+	case tooSmall:
 		ks.releaseDeadline = 0
 	case ks.trackerOnly && ks.releaseDeadline == 0:
 		ks.releaseDeadline = now + constants.LendLong + constants.GrantLong
 	}
 }
 
-// reclaimShare ends a key's time with its tracker: the split share serves again.
+// reclaimShare ends the tracker-only mode of a key: the split share serves requests again.
 func (l *Limiter) reclaimShare(ks *keyState, now time.Duration) {
 	ks.trackerOnly, ks.releaseDeadline, ks.lentFraction, ks.modeChangedAt = false, 0, 0, now
 	ks.standbyRate, ks.grantExpires = 0, 0
@@ -124,6 +128,8 @@
 	l.resizeBuckets(ks, now)
 }
 
+// resizeBuckets sets the buckets of a key according to its quota, the live proxy count and
+// the loan.
 func (l *Limiter) resizeBuckets(ks *keyState, now time.Duration) {
 	q := ks.quota
 	l.updateMode(ks, now)
@@ -145,19 +151,20 @@
 	ks.peakRate.set(now, constants.FastBucketRate*q.Rate, max(1, q.Rate*constants.FastBucketTime.Seconds()))
 	ks.wholeQuota.set(now, q.Rate, max(1, q.Burst))
 	if !ks.trackerOnly {
-		// A lowered limit cuts what was leased under the old one at once.
+		// A lowered quota reduces at once what was leased under the previous one.
 		ks.grant.set(now, min(ks.grant.rate, max(0, q.Rate-ks.split.rate)), min(ks.grant.depth, max(0, q.Burst-ks.split.depth)))
 	}
 }
 
+// refresh expires the key's share, loan and grants as of now and fills its buckets.
 func (l *Limiter) refresh(ks *keyState, now time.Duration) {
 	if ks.trackerOnly && ks.releaseDeadline > 0 && now >= max(ks.releaseDeadline, ks.loanExpires+constants.GrantLong) {
 		l.reclaimShare(ks, now)
 	}
 	if now-l.controlHeardAt > constants.SplitHold {
-		ks.split.set(now, 0, 0) // others may share it by now
+		ks.split.set(now, 0, 0) // the control plane may have given the share to other proxies
 	} else if ks.lentFraction > 0 && now >= ks.loanExpires {
-		ks.lentFraction = 0 // no report has renewed the loan: it is over
+		ks.lentFraction = 0 // the loan has expired because no report renewed it
 		l.resizeBuckets(ks, now)
 	}
 	ks.split.fill(now)
@@ -167,8 +174,8 @@
 		ks.grant.set(now, 0, 0)
 	}
 	ks.grant.fill(now)
-	if owed := -ks.split.tokens; owed > 0 && ks.grant.tokens > 0 && ks.onStandby && ks.trackerOnly {
-		paid := min(owed, ks.grant.tokens) // a share that does not fill cannot pay
+	if debt := -ks.split.tokens; debt > 0 && ks.grant.tokens > 0 && ks.onStandby && ks.trackerOnly {
+		paid := min(debt, ks.grant.tokens) // the split bucket does not fill, so the standby pays its debt
 		ks.grant.tokens -= paid
 		ks.split.tokens += paid
 	}
@@ -179,8 +186,8 @@
 	ks.wholeQuota.fill(now)
 }
 
-// heldRate is the rate that the tracker has granted and this proxy may use: its standby
-// for a key that the tracker carries, its lease for any other.
+// heldRate returns the rate that the tracker has granted and the proxy may use: the
+// standby rate of a tracker-only key, otherwise the leased rate.
 func (ks *keyState) heldRate(now time.Duration) float64 {
 	switch {
 	case !ks.trackerOnly:
@@ -191,10 +198,10 @@
 	return 0
 }
 
-// lastAdmittedAt is when a request was last let through, as far as the tracker of an
-// incarnation does not know it from what it gave.
-func (ks *keyState) lastAdmittedAt(life uint64) time.Duration {
-	if ks.trackerTokensIncarnation != life {
+// lastAdmittedAt returns when a request was last admitted, not counting admissions with
+// tokens that the tracker of the given incarnation granted and therefore accounts for.
+func (ks *keyState) lastAdmittedAt(incarnation uint64) time.Duration {
+	if ks.trackerTokensIncarnation != incarnation {
 		return max(ks.lastAdmitted, ks.trackerTokensUsedAt)
 	}
 	return ks.lastAdmitted
--- a/internal/admission/leases.go
+++ b/internal/admission/leases.go
@@ -6,28 +6,29 @@
 	"slateridge/internal/constants"
 )
 
-// lease is a rate given to one proxy. Until the proxy has reported what it uses,
-// both the old and the new rate count as given: the larger.
+// lease is a rate granted to one proxy. Until the proxy reports which rate it uses, the
+// larger of the old and the new rate counts as granted.
 type lease struct {
 	rate        float64 // offered last
-	reserved    float64 // what it may be using
+	reserved    float64 // most that the proxy may be using
 	expires     time.Duration
 	demand      float64
-	requestSent time.Duration // when the proxy sent the request that the last offer answers
+	requestSent time.Duration // send time of the request that the last offer answers
 }
 
-func (p *pool) leased(but string) float64 {
+// leased returns the sum of the reserved lease rates of all proxies except one.
+func (p *pool) leased(except string) float64 {
 	sum := 0.0
 	for k, l := range p.leases {
-		if k != but {
+		if k != except {
 			sum += l.reserved
 		}
 	}
 	return sum
 }
 
-// leaseDepth is how much of the burst goes with a leased rate: only what evens
-// out the arrivals, since a burst held by one proxy is missed by the others.
+// leaseDepth returns the burst that is granted with a leased rate. It only covers uneven
+// arrivals, since burst that one proxy holds is not available to the others.
 func leaseDepth(rate float64, q Quota) float64 {
 	if q.Rate <= 0 {
 		return 0
@@ -35,13 +36,13 @@
 	return rate * min(constants.LeaseDepthTime.Seconds(), q.Burst/q.Rate)
 }
 
-// grantLease answers a proxy that uses its split share. A question for a request
-// that waits gets tokens and leaves the lease as it is.
-func (tracker *Tracker) grantLease(now time.Duration, p *pool, request GrantRequest, want KeyRequest) KeyGrant {
-	tracker.Requests++
-	p.resize(now, tracker)
+// grantLease answers a proxy that uses its split share. A request for one-off tokens
+// leaves the lease unchanged.
+func (t *Tracker) grantLease(now time.Duration, p *pool, request GrantRequest, want KeyRequest) KeyGrant {
+	t.Requests++
+	p.resize(now, t)
 	if !want.Lend {
-		return tracker.grantTokens(p, want, KeyGrant{Key: want.Key, Keep: true})
+		return t.grantTokens(p, want, KeyGrant{Key: want.Key, Keep: true})
 	}
 	l := p.leases[request.Proxy]
 	if l == nil {
@@ -49,14 +50,15 @@
 		p.leases[request.Proxy] = l
 	}
 	l.demand = max(0, want.Demand)
-	// Nothing is leased of what proxies lend, so that they can have it back at once: the
-	// pool serves with it.
+	// The part that proxies lend is not leased but served from the pool, so that the
+	// proxies can have it back at once.
 	rate := 0.0
 	if l.demand > 0 {
 		own, _ := p.tracked()
-		rate = max(0, min(own, p.uncommitted(now, tracker)+p.leased("")))
+		rate = max(0, min(own, p.uncommitted(now, t)+p.leased("")))
 	}
-	// Demand decides the shares; a part stays in the pool for sudden asks.
+	// Leases are proportional to demand. A part of the rate stays in the pool for
+	// sudden requests.
 	total := 0.0
 	for _, o := range p.leases {
 		total += o.demand
@@ -69,17 +71,17 @@
 	l.reserved = maxInUse(l.reserved, l.requestSent, share, want)
 	l.rate, l.requestSent = share, request.Sent
 	l.expires = now + constants.GrantLength
-	p.resize(now, tracker)
-	out := KeyGrant{Key: want.Key, Rate: share, Depth: leaseDepth(share, p.quota), Lent: true}
-	return tracker.grantTokens(p, want, out)
+	p.resize(now, t)
+	grant := KeyGrant{Key: want.Key, Rate: share, Depth: leaseDepth(share, p.quota), Lent: true}
+	return t.grantTokens(p, want, grant)
 }
 
-// maxInUse is the most that a proxy may be using when it is offered a rate. What was
-// offered before counts until the proxy reports what it holds by the newest offer,
-// since answers may be lost or overtake each other.
-func maxInUse(counted float64, answered time.Duration, offer float64, want KeyRequest) float64 {
-	if want.RateOf == answered {
-		return max(offer, min(want.Rate, counted))
+// maxInUse returns the highest rate that a proxy may be using after it is offered a new
+// rate. Because answers may be lost or reordered, the rate reserved for earlier offers
+// counts until the proxy reports what it holds under the newest one.
+func maxInUse(reserved float64, offerRequestSent time.Duration, offer float64, want KeyRequest) float64 {
+	if want.RateOf == offerRequestSent {
+		return max(offer, min(want.Rate, reserved))
 	}
-	return max(offer, counted)
+	return max(offer, reserved)
 }
--- a/internal/admission/limiter.go
+++ b/internal/admission/limiter.go
@@ -1,6 +1,6 @@
 // Package admission limits the rate of requests by throttle key. Every proxy keeps token
-// buckets per key, filled from two sources whose sums over all proxies never pass the key's
-// quota: a share of the rate split by the live proxy count, and grants from the key's
+// buckets per key. They fill from two sources whose sums over all proxies never exceed the
+// key's quota: a share of the rate, split by the live proxy count, and grants from the key's
 // tracker.
 package admission
 
@@ -14,8 +14,8 @@
 	"slateridge/internal/constants"
 )
 
-// Limiter is a proxy's admission. Its mutex guards all fields and the state of all keys; it
-// starts no goroutines and has no clock of its own.
+// Limiter performs admission at one proxy. Its mutex guards all fields and the state of all
+// keys. It starts no goroutines and has no clock of its own.
 type Limiter struct {
 	mu             sync.Mutex
 	keys           map[string]*keyState
@@ -23,24 +23,24 @@
 	slack          float64
 	rng            *rand.Rand
 	shards         int
-	trackerDown    map[int]bool          // by shard, its tracker does not run
-	trackerHeardAt map[int]time.Duration // by shard, when its tracker last answered
+	trackerDown    map[int]bool          // by shard: its tracker is known not to run
+	trackerHeardAt map[int]time.Duration // by shard: last answer of its tracker
 	periodStart    time.Duration
-	loansReportAt  map[int]time.Duration // by shard, when shares lent whole are to be reported again, all in one message
-	awaitingQuotas bool                  // no quotas have come since the process started
-	controlHeardAt time.Duration         // when control last sent a count
+	loansReportAt  map[int]time.Duration // by shard: when to report shares lent whole again, all in one message
+	awaitingQuotas bool                  // no quotas received since the process started
+	controlHeardAt time.Duration         // when the control plane last sent a live count
 	incarnation    uint64                // distinguishes this process's requests from those of an earlier one
-	countIncrease  countChange           // the count before the last ones, while loans of that time stand
+	countIncrease  countChange           // last increase of the live count, while earlier loans are valid
 }
 
-// countChange is a live proxy count that loans still reckon with.
+// countChange is an earlier live proxy count that valid loans may still be based on.
 type countChange struct {
 	from int
 	ends time.Duration
 }
 
-// New makes a limiter without keys. slack is the quota's absolute slack, shards the number
-// of trackers; seed is this process's incarnation and seeds its random numbers.
+// New returns a limiter without keys. slack is the quota's absolute slack, shards the number
+// of tracker shards; seed is this process's incarnation and seeds its random numbers.
 func New(slack float64, shards int, seed uint64) *Limiter {
 	return &Limiter{
 		incarnation:    seed,
@@ -53,18 +53,18 @@
 	}
 }
 
-// SetProxies takes the live proxy count, as often as control sends it: when none
-// has come for too long, the split shares end.
+// SetProxies sets the live proxy count. It must be called each time the control plane sends
+// the count, even if unchanged: the split shares expire if no count arrives for SplitHold.
 func (l *Limiter) SetProxies(now time.Duration, n int) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	back := now-l.controlHeardAt > constants.SplitHold
+	sharesExpired := now-l.controlHeardAt > constants.SplitHold
 	l.controlHeardAt = now
-	if n == l.proxies && !back {
+	if n == l.proxies && !sharesExpired {
 		return
 	}
 	if n > l.proxies {
-		// What was lent under the smaller count was more of a share than is ours now.
+		// A loan reported under the smaller count exceeds the share under the larger one.
 		if now >= l.countIncrease.ends {
 			l.countIncrease.from = l.proxies
 		}
@@ -77,24 +77,24 @@
 	}
 }
 
-// SetQuotas puts limits in force; keys not named have none left.
-func (l *Limiter) SetQuotas(now time.Duration, qs map[string]Quota) {
+// SetQuotas puts quotas in force. Keys that are not in the map become unlimited.
+func (l *Limiter) SetQuotas(now time.Duration, quotas map[string]Quota) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	for k := range l.keys {
-		if q, ok := qs[k]; !ok || q.Rate <= 0 {
+		if q, ok := quotas[k]; !ok || q.Rate <= 0 {
 			delete(l.keys, k)
 		}
 	}
-	for k, q := range qs {
+	for k, q := range quotas {
 		if q.Rate <= 0 {
 			continue
 		}
 		ks := l.keys[k]
 		if ks == nil {
-			// All buckets start empty: a restart must not renew a burst. Those
-			// of the first limits fill from the start of the process, since the
-			// incarnation before had ended by then and spends no more.
+			// All buckets start empty, so that a restart does not renew a burst.
+			// With the first quotas they fill from the start of the process: the
+			// previous incarnation had ended by then and admits no more requests.
 			ks = &keyState{shard: Shard(k, l.shards)}
 			ks.split.filledAt, ks.grant.filledAt, ks.peakRate.filledAt, ks.wholeQuota.filledAt = now, now, now, now
 			ks.lastAdmitted = now
@@ -108,25 +108,26 @@
 			continue
 		}
 		if q.Rate < ks.quota.Rate {
-			// What is leased shrinks with the limit, so that leases granted under the
-			// old one do not add up beyond the new.
-			part := q.Rate / ks.quota.Rate
-			ks.grant.set(now, ks.grant.rate*part, ks.grant.depth*part)
-			ks.standbyRate *= part
+			// Scale granted rates down with the quota, so that leases granted under
+			// the old quota do not add up to more than the new one.
+			factor := q.Rate / ks.quota.Rate
+			ks.grant.set(now, ks.grant.rate*factor, ks.grant.depth*factor)
+			ks.standbyRate *= factor
 		}
 		ks.quota, ks.shadow = q, nil
 		l.resizeBuckets(ks, now)
 	}
-	if len(qs) > 0 {
+	if len(quotas) > 0 {
 		l.awaitingQuotas = false
 	}
 }
 
-// SetShadowQuotas begins counting what coming limits would refuse, without refusing.
-func (l *Limiter) SetShadowQuotas(now time.Duration, qs map[string]Quota) {
+// SetShadowQuotas starts counting the requests that upcoming quotas would refuse, without
+// refusing any.
+func (l *Limiter) SetShadowQuotas(now time.Duration, quotas map[string]Quota) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	for k, q := range qs {
+	for k, q := range quotas {
 		ks := l.keys[k]
 		if ks == nil || q == ks.quota || q.Rate <= 0 || l.proxies == 0 {
 			continue
@@ -140,7 +141,7 @@
 	}
 }
 
-// Report is one key's state for operators.
+// Report is the state of one key for operators.
 type Report struct {
 	Key         string
 	Rate, Burst float64
@@ -151,30 +152,30 @@
 	Count
 }
 
-// Reports lists all keys.
+// Reports returns the state of all keys, sorted by key.
 func (l *Limiter) Reports(now time.Duration) []Report {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	var out []Report
+	var reports []Report
 	for k, ks := range l.keys {
 		l.refresh(ks, now)
-		bal := ks.split.tokens + ks.grant.tokens + ks.oneOffTokens
-		out = append(out, Report{k, ks.quota.Rate, ks.quota.Burst, ks.demand, ks.split.rate, ks.grant.rate, math.Round(bal*100) / 100, ks.count})
+		balance := ks.split.tokens + ks.grant.tokens + ks.oneOffTokens
+		reports = append(reports, Report{k, ks.quota.Rate, ks.quota.Burst, ks.demand, ks.split.rate, ks.grant.rate, math.Round(balance*100) / 100, ks.count})
 	}
-	sort.Slice(out, func(i, j int) bool { return out[i].Key < out[j].Key })
-	return out
+	sort.Slice(reports, func(i, j int) bool { return reports[i].Key < reports[j].Key })
+	return reports
 }
 
-// Proxies is the live count in use.
+// Proxies returns the live proxy count in use.
 func (l *Limiter) Proxies() int {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.proxies
 }
 
-// SettledProxies is the live count that control may take as the one this proxy reckons
-// with: after a rise, the smaller one until the trackers know of every loan what it
-// is under the larger.
+// SettledProxies returns the live count that the control plane may assume this proxy uses.
+// After an increase this is the smaller count until the trackers have recorded every loan
+// as reduced to the share under the larger count.
 func (l *Limiter) SettledProxies(now time.Duration) int {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -190,6 +191,6 @@
 	return l.proxies
 }
 
-// Incarnation is the incarnation of this process, by which a tracker distinguishes its requests
-// from those of an earlier one.
+// Incarnation identifies this process. Trackers use it to distinguish its requests from
+// those of an earlier process of the same proxy.
 func (l *Limiter) Incarnation() uint64 { return l.incarnation }
--- a/internal/admission/loans.go
+++ b/internal/admission/loans.go
@@ -6,19 +6,19 @@
 	"slateridge/internal/constants"
 )
 
-// loan is a part of a proxy's split share that it leaves to the tracker.
+// loan is the part of a proxy's split share that is lent to the tracker.
 type loan struct {
 	rate, depth float64
 	expires     time.Duration
-	wholeRate   float64 // the rate again, if the share is lent whole
+	wholeRate   float64 // equal to rate if the share is lent whole, otherwise 0
 }
 
-// setLoan notes what a proxy leaves to the tracker from now on; an empty loan is none.
+// setLoan replaces a proxy's loan and updates the totals. A zero loan means none.
 func (p *pool) setLoan(proxy string, l loan) {
-	was := p.loans[proxy]
-	p.loanTotals.rate += l.rate - was.rate
-	p.loanTotals.depth += l.depth - was.depth
-	p.loanTotals.wholeRate += l.wholeRate - was.wholeRate
+	old := p.loans[proxy]
+	p.loanTotals.rate += l.rate - old.rate
+	p.loanTotals.depth += l.depth - old.depth
+	p.loanTotals.wholeRate += l.wholeRate - old.wholeRate
 	if l == (loan{}) {
 		delete(p.loans, proxy)
 		return
@@ -27,26 +27,26 @@
 	p.loanTotals.expires = min(p.loanTotals.expires, l.expires)
 }
 
-// updateLoan takes what a proxy lends from now on, and returns the rate that counts
-// as lent. A larger loan counts at once, and so does a smaller one, except of a share
-// that was lent whole: of that as much is given back as no standby rests on.
-func (p *pool) updateLoan(now time.Duration, tracker *Tracker, proxy string, to loan) float64 {
+// updateLoan applies a proxy's new loan and returns the rate that counts as lent. An
+// increase takes effect at once, and so does a reduction, except for a share that was lent
+// whole: of that, only the part that no standby rate depends on is returned.
+func (p *pool) updateLoan(now time.Duration, tracker *Tracker, proxy string, next loan) float64 {
 	p.refreshLoanTotals(now)
-	was := p.loans[proxy]
-	if to.rate < was.rate && was.wholeRate > 0 {
-		back := min(was.rate-to.rate, max(0, p.uncommitted(now, tracker)))
-		if kept := was.rate - back; kept > rateEpsilon {
-			part := kept / was.rate
-			to = loan{rate: kept, depth: was.depth * part, expires: max(was.expires, to.expires), wholeRate: was.wholeRate * part}
+	old := p.loans[proxy]
+	if next.rate < old.rate && old.wholeRate > 0 {
+		returned := min(old.rate-next.rate, max(0, p.uncommitted(now, tracker)))
+		if kept := old.rate - returned; kept > rateEpsilon {
+			fraction := kept / old.rate
+			next = loan{rate: kept, depth: old.depth * fraction, expires: max(old.expires, next.expires), wholeRate: old.wholeRate * fraction}
 		} else {
-			to = loan{}
+			next = loan{}
 		}
 	}
-	p.setLoan(proxy, to)
-	return to.rate
+	p.setLoan(proxy, next)
+	return next.rate
 }
 
-// refreshLoanTotals drops loans that have ended and sums the others anew.
+// refreshLoanTotals drops expired loans and recomputes the totals.
 func (p *pool) refreshLoanTotals(now time.Duration) {
 	if now < p.loanTotals.expires {
 		return
--- a/internal/admission/messages.go
+++ b/internal/admission/messages.go
@@ -8,30 +8,30 @@
 )
 
 type (
-	// GrantRequest brings a proxy's wants to a tracker.
+	// GrantRequest is sent by a proxy to a tracker, with one entry per key.
 	GrantRequest struct {
 		Proxy   string
 		Wants   []KeyRequest
-		Echo    TrackerTime   // the tracker's latest that has reached the proxy
-		Proxies int           // the live count the proxy reckons with
-		Life    uint64        // incarnation of the proxy's process; 0 is not stated
-		Sent    time.Duration // by that process's clock
+		Echo    TrackerTime   // latest tracker time that the proxy has received
+		Proxies int           // live proxy count that the proxy uses
+		Life    uint64        // incarnation of the proxy's process; 0 if not stated
+		Sent    time.Duration // send time by the clock of the proxy's process
 	}
 	// Grants answers a GrantRequest.
 	Grants struct {
-		Refused bool // the machine asked does not track, or not yet
+		Refused bool // the receiving machine is not the tracker of a key, or not ready yet
 		Given   []KeyGrant
 		Stamp   TrackerTime
-		Retell  bool // the request was overtaken by a newer one: its shares are to be reported again
+		Retell  bool // a newer request arrived first, so the shares must be reported again
 	}
-	// TrackerTime is a moment on one tracker's clock. A loan is good for a time after
-	// the moment its proxy echoes: the proxy sent it later than that, so it
-	// still keeps its share lowered when the loan ends here, however long its
-	// message was under way.
+	// TrackerTime is a time on one tracker's clock. A loan is valid for a fixed
+	// period from the time that its proxy echoes. The proxy sends the report later
+	// than that, so its share is still reduced when the loan expires at the tracker,
+	// however long the message is in transit.
 	TrackerTime struct {
 		Life  uint64
 		At    time.Duration
-		Begun uint64 // how often in this incarnation a shard has been taken over
+		Begun uint64 // number of shard takeovers in this incarnation
 	}
 )
 
@@ -40,9 +40,9 @@
 	transport.Register(transport.NameQuotaGrants, Grants{})
 }
 
-// Shard is the tracker duty a throttle key hashes to, of so many.
-func Shard(key string, of int) int {
+// Shard returns the tracker shard that a throttle key hashes to.
+func Shard(key string, shards int) int {
 	h := fnv.New32a()
 	h.Write([]byte(key))
-	return int(h.Sum32() % uint32(max(1, of)))
+	return int(h.Sum32() % uint32(max(1, shards)))
 }
--- a/internal/admission/quotas.go
+++ b/internal/admission/quotas.go
@@ -2,13 +2,13 @@
 
 import "slateridge/internal/config"
 
-// Quotas are the limits a configuration sets, by throttle key.
-func Quotas(s *config.Config) map[string]Quota {
-	out := map[string]Quota{}
-	for n, t := range s.Tenants {
-		if t.Rate > 0 {
-			out[n] = Quota{t.Rate, t.Burst}
+// Quotas returns the quotas that a configuration sets, by throttle key.
+func Quotas(cfg *config.Config) map[string]Quota {
+	quotas := map[string]Quota{}
+	for name, tenant := range cfg.Tenants {
+		if tenant.Rate > 0 {
+			quotas[name] = Quota{tenant.Rate, tenant.Burst}
 		}
 	}
-	return out
+	return quotas
 }
--- a/internal/admission/requests.go
+++ b/internal/admission/requests.go
@@ -8,24 +8,24 @@
 	"slateridge/internal/constants"
 )
 
-// KeyRequest is what a proxy reports to a key's tracker, and asks of it.
+// KeyRequest is a proxy's report and request for one key.
 type KeyRequest struct {
 	Key    string
 	Demand float64       // requests a second beyond the split share
-	Rate   float64       // leased or standby rate held now
-	RateOf time.Duration // when the request was sent whose answer granted that rate
-	Need   float64       // tokens wanted at once
-	Lend   bool          // the next two count
-	Lent   float64       // rate of the split share lent to the tracker
-	Depth  float64       // and the burst with it
-	Long   bool          // for the longer time, as a share is that serves nobody where it is
-	Idle   time.Duration // since the proxy last let a request of the key through, or started; standby aside
-	Stood  float64       // tokens of standby used since then
-	// Release asks the tracker to give up a share that was lent whole.
+	Rate   float64       // leased or standby rate that the proxy holds now
+	RateOf time.Duration // send time of the request whose answer granted Rate
+	Need   float64       // one-off tokens requested
+	Lend   bool          // reports the proxy's share: Lent and Depth are valid
+	Lent   float64       // rate of the split share that is lent to the tracker
+	Depth  float64       // burst that is lent with it
+	Long   bool          // the key is tracker-only at this proxy: loans and grants have the long lifetime
+	Idle   time.Duration // time since the proxy last admitted a request of the key, or started; standby excluded
+	Stood  float64       // standby tokens used during Idle
+	// Release asks the tracker to return a share that was lent whole.
 	Release bool
 }
 
-// grantLength is how long a lease lasts.
+// grantLength returns the lifetime of a lease.
 func grantLength(long bool) time.Duration {
 	if long {
 		return constants.GrantLong
@@ -33,7 +33,7 @@
 	return constants.GrantLength
 }
 
-// lendLength is how long a loan lasts.
+// lendLength returns the lifetime of a loan.
 func lendLength(long bool) time.Duration {
 	if long {
 		return constants.LendLong
@@ -41,12 +41,12 @@
 	return constants.LendLength
 }
 
-// demandBeyondShare is the rate to lease: of a hot key what the split share leaves open,
-// of others nothing, since a leased rate that lies unused here is missed where
-// the next requests come.
+// demandBeyondShare returns the rate to request as a lease: for a hot key the demand that
+// the split share does not cover, for other keys nothing, because a leased rate that is
+// unused here is not available where the next requests arrive.
 func (l *Limiter) demandBeyondShare(ks *keyState) float64 {
 	if ks.trackerOnly {
-		return ks.demand // for its standby
+		return ks.demand // sizes the standby rate
 	}
 	if ks.demand < constants.HotRate {
 		return 0
@@ -54,87 +54,89 @@
 	return max(0, ks.demand*constants.GrantHeadroom-ks.split.rate)
 }
 
-// BuildReports closes a demand period and lists what to report to the trackers: the rates to
-// lease, and what of the split shares is lent. A share that is not used here
-// serves whoever asks the tracker; it is lowered before the tracker learns of
-// it, and raised only after the tracker has answered or the loan has run out.
-// heard is when the tracker's time that goes with a key's report reached this proxy:
-// the loan ends by that time, so it ends even when nothing gets through any
-// more. Without a time of the tracker's nothing is lent.
-func (l *Limiter) BuildReports(now time.Duration, heard func(key string) (at time.Duration, life uint64, ok bool)) []KeyRequest {
+// BuildReports ends a demand period and returns the reports for the trackers: the rates to
+// lease and the parts of the split shares that are lent. A lent share is available to every
+// proxy through the tracker. The share is reduced before the tracker is notified, and it is
+// restored only after the tracker has answered or the loan has expired.
+//
+// lastEcho returns when this proxy received the tracker time that it echoes with a key's
+// report, and the tracker's incarnation. A loan expires relative to that time, so it
+// expires even if no further message is delivered. Without a tracker time nothing is lent.
+func (l *Limiter) BuildReports(now time.Duration, lastEcho func(key string) (at time.Duration, incarnation uint64, ok bool)) []KeyRequest {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	span := (now - l.periodStart).Seconds()
-	if span <= 0 || l.proxies == 0 {
+	period := (now - l.periodStart).Seconds()
+	if period <= 0 || l.proxies == 0 {
 		return nil
 	}
 	l.periodStart = now
-	givenUp := now-l.controlHeardAt > constants.SplitHold // others may have the share by now
-	told := map[int]bool{}
-	var out []KeyRequest
+	shareExpired := now-l.controlHeardAt > constants.SplitHold // other proxies may use the share now
+	reportedShards := map[int]bool{}
+	var reports []KeyRequest
 	for k, ks := range l.keys {
 		l.refresh(ks, now)
-		ks.demand += constants.DemandWeight * (ks.arrivals/span - ks.demand)
+		ks.demand += constants.DemandWeight * (ks.arrivals/period - ks.demand)
 		ks.arrivals = 0
 		n := float64(l.proxies)
 		rate, depth := constants.SplitPart*ks.quota.Rate/n, constants.SplitPart*ks.quota.Burst/n
 		lend := 0.0
-		long := ks.trackerOnly
-		returning := long && ks.releaseDeadline > 0
-		at, life, ok := heard(k)
-		if ok && now < at+lendLength(long) && !givenUp {
-			if lend = min(constants.LendMost, max(0, 1-ks.demand*constants.LendKeep/rate)); long {
+		trackerOnly := ks.trackerOnly
+		releasing := trackerOnly && ks.releaseDeadline > 0
+		at, incarnation, ok := lastEcho(k)
+		if ok && now < at+lendLength(trackerOnly) && !shareExpired {
+			if lend = min(constants.LendMost, max(0, 1-ks.demand*constants.LendKeep/rate)); trackerOnly {
 				lend = 1
 			}
 		}
-		beyond := l.demandBeyondShare(ks)
-		if long && !returning && math.Abs(lend-ks.lentFraction) < 1e-6 && life == ks.reportedIncarnation && now < l.loansReportAt[ks.shard] {
-			continue // the tracker knows all there is to know
+		demand := l.demandBeyondShare(ks)
+		if trackerOnly && !releasing && math.Abs(lend-ks.lentFraction) < 1e-6 && incarnation == ks.reportedIncarnation && now < l.loansReportAt[ks.shard] {
+			continue // the tracker's record is up to date
 		}
 		if now >= l.loansReportAt[ks.shard] {
-			told[ks.shard] = true
+			reportedShards[ks.shard] = true
 		}
 		if lend > 0 {
-			ks.loanExpires = max(ks.loanExpires, at+lendLength(long))
+			ks.loanExpires = max(ks.loanExpires, at+lendLength(trackerOnly))
 			if lend > ks.lentFraction {
 				ks.lentFraction = lend
 				l.resizeBuckets(ks, now)
 			}
 		}
-		ks.reportedIncarnation = life
+		ks.reportedIncarnation = incarnation
 		ks.loanReportedAt, ks.reportedProxies = now, l.proxies
-		out = append(out, KeyRequest{
+		reports = append(reports, KeyRequest{
 			Key:     k,
-			Demand:  beyond,
+			Demand:  demand,
 			Rate:    ks.heldRate(now),
 			RateOf:  ks.grantRequestedAt,
 			Lend:    true,
 			Lent:    lend * rate,
 			Depth:   lend * depth,
-			Long:    long,
-			Idle:    now - ks.lastAdmittedAt(life),
+			Long:    trackerOnly,
+			Idle:    now - ks.lastAdmittedAt(incarnation),
 			Stood:   ks.standbyUsed,
-			Release: returning,
+			Release: releasing,
 		})
 	}
-	for shard := range told {
+	for shard := range reportedShards {
 		l.loansReportAt[shard] = now + constants.LendLong/4 + time.Duration(l.rng.Int64N(int64(constants.LendLong/8)))
 	}
-	sort.Slice(out, func(i, j int) bool { return out[i].Key < out[j].Key })
-	return out
+	sort.Slice(reports, func(i, j int) bool { return reports[i].Key < reports[j].Key })
+	return reports
 }
 
-// RequestFullReport notes that the tracker of a shard does not have the last report, because
-// the message was lost or because it has taken the shard over: the next message reports
-// all again. A new tracker gives little until every proxy has reported what it
-// holds, so one that is late holds all others up.
+// RequestFullReport records that the tracker of a shard lacks the last report, because the
+// message was lost or the tracker has taken the shard over, so the next message reports
+// all keys again. A new tracker grants little until every proxy has reported what it holds,
+// so a single late proxy delays all others.
 func (l *Limiter) RequestFullReport(shard int) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	delete(l.loansReportAt, shard)
 }
 
-// TokenRequest is the question for a request that waits.
+// TokenRequest returns the request that asks a key's tracker for tokens for a waiting
+// request.
 func (l *Limiter) TokenRequest(now time.Duration, key string) KeyRequest {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -145,7 +147,7 @@
 	l.refresh(ks, now)
 	need := 1.0
 	if ks.trackerOnly {
-		need += max(0, -ks.split.tokens) // a share lent whole does not fill: what is owed has to be asked for too
+		need += max(0, -ks.split.tokens) // a share that is lent whole never refills, so its debt is paid by tracker tokens
 	}
 	return KeyRequest{
 		Key:    key,
--- a/internal/admission/retry.go
+++ b/internal/admission/retry.go
@@ -6,9 +6,9 @@
 	"slateridge/internal/constants"
 )
 
-// retryAfter is how long a refused client should wait: until a token of its key is due,
-// behind those that were told to come again before. Its next try reaches another proxy, so
-// the key's whole rate counts and not this proxy's part of it.
+// retryAfter returns how long a refused client should wait: until a token of its key is
+// due, after those for the clients that were refused before it. The next attempt reaches
+// another proxy, so it uses the key's whole rate and not this proxy's part of it.
 func (l *Limiter) retryAfter(ks *keyState, now time.Duration, available float64) time.Duration {
 	due := now + l.timeToToken(ks, now, available)
 	if ks.lastRetryAt > now {
@@ -18,30 +18,32 @@
 	return ks.lastRetryAt - now
 }
 
-// timeToToken is how long it takes until there is a token, with so many available here now.
+// timeToToken returns the time until a token is due, given the balance that is available
+// here now.
 func (l *Limiter) timeToToken(ks *keyState, now time.Duration, available float64) time.Duration {
-	here := constants.GrantLength // leases and shares are dealt out anew by then
+	local := constants.GrantLength // leases and shares are distributed again within this time
 	rate := ks.split.rate
 	if !ks.trackerOnly || ks.onStandby {
 		rate += ks.grant.rate
 	}
 	if rate > 0 {
-		here = tokenTime(1-available, rate)
+		local = tokenTime(1-available, rate)
 	}
 	switch heard := l.trackerHeardAt[ks.shard]; {
 	case ks.unansweredAt > 0 && ks.unansweredAt >= heard:
-		// The tracker is lost: by then it answers again, or the standby is used.
-		if lost := heard + constants.StandbyAfter - now; lost > 0 {
-			return min(here, lost)
+		// The tracker does not answer. After this time it answers again or the standby
+		// rate is used.
+		if untilStandby := heard + constants.StandbyAfter - now; untilStandby > 0 {
+			return min(local, untilStandby)
 		}
-		return here
-	case ks.noTokensUntil > now: // as the tracker answered
-		return min(here, ks.noTokensUntil-now)
+		return local
+	case ks.noTokensUntil > now: // according to the tracker's answer
+		return min(local, ks.noTokensUntil-now)
 	}
-	return min(here, tokenTime(1, ks.quota.Rate))
+	return min(local, tokenTime(1, ks.quota.Rate))
 }
 
-// tokenTime is how long so many tokens take at a rate.
+// tokenTime returns how long a number of tokens takes to accrue at a rate.
 func tokenTime(tokens, rate float64) time.Duration {
 	return time.Duration(min(constants.RetryMost.Seconds(), tokens/rate) * float64(time.Second))
 }
--- a/internal/admission/standby.go
+++ b/internal/admission/standby.go
@@ -7,27 +7,26 @@
 	"slateridge/internal/constants"
 )
 
-// A key whose split shares are too small to serve anybody is carried by its
-// tracker: every request asks. So that the loss of all trackers does not refuse
-// all its requests, each proxy is granted a standby rate, which it uses only while
-// nothing comes from the tracker. The tracker in turn leaves the standby of
-// whoever may be using it out of its pool. Both reckon from the tracker's time
-// that last reached the proxy: the tracker from when it gave the tracker's time, the proxy
-// from when the tracker's time came and for longer, so the tracker has always made room
-// before the proxy begins.
+// Every request of a tracker-only key asks the tracker. So that the loss of all trackers
+// does not refuse all requests of the key, each proxy is granted a standby rate, which it
+// uses only while it receives nothing from the tracker. The tracker in turn excludes from
+// its pool the standby rate of every proxy that may be using it. Both sides measure from
+// the last tracker time that reached the proxy: the tracker from when it sent that time,
+// the proxy from when it arrived, and the proxy waits longer. The tracker has therefore
+// always excluded the rate before the proxy starts to use it.
 
-// standby is one proxy's standby for a key, at its tracker.
+// standby is a tracker's record of one proxy's standby rate for a key.
 type standby struct {
-	rate        float64 // granted last
-	reserved    float64 // the most it may be using when it has no contact
+	rate        float64 // offered last
+	reserved    float64 // most that the proxy may be using when out of contact
 	demand      float64
 	expires     time.Duration
-	requestSent time.Duration // when the proxy sent the request that the last offer answers
+	requestSent time.Duration // send time of the request that the last offer answers
 }
 
-// standbyTotals sums the standby rates: of those who may be using them now, and of
-// the others.
-func (p *pool) standbyTotals(now time.Duration, tracker *Tracker) (alone, inTouch float64) {
+// standbyTotals drops expired standby rates and returns the sum of those that may be in
+// use, because their proxies may be out of contact, and of the others.
+func (p *pool) standbyTotals(now time.Duration, tracker *Tracker) (inUse, idle float64) {
 	if now >= p.nextStandbyExpiry {
 		p.standbyReserved, p.standbyDemand, p.nextStandbyExpiry, p.contactScan = 0, 0, now+constants.GrantLong, 0
 		for k, s := range p.standbys {
@@ -51,71 +50,72 @@
 	return max(0, p.standbyInUse), max(0, p.standbyReserved-p.standbyInUse)
 }
 
-// setStandby alters one proxy's standby and the sums with it.
-func (p *pool) setStandby(tracker *Tracker, proxy string, s *standby, to standby) {
-	p.standbyReserved += to.reserved - s.reserved
-	p.standbyDemand += to.demand - s.demand
+// setStandby replaces one proxy's standby and updates the totals.
+func (p *pool) setStandby(tracker *Tracker, proxy string, s *standby, next standby) {
+	p.standbyReserved += next.reserved - s.reserved
+	p.standbyDemand += next.demand - s.demand
 	if p.contactScan == tracker.contactScan && tracker.outOfContact[proxy] {
-		p.standbyInUse += to.reserved - s.reserved
+		p.standbyInUse += next.reserved - s.reserved
 	}
-	*s = to
+	*s = next
 }
 
-// maxStandby is the most that all standby of a key may add up to, by what carried
-// proxies have lent: a tracker that begins without knowing any of it may still give
-// its own part and a tenth. Every proxy's basic standby fits into it.
+// maxStandby returns the limit for the sum of a key's standby rates, derived from the
+// shares lent whole. It leaves the tracked part and StandbyReserve, a tenth of the quota,
+// for a new tracker to grant while it does not know which standby rates are in use. The
+// basic standby rates of all proxies fit within the limit.
 func (p *pool) maxStandby() float64 {
 	lent := min(p.loanTotals.wholeRate, constants.SplitPart*p.quota.Rate)
 	return max(lent*constants.StandbyBasic, lent-constants.StandbyReserve*p.quota.Rate)
 }
 
-// grantStandby answers a proxy that the key's tracker carries.
-func (tracker *Tracker) grantStandby(now time.Duration, p *pool, request GrantRequest, want KeyRequest) KeyGrant {
-	tracker.Requests++
-	p.standbyTotals(now, tracker) // drops what has ended, so that the sums are of what stands
+// grantStandby answers a proxy for which the key is tracker-only.
+func (t *Tracker) grantStandby(now time.Duration, p *pool, request GrantRequest, want KeyRequest) KeyGrant {
+	t.Requests++
+	p.standbyTotals(now, t) // drops expired entries, so that the totals below are current
 	s := p.standbys[request.Proxy]
 	if s == nil {
 		s = &standby{}
 		p.standbys[request.Proxy] = s
 	}
-	to := *s
-	to.expires = now + constants.GrantLong
-	p.nextStandbyExpiry = min(p.nextStandbyExpiry, to.expires)
+	next := *s
+	next.expires = now + constants.GrantLong
+	p.nextStandbyExpiry = min(p.nextStandbyExpiry, next.expires)
 	basic := p.loans[request.Proxy].rate * constants.StandbyBasic
 	switch {
-	case !want.Lend: // a question of a request; what stands, stands
+	case !want.Lend: // a request for one-off tokens leaves the rates unchanged
 	case now < p.recoveryUntil:
-		to.rate, to.reserved, to.demand = want.Rate, max(want.Rate, s.reserved, basic), want.Demand
-		to.requestSent = want.RateOf // as if it had been offered here
+		next.rate, next.reserved, next.demand = want.Rate, max(want.Rate, s.reserved, basic), want.Demand
+		next.requestSent = want.RateOf // as if this tracker had offered the rate
 	default:
-		to.demand = want.Demand
-		total := p.standbyDemand - s.demand + to.demand
+		next.demand = want.Demand
+		total := p.standbyDemand - s.demand + next.demand
 		others := max(0, p.standbyReserved-s.reserved)
-		most := p.maxStandby()
-		share := to.demand * constants.StandbyHeadroom
+		limit := p.maxStandby()
+		share := next.demand * constants.StandbyHeadroom
 		if total > 0 {
-			share = min(share, to.demand*most/total)
+			share = min(share, next.demand*limit/total)
 		}
-		share = min(share, max(0, most-others))
+		share = min(share, max(0, limit-others))
 		if want.Release {
-			share = 0 // it is about to need none
+			share = 0 // the proxy is about to use its split share instead
 		}
-		to.reserved = max(maxInUse(s.reserved, s.requestSent, share, want), basic)
-		to.rate, to.requestSent = share, request.Sent
+		next.reserved = max(maxInUse(s.reserved, s.requestSent, share, want), basic)
+		next.rate, next.requestSent = share, request.Sent
 	}
-	p.setStandby(tracker, request.Proxy, s, to)
-	p.resize(now, tracker)
-	return tracker.grantTokens(p, want, KeyGrant{Key: want.Key, Rate: s.rate, Long: true, Lent: want.Lend, Loan: want.Lent})
+	p.setStandby(t, request.Proxy, s, next)
+	p.resize(now, t)
+	return t.grantTokens(p, want, KeyGrant{Key: want.Key, Rate: s.rate, Long: true, Lent: want.Lend, Loan: want.Lent})
 }
 
-// releaseShare gives a share that was lent whole back to its proxy, where the standby
-// of the others and what is leased need it no longer.
+// releaseShare returns a share that was lent whole to its proxy, provided that neither the
+// other proxies' standby rates nor the leases depend on it. It reports whether it did.
 func (p *pool) releaseShare(now time.Duration, tracker *Tracker, proxy string) bool {
 	if now < p.recoveryUntil {
-		return false // unknown standby may rest on it
+		return false // unknown standby rates may depend on it
 	}
 	p.standbyTotals(now, tracker)
-	kept := p.loans[proxy] // an empty loan is none
+	old := p.loans[proxy] // zero if there is none
 	s := p.standbys[proxy]
 	others := p.standbyReserved
 	if s != nil {
@@ -127,14 +127,14 @@
 		free += s.reserved
 	}
 	if others > p.maxStandby()+rateEpsilon || free < -rateEpsilon {
-		p.setLoan(proxy, kept)
+		p.setLoan(proxy, old)
 		return false
 	}
 	p.removeStandby(tracker, proxy)
 	return true
 }
 
-// removeStandby forgets the standby of a proxy that holds none.
+// removeStandby removes the standby of a proxy that no longer holds one.
 func (p *pool) removeStandby(tracker *Tracker, proxy string) {
 	if s := p.standbys[proxy]; s != nil {
 		p.setStandby(tracker, proxy, s, standby{})
@@ -142,9 +142,9 @@
 	}
 }
 
-// resizeStandby sets the standby bucket of a key that its tracker carries: what the
-// tracker granted, and without it the basic part of this proxy's own share, which the
-// tracker leaves out of its pool for every proxy that it does not hear.
+// resizeStandby sets the standby bucket of a tracker-only key to the rate that the tracker
+// granted, but at least to the basic part of this proxy's own share. The tracker excludes
+// that part from its pool for every proxy that is out of contact.
 func (l *Limiter) resizeStandby(ks *keyState, now time.Duration) {
 	l.updateStandby(ks, now) // before the bucket fills
 	rate := 0.0
@@ -155,15 +155,14 @@
 	ks.grant.set(now, rate, max(constants.StandbyDepth, rate))
 }
 
-// updateStandby lets the standby bucket fill only while nothing has come to the proxy from
-// the key's tracker for so long that it uses it; what accrues counts from the
-// last answer. A bucket begins with a part of a request drawn by lot and keeps such
-// a part while it rests, so that many proxies with a low rate each admit, taken
-// together, just what the rates add up to.
+// updateStandby lets the standby bucket fill only while the proxy has received nothing from
+// the key's tracker for StandbyAfter; tokens then accrue from the last answer on. A bucket
+// starts with a random fraction of a token and keeps a fraction while it is not in use, so
+// that many proxies with a low rate together admit exactly the sum of their rates.
 func (l *Limiter) updateStandby(ks *keyState, now time.Duration) {
 	heard, ok := l.trackerHeardAt[ks.shard]
 	if !ok {
-		// The incarnation before may have been in contact until it ended, and no later.
+		// The previous incarnation was in contact until it ended at the latest.
 		heard = -constants.RestartTime
 	}
 	if now-heard < constants.StandbyAfter && !l.trackerDown[ks.shard] {
@@ -178,9 +177,9 @@
 	}
 }
 
-// MarkTrackerDown notes that the tracker of a shard is known not to run: nothing listens
-// where it did. An incarnation that starts later knows of no standby and gives, to
-// begin with, only what standby leaves over.
+// MarkTrackerDown records that the tracker of a shard is known not to run, because its
+// address refuses connections. The standby rate can be used at once: a tracker that starts
+// later knows of no standby rates and initially grants only what they leave over.
 func (l *Limiter) MarkTrackerDown(shard int) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -190,7 +189,7 @@
 	l.trackerDown[shard] = true
 }
 
-// MarkTrackerAnswered notes that the tracker of a shard has answered.
+// MarkTrackerAnswered records that the tracker of a shard has answered.
 func (l *Limiter) MarkTrackerAnswered(now time.Duration, shard int) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
--- a/internal/admission/tracker.go
+++ b/internal/admission/tracker.go
@@ -7,39 +7,39 @@
 	"slateridge/internal/constants"
 )
 
-// Tracker is the tracker of its shards' keys. Its mutex guards all fields and all pools; it
-// starts no goroutines and has no clock of its own.
+// Tracker grants tokens, leases and standby rates for the keys of its shards. Its mutex
+// guards all fields and all pools. It starts no goroutines and has no clock of its own.
 type Tracker struct {
 	incarnation                  uint64
 	contacts                     map[string]contact // by proxy
-	outOfContact                 map[string]bool    // those that may have stopped hearing this tracker, as of a turn
-	contactScan                  uint64
+	outOfContact                 map[string]bool    // proxies that may receive nothing from this tracker, as of contactScan
+	contactScan                  uint64             // number of the last change of outOfContact
 	nextScanAt                   time.Duration
-	trackerOnly                  map[string]bool          // keys that this tracker has seen to be carried, or not
-	modeChangedAt                map[string]time.Duration // when that last changed
+	trackerOnly                  map[string]bool          // by key: whether it was tracker-only at the last request
+	modeChangedAt                map[string]time.Duration // by key: last change of trackerOnly
 	shareTooSmall                func(proxies int, q Quota) bool
-	proxyCount                   int // the largest live count that proxies in contact reckon with
+	proxyCount                   int // largest live count that proxies in contact use
 	mu                           sync.Mutex
 	pools                        map[string]*pool
 	quotas                       map[string]Quota
-	quotaSince                   map[string]time.Duration // since when a key has its limit
+	quotaSince                   map[string]time.Duration // by key: when its quota last changed
 	shards                       int
 	shardSince                   map[int]time.Duration
-	takeovers                    uint64
+	takeovers                    uint64 // shards taken over in this incarnation
 	Requests, Granted, Exhausted uint64
 }
 
-// NewTracker makes a tracker that knows no key yet; life distinguishes it
-// from all others and from its earlier incarnations, tiny says which keys have split shares that serve
-// nobody.
-func NewTracker(life uint64, shards int, tiny func(proxies int, q Quota) bool) *Tracker {
+// NewTracker returns a tracker without quotas. incarnation distinguishes it from all other
+// trackers and from its earlier processes. shareTooSmall reports whether a key's split
+// share is too small to serve requests; such keys are tracker-only.
+func NewTracker(incarnation uint64, shards int, shareTooSmall func(proxies int, q Quota) bool) *Tracker {
 	return &Tracker{
-		shareTooSmall: tiny,
+		shareTooSmall: shareTooSmall,
 		contacts:      map[string]contact{},
 		outOfContact:  map[string]bool{},
 		trackerOnly:   map[string]bool{},
 		modeChangedAt: map[string]time.Duration{},
-		incarnation:   life,
+		incarnation:   incarnation,
 		shards:        shards,
 		shardSince:    map[int]time.Duration{},
 		pools:         map[string]*pool{},
@@ -48,156 +48,158 @@
 	}
 }
 
-// SetQuotas takes the limits in force.
-func (tracker *Tracker) SetQuotas(now time.Duration, qs map[string]Quota) {
-	tracker.mu.Lock()
-	defer tracker.mu.Unlock()
-	for k, q := range qs {
-		if tracker.quotas[k] != q {
-			tracker.quotaSince[k] = now
+// SetQuotas sets the quotas in force.
+func (t *Tracker) SetQuotas(now time.Duration, quotas map[string]Quota) {
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	for k, q := range quotas {
+		if t.quotas[k] != q {
+			t.quotaSince[k] = now
 		}
 	}
-	tracker.quotas = qs
-	for k, p := range tracker.pools {
-		q, ok := qs[k]
+	t.quotas = quotas
+	for k, p := range t.pools {
+		q, ok := quotas[k]
 		if !ok || q.Rate <= 0 {
-			delete(tracker.pools, k)
+			delete(t.pools, k)
 			continue
 		}
 		p.quota = q
-		p.resize(now, tracker)
+		p.resize(now, t)
 	}
 }
 
-// HandleRequest answers a proxy. since is when this machine began to track the shard
-// without a break: what an earlier tracker gave must have ended before anything
-// is given here, and the pools start empty.
-func (tracker *Tracker) HandleRequest(now time.Duration, request GrantRequest, since func(shard int) (time.Duration, bool)) Grants {
-	tracker.mu.Lock()
-	defer tracker.mu.Unlock()
-	out := Grants{Stamp: TrackerTime{tracker.incarnation, now, tracker.takeovers}}
-	if len(tracker.quotas) == 0 {
-		// Started anew, and the configuration has not come yet: as good as nobody.
-		out.Refused = true
-		return out
+// HandleRequest answers a proxy. since returns when this machine began to track a shard
+// without interruption. After a takeover the pools start empty, and nothing is granted
+// until the grants of an earlier tracker have expired.
+func (t *Tracker) HandleRequest(now time.Duration, request GrantRequest, since func(shard int) (time.Duration, bool)) Grants {
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	answer := Grants{Stamp: TrackerTime{t.incarnation, now, t.takeovers}}
+	if len(t.quotas) == 0 {
+		// The process has just started and has no configuration yet, so it cannot
+		// act as a tracker.
+		answer.Refused = true
+		return answer
 	}
-	late := tracker.recordContact(now, request)
-	out.Retell = late
+	late := t.recordContact(now, request)
+	answer.Retell = late
 	for _, want := range request.Wants {
-		shard := Shard(want.Key, tracker.shards)
-		at, ok := since(shard)
+		shard := Shard(want.Key, t.shards)
+		begun, ok := since(shard)
 		if !ok {
-			out.Refused = true
+			answer.Refused = true
 			continue
 		}
-		if tracker.shardSince[shard] != at {
-			tracker.shardSince[shard] = at
-			tracker.takeovers++
-			for k := range tracker.pools {
-				if Shard(k, tracker.shards) == shard {
-					delete(tracker.pools, k)
+		if t.shardSince[shard] != begun {
+			t.shardSince[shard] = begun
+			t.takeovers++
+			for k := range t.pools {
+				if Shard(k, t.shards) == shard {
+					delete(t.pools, k)
 				}
 			}
 		}
-		q, limited := tracker.quotas[want.Key]
+		q, limited := t.quotas[want.Key]
 		limited = limited && q.Rate > 0
-		wait := tracker.takeoverDelay(now, want, q, limited)
-		if now-at < wait {
-			out.Given = append(out.Given, KeyGrant{Key: want.Key, Keep: true, Dry: wait - (now - at), Lent: want.Lend})
+		delay := t.takeoverDelay(now, want, q, limited)
+		if now-begun < delay {
+			answer.Given = append(answer.Given, KeyGrant{Key: want.Key, Keep: true, Dry: delay - (now - begun), Lent: want.Lend})
 			continue
 		}
 		if limited {
-			p := tracker.poolFor(want.Key, q, at, max(at+wait, tracker.quotaSince[want.Key]), now)
-			out.Given = append(out.Given, tracker.handleKeyRequest(now, p, request, want, late))
+			p := t.poolFor(want.Key, q, begun, max(begun+delay, t.quotaSince[want.Key]), now)
+			answer.Given = append(answer.Given, t.handleKeyRequest(now, p, request, want, late))
 		}
 	}
-	out.Stamp.Begun = tracker.takeovers // shards asked for may have begun just now
-	return out
+	answer.Stamp.Begun = t.takeovers // this request may have started the tracking of further shards
+	return answer
 }
 
-// takeoverDelay is how long a tracker that begins gives nothing, since what an
-// earlier one gave may still be used: tokens for waiting requests and, of a key
-// that is not carried or was not a moment ago, leases.
-func (tracker *Tracker) takeoverDelay(now time.Duration, want KeyRequest, q Quota, limited bool) time.Duration {
-	carried := limited && tracker.shareTooSmall(tracker.proxyCount, q)
-	if was, seen := tracker.trackerOnly[want.Key]; seen && was != carried {
-		tracker.modeChangedAt[want.Key] = now
+// takeoverDelay returns how long a tracker grants nothing after a takeover, because grants
+// of an earlier tracker may still be in use: one-off tokens and, unless the key has been
+// tracker-only for long enough, leases.
+func (t *Tracker) takeoverDelay(now time.Duration, want KeyRequest, q Quota, limited bool) time.Duration {
+	trackerOnly := limited && t.shareTooSmall(t.proxyCount, q)
+	if old, ok := t.trackerOnly[want.Key]; ok && old != trackerOnly {
+		t.modeChangedAt[want.Key] = now
 	}
-	tracker.trackerOnly[want.Key] = carried
-	changed, ok := tracker.modeChangedAt[want.Key]
-	if carried && want.Long && (!ok || now-changed >= constants.GrantLength) {
+	t.trackerOnly[want.Key] = trackerOnly
+	changed, ok := t.modeChangedAt[want.Key]
+	if trackerOnly && want.Long && (!ok || now-changed >= constants.GrantLength) {
 		return constants.OneOffLife
 	}
 	return constants.GrantLength
 }
 
-// handleKeyRequest takes one want of a proxy and gives what there is. Of a report that a newer
-// one has overtaken only the need counts.
-func (tracker *Tracker) handleKeyRequest(now time.Duration, p *pool, request GrantRequest, want KeyRequest, late bool) KeyGrant {
+// handleKeyRequest processes a proxy's request for one key. If a newer report of the proxy
+// has already arrived, only the requested tokens are considered.
+func (t *Tracker) handleKeyRequest(now time.Duration, p *pool, request GrantRequest, want KeyRequest, late bool) KeyGrant {
 	if late {
 		want.Lend, want.Release = false, false
 	}
 	if !want.Lend {
-		return tracker.grantRate(now, p, request, want)
+		return t.grantRate(now, p, request, want)
 	}
 	p.recordReport(now, request, want)
 	if want.Long {
-		delete(p.leases, request.Proxy) // its lease ended with its split share
+		delete(p.leases, request.Proxy) // its lease ended when it gave up its split share
 	} else {
-		p.removeStandby(tracker, request.Proxy)
+		p.removeStandby(t, request.Proxy)
 	}
-	if want.Release && p.releaseShare(now, tracker, request.Proxy) {
-		p.resize(now, tracker)
-		return tracker.grantTokens(p, want, KeyGrant{Key: want.Key, Long: true, Keep: true, Lent: true, Released: true})
+	if want.Release && p.releaseShare(now, t, request.Proxy) {
+		p.resize(now, t)
+		return t.grantTokens(p, want, KeyGrant{Key: want.Key, Long: true, Keep: true, Lent: true, Released: true})
 	}
-	to := loan{}
-	if request.Echo.Life == tracker.incarnation && want.Lent > 0 {
-		to = loan{rate: want.Lent, depth: want.Depth, expires: request.Echo.At + lendLength(want.Long)}
+	next := loan{}
+	if request.Echo.Life == t.incarnation && want.Lent > 0 {
+		next = loan{rate: want.Lent, depth: want.Depth, expires: request.Echo.At + lendLength(want.Long)}
 		if want.Long {
-			to.wholeRate = to.rate
+			next.wholeRate = next.rate
 		}
 	}
-	kept := p.updateLoan(now, tracker, request.Proxy, to)
-	out := tracker.grantRate(now, p, request, want)
-	out.Loan = kept
-	return out
+	lent := p.updateLoan(now, t, request.Proxy, next)
+	grant := t.grantRate(now, p, request, want)
+	grant.Loan = lent
+	return grant
 }
 
-// grantRate answers with what the proxy's way of sharing asks for.
-func (tracker *Tracker) grantRate(now time.Duration, p *pool, request GrantRequest, want KeyRequest) KeyGrant {
+// grantRate grants a standby rate if the key is tracker-only at the proxy, otherwise a
+// lease.
+func (t *Tracker) grantRate(now time.Duration, p *pool, request GrantRequest, want KeyRequest) KeyGrant {
 	if want.Long {
-		return tracker.grantStandby(now, p, request, want)
+		return t.grantStandby(now, p, request, want)
 	}
-	return tracker.grantLease(now, p, request, want)
+	return t.grantLease(now, p, request, want)
 }
 
-// grantTokens gives tokens to a request that waits.
-func (tracker *Tracker) grantTokens(p *pool, want KeyRequest, out KeyGrant) KeyGrant {
+// grantTokens adds the one-off tokens for a waiting request to a grant.
+func (t *Tracker) grantTokens(p *pool, want KeyRequest, grant KeyGrant) KeyGrant {
 	if want.Need > 0 {
 		if p.bucket.tokens >= want.Need {
 			p.bucket.tokens -= want.Need
 			p.tokensGranted += want.Need
-			out.Tokens, out.Life = want.Need, tracker.incarnation
-			tracker.Granted++
+			grant.Tokens, grant.Life = want.Need, t.incarnation
+			t.Granted++
 		} else {
-			tracker.Exhausted++
-			out.Dry = constants.GrantEvery
-			if due := (want.Need - p.bucket.tokens) / p.bucket.rate; p.bucket.rate > 0 && due < out.Dry.Seconds() {
-				out.Dry = time.Duration(due * float64(time.Second))
+			t.Exhausted++
+			grant.Dry = constants.GrantEvery
+			if due := (want.Need - p.bucket.tokens) / p.bucket.rate; p.bucket.rate > 0 && due < grant.Dry.Seconds() {
+				grant.Dry = time.Duration(due * float64(time.Second))
 			}
 		}
 	}
-	return out
+	return grant
 }
 
-// LeasedRates lists the leased rate of each key tracked here, for operators.
-func (tracker *Tracker) LeasedRates(now time.Duration) map[string]float64 {
-	tracker.mu.Lock()
-	defer tracker.mu.Unlock()
-	out := map[string]float64{}
-	for k, p := range tracker.pools {
-		p.resize(now, tracker)
-		out[k] = p.leased("")
+// LeasedRates returns the leased rate of each tracked key, for operators.
+func (t *Tracker) LeasedRates(now time.Duration) map[string]float64 {
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	rates := map[string]float64{}
+	for k, p := range t.pools {
+		p.resize(now, t)
+		rates[k] = p.leased("")
 	}
-	return out
+	return rates
 }
