--- a/internal/admission/tracker.go
+++ b/internal/admission/tracker.go
@@ -29,17 +29,17 @@
 	Requests, Granted, Exhausted uint64
 }
 
-// NewTracker returns a tracker without quotas. incarnation distinguishes it from all other
-// trackers and from its earlier processes. shareTooSmall reports whether a key's split
+// NewTracker returns a tracker without quotas. id distinguishes this incarnation from all
+// other trackers and from its earlier processes. tooSmall reports whether a key's split
 // share is too small to serve requests; such keys are tracker-only.
-func NewTracker(incarnation uint64, shards int, shareTooSmall func(proxies int, q Quota) bool) *Tracker {
+func NewTracker(id uint64, shards int, tooSmall func(proxies int, q Quota) bool) *Tracker {
 	return &Tracker{
-		shareTooSmall: shareTooSmall,
+		shareTooSmall: tooSmall,
 		contacts:      map[string]contact{},
 		outOfContact:  map[string]bool{},
 		trackerOnly:   map[string]bool{},
 		modeChangedAt: map[string]time.Duration{},
-		incarnation:   incarnation,
+		incarnation:   id,
 		shards:        shards,
 		shardSince:    map[int]time.Duration{},
 		pools:         map[string]*pool{},
