--- a/internal/admission/limiter_test.go
+++ b/internal/admission/limiter_test.go
@@ -13,28 +13,28 @@
 // fleet is proxies and trackers on a simulated network. Trackers move between
 // machines as leases would move them; proxies restart, freeze, and are cut off.
 type fleet struct {
-	network   *simnet.Network
-	key       string
-	quota     Quota
-	proxies   map[string]*Limiter
-	startedAt map[string]time.Duration
-	life      map[string]int
-	echo      map[string]TrackerTime
-	echoAt    map[string]time.Duration
-	frozen    map[string]bool
-	trackers  map[string]*Tracker
-	holder    string
-	since     time.Duration
-	spent     []time.Duration // when requests ran
-	refused   int
-	asked     int
-	counts    map[string]int // live count by proxy, where it is not that of all
+	network     *simnet.Network
+	key         string
+	quota       Quota
+	proxies     map[string]*Limiter
+	startedAt   map[string]time.Duration
+	incarnation map[string]int
+	echo        map[string]TrackerTime
+	echoAt      map[string]time.Duration
+	frozen      map[string]bool
+	trackers    map[string]*Tracker
+	holder      string
+	since       time.Duration
+	admittedAt  []time.Duration // when requests ran
+	refused     int
+	requested   int
+	liveCounts  map[string]int // live count by proxy, where it is not that of all
 }
 
-// count is the live count that a proxy has been told.
-func (f *fleet) count(n string) int {
-	if f.counts != nil {
-		return f.counts[n]
+// liveCount is the live liveCount that a proxy has been told.
+func (f *fleet) liveCount(n string) int {
+	if f.liveCounts != nil {
+		return f.liveCounts[n]
 	}
 	return len(f.proxies)
 }
@@ -42,19 +42,19 @@
 func (f *fleet) clock(n string) time.Duration { return f.network.Now - f.startedAt[n] }
 
 func (f *fleet) start(n string) {
-	f.life[n]++
+	f.incarnation[n]++
 	f.startedAt[n] = f.network.Now
 	delete(f.echo, n)
 	l := New(20, 3, f.network.Rng.Uint64())
 	l.SetQuotas(0, map[string]Quota{f.key: f.quota})
-	if n := f.count(n); n > 0 {
+	if n := f.liveCount(n); n > 0 {
 		l.SetProxies(0, n)
 	}
 	f.proxies[n] = l
 }
 
-func (f *fleet) ask(n string, wants []KeyRequest, then func()) {
-	l, life, asked := f.proxies[n], f.life[n], f.clock(n)
+func (f *fleet) askTracker(n string, wants []KeyRequest, then func()) {
+	l, life, asked := f.proxies[n], f.incarnation[n], f.clock(n)
 	to, echo := f.holder, f.echo[n]
 	if to == "" {
 		return
@@ -62,10 +62,10 @@
 	f.network.Send(n, to, func() {
 		got := f.trackers[to].HandleRequest(f.network.Now, GrantRequest{Proxy: n, Wants: wants, Echo: echo, Proxies: l.Proxies(), Life: l.Incarnation(), Sent: asked}, func(int) (time.Duration, bool) { return f.since, f.holder == to })
 		f.network.Send(to, n, func() {
-			if f.life[n] != life || got.Refused {
+			if f.incarnation[n] != life || got.Refused {
 				return
 			}
-			if count := f.count(n); count > 0 {
+			if count := f.liveCount(n); count > 0 {
 				l.SetProxies(f.clock(n), count) // control has spoken
 			}
 			if was := f.echo[n]; was.Life != got.Stamp.Life || was.Begun < got.Stamp.Begun || got.Retell {
@@ -88,16 +88,16 @@
 		return
 	}
 	l := f.proxies[n]
-	f.asked++
+	f.requested++
 	v := l.Admit(f.clock(n), f.key, false)
 	if v.OK {
-		f.spent = append(f.spent, f.network.Now)
+		f.admittedAt = append(f.admittedAt, f.network.Now)
 		return
 	}
 	if v.AskTracker {
-		f.ask(n, []KeyRequest{l.TokenRequest(f.clock(n), f.key)}, func() {
+		f.askTracker(n, []KeyRequest{l.TokenRequest(f.clock(n), f.key)}, func() {
 			if l.Admit(f.clock(n), f.key, true).OK {
-				f.spent = append(f.spent, f.network.Now)
+				f.admittedAt = append(f.admittedAt, f.network.Now)
 			}
 		})
 		return
@@ -106,7 +106,7 @@
 }
 
 func newFleet(seed uint64, proxies int, q Quota) *fleet {
-	f := &fleet{network: simnet.New(seed), key: "k", quota: q, proxies: map[string]*Limiter{}, startedAt: map[string]time.Duration{}, life: map[string]int{}, echo: map[string]TrackerTime{}, echoAt: map[string]time.Duration{},
+	f := &fleet{network: simnet.New(seed), key: "k", quota: q, proxies: map[string]*Limiter{}, startedAt: map[string]time.Duration{}, incarnation: map[string]int{}, echo: map[string]TrackerTime{}, echoAt: map[string]time.Duration{},
 		frozen: map[string]bool{}, trackers: map[string]*Tracker{}}
 	for i := range proxies {
 		f.proxies[fmt.Sprint("p", i)] = nil
@@ -115,7 +115,7 @@
 		f.start(fmt.Sprint("p", i))
 	}
 	for _, n := range []string{"t0", "t1", "t2"} {
-		f.trackers[n] = f.tracker(true)
+		f.trackers[n] = f.newTracker(true)
 	}
 	f.holder = "t0"
 	for i := range proxies {
@@ -125,7 +125,7 @@
 			if ws := f.proxies[n].BuildReports(f.clock(n), func(string) (time.Duration, uint64, bool) {
 				return f.echoAt[n], f.echo[n].Life, f.echo[n] != TrackerTime{}
 			}); !f.frozen[n] {
-				f.ask(n, ws, nil)
+				f.askTracker(n, ws, nil)
 			}
 			f.network.After(constants.GrantEvery, renew)
 		}
@@ -134,8 +134,8 @@
 	return f
 }
 
-// tracker is one that has just been started, knowing the limits or not yet.
-func (f *fleet) tracker(knows bool) *Tracker {
+// newTracker is one that has just been started, knowing the limits or not yet.
+func (f *fleet) newTracker(knows bool) *Tracker {
 	tracker := NewTracker(f.network.Rng.Uint64(), 3, func(n int, q Quota) bool { return ShareTooSmall(n, 20, q) })
 	if knows {
 		tracker.SetQuotas(f.network.Now, map[string]Quota{f.key: f.quota})
@@ -143,20 +143,20 @@
 	return tracker
 }
 
-// atWork is a fleet on a quick network that has served clients for a while.
-func atWork(seed uint64, proxies int, q Quota, on int, perS float64, span time.Duration) *fleet {
+// newBusyFleet is a fleet on a quick network that has served clients for a while.
+func newBusyFleet(seed uint64, proxies int, q Quota, on int, perS float64, span time.Duration) *fleet {
 	f := newFleet(seed, proxies, q)
 	f.network.Delay = 2 * time.Millisecond
-	f.clients(on, perS)
+	f.startClients(on, perS)
 	f.network.Run(span, nil)
 	return f
 }
 
-// worst is the most that ran in any window, against what the rule allows.
-func (f *fleet) worst(window time.Duration) (most int, allowed float64) {
+// maxInWindow is the most that ran in any window, against what the rule allows.
+func (f *fleet) maxInWindow(window time.Duration) (most int, allowed float64) {
 	j := 0
-	for i := range f.spent {
-		for f.spent[i]-f.spent[j] > window {
+	for i := range f.admittedAt {
+		for f.admittedAt[i]-f.admittedAt[j] > window {
 			j++
 		}
 		most = max(most, i-j+1)
@@ -164,9 +164,9 @@
 	return most, (f.quota.Rate*window.Seconds()+f.quota.Burst)*1.1 + 20
 }
 
-// clients sends one request after another, so many a second, to one of the first
+// startClients sends one request after another, so many a second, to one of the first
 // proxies drawn by lot.
-func (f *fleet) clients(proxies int, perS float64) {
+func (f *fleet) startClients(proxies int, perS float64) {
 	var come func()
 	come = func() {
 		f.request(fmt.Sprint("p", f.network.Rng.IntN(proxies)))
@@ -175,11 +175,11 @@
 	f.network.After(2*time.Second, come)
 }
 
-// share is the part served of what comes in a span.
-func (f *fleet) share(span time.Duration) float64 {
-	a, s := f.asked, len(f.spent)
+// servedShare is the part served of what comes in a span.
+func (f *fleet) servedShare(span time.Duration) float64 {
+	a, s := f.requested, len(f.admittedAt)
 	f.network.Run(f.network.Now+span, nil)
-	return float64(len(f.spent)-s) / float64(f.asked-a)
+	return float64(len(f.admittedAt)-s) / float64(f.requested-a)
 }
 
 // TestQuotaHoldsUnderTrouble presses every proxy far beyond the quota while
@@ -228,7 +228,7 @@
 		f.network.After(2*time.Second, press)
 		f.network.After(3*time.Second, trouble)
 		f.network.Run(40*time.Second, nil)
-		most, allowed := f.worst(5 * time.Second)
+		most, allowed := f.maxInWindow(5 * time.Second)
 		if float64(most) > allowed {
 			t.Errorf("seed %d, quota %v: %d ran in a window, %.0f are allowed", seed, q, most, allowed)
 		}
@@ -236,7 +236,7 @@
 		if len(f.proxies) > 50 {
 			least = 0.08 // its tracker alone carries the key, and moves every few seconds here
 		}
-		if served := float64(len(f.spent)); served < q.Rate*30*least {
+		if served := float64(len(f.admittedAt)); served < q.Rate*30*least {
 			t.Errorf("seed %d, quota %v: only %.0f served under pressure", seed, q, served)
 		}
 	}
@@ -259,8 +259,8 @@
 		}
 		f.network.After(3*time.Second, come)
 		f.network.Run(60*time.Second, nil)
-		if share := 1 - float64(len(f.spent))/float64(f.asked); share > 0.04 {
-			t.Errorf("%s: %.1f%% of %d requests within the quota were refused", name, share*100, f.asked)
+		if share := 1 - float64(len(f.admittedAt))/float64(f.requested); share > 0.04 {
+			t.Errorf("%s: %.1f%% of %d requests within the quota were refused", name, share*100, f.requested)
 		}
 	}
 }
@@ -344,8 +344,8 @@
 		f.network.Run(f.network.Now+time.Second, nil)
 		f.proxies["p1"].Settle(f.clock("p1"), "k", 2) // it ran twice
 	}
-	if len(f.spent) != 5 {
-		t.Fatalf("%d of 5 requests far within the quota were admitted", len(f.spent))
+	if len(f.admittedAt) != 5 {
+		t.Fatalf("%d of 5 requests far within the quota were admitted", len(f.admittedAt))
 	}
 }
 
@@ -379,31 +379,31 @@
 // While every tracker is lost, and when a new one begins, clients that stay with
 // their proxies go on being served by the leases there.
 func TestLeasesBridgeLostTrackers(t *testing.T) {
-	f := atWork(6, 80, Quota{40, 40}, 12, 25, 30*time.Second)
+	f := newBusyFleet(6, 80, Quota{40, 40}, 12, 25, 30*time.Second)
 	f.holder = ""
-	if got := f.share(900 * time.Millisecond); got > 0 {
+	if got := f.servedShare(900 * time.Millisecond); got > 0 {
 		t.Errorf("%.2f served on standby while the tracker may still be giving", got)
 	}
 	for _, l := range f.proxies {
 		l.MarkTrackerDown(Shard("k", 3)) // nobody listens there: no need to wait
 	}
-	if got := f.share(300 * time.Millisecond); got < 0.4 {
+	if got := f.servedShare(300 * time.Millisecond); got < 0.4 {
 		t.Errorf("%.2f served though the tracker is known to be gone", got)
 	}
-	if got := f.share(4 * time.Second); got < 0.6 {
+	if got := f.servedShare(4 * time.Second); got < 0.6 {
 		t.Errorf("%.2f served while no tracker is there", got)
 	}
 	for n := range f.trackers { // all started anew
-		f.trackers[n] = f.tracker(true)
+		f.trackers[n] = f.newTracker(true)
 	}
 	f.holder, f.since = "t1", f.network.Now
-	if got := f.share(3 * time.Second); got < 0.85 {
+	if got := f.servedShare(3 * time.Second); got < 0.85 {
 		t.Errorf("%.2f served after a new one began", got)
 	}
-	if got := f.share(20 * time.Second); got < 0.97 {
+	if got := f.servedShare(20 * time.Second); got < 0.97 {
 		t.Errorf("%.2f served afterwards", got)
 	}
-	if most, allowed := f.worst(5 * time.Second); float64(most) > allowed {
+	if most, allowed := f.maxInWindow(5 * time.Second); float64(most) > allowed {
 		t.Errorf("%d ran in a window, %.0f are allowed", most, allowed)
 	}
 }
@@ -412,15 +412,15 @@
 // not pass for one: proxies go on with their standby, and once it knows the
 // limits it takes the fleet's size from them.
 func TestUnknowingTrackerIsNone(t *testing.T) {
-	f := atWork(6, 80, Quota{40, 40}, 12, 25, 30*time.Second)
-	fresh := f.tracker(false)
+	f := newBusyFleet(6, 80, Quota{40, 40}, 12, 25, 30*time.Second)
+	fresh := f.newTracker(false)
 	f.trackers["t2"], f.holder, f.since = fresh, "t2", f.network.Now
-	if got := f.share(4 * time.Second); got < 0.5 {
+	if got := f.servedShare(4 * time.Second); got < 0.5 {
 		t.Errorf("%.2f served beside a tracker without limits", got)
 	}
 	fresh.SetQuotas(f.network.Now, map[string]Quota{"k": f.quota})
-	f.share(1500 * time.Millisecond)
-	if got := f.share(3 * time.Second); got < 0.85 {
+	f.servedShare(1500 * time.Millisecond)
+	if got := f.servedShare(3 * time.Second); got < 0.85 {
 		t.Errorf("%.2f served once it has them", got)
 	}
 }
@@ -429,7 +429,7 @@
 // were started anew and had told it what they hold. They tell it again, so that
 // what any of them might be using is not held back for seconds.
 func TestTrackerThatBeginsAgainIsTold(t *testing.T) {
-	f := atWork(8, 300, Quota{200, 200}, 300, 120, 20*time.Second)
+	f := newBusyFleet(8, 300, Quota{200, 200}, 300, 120, 20*time.Second)
 	for i := range 300 {
 		f.start(fmt.Sprint("p", i))
 	}
@@ -438,7 +438,7 @@
 	f.network.Run(f.network.Now+300*time.Millisecond, nil)
 	f.holder, f.since = "t0", f.network.Now
 	f.network.Run(f.network.Now+700*time.Millisecond, nil)
-	if got := f.share(time.Second); got < 0.95 {
+	if got := f.servedShare(time.Second); got < 0.95 {
 		t.Errorf("%.2f served in the second after it had begun again", got)
 	}
 }
@@ -447,8 +447,8 @@
 // the tracker must have left out what those use.
 func TestStandbyIsLeftOutOfThePool(t *testing.T) {
 	for seed := uint64(1); seed <= 6; seed++ {
-		f := atWork(seed, 80, Quota{200, 200}, 80, 800, 20*time.Second)
-		f.spent = nil
+		f := newBusyFleet(seed, 80, Quota{200, 200}, 80, 800, 20*time.Second)
+		f.admittedAt = nil
 		for i := range 40 {
 			for g := range f.trackers {
 				f.network.Cut(fmt.Sprint("p", i), g, true)
@@ -456,10 +456,10 @@
 			}
 		}
 		f.network.Run(30*time.Second, nil)
-		if most, allowed := f.worst(5 * time.Second); float64(most) > allowed {
+		if most, allowed := f.maxInWindow(5 * time.Second); float64(most) > allowed {
 			t.Errorf("seed %d: %d ran in a window, %.0f are allowed", seed, most, allowed)
 		}
-		if served := float64(len(f.spent)); served < 200*10*0.7 {
+		if served := float64(len(f.admittedAt)); served < 200*10*0.7 {
 			t.Errorf("seed %d: only %.0f served", seed, served)
 		}
 	}
@@ -470,21 +470,21 @@
 // filled by then is there at once, and no window sees more than is allowed.
 func TestAllStartAnew(t *testing.T) {
 	for seed := uint64(1); seed <= 6; seed++ {
-		f := atWork(seed, 80, Quota{100, 100}, 80, 300, 20*time.Second)
+		f := newBusyFleet(seed, 80, Quota{100, 100}, 80, 300, 20*time.Second)
 		f.holder = ""
 		for i := range 80 {
 			f.start(fmt.Sprint("p", i))
 		}
 		f.network.Run(f.network.Now+1500*time.Millisecond, nil)
-		f.trackers["t1"] = f.tracker(true)
+		f.trackers["t1"] = f.newTracker(true)
 		f.holder, f.since = "t1", f.network.Now
-		before := len(f.spent)
+		before := len(f.admittedAt)
 		f.network.Run(f.network.Now+1500*time.Millisecond, nil)
-		if got := len(f.spent) - before; got < 180 {
+		if got := len(f.admittedAt) - before; got < 180 {
 			t.Errorf("seed %d: %d served in the first second and a half, 250 had filled", seed, got)
 		}
 		f.network.Run(f.network.Now+10*time.Second, nil)
-		if most, allowed := f.worst(5 * time.Second); float64(most) > allowed {
+		if most, allowed := f.maxInWindow(5 * time.Second); float64(most) > allowed {
 			t.Errorf("seed %d: %d ran in a window, %.0f are allowed", seed, most, allowed)
 		}
 	}
@@ -495,16 +495,16 @@
 // their own shares, a fifth of the quota together, though nobody has told them anything.
 func TestStandbyWithoutATracker(t *testing.T) {
 	for seed := uint64(1); seed <= 6; seed++ {
-		f := atWork(seed, 80, Quota{100, 100}, 80, 60, 20*time.Second)
+		f := newBusyFleet(seed, 80, Quota{100, 100}, 80, 60, 20*time.Second)
 		f.holder = ""
 		for i := range 80 {
 			f.start(fmt.Sprint("p", i))
 		}
 		f.network.Run(f.network.Now+constants.StandbyAfter-constants.RestartTime, nil)
-		if got := f.share(2 * time.Second); got < 0.2 {
+		if got := f.servedShare(2 * time.Second); got < 0.2 {
 			t.Errorf("seed %d: %.2f served without a tracker", seed, got)
 		}
-		if most, allowed := f.worst(5 * time.Second); float64(most) > allowed {
+		if most, allowed := f.maxInWindow(5 * time.Second); float64(most) > allowed {
 			t.Errorf("seed %d: %d ran in a window, %.0f are allowed", seed, most, allowed)
 		}
 	}
--- a/internal/admission/livecount_test.go
+++ b/internal/admission/livecount_test.go
@@ -8,39 +8,39 @@
 	"slateridge/internal/constants"
 )
 
-// growing is a fleet whose live count rises and falls as control would tell it: one
+// changingFleet is a fleet whose live count rises and falls as control would tell it: one
 // proxy after the other learns of it, and a newcomer is told only when all that
 // have a share reckon with the larger count.
-type growing struct {
+type changingFleet struct {
 	*fleet
-	members []string        // on the roster, newcomers last
-	sharing map[string]bool // have been told a count
-	cut     map[string]bool // hear neither control nor trackers
-	next    int             // number of the next newcomer
-	ended   map[string]int  // the last count of proxies that have ended and are still on the roster
+	members     []string        // on the roster, newcomers last
+	sharing     map[string]bool // have been told a count
+	partitioned map[string]bool // hear neither control nor trackers
+	nextID      int             // number of the next newcomer
+	ended       map[string]int  // the last count of proxies that have ended and are still on the roster
 }
 
-func newGrowing(seed uint64, proxies int, q Quota) *growing {
+func newChangingFleet(seed uint64, proxies int, q Quota) *changingFleet {
 	f := newFleet(seed, proxies, q)
-	g := &growing{fleet: f, sharing: map[string]bool{}, cut: map[string]bool{}, ended: map[string]int{}, next: proxies}
-	f.counts = map[string]int{}
+	g := &changingFleet{fleet: f, sharing: map[string]bool{}, partitioned: map[string]bool{}, ended: map[string]int{}, nextID: proxies}
+	f.liveCounts = map[string]int{}
 	for i := range proxies {
 		n := fmt.Sprint("p", i)
 		g.members = append(g.members, n)
-		g.sharing[n], f.counts[n] = true, proxies
+		g.sharing[n], f.liveCounts[n] = true, proxies
 	}
 	var control func()
 	control = func() {
-		g.tell()
+		g.sendCounts()
 		f.network.After(100*time.Millisecond, control)
 	}
 	f.network.After(100*time.Millisecond, control)
 	return g
 }
 
-// tell is a turn of control: the count goes out to those that share it and can be
+// sendCounts is a turn of control: the count goes out to those that share it and can be
 // reached, each after a time of its own, and newcomers are let in when that is safe.
-func (g *growing) tell() {
+func (g *changingFleet) sendCounts() {
 	count, all := g.roster(), true
 	for _, n := range g.members {
 		if !g.sharing[n] {
@@ -49,8 +49,8 @@
 		if settled := g.proxies[n].SettledProxies(g.clock(n)); settled < count {
 			all = false
 		}
-		if !g.cut[n] {
-			g.network.After(time.Duration(g.network.Rng.IntN(700))*time.Millisecond, func() { g.learn(n, count) })
+		if !g.partitioned[n] {
+			g.network.After(time.Duration(g.network.Rng.IntN(700))*time.Millisecond, func() { g.receiveCount(n, count) })
 		}
 	}
 	for n, last := range g.ended {
@@ -63,18 +63,18 @@
 	}
 }
 
-func (g *growing) learn(n string, count int) {
-	if g.cut[n] || g.frozen[n] || g.proxies[n] == nil || count != g.roster() {
+func (g *changingFleet) receiveCount(n string, count int) {
+	if g.partitioned[n] || g.frozen[n] || g.proxies[n] == nil || count != g.roster() {
 		return
 	}
-	g.counts[n] = count
+	g.liveCounts[n] = count
 	g.proxies[n].SetProxies(g.clock(n), count)
 }
 
-// join starts a proxy that has no share yet.
-func (g *growing) join() {
-	n := fmt.Sprint("p", g.next)
-	g.next++
+// addProxy starts a proxy that has no share yet.
+func (g *changingFleet) addProxy() {
+	n := fmt.Sprint("p", g.nextID)
+	g.nextID++
 	g.members = append(g.members, n)
 	g.start(n)
 	var renew func()
@@ -85,36 +85,36 @@
 		wants := g.proxies[n].BuildReports(g.clock(n), func(string) (time.Duration, uint64, bool) {
 			return g.echoAt[n], g.echo[n].Life, g.echo[n] != TrackerTime{}
 		})
-		g.ask(n, wants, nil)
+		g.askTracker(n, wants, nil)
 		g.network.After(constants.GrantEvery, renew)
 	}
 	g.network.After(time.Millisecond, renew)
 }
 
-// forgetAfter is when control takes a proxy that has ended off the roster: after its
+// rosterRemovalDelay is when control takes a proxy that has ended off the roster: after its
 // loans have ended, as with constants.ProxyForget, and sooner, so that runs stay short.
-const forgetAfter = constants.LendLong + time.Second
+const rosterRemovalDelay = constants.LendLong + time.Second
 
-// leave ends a proxy; the roster forgets it a while later.
-func (g *growing) leave(n string) {
+// removeProxy ends a proxy; the roster forgets it a while later.
+func (g *changingFleet) removeProxy(n string) {
 	for i, m := range g.members {
 		if m == n {
 			g.members = append(g.members[:i:i], g.members[i+1:]...)
 		}
 	}
-	g.life[n]++
+	g.incarnation[n]++
 	g.frozen[n] = true
 	g.ended[n] = g.proxies[n].SettledProxies(g.clock(n))
-	g.network.After(forgetAfter, func() { delete(g.ended, n) })
+	g.network.After(rosterRemovalDelay, func() { delete(g.ended, n) })
 }
 
 // roster is the live count by what control knows.
-func (g *growing) roster() int { return len(g.members) + len(g.ended) }
+func (g *changingFleet) roster() int { return len(g.members) + len(g.ended) }
 
-// cutOff parts a proxy from control and trackers for a while.
-func (g *growing) cutOff(n string, span time.Duration) {
+// partition parts a proxy from control and trackers for a while.
+func (g *changingFleet) partition(n string, span time.Duration) {
 	set := func(apart bool) {
-		g.cut[n] = apart
+		g.partitioned[n] = apart
 		for t := range g.trackers {
 			g.network.Cut(n, t, apart)
 			g.network.Cut(t, n, apart)
@@ -124,9 +124,9 @@
 	g.network.After(span, func() { set(false) })
 }
 
-// flowing is the rate that may flow at this moment: what every proxy fills its
+// activeRates is the rate that may flow at this moment: what every proxy fills its
 // buckets with and what the tracker has left.
-func (g *growing) flowing() (split, held, pool float64) {
+func (g *changingFleet) activeRates() (split, held, pool float64) {
 	for _, n := range g.members {
 		l := g.proxies[n]
 		b := l.keys[g.key]
@@ -147,8 +147,8 @@
 	return split, held, pool
 }
 
-// press sends requests at the proxies that are members, so many a second.
-func (g *growing) press(perS float64) {
+// startMemberClients sends requests at the proxies that are members, so many a second.
+func (g *changingFleet) startMemberClients(perS float64) {
 	var come func()
 	come = func() {
 		g.request(g.members[g.network.Rng.IntN(len(g.members))])
@@ -164,24 +164,24 @@
 func TestCountRisesAndFalls(t *testing.T) {
 	for seed := uint64(1); seed <= 60; seed++ {
 		q := []Quota{{100, 100}, {40, 40}, {200, 60}}[seed%3]
-		g := newGrowing(seed, []int{15, 18, 22}[seed/3%3], q)
+		g := newChangingFleet(seed, []int{15, 18, 22}[seed/3%3], q)
 		g.network.Loss = []float64{0, 0.02}[seed%2]
 		r := g.network.Rng
-		g.press(q.Rate * 3)
+		g.startMemberClients(q.Rate * 3)
 		var change func()
 		change = func() {
 			switch r.IntN(6) {
 			case 0, 1:
 				for range 1 + r.IntN(6) {
-					g.join()
+					g.addProxy()
 				}
 			case 2, 3:
 				for range min(1+r.IntN(6), len(g.members)-10) {
-					g.leave(g.members[r.IntN(len(g.members))])
+					g.removeProxy(g.members[r.IntN(len(g.members))])
 				}
 			case 4:
 				for range 1 + r.IntN(4) {
-					g.cutOff(g.members[r.IntN(len(g.members))], time.Duration(r.IntN(12000))*time.Millisecond)
+					g.partition(g.members[r.IntN(len(g.members))], time.Duration(r.IntN(12000))*time.Millisecond)
 				}
 			case 5:
 				g.holder = ""
@@ -194,11 +194,11 @@
 		g.network.After(3*time.Second, change)
 		for g.network.Now < 45*time.Second && !t.Failed() {
 			g.network.Run(g.network.Now+20*time.Millisecond, nil)
-			if split, held, pool := g.flowing(); split+held+pool > q.Rate*1.001 {
+			if split, held, pool := g.activeRates(); split+held+pool > q.Rate*1.001 {
 				t.Errorf("seed %d, quota %v, %v: %.3f of split shares, %.3f held and %.3f at the tracker may flow a second", seed, q, g.network.Now, split, held, pool)
 			}
 		}
-		if most, allowed := g.worst(5 * time.Second); float64(most) > allowed {
+		if most, allowed := g.maxInWindow(5 * time.Second); float64(most) > allowed {
 			t.Errorf("seed %d, quota %v: %d ran in a window, %.0f are allowed", seed, q, most, allowed)
 		}
 	}
@@ -209,26 +209,26 @@
 func TestJoinersRefuseNobody(t *testing.T) {
 	for seed := uint64(1); seed <= 20; seed++ {
 		q := []Quota{{60, 60}, {40, 40}, {160, 160}}[seed%3]
-		g := newGrowing(seed, 15, q)
+		g := newChangingFleet(seed, 15, q)
 		g.network.Delay = 2 * time.Millisecond
 		perS := q.Rate * 0.6
-		g.press(perS)
+		g.startMemberClients(perS)
 		g.network.Run(5*time.Second, nil)
 		step := []int{6, 2, 1}[seed/3%3]
 		for i := 0; i < 6; i += step { // 15 to 21 proxies
 			for range step {
-				g.join()
+				g.addProxy()
 			}
 			g.network.Run(g.network.Now+1500*time.Millisecond, nil)
 		}
 		g.network.Run(g.network.Now+6*time.Second, nil)
 		for range 6 { // and back
-			g.leave(g.members[g.network.Rng.IntN(len(g.members))])
+			g.removeProxy(g.members[g.network.Rng.IntN(len(g.members))])
 			g.network.Run(g.network.Now+300*time.Millisecond, nil)
 		}
-		g.network.Run(g.network.Now+forgetAfter+15*time.Second, nil)
-		if refused := g.asked - len(g.spent); float64(refused) > perS {
-			t.Errorf("seed %d, quota %v, steps of %d: %d of %d requests within the quota were refused, over a second's %.0f", seed, q, step, refused, g.asked, perS)
+		g.network.Run(g.network.Now+rosterRemovalDelay+15*time.Second, nil)
+		if refused := g.requested - len(g.admittedAt); float64(refused) > perS {
+			t.Errorf("seed %d, quota %v, steps of %d: %d of %d requests within the quota were refused, over a second's %.0f", seed, q, step, refused, g.requested, perS)
 		}
 		for _, n := range g.members {
 			if g.proxies[n].keys[g.key].trackerOnly {
--- a/internal/admission/retry_test.go
+++ b/internal/admission/retry_test.go
@@ -7,8 +7,8 @@
 	"slateridge/internal/constants"
 )
 
-// emptied is a limiter whose only key has no tokens, at a moment.
-func emptied(proxies, shards int, quota Quota) (l *Limiter, now time.Duration) {
+// newExhaustedLimiter is a limiter whose only key has no tokens, at a moment.
+func newExhaustedLimiter(proxies, shards int, quota Quota) (l *Limiter, now time.Duration) {
 	l = New(20, shards, 1)
 	l.SetProxies(0, proxies)
 	l.SetQuotas(0, map[string]Quota{"k": quota})
@@ -25,7 +25,7 @@
 	const clients = 20
 	var lasts []time.Duration
 	for _, rate := range []float64{10, 20} {
-		l, now := emptied(1, 1, Quota{rate, 1})
+		l, now := newExhaustedLimiter(1, 1, Quota{rate, 1})
 		before := time.Duration(0)
 		for n := range clients {
 			retry := l.Admit(now, "k", true).RetryAfter
@@ -46,7 +46,7 @@
 
 // Clients that come when they were told find tokens.
 func TestToldClientsAreAdmitted(t *testing.T) {
-	l, now := emptied(1, 1, Quota{20, 5})
+	l, now := newExhaustedLimiter(1, 1, Quota{20, 5})
 	var due []time.Duration
 	for range 10 {
 		due = append(due, now+l.Admit(now, "k", true).RetryAfter)
@@ -66,7 +66,7 @@
 	const proxies = 400 // the share serves nobody: the key is carried
 	var told []time.Duration
 	for _, silent := range []time.Duration{100 * time.Millisecond, 900 * time.Millisecond} {
-		l, now := emptied(proxies, 1, Quota{proxies, proxies})
+		l, now := newExhaustedLimiter(proxies, 1, Quota{proxies, proxies})
 		now += silent
 		l.MarkUnanswered(now, "k")
 		told = append(told, l.Admit(now, "k", true).RetryAfter)
