--- a/internal/admission/livecount_test.go
+++ b/internal/admission/livecount_test.go
@@ -8,16 +8,16 @@
 	"slateridge/internal/constants"
 )
 
-// changingFleet is a fleet whose live count rises and falls as control would tell it: one
-// proxy after the other learns of it, and a newcomer is told only when all that
-// have a share reckon with the larger count.
+// changingFleet is a fleet whose live count changes as the control plane would announce it:
+// the proxies learn of a new count one by one, and a new proxy receives a count only when
+// all proxies that have a share use the larger count.
 type changingFleet struct {
 	*fleet
-	members     []string        // on the roster, newcomers last
-	sharing     map[string]bool // have been told a count
-	partitioned map[string]bool // hear neither control nor trackers
-	nextID      int             // number of the next newcomer
-	ended       map[string]int  // the last count of proxies that have ended and are still on the roster
+	members     []string        // on the roster, new proxies last
+	sharing     map[string]bool // proxies that have received a count
+	partitioned map[string]bool // proxies cut off from control plane and trackers
+	nextID      int             // number of the next new proxy
+	ended       map[string]int  // last settled count of proxies that have ended but are still on the roster
 }
 
 func newChangingFleet(seed uint64, proxies int, q Quota) *changingFleet {
@@ -38,31 +38,32 @@
 	return g
 }
 
-// sendCounts is a turn of control: the count goes out to those that share it and can be
-// reached, each after a time of its own, and newcomers are let in when that is safe.
+// sendCounts is one round of the control plane. It sends the count to the reachable proxies
+// that have a share, each with its own delay, and gives new proxies a share when it is safe.
 func (g *changingFleet) sendCounts() {
-	count, all := g.roster(), true
+	count, allSettled := g.roster(), true
 	for _, n := range g.members {
 		if !g.sharing[n] {
 			continue
 		}
 		if settled := g.proxies[n].SettledProxies(g.clock(n)); settled < count {
-			all = false
+			allSettled = false
 		}
 		if !g.partitioned[n] {
 			g.network.After(time.Duration(g.network.Rng.IntN(700))*time.Millisecond, func() { g.receiveCount(n, count) })
 		}
 	}
 	for n, last := range g.ended {
-		all = all && (!g.sharing[n] || last >= count)
+		allSettled = allSettled && (!g.sharing[n] || last >= count)
 	}
-	if all {
+	if allSettled {
 		for _, n := range g.members {
 			g.sharing[n] = true
 		}
 	}
 }
 
+// receiveCount delivers a count to a proxy unless it is outdated or the proxy is unreachable.
 func (g *changingFleet) receiveCount(n string, count int) {
 	if g.partitioned[n] || g.frozen[n] || g.proxies[n] == nil || count != g.roster() {
 		return
@@ -71,7 +72,7 @@
 	g.proxies[n].SetProxies(g.clock(n), count)
 }
 
-// addProxy starts a proxy that has no share yet.
+// addProxy starts a new proxy, which has no share yet.
 func (g *changingFleet) addProxy() {
 	n := fmt.Sprint("p", g.nextID)
 	g.nextID++
@@ -80,22 +81,23 @@
 	var renew func()
 	renew = func() {
 		if g.frozen[n] {
-			return // it has ended
+			return // the proxy has ended
 		}
-		wants := g.proxies[n].BuildReports(g.clock(n), func(string) (time.Duration, uint64, bool) {
+		reports := g.proxies[n].BuildReports(g.clock(n), func(string) (time.Duration, uint64, bool) {
 			return g.echoAt[n], g.echo[n].Life, g.echo[n] != TrackerTime{}
 		})
-		g.askTracker(n, wants, nil)
+		g.askTracker(n, reports, nil)
 		g.network.After(constants.GrantEvery, renew)
 	}
 	g.network.After(time.Millisecond, renew)
 }
 
-// rosterRemovalDelay is when control takes a proxy that has ended off the roster: after its
-// loans have ended, as with constants.ProxyForget, and sooner, so that runs stay short.
+// rosterRemovalDelay is the time after which the control plane removes an ended proxy from
+// the roster. As with constants.ProxyForget its loans have expired by then; it is shorter to
+// keep the runs short.
 const rosterRemovalDelay = constants.LendLong + time.Second
 
-// removeProxy ends a proxy; the roster forgets it a while later.
+// removeProxy ends a proxy. It stays on the roster for rosterRemovalDelay.
 func (g *changingFleet) removeProxy(n string) {
 	for i, m := range g.members {
 		if m == n {
@@ -108,60 +110,60 @@
 	g.network.After(rosterRemovalDelay, func() { delete(g.ended, n) })
 }
 
-// roster is the live count by what control knows.
+// roster returns the live count as the control plane sees it.
 func (g *changingFleet) roster() int { return len(g.members) + len(g.ended) }
 
-// partition parts a proxy from control and trackers for a while.
+// partition cuts a proxy off from the control plane and the trackers for a time.
 func (g *changingFleet) partition(n string, span time.Duration) {
-	set := func(apart bool) {
-		g.partitioned[n] = apart
+	set := func(cut bool) {
+		g.partitioned[n] = cut
 		for t := range g.trackers {
-			g.network.Cut(n, t, apart)
-			g.network.Cut(t, n, apart)
+			g.network.Cut(n, t, cut)
+			g.network.Cut(t, n, cut)
 		}
 	}
 	set(true)
 	g.network.After(span, func() { set(false) })
 }
 
-// activeRates is the rate that may flow at this moment: what every proxy fills its
-// buckets with and what the tracker has left.
-func (g *changingFleet) activeRates() (split, held, pool float64) {
+// activeRates returns the rates at which tokens accrue at this moment: in the split shares
+// and grants of all proxies and in the tracker's pool.
+func (g *changingFleet) activeRates() (split, granted, pool float64) {
 	for _, n := range g.members {
 		l := g.proxies[n]
-		b := l.keys[g.key]
-		l.refresh(b, g.clock(n))
-		split += b.split.rate
-		if !b.trackerOnly || b.onStandby {
-			held += b.grant.rate
+		ks := l.keys[g.key]
+		l.refresh(ks, g.clock(n))
+		split += ks.split.rate
+		if !ks.trackerOnly || ks.onStandby {
+			granted += ks.grant.rate
 		}
 	}
 	tracker := g.trackers[g.holder]
 	if tracker == nil || tracker.shardSince[Shard(g.key, 3)] != g.since {
-		return split, held, 0 // a pool of an earlier turn is thrown away with the first word
+		return split, granted, 0 // a pool from before the takeover is dropped at the first request
 	}
 	if p := tracker.pools[g.key]; p != nil {
 		p.resize(g.network.Now, tracker)
 		pool = p.bucket.rate
 	}
-	return split, held, pool
+	return split, granted, pool
 }
 
-// startMemberClients sends requests at the proxies that are members, so many a second.
+// startMemberClients sends perS requests a second to random members.
 func (g *changingFleet) startMemberClients(perS float64) {
-	var come func()
-	come = func() {
+	var send func()
+	send = func() {
 		g.request(g.members[g.network.Rng.IntN(len(g.members))])
-		g.network.After(time.Duration(g.network.Rng.Int64N(int64(2*float64(time.Second)/perS))), come)
+		g.network.After(time.Duration(g.network.Rng.Int64N(int64(2*float64(time.Second)/perS))), send)
 	}
-	g.network.After(time.Second, come)
+	g.network.After(time.Second, send)
 }
 
-// TestCountRisesAndFalls takes the live count up and down over the step from which
-// the tracker carries the key, one by one and several at once, while proxies are cut
-// off and hear nothing of it and the trackers' duty moves. At no moment may more
-// flow than the quota, and no window may see more run than the rule allows.
-func TestCountRisesAndFalls(t *testing.T) {
+// TestQuotaHoldsWhileLiveCountChanges moves the live count across the threshold from which
+// the key is tracker-only, by one and by several proxies at once, while proxies are
+// partitioned, so that they do not learn of it, and the tracker duty moves. At no moment may
+// tokens accrue faster than the quota, and no window may exceed its allowance.
+func TestQuotaHoldsWhileLiveCountChanges(t *testing.T) {
 	for seed := uint64(1); seed <= 60; seed++ {
 		q := []Quota{{100, 100}, {40, 40}, {200, 60}}[seed%3]
 		g := newChangingFleet(seed, []int{15, 18, 22}[seed/3%3], q)
@@ -194,19 +196,20 @@
 		g.network.After(3*time.Second, change)
 		for g.network.Now < 45*time.Second && !t.Failed() {
 			g.network.Run(g.network.Now+20*time.Millisecond, nil)
-			if split, held, pool := g.activeRates(); split+held+pool > q.Rate*1.001 {
-				t.Errorf("seed %d, quota %v, %v: %.3f of split shares, %.3f held and %.3f at the tracker may flow a second", seed, q, g.network.Now, split, held, pool)
+			if split, granted, pool := g.activeRates(); split+granted+pool > q.Rate*1.001 {
+				t.Errorf("seed %d, quota %v, %v: %.3f tokens a second accrue in split shares, %.3f in grants and %.3f at the tracker, more than the quota", seed, q, g.network.Now, split, granted, pool)
 			}
 		}
 		if most, allowed := g.maxInWindow(5 * time.Second); float64(most) > allowed {
-			t.Errorf("seed %d, quota %v: %d ran in a window, %.0f are allowed", seed, q, most, allowed)
+			t.Errorf("seed %d, quota %v: %d requests ran in a window, %.0f are allowed", seed, q, most, allowed)
 		}
 	}
 }
 
-// TestJoinersRefuseNobody lets proxies join and leave in groups of any size while
-// clients stay well within the quota: under a second of refusals is left in all.
-func TestJoinersRefuseNobody(t *testing.T) {
+// TestJoiningProxiesCauseFewRefusals adds and removes proxies in groups of several sizes
+// while clients stay well within the quota. In total, at most one second's worth of requests
+// may be refused.
+func TestJoiningProxiesCauseFewRefusals(t *testing.T) {
 	for seed := uint64(1); seed <= 20; seed++ {
 		q := []Quota{{60, 60}, {40, 40}, {160, 160}}[seed%3]
 		g := newChangingFleet(seed, 15, q)
@@ -222,17 +225,17 @@
 			g.network.Run(g.network.Now+1500*time.Millisecond, nil)
 		}
 		g.network.Run(g.network.Now+6*time.Second, nil)
-		for range 6 { // and back
+		for range 6 { // and back to 15
 			g.removeProxy(g.members[g.network.Rng.IntN(len(g.members))])
 			g.network.Run(g.network.Now+300*time.Millisecond, nil)
 		}
 		g.network.Run(g.network.Now+rosterRemovalDelay+15*time.Second, nil)
 		if refused := g.requested - len(g.admittedAt); float64(refused) > perS {
-			t.Errorf("seed %d, quota %v, steps of %d: %d of %d requests within the quota were refused, over a second's %.0f", seed, q, step, refused, g.requested, perS)
+			t.Errorf("seed %d, quota %v, steps of %d: %d of %d requests within the quota were refused, more than one second's %.0f", seed, q, step, refused, g.requested, perS)
 		}
 		for _, n := range g.members {
 			if g.proxies[n].keys[g.key].trackerOnly {
-				t.Errorf("seed %d: the tracker still carries the key at %s, with %d proxies", seed, n, len(g.members))
+				t.Errorf("seed %d: the key is still tracker-only at %s, with %d proxies", seed, n, len(g.members))
 			}
 		}
 	}
