--- a/internal/admission/limiter_test.go
+++ b/internal/admission/limiter_test.go
@@ -10,8 +10,8 @@
 	"slateridge/internal/simnet"
 )
 
-// fleet is proxies and trackers on a simulated network. Trackers move between
-// machines as leases would move them; proxies restart, freeze, and are cut off.
+// fleet is a set of proxies and trackers on a simulated network. The tracker duty moves
+// between machines as leases would move it. Proxies restart, freeze and are partitioned.
 type fleet struct {
 	network     *simnet.Network
 	key         string
@@ -23,15 +23,15 @@
 	echoAt      map[string]time.Duration
 	frozen      map[string]bool
 	trackers    map[string]*Tracker
-	holder      string
-	since       time.Duration
-	admittedAt  []time.Duration // when requests ran
+	holder      string          // machine that holds the tracker duty; empty if none
+	since       time.Duration   // when it took the duty over
+	admittedAt  []time.Duration // by admitted request
 	refused     int
 	requested   int
-	liveCounts  map[string]int // live count by proxy, where it is not that of all
+	liveCounts  map[string]int // live count by proxy; if nil, all proxies use the number of proxies
 }
 
-// liveCount is the live liveCount that a proxy has been told.
+// liveCount returns the live count that a proxy has received.
 func (f *fleet) liveCount(n string) int {
 	if f.liveCounts != nil {
 		return f.liveCounts[n]
@@ -53,28 +53,29 @@
 	f.proxies[n] = l
 }
 
-func (f *fleet) askTracker(n string, wants []KeyRequest, then func()) {
-	l, life, asked := f.proxies[n], f.incarnation[n], f.clock(n)
+// askTracker sends a request to the tracker and calls then after its answer is applied.
+func (f *fleet) askTracker(n string, requests []KeyRequest, then func()) {
+	l, incarnation, asked := f.proxies[n], f.incarnation[n], f.clock(n)
 	to, echo := f.holder, f.echo[n]
 	if to == "" {
 		return
 	}
 	f.network.Send(n, to, func() {
-		got := f.trackers[to].HandleRequest(f.network.Now, GrantRequest{Proxy: n, Wants: wants, Echo: echo, Proxies: l.Proxies(), Life: l.Incarnation(), Sent: asked}, func(int) (time.Duration, bool) { return f.since, f.holder == to })
+		answer := f.trackers[to].HandleRequest(f.network.Now, GrantRequest{Proxy: n, Wants: requests, Echo: echo, Proxies: l.Proxies(), Life: l.Incarnation(), Sent: asked}, func(int) (time.Duration, bool) { return f.since, f.holder == to })
 		f.network.Send(to, n, func() {
-			if f.incarnation[n] != life || got.Refused {
+			if f.incarnation[n] != incarnation || answer.Refused {
 				return
 			}
 			if count := f.liveCount(n); count > 0 {
-				l.SetProxies(f.clock(n), count) // control has spoken
+				l.SetProxies(f.clock(n), count) // an answer counts as contact with the control plane
 			}
-			if was := f.echo[n]; was.Life != got.Stamp.Life || was.Begun < got.Stamp.Begun || got.Retell {
+			if old := f.echo[n]; old.Life != answer.Stamp.Life || old.Begun < answer.Stamp.Begun || answer.Retell {
 				l.RequestFullReport(Shard(f.key, 3))
 			}
-			f.echo[n], f.echoAt[n] = got.Stamp, f.clock(n)
+			f.echo[n], f.echoAt[n] = answer.Stamp, f.clock(n)
 			l.MarkTrackerAnswered(f.clock(n), Shard(f.key, 3))
-			for _, g := range got.Given {
-				l.ApplyGrant(f.clock(n), asked, g)
+			for _, grant := range answer.Given {
+				l.ApplyGrant(f.clock(n), asked, grant)
 			}
 			if then != nil && !f.frozen[n] {
 				then()
@@ -122,10 +123,10 @@
 		n := fmt.Sprint("p", i)
 		var renew func()
 		renew = func() {
-			if ws := f.proxies[n].BuildReports(f.clock(n), func(string) (time.Duration, uint64, bool) {
+			if reports := f.proxies[n].BuildReports(f.clock(n), func(string) (time.Duration, uint64, bool) {
 				return f.echoAt[n], f.echo[n].Life, f.echo[n] != TrackerTime{}
 			}); !f.frozen[n] {
-				f.askTracker(n, ws, nil)
+				f.askTracker(n, reports, nil)
 			}
 			f.network.After(constants.GrantEvery, renew)
 		}
@@ -134,25 +135,27 @@
 	return f
 }
 
-// newTracker is one that has just been started, knowing the limits or not yet.
-func (f *fleet) newTracker(knows bool) *Tracker {
+// newTracker returns a tracker that has just started, with or without the quotas.
+func (f *fleet) newTracker(withQuotas bool) *Tracker {
 	tracker := NewTracker(f.network.Rng.Uint64(), 3, func(n int, q Quota) bool { return ShareTooSmall(n, 20, q) })
-	if knows {
+	if withQuotas {
 		tracker.SetQuotas(f.network.Now, map[string]Quota{f.key: f.quota})
 	}
 	return tracker
 }
 
-// newBusyFleet is a fleet on a quick network that has served clients for a while.
-func newBusyFleet(seed uint64, proxies int, q Quota, on int, perS float64, span time.Duration) *fleet {
+// newBusyFleet returns a fleet on a fast network that has served perS requests a second for
+// a time, sent to the first clientProxies proxies.
+func newBusyFleet(seed uint64, proxies int, q Quota, clientProxies int, perS float64, span time.Duration) *fleet {
 	f := newFleet(seed, proxies, q)
 	f.network.Delay = 2 * time.Millisecond
-	f.startClients(on, perS)
+	f.startClients(clientProxies, perS)
 	f.network.Run(span, nil)
 	return f
 }
 
-// maxInWindow is the most that ran in any window, against what the rule allows.
+// maxInWindow returns the largest number of requests admitted in any window, and the number
+// that is allowed.
 func (f *fleet) maxInWindow(window time.Duration) (most int, allowed float64) {
 	j := 0
 	for i := range f.admittedAt {
@@ -164,27 +167,26 @@
 	return most, (f.quota.Rate*window.Seconds()+f.quota.Burst)*1.1 + 20
 }
 
-// startClients sends one request after another, so many a second, to one of the first
-// proxies drawn by lot.
+// startClients sends perS requests a second, each to a random one of the first proxies.
 func (f *fleet) startClients(proxies int, perS float64) {
-	var come func()
-	come = func() {
+	var send func()
+	send = func() {
 		f.request(fmt.Sprint("p", f.network.Rng.IntN(proxies)))
-		f.network.After(time.Duration(f.network.Rng.Int64N(int64(2*float64(time.Second)/perS))), come)
+		f.network.After(time.Duration(f.network.Rng.Int64N(int64(2*float64(time.Second)/perS))), send)
 	}
-	f.network.After(2*time.Second, come)
+	f.network.After(2*time.Second, send)
 }
 
-// servedShare is the part served of what comes in a span.
+// servedShare runs the fleet for a time and returns the fraction of requests admitted.
 func (f *fleet) servedShare(span time.Duration) float64 {
-	a, s := f.requested, len(f.admittedAt)
+	requested, admitted := f.requested, len(f.admittedAt)
 	f.network.Run(f.network.Now+span, nil)
-	return float64(len(f.admittedAt)-s) / float64(f.requested-a)
+	return float64(len(f.admittedAt)-admitted) / float64(f.requested-requested)
 }
 
-// TestQuotaHoldsUnderTrouble presses every proxy far beyond the quota while
-// trackers move, proxies restart, freeze and are cut off.
-func TestQuotaHoldsUnderTrouble(t *testing.T) {
+// TestQuotaHoldsUnderFaults sends far more requests than the quota to all proxies while the
+// tracker duty moves and proxies restart, freeze and are partitioned.
+func TestQuotaHoldsUnderFaults(t *testing.T) {
 	for seed := uint64(1); seed <= 60; seed++ {
 		q := []Quota{{100, 100}, {18, 18}, {400, 80}, {5, 5}}[seed/4%4]
 		f := newFleet(seed, []int{11, 15, 18, 80}[seed%4], q)
@@ -193,21 +195,21 @@
 		}
 		f.network.Loss = 0.02
 		r := f.network.Rng
-		var press func()
-		press = func() {
+		var send func()
+		send = func() {
 			f.request(fmt.Sprint("p", r.IntN(len(f.proxies))))
-			f.network.After(time.Duration(r.Int64N(int64(float64(time.Second)/(q.Rate*4)))), press)
+			f.network.After(time.Duration(r.Int64N(int64(float64(time.Second)/(q.Rate*4)))), send)
 		}
-		var trouble func()
-		trouble = func() {
+		var fault func()
+		fault = func() {
 			n := fmt.Sprint("p", r.IntN(len(f.proxies)))
 			switch r.IntN(4) {
-			case 0: // the tracker's duty moves: the lease ends before another begins
+			case 0: // the tracker duty moves: the old lease ends before the new one begins
 				f.holder = ""
 				f.network.After(300*time.Millisecond, func() {
 					f.holder, f.since = fmt.Sprint("t", r.IntN(3)), f.network.Now
 				})
-			case 1: // killed; a start takes its time
+			case 1: // the process is killed and takes 300 ms to restart
 				f.frozen[n] = true
 				f.network.After(300*time.Millisecond, func() { f.start(n); f.frozen[n] = false })
 			case 2:
@@ -223,41 +225,41 @@
 					}
 				})
 			}
-			f.network.After(time.Duration(r.IntN(1500))*time.Millisecond, trouble)
+			f.network.After(time.Duration(r.IntN(1500))*time.Millisecond, fault)
 		}
-		f.network.After(2*time.Second, press)
-		f.network.After(3*time.Second, trouble)
+		f.network.After(2*time.Second, send)
+		f.network.After(3*time.Second, fault)
 		f.network.Run(40*time.Second, nil)
 		most, allowed := f.maxInWindow(5 * time.Second)
 		if float64(most) > allowed {
-			t.Errorf("seed %d, quota %v: %d ran in a window, %.0f are allowed", seed, q, most, allowed)
+			t.Errorf("seed %d, quota %v: %d requests ran in a window, %.0f are allowed", seed, q, most, allowed)
 		}
 		least := 0.6
 		if len(f.proxies) > 50 {
-			least = 0.08 // its tracker alone carries the key, and moves every few seconds here
+			least = 0.08 // the key is tracker-only, and the tracker duty moves every few seconds
 		}
 		if served := float64(len(f.admittedAt)); served < q.Rate*30*least {
-			t.Errorf("seed %d, quota %v: only %.0f served under pressure", seed, q, served)
+			t.Errorf("seed %d, quota %v: only %.0f requests served under overload", seed, q, served)
 		}
 	}
 }
 
-// TestWithinQuotaIsServed gives a quiet tenant's uneven traffic to a fleet
-// without trouble: next to nothing may be refused.
-func TestWithinQuotaIsServed(t *testing.T) {
+// TestTrafficWithinQuotaIsServed sends a tenant's uneven traffic within its quota to a fleet
+// without faults. At most 4% of the requests may be refused.
+func TestTrafficWithinQuotaIsServed(t *testing.T) {
 	for name, c := range map[string][2]int{"spread over all": {11, 11}, "on three of eleven": {11, 3}, "over eighty": {80, 80}, "on five of eighty": {80, 5}} {
 		proxies := c[1]
 		f := newFleet(4, c[0], Quota{26, 26})
 		f.network.Delay = 2 * time.Millisecond
-		var come func()
-		come = func() {
+		var send func()
+		send = func() {
 			n := fmt.Sprint("p", f.network.Rng.IntN(proxies))
 			for range 1 + f.network.Rng.IntN(3) { // clients send a few at a time
 				f.request(n)
 			}
-			f.network.After(time.Duration(f.network.Rng.Int64N(int64(time.Second*2*2/16))), come)
+			f.network.After(time.Duration(f.network.Rng.Int64N(int64(time.Second*2*2/16))), send)
 		}
-		f.network.After(3*time.Second, come)
+		f.network.After(3*time.Second, send)
 		f.network.Run(60*time.Second, nil)
 		if share := 1 - float64(len(f.admittedAt))/float64(f.requested); share > 0.04 {
 			t.Errorf("%s: %.1f%% of %d requests within the quota were refused", name, share*100, f.requested)
@@ -265,15 +267,16 @@
 	}
 }
 
-// A proxy cut off from its trackers has its whole split share back soon after.
-func TestCutOffProxyTakesItsShareBack(t *testing.T) {
+// A proxy that is partitioned from its trackers has its whole split share back when the
+// loan expires.
+func TestPartitionedProxyReclaimsItsShare(t *testing.T) {
 	f := newFleet(9, 11, Quota{110, 110})
 	f.network.Delay = 2 * time.Millisecond
 	f.network.Run(5*time.Second, nil)
 	share := func() float64 { return f.proxies["p3"].Reports(f.clock("p3"))[0].SplitRate }
 	whole := constants.SplitPart * 110 / 11
 	if share() > whole*(1.01-constants.LendMost) {
-		t.Fatalf("an idle proxy in touch keeps %.1f of %.1f a second", share(), whole)
+		t.Fatalf("an idle proxy in contact keeps %.1f of %.1f a second", share(), whole)
 	}
 	for g := range f.trackers {
 		f.network.Cut("p3", g, true)
@@ -281,39 +284,39 @@
 	}
 	f.network.Run(f.network.Now+constants.LendLength+10*time.Millisecond, nil)
 	if share() < whole*0.999 {
-		t.Fatalf("cut off for %v it has %.1f of %.1f a second", constants.LendLength, share(), whole)
+		t.Fatalf("partitioned for %v, the proxy has %.1f of %.1f a second", constants.LendLength, share(), whole)
 	}
 }
 
-// A request that ran nowhere gets its token back; one that ran twice costs two,
-// below zero if need be.
-func TestCostIsSettledAfterwards(t *testing.T) {
+// A request that was never executed gets its token back. One that was executed several
+// times costs as many tokens, even if the balance becomes negative.
+func TestSettleChargesActualCost(t *testing.T) {
 	l := New(20, 3, 1)
 	l.SetProxies(0, 1)
 	l.SetQuotas(0, map[string]Quota{"k": {1, 2}})
 	now := 10 * time.Second
-	bal := func() float64 { return l.Reports(now)[0].Balance }
-	before := bal()
+	balance := func() float64 { return l.Reports(now)[0].Balance }
+	before := balance()
 	if !l.Admit(now, "k", false).OK {
 		t.Fatal("refused")
 	}
 	l.Settle(now, "k", 0)
-	if bal() != before {
-		t.Fatalf("balance %v, was %v", bal(), before)
+	if balance() != before {
+		t.Fatalf("balance %v after a refund, was %v", balance(), before)
 	}
 	l.Admit(now, "k", false)
 	l.Settle(now, "k", 3)
-	if bal() >= 0 {
-		t.Fatalf("balance %v after a cost of three, was %v", bal(), before)
+	if balance() >= 0 {
+		t.Fatalf("balance %v after a cost of three, was %v", balance(), before)
 	}
 	if l.Admit(now+time.Second, "k", true).OK {
 		t.Fatal("admitted on a negative balance")
 	}
 }
 
-// A lowered limit binds at once, leases given under the old one included; and
-// a proxy cut off for too long gives its share up.
-func TestLoweredLimitAndLongSilence(t *testing.T) {
+// A lowered quota applies at once, also to leases granted under the old one. A proxy that
+// hears nothing from the control plane for too long gives up its share.
+func TestLoweredQuotaAndControlPlaneSilence(t *testing.T) {
 	l := New(20, 3, 1)
 	l.SetProxies(0, 2)
 	l.SetQuotas(0, map[string]Quota{"k": {100, 100}})
@@ -321,7 +324,7 @@
 	l.SetQuotas(1100*time.Millisecond, map[string]Quota{"k": {10, 10}})
 	r := l.Reports(1100 * time.Millisecond)[0]
 	if most := 10.0; r.SplitRate+r.GrantRate > most || r.Balance > most {
-		t.Fatalf("after lowering: %+v", r)
+		t.Fatalf("after lowering the quota: %+v", r)
 	}
 	late := 2*time.Second + constants.SplitHold
 	if r := l.Reports(late)[0]; r.SplitRate != 0 || r.Balance > 0 {
@@ -329,40 +332,40 @@
 	}
 	l.SetProxies(late, 2)
 	if r := l.Reports(late + time.Second)[0]; r.SplitRate == 0 {
-		t.Fatalf("after control spoke again: %+v", r)
+		t.Fatalf("after the control plane was heard again: %+v", r)
 	}
 }
 
-// A key that its tracker alone carries pays what it owes by asking for it: its
-// share here, lent whole, never fills.
-func TestDebtIsAskedFor(t *testing.T) {
+// Tokens from the tracker pay the debt of a tracker-only key, because its split share is
+// lent whole and never refills.
+func TestTrackerTokensPayDebt(t *testing.T) {
 	f := newFleet(3, 80, Quota{100, 100})
 	f.network.Delay = 2 * time.Millisecond
 	f.network.Run(6*time.Second, nil)
 	for range 5 {
 		f.request("p1")
 		f.network.Run(f.network.Now+time.Second, nil)
-		f.proxies["p1"].Settle(f.clock("p1"), "k", 2) // it ran twice
+		f.proxies["p1"].Settle(f.clock("p1"), "k", 2) // executed twice
 	}
 	if len(f.admittedAt) != 5 {
 		t.Fatalf("%d of 5 requests far within the quota were admitted", len(f.admittedAt))
 	}
 }
 
-// A limit that has arrived but is not in force refuses nobody; it is counted
-// what it would refuse, and from its version on it binds.
-func TestComingLimitIsOnlyCounted(t *testing.T) {
+// A quota that has been received but is not in force refuses no request. The requests that
+// it would refuse are counted, and it applies once it is in force.
+func TestShadowQuotaOnlyCounts(t *testing.T) {
 	l := New(20, 3, 1)
 	l.SetProxies(0, 1)
 	l.SetQuotas(0, map[string]Quota{"k": {100, 100}})
 	l.SetShadowQuotas(5*time.Second, map[string]Quota{"k": {2, 2}})
 	for range 20 {
 		if !l.Admit(5*time.Second, "k", false).OK {
-			t.Fatal("a limit under evaluation refused a request")
+			t.Fatal("a shadow quota refused a request")
 		}
 	}
 	if r := l.Reports(5 * time.Second)[0]; r.ShadowRefused != 18 {
-		t.Fatalf("%d of 20 counted as refused by the coming limit, want 18", r.ShadowRefused)
+		t.Fatalf("%d of 20 requests counted as refused by the shadow quota, want 18", r.ShadowRefused)
 	}
 	l.SetQuotas(6*time.Second, map[string]Quota{"k": {2, 2}})
 	admitted := 0
@@ -372,63 +375,63 @@
 		}
 	}
 	if admitted > 2 {
-		t.Fatalf("%d admitted at once under the limit in force, its burst is 2", admitted)
+		t.Fatalf("%d requests admitted at once under a quota with a burst of 2", admitted)
 	}
 }
 
-// While every tracker is lost, and when a new one begins, clients that stay with
-// their proxies go on being served by the leases there.
-func TestLeasesBridgeLostTrackers(t *testing.T) {
+// Clients that stay with their proxies are served by the standby rates there while all
+// trackers are lost, and go on being served when a new tracker starts.
+func TestStandbyServesDuringTrackerLoss(t *testing.T) {
 	f := newBusyFleet(6, 80, Quota{40, 40}, 12, 25, 30*time.Second)
 	f.holder = ""
 	if got := f.servedShare(900 * time.Millisecond); got > 0 {
-		t.Errorf("%.2f served on standby while the tracker may still be giving", got)
+		t.Errorf("%.2f served on standby while the tracker may still be granting", got)
 	}
 	for _, l := range f.proxies {
-		l.MarkTrackerDown(Shard("k", 3)) // nobody listens there: no need to wait
+		l.MarkTrackerDown(Shard("k", 3)) // the connection is refused, so there is no need to wait
 	}
 	if got := f.servedShare(300 * time.Millisecond); got < 0.4 {
-		t.Errorf("%.2f served though the tracker is known to be gone", got)
+		t.Errorf("%.2f served although the tracker is known to be down", got)
 	}
 	if got := f.servedShare(4 * time.Second); got < 0.6 {
-		t.Errorf("%.2f served while no tracker is there", got)
+		t.Errorf("%.2f served without a tracker", got)
 	}
-	for n := range f.trackers { // all started anew
+	for n := range f.trackers { // all tracker processes restart
 		f.trackers[n] = f.newTracker(true)
 	}
 	f.holder, f.since = "t1", f.network.Now
 	if got := f.servedShare(3 * time.Second); got < 0.85 {
-		t.Errorf("%.2f served after a new one began", got)
+		t.Errorf("%.2f served after a new tracker started", got)
 	}
 	if got := f.servedShare(20 * time.Second); got < 0.97 {
 		t.Errorf("%.2f served afterwards", got)
 	}
 	if most, allowed := f.maxInWindow(5 * time.Second); float64(most) > allowed {
-		t.Errorf("%d ran in a window, %.0f are allowed", most, allowed)
+		t.Errorf("%d requests ran in a window, %.0f are allowed", most, allowed)
 	}
 }
 
-// A tracker that has just started, and knows neither limits nor roster yet, must
-// not pass for one: proxies go on with their standby, and once it knows the
-// limits it takes the fleet's size from them.
-func TestUnknowingTrackerIsNone(t *testing.T) {
+// A tracker process that has just started, without quotas or roster, must not act as a
+// tracker: proxies keep using their standby rates. After it has received the quotas, it
+// takes the size of the fleet from the proxies' requests.
+func TestTrackerWithoutQuotasRefuses(t *testing.T) {
 	f := newBusyFleet(6, 80, Quota{40, 40}, 12, 25, 30*time.Second)
 	fresh := f.newTracker(false)
 	f.trackers["t2"], f.holder, f.since = fresh, "t2", f.network.Now
 	if got := f.servedShare(4 * time.Second); got < 0.5 {
-		t.Errorf("%.2f served beside a tracker without limits", got)
+		t.Errorf("%.2f served with a tracker that has no quotas", got)
 	}
 	fresh.SetQuotas(f.network.Now, map[string]Quota{"k": f.quota})
 	f.servedShare(1500 * time.Millisecond)
 	if got := f.servedShare(3 * time.Second); got < 0.85 {
-		t.Errorf("%.2f served once it has them", got)
+		t.Errorf("%.2f served after the tracker received the quotas", got)
 	}
 }
 
-// The duty of tracking ends and begins again at the same process after all proxies
-// were started anew and had told it what they hold. They tell it again, so that
-// what any of them might be using is not held back for seconds.
-func TestTrackerThatBeginsAgainIsTold(t *testing.T) {
+// All proxies restart and report what they hold; then the same process loses the tracker
+// duty and takes it over again. The proxies have to repeat their reports, since the tracker
+// otherwise reserves for seconds what any of them might be using.
+func TestReportsAreRepeatedAfterTakeover(t *testing.T) {
 	f := newBusyFleet(8, 300, Quota{200, 200}, 300, 120, 20*time.Second)
 	for i := range 300 {
 		f.start(fmt.Sprint("p", i))
@@ -439,13 +442,13 @@
 	f.holder, f.since = "t0", f.network.Now
 	f.network.Run(f.network.Now+700*time.Millisecond, nil)
 	if got := f.servedShare(time.Second); got < 0.95 {
-		t.Errorf("%.2f served in the second after it had begun again", got)
+		t.Errorf("%.2f served in the second after the takeover", got)
 	}
 }
 
-// Half the fleet is cut off from the trackers and stands alone while all press:
-// the tracker must have left out what those use.
-func TestStandbyIsLeftOutOfThePool(t *testing.T) {
+// Half of the fleet is partitioned from the trackers and uses its standby rates while all
+// proxies are overloaded. The tracker must have excluded these rates from its pool.
+func TestPoolExcludesStandbyInUse(t *testing.T) {
 	for seed := uint64(1); seed <= 6; seed++ {
 		f := newBusyFleet(seed, 80, Quota{200, 200}, 80, 800, 20*time.Second)
 		f.admittedAt = nil
@@ -457,18 +460,18 @@
 		}
 		f.network.Run(30*time.Second, nil)
 		if most, allowed := f.maxInWindow(5 * time.Second); float64(most) > allowed {
-			t.Errorf("seed %d: %d ran in a window, %.0f are allowed", seed, most, allowed)
+			t.Errorf("seed %d: %d requests ran in a window, %.0f are allowed", seed, most, allowed)
 		}
 		if served := float64(len(f.admittedAt)); served < 200*10*0.7 {
-			t.Errorf("seed %d: only %.0f served", seed, served)
+			t.Errorf("seed %d: only %.0f requests served", seed, served)
 		}
 	}
 }
 
-// Every machine is started anew while all press: once all proxies have told the
-// new tracker that they let nothing through since their start, what the quota has
-// filled by then is there at once, and no window sees more than is allowed.
-func TestAllStartAnew(t *testing.T) {
+// All machines restart under overload. Once all proxies have reported to the new tracker
+// that they have admitted nothing since their start, the tokens that the quota has accrued
+// are available at once, and no window exceeds its allowance.
+func TestRestartOfAllMachines(t *testing.T) {
 	for seed := uint64(1); seed <= 6; seed++ {
 		f := newBusyFleet(seed, 80, Quota{100, 100}, 80, 300, 20*time.Second)
 		f.holder = ""
@@ -481,19 +484,19 @@
 		before := len(f.admittedAt)
 		f.network.Run(f.network.Now+1500*time.Millisecond, nil)
 		if got := len(f.admittedAt) - before; got < 180 {
-			t.Errorf("seed %d: %d served in the first second and a half, 250 had filled", seed, got)
+			t.Errorf("seed %d: %d requests served in the first 1.5 s, 250 tokens had accrued", seed, got)
 		}
 		f.network.Run(f.network.Now+10*time.Second, nil)
 		if most, allowed := f.maxInWindow(5 * time.Second); float64(most) > allowed {
-			t.Errorf("seed %d: %d ran in a window, %.0f are allowed", seed, most, allowed)
+			t.Errorf("seed %d: %d requests ran in a window, %.0f are allowed", seed, most, allowed)
 		}
 	}
 }
 
-// Every machine is started anew and no tracker has its duty yet: a second later, when
-// one that went on running would have left them out, the proxies serve from a part of
-// their own shares, a fifth of the quota together, though nobody has told them anything.
-func TestStandbyWithoutATracker(t *testing.T) {
+// All machines restart and no machine holds the tracker duty yet. After a second, when a
+// tracker that kept running would have excluded their standby rates, the proxies serve from
+// the basic part of their own shares, together a fifth of the quota, without any grant.
+func TestBasicStandbyWithoutTracker(t *testing.T) {
 	for seed := uint64(1); seed <= 6; seed++ {
 		f := newBusyFleet(seed, 80, Quota{100, 100}, 80, 60, 20*time.Second)
 		f.holder = ""
@@ -505,86 +508,86 @@
 			t.Errorf("seed %d: %.2f served without a tracker", seed, got)
 		}
 		if most, allowed := f.maxInWindow(5 * time.Second); float64(most) > allowed {
-			t.Errorf("seed %d: %d ran in a window, %.0f are allowed", seed, most, allowed)
+			t.Errorf("seed %d: %d requests ran in a window, %.0f are allowed", seed, most, allowed)
 		}
 	}
 }
 
-// At three hundred proxies and as many keys as many tenants hold, a proxy speaks
-// to each tracker a few times in ten seconds to tell of its shares, not for each
-// key, and the tracker's sums are those of its entries, however they came about.
-func TestSharesAreToldTogetherAndSummed(t *testing.T) {
+// With 300 proxies and 190 keys, a proxy reports its shares to each tracker a few times in
+// ten seconds, for all keys together instead of one message per key. The tracker's running
+// totals equal the sums of its entries at all times.
+func TestReportsAreBatchedAndTotalsMatch(t *testing.T) {
 	const keys, proxies, shards = 190, 300, 6
-	qs := map[string]Quota{}
+	quotas := map[string]Quota{}
 	for i := range keys {
-		qs[fmt.Sprint("k", i)] = Quota{float64(5 + i), float64(5 + i)}
+		quotas[fmt.Sprint("k", i)] = Quota{float64(5 + i), float64(5 + i)}
 	}
-	b := simnet.New(5)
+	network := simnet.New(5)
 	tracker := NewTracker(1, shards, func(n int, q Quota) bool { return ShareTooSmall(n, 20, q) })
-	tracker.SetQuotas(0, qs)
+	tracker.SetQuotas(0, quotas)
 	since := func(int) (time.Duration, bool) { return 0, true }
-	ws, echo, words := make([]*Limiter, proxies), make([]TrackerTime, proxies), 0
-	for i := range ws {
-		ws[i] = New(20, shards, uint64(i))
-		ws[i].SetQuotas(0, qs)
-		ws[i].SetProxies(0, proxies)
+	limiters, echo, messages := make([]*Limiter, proxies), make([]TrackerTime, proxies), 0
+	for i := range limiters {
+		limiters[i] = New(20, shards, uint64(i))
+		limiters[i].SetQuotas(0, quotas)
+		limiters[i].SetProxies(0, proxies)
 	}
 	for now := 3 * time.Second; now < 33*time.Second; now += constants.GrantEvery {
-		for i, l := range ws {
-			if b.Rng.IntN(40) == 0 {
-				continue // its word is lost
+		for i, l := range limiters {
+			if network.Rng.IntN(40) == 0 {
+				continue // the message is lost
 			}
 			l.SetProxies(now, proxies)
 			for range 3 {
-				l.Admit(now, fmt.Sprint("k", b.Rng.IntN(keys)), false)
+				l.Admit(now, fmt.Sprint("k", network.Rng.IntN(keys)), false)
 			}
-			by := map[int][]KeyRequest{}
-			for _, x := range l.BuildReports(now, func(string) (time.Duration, uint64, bool) { return now - 100*time.Millisecond, 1, echo[i].Life > 0 }) {
-				by[Shard(x.Key, shards)] = append(by[Shard(x.Key, shards)], x)
+			byShard := map[int][]KeyRequest{}
+			for _, report := range l.BuildReports(now, func(string) (time.Duration, uint64, bool) { return now - 100*time.Millisecond, 1, echo[i].Life > 0 }) {
+				byShard[Shard(report.Key, shards)] = append(byShard[Shard(report.Key, shards)], report)
 			}
 			if now >= 13*time.Second && now < 23*time.Second {
-				words += len(by)
+				messages += len(byShard)
 			}
 			if i%50 == 7 && now > 20*time.Second {
-				continue // falls silent: what it had ends
+				continue // the proxy goes silent: its loans and standby rates expire
 			}
-			by[0] = append(by[0], KeyRequest{Key: "k3", Need: 1, Long: true})
+			byShard[0] = append(byShard[0], KeyRequest{Key: "k3", Need: 1, Long: true})
 			for s := range shards {
-				got := tracker.HandleRequest(now, GrantRequest{Proxy: fmt.Sprint("p", i), Wants: by[s], Echo: echo[i], Proxies: proxies}, since)
-				if i%50 != 8 { // which hears nothing, and so stands alone
-					echo[i] = got.Stamp
+				answer := tracker.HandleRequest(now, GrantRequest{Proxy: fmt.Sprint("p", i), Wants: byShard[s], Echo: echo[i], Proxies: proxies}, since)
+				if i%50 != 8 { // the others receive no answer and count as out of contact
+					echo[i] = answer.Stamp
 				}
 			}
 		}
 		for k, p := range tracker.pools {
 			p.resize(now, tracker)
-			var l loan
-			var count, demand, alone float64
+			var lent loan
+			var reserved, demand, inUse float64
 			for _, x := range p.loans {
-				l.rate, l.depth = l.rate+x.rate, l.depth+x.depth
+				lent.rate, lent.depth = lent.rate+x.rate, lent.depth+x.depth
 			}
 			for n, x := range p.standbys {
-				count, demand = count+x.reserved, demand+x.demand
+				reserved, demand = reserved+x.reserved, demand+x.demand
 				if now-tracker.contacts[n].echoedAt > constants.StandbyRoom {
-					alone += x.reserved
+					inUse += x.reserved
 				}
 			}
-			off := func(a, b float64) bool { return math.Abs(a-b) > 1e-6 }
-			if off(l.rate, p.loanTotals.rate) || off(l.depth, p.loanTotals.depth) || off(count, p.standbyReserved) || off(demand, p.standbyDemand) || p.standbyInUse < alone-1e-6 {
-				t.Fatalf("%v, %s: sums %+v, %v, %v, %v of entries that make %+v, %v, %v, %v", now, k, p.loanTotals, p.standbyReserved, p.standbyDemand, p.standbyInUse, l, count, demand, alone)
+			differ := func(a, b float64) bool { return math.Abs(a-b) > 1e-6 }
+			if differ(lent.rate, p.loanTotals.rate) || differ(lent.depth, p.loanTotals.depth) || differ(reserved, p.standbyReserved) || differ(demand, p.standbyDemand) || p.standbyInUse < inUse-1e-6 {
+				t.Fatalf("%v, %s: totals %+v, %v, %v, %v, but the entries sum to %+v, %v, %v, %v", now, k, p.loanTotals, p.standbyReserved, p.standbyDemand, p.standbyInUse, lent, reserved, demand, inUse)
 			}
 		}
 	}
-	heard := func(string) (time.Duration, uint64, bool) { return 33 * time.Second, 1, true }
-	ws[0].BuildReports(33*time.Second, heard)
-	ws[0].RequestFullReport(2)
-	if len(ws[0].BuildReports(33*time.Second+constants.GrantEvery, heard)) < 20 {
-		t.Error("a word that was lost is not told again with the next")
+	lastEcho := func(string) (time.Duration, uint64, bool) { return 33 * time.Second, 1, true }
+	limiters[0].BuildReports(33*time.Second, lastEcho)
+	limiters[0].RequestFullReport(2)
+	if len(limiters[0].BuildReports(33*time.Second+constants.GrantEvery, lastEcho)) < 20 {
+		t.Error("a lost report is not repeated in the next message")
 	}
-	if per := float64(words) / proxies / shards; per > 5 {
-		t.Errorf("%.1f words a proxy and tracker in ten seconds", per)
+	if per := float64(messages) / proxies / shards; per > 5 {
+		t.Errorf("%.1f messages per proxy and tracker in ten seconds", per)
 	}
 	if len(tracker.pools["k3"].loans) > proxies*98/100 || len(tracker.pools["k3"].standbys) > proxies*98/100 {
-		t.Error("what the silent left has not ended")
+		t.Error("loans or standby rates of silent proxies have not expired")
 	}
 }
