--- a/internal/admission/limiter.go
+++ b/internal/admission/limiter.go
@@ -17,20 +17,20 @@
 // Limiter performs admission at one proxy. Its mutex guards all fields and the state of all
 // keys. It starts no goroutines and has no clock of its own.
 type Limiter struct {
-	mu             sync.Mutex
-	keys           map[string]*keyState
-	proxies        int // live count; 0 while unknown
-	slack          float64
-	rng            *rand.Rand
-	shards         int
-	trackerDown    map[int]bool          // by shard: its tracker is known not to run
-	trackerHeardAt map[int]time.Duration // by shard: last answer of its tracker
-	periodStart    time.Duration
-	loansReportAt  map[int]time.Duration // by shard: when to report shares lent whole again, all in one message
-	awaitingQuotas bool                  // no quotas received since the process started
-	controlHeardAt time.Duration         // when the control plane last sent a live count
-	incarnation    uint64                // distinguishes this process's requests from those of an earlier one
-	countIncrease  countChange           // last increase of the live count, while earlier loans are valid
+	mu                sync.Mutex
+	keys              map[string]*keyState
+	proxies           int // live count; 0 while unknown
+	slack             float64
+	rng               *rand.Rand
+	shards            int
+	trackerDown       map[int]bool          // by shard: its tracker is known not to run
+	trackerAnsweredAt map[int]time.Duration // by shard: last answer of its tracker
+	periodStart       time.Duration
+	loansReportAt     map[int]time.Duration // by shard: when to report shares lent whole again, all in one message
+	awaitingQuotas    bool                  // no quotas received since the process started
+	countReceivedAt   time.Duration         // when the control plane last sent a live count
+	incarnation       uint64                // distinguishes this process's requests from those of an earlier one
+	countIncrease     countChange           // last increase of the live count, while earlier loans are valid
 }
 
 // countChange is an earlier live proxy count that valid loans may still be based on.
@@ -58,8 +58,8 @@
 func (l *Limiter) SetProxies(now time.Duration, n int) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	sharesExpired := now-l.controlHeardAt > constants.SplitHold
-	l.controlHeardAt = now
+	sharesExpired := now-l.countReceivedAt > constants.SplitHold
+	l.countReceivedAt = now
 	if n == l.proxies && !sharesExpired {
 		return
 	}
--- a/internal/admission/limiter_test.go
+++ b/internal/admission/limiter_test.go
@@ -332,7 +332,7 @@
 	}
 	l.SetProxies(late, 2)
 	if r := l.Reports(late + time.Second)[0]; r.SplitRate == 0 {
-		t.Fatalf("after the control plane was heard again: %+v", r)
+		t.Fatalf("after the live count arrived again: %+v", r)
 	}
 }
 
--- a/internal/admission/retry.go
+++ b/internal/admission/retry.go
@@ -29,11 +29,11 @@
 	if rate > 0 {
 		local = tokenTime(1-available, rate)
 	}
-	switch heard := l.trackerHeardAt[ks.shard]; {
-	case ks.unansweredAt > 0 && ks.unansweredAt >= heard:
+	switch answeredAt := l.trackerAnsweredAt[ks.shard]; {
+	case ks.unansweredAt > 0 && ks.unansweredAt >= answeredAt:
 		// The tracker does not answer. After this time it answers again or the standby
 		// rate is used.
-		if untilStandby := heard + constants.StandbyAfter - now; untilStandby > 0 {
+		if untilStandby := answeredAt + constants.StandbyAfter - now; untilStandby > 0 {
 			return min(local, untilStandby)
 		}
 		return local
--- a/internal/admission/standby.go
+++ b/internal/admission/standby.go
@@ -148,7 +148,7 @@
 func (l *Limiter) resizeStandby(ks *keyState, now time.Duration) {
 	l.updateStandby(ks, now) // before the bucket fills
 	rate := 0.0
-	if l.proxies > 0 && now-l.controlHeardAt <= constants.SplitHold {
+	if l.proxies > 0 && now-l.countReceivedAt <= constants.SplitHold {
 		rate = constants.SplitPart * constants.StandbyBasic * ks.quota.Rate / float64(l.proxies)
 	}
 	rate = max(rate, ks.heldRate(now))
@@ -160,12 +160,12 @@
 // starts with a random fraction of a token and keeps a fraction while it is not in use, so
 // that many proxies with a low rate together admit exactly the sum of their rates.
 func (l *Limiter) updateStandby(ks *keyState, now time.Duration) {
-	heard, ok := l.trackerHeardAt[ks.shard]
+	answeredAt, ok := l.trackerAnsweredAt[ks.shard]
 	if !ok {
 		// The previous incarnation was in contact until it ended at the latest.
-		heard = -constants.RestartTime
+		answeredAt = -constants.RestartTime
 	}
-	if now-heard < constants.StandbyAfter && !l.trackerDown[ks.shard] {
+	if now-answeredAt < constants.StandbyAfter && !l.trackerDown[ks.shard] {
 		if ks.onStandby {
 			ks.grant.tokens -= math.Floor(ks.grant.tokens)
 		}
@@ -173,7 +173,7 @@
 		ks.grant.filledAt = now
 	} else if !ks.onStandby {
 		ks.onStandby = true
-		ks.grant.filledAt = heard
+		ks.grant.filledAt = answeredAt
 	}
 }
 
@@ -193,9 +193,9 @@
 func (l *Limiter) MarkTrackerAnswered(now time.Duration, shard int) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	if l.trackerHeardAt == nil {
-		l.trackerHeardAt = map[int]time.Duration{}
+	if l.trackerAnsweredAt == nil {
+		l.trackerAnsweredAt = map[int]time.Duration{}
 	}
-	l.trackerHeardAt[shard] = now
+	l.trackerAnsweredAt[shard] = now
 	delete(l.trackerDown, shard)
 }
