--- a/internal/controlplane/admin.go
+++ b/internal/controlplane/admin.go
@@ -99,7 +99,7 @@
 func (d *Daemon) Report() Report {
 	snapshot := d.proxyPublisher.snapshot()
 	r := Report{accounts: d.accounts, Role: "control", Node: d.settings.NodeName, Chain: d.replica.status(), Current: snapshot.Current,
-		ListNum: snapshot.ListNum, ListAge: snapshot.ListAge, Live: snapshot.Proxies, Proxies: d.proxyPublisher.publisher.Proxies(), Leased: d.quotaTracker.Held(d.now()),
+		ListNum: snapshot.ListNum, ListAge: snapshot.ListAge, Live: snapshot.Proxies, Proxies: d.proxyPublisher.publisher.Proxies(), Leased: d.quotaTracker.LeasedRates(d.now()),
 		Members: d.members.Members(), Evacuated: snapshot.Evacuated, Events: d.events.Latest(20), Tallies: d.events.Tallies()}
 	r.Contact = d.replica.contactAge()
 	r.Voters, r.Margin = d.replica.electorate()
--- a/internal/controlplane/daemon.go
+++ b/internal/controlplane/daemon.go
@@ -242,7 +242,7 @@
 
 // quotaIsTiny reports whether a quota is too small to be split among the proxies.
 func (d *Daemon) quotaIsTiny(proxies int, quota admission.Quota) bool {
-	return admission.Tiny(max(proxies, d.roster.size()), d.settings.Bounds.QuotaSlack, quota)
+	return admission.ShareTooSmall(max(proxies, d.roster.size()), d.settings.Bounds.QuotaSlack, quota)
 }
 
 // applyCommitted activates a committed state and completes the calls that wait for it.
@@ -351,7 +351,7 @@
 		return d.handleSubscription(conn, m)
 	case admission.GrantRequest:
 		now := d.now()
-		return d.quotaTracker.Ask(now, m, func(shard int) (time.Duration, bool) {
+		return d.quotaTracker.HandleRequest(now, m, func(shard int) (time.Duration, bool) {
 			return d.leases.holds(now, dutyTrack(shard))
 		})
 	case lease.Request, lease.Grant, lease.Release:
--- a/internal/modelcheck/admissionmodel/proxy.go
+++ b/internal/modelcheck/admissionmodel/proxy.go
@@ -9,7 +9,7 @@
 
 func (m *Model) proxyTick(n string) {
 	p := m.proxies[n]
-	m.world.Send(n, control, heartbeat{m.clock(n), p.limiter.Settled(m.clock(n))})
+	m.world.Send(n, control, heartbeat{m.clock(n), p.limiter.SettledProxies(m.clock(n))})
 	m.renew(n)
 	if p.pressed {
 		m.press(n, pressedArrivals)
@@ -32,7 +32,7 @@
 	p := m.proxies[n]
 	now := m.clock(n)
 	echo, heard := p.echo[p.tracker]
-	wants := p.limiter.Wants(now, func(string) (time.Duration, uint64, bool) { return echo.at, echo.time.Life, heard })
+	wants := p.limiter.BuildReports(now, func(string) (time.Duration, uint64, bool) { return echo.at, echo.time.Life, heard })
 	if p.tracker == "" || len(wants) == 0 && now-echo.at <= constants.ContactEvery {
 		return
 	}
@@ -40,7 +40,7 @@
 }
 
 // askTracker sends a question; its answer is waited for as long as the daemon waits.
-func (m *Model) askTracker(n string, wants []admission.Want, request bool) {
+func (m *Model) askTracker(n string, wants []admission.KeyRequest, request bool) {
 	p := m.proxies[n]
 	echo := p.echo[p.tracker].time
 	if m.Planted == LoanOutlives && echo.Life > 0 {
@@ -52,7 +52,7 @@
 		wait = constants.TrackerBusy
 	}
 	p.open[id] = openQuestion{m.clock(n), p.tracker, request}
-	m.world.Send(n, p.tracker, question{id, admission.GrantRequest{Proxy: n, Wants: wants, Echo: echo, Proxies: p.limiter.Proxies(), Life: p.limiter.Life(), Sent: m.clock(n)}})
+	m.world.Send(n, p.tracker, question{id, admission.GrantRequest{Proxy: n, Wants: wants, Echo: echo, Proxies: p.limiter.Proxies(), Life: p.limiter.Incarnation(), Sent: m.clock(n)}})
 	m.world.After(wait, func() {
 		m.world.Act(n, func() {
 			if m.world.Life(n) == life {
@@ -71,12 +71,12 @@
 	}
 	delete(p.open, id)
 	if m.trackers[q.tracker] == nil || m.Planted == StandbyTooEarly {
-		p.limiter.TrackerDown(0) // nobody listens there
+		p.limiter.MarkTrackerDown(0) // nobody listens there
 	}
 	if q.request {
-		p.limiter.Unanswered(m.clock(n), key)
+		p.limiter.MarkUnanswered(m.clock(n), key)
 	} else {
-		p.limiter.ReportAgain(0)
+		p.limiter.RequestFullReport(0)
 	}
 }
 
@@ -90,16 +90,16 @@
 	now := m.clock(n)
 	if a.Given.Refused {
 		if q.request {
-			p.limiter.Unanswered(now, key)
+			p.limiter.MarkUnanswered(now, key)
 		}
 		return
 	}
 	m.hear(n, q.tracker, a.Given.Stamp)
 	for _, g := range a.Given.Given {
-		p.limiter.Take(now, q.asked, g)
+		p.limiter.ApplyGrant(now, q.asked, g)
 	}
 	if a.Given.Retell {
-		p.limiter.ReportAgain(0)
+		p.limiter.RequestFullReport(0)
 	}
 	if q.request {
 		m.press(n, 1)
@@ -114,9 +114,9 @@
 		p.echo[from] = trackerEcho{s, m.clock(n)}
 	}
 	if was.Life != s.Life || was.Begun < s.Begun {
-		p.limiter.ReportAgain(0)
+		p.limiter.RequestFullReport(0)
 	}
-	p.limiter.TrackerAnswered(m.clock(n), 0)
+	p.limiter.MarkTrackerAnswered(m.clock(n), 0)
 }
 
 // press has so many clients more send requests, and goes on as long as they are let
@@ -127,8 +127,8 @@
 		v := p.limiter.Admit(m.clock(n), key, false)
 		if v.OK {
 			m.ran(n)
-		} else if v.Ask && p.tracker != "" && !p.waits() {
-			m.askTracker(n, []admission.Want{p.limiter.Need(m.clock(n), key)}, true)
+		} else if v.AskTracker && p.tracker != "" && !p.waits() {
+			m.askTracker(n, []admission.KeyRequest{p.limiter.TokenRequest(m.clock(n), key)}, true)
 		} else if sent >= arrivals {
 			return
 		}
@@ -146,7 +146,7 @@
 }
 
 func (m *Model) ask(n string, a admission.GrantRequest) admission.Grants {
-	return m.trackers[n].state.Ask(m.world.Now, a, func(int) (time.Duration, bool) {
+	return m.trackers[n].state.HandleRequest(m.world.Now, a, func(int) (time.Duration, bool) {
 		since := m.since
 		if m.Planted == TrackerAtOnce {
 			since -= 2 * constants.GrantLong
--- a/internal/proxy/daemon.go
+++ b/internal/proxy/daemon.go
@@ -90,7 +90,7 @@
 			return handler(conn, message)
 		})
 	}, d.apply)
-	d.subscriber.ReckonBy(func() int { return d.limiter.Settled(d.now()) })
+	d.subscriber.ReckonBy(func() int { return d.limiter.SettledProxies(d.now()) })
 	if bounds.RevocationStrict {
 		p.keyTrustPeriod, p.readIndexAt = bounds.Revoke.D()-constants.RevokeReserve, d.subscriber.ReadIndexAt
 	}
@@ -169,7 +169,7 @@
 		go d.reportUsage() // a new holder starts without any usage
 	}
 	if changes.Coming != nil {
-		d.limiter.Evaluate(now, changes.Coming)
+		d.limiter.SetShadowQuotas(now, changes.Coming)
 	}
 	if old := d.trackers.Swap(&changes.Trackers); !slices.Equal(*old, changes.Trackers) {
 		go d.renewGrants() // a new tracker has to learn the grants held here
@@ -269,7 +269,7 @@
 // without sending it to an upstream, and reports whether it was admitted.
 func (d *Daemon) SimulateRequest(tenant string) bool {
 	decision := d.limiter.Admit(d.now(), tenant, false)
-	if decision.Ask {
+	if decision.AskTracker {
 		d.requestTokens(tenant, time.Now().Add(constants.CallTimeout))
 		decision = d.limiter.Admit(d.now(), tenant, true)
 	}
--- a/internal/proxy/grants.go
+++ b/internal/proxy/grants.go
@@ -45,7 +45,7 @@
 	if tracker := d.trackerOf(d.shardOf(key)); tracker != "" {
 		timeout := d.trackerTimeout(tracker)
 		cutShort := callerTime < timeout
-		grants, err := d.sendGrantRequest(tracker, sentAt, d.latestTrackerTime(tracker), []admission.Want{d.limiter.Need(sentAt, key)}, min(timeout, callerTime))
+		grants, err := d.sendGrantRequest(tracker, sentAt, d.latestTrackerTime(tracker), []admission.KeyRequest{d.limiter.TokenRequest(sentAt, key)}, min(timeout, callerTime))
 		if err == nil && !grants.Refused {
 			d.recordTrackerReply(tracker, grants.Stamp, d.shardOf(key))
 			d.applyGrants(sentAt, grants)
@@ -53,14 +53,14 @@
 		}
 		if errors.Is(err, transport.ErrRefused) {
 			for _, i := range d.shardsTrackedBy(tracker) {
-				d.limiter.TrackerDown(i)
+				d.limiter.MarkTrackerDown(i)
 			}
 		}
 		if cutShort && errors.Is(err, transport.ErrTimeout) {
 			return // the caller's time ended before the tracker's timeout
 		}
 	}
-	d.limiter.Unanswered(d.now(), key)
+	d.limiter.MarkUnanswered(d.now(), key)
 }
 
 // latestTrackerTime returns the latest time received from a tracker.
@@ -72,13 +72,13 @@
 
 // sendGrantRequest sends a tracker wants that were computed against its echoed time, and waits
 // for the reply.
-func (d *Daemon) sendGrantRequest(tracker string, sentAt time.Duration, echo admission.TrackerTime, wants []admission.Want, timeout time.Duration) (admission.Grants, error) {
+func (d *Daemon) sendGrantRequest(tracker string, sentAt time.Duration, echo admission.TrackerTime, wants []admission.KeyRequest, timeout time.Duration) (admission.Grants, error) {
 	reply, err := d.subscriber.Ask(tracker, admission.GrantRequest{
 		Proxy:   d.nodeSettings.Load().IPAddress,
 		Wants:   wants,
 		Echo:    echo,
 		Proxies: d.limiter.Proxies(),
-		Life:    d.limiter.Life(),
+		Life:    d.limiter.Incarnation(),
 		Sent:    sentAt,
 	}, timeout)
 	if err != nil {
@@ -113,7 +113,7 @@
 // applyGrants applies a tracker's reply to a request that was sent at the given time.
 func (d *Daemon) applyGrants(sentAt time.Duration, grants admission.Grants) {
 	for _, grant := range grants.Given {
-		d.limiter.Take(d.now(), sentAt, grant)
+		d.limiter.ApplyGrant(d.now(), sentAt, grant)
 	}
 }
 
@@ -132,7 +132,7 @@
 		go d.renewGrants()
 	}
 	for _, i := range shards {
-		d.limiter.TrackerAnswered(now, i)
+		d.limiter.MarkTrackerAnswered(now, i)
 	}
 }
 
@@ -149,8 +149,8 @@
 	d.trackerEchoesMu.Lock()
 	echoes := maps.Clone(d.trackerEchoes)
 	d.trackerEchoesMu.Unlock()
-	wants := map[string][]admission.Want{}
-	for _, w := range d.limiter.Wants(sentAt, func(key string) (time.Duration, uint64, bool) {
+	wants := map[string][]admission.KeyRequest{}
+	for _, w := range d.limiter.BuildReports(sentAt, func(key string) (time.Duration, uint64, bool) {
 		echo, ok := echoes[d.trackerOf(d.shardOf(key))]
 		return echo.receivedAt, echo.time.Life, ok
 	}) {
@@ -189,6 +189,6 @@
 // received them.
 func (d *Daemon) resendReports(shards []int) {
 	for _, i := range shards {
-		d.limiter.ReportAgain(i)
+		d.limiter.RequestFullReport(i)
 	}
 }
--- a/internal/proxy/grants_test.go
+++ b/internal/proxy/grants_test.go
@@ -48,7 +48,7 @@
 	trackers := d.trackers.Load()
 	d.applyConfig(slow, 2, nil)
 	d.trackers.Store(trackers)
-	waits := func() bool { return d.limiter.Admit(d.now(), "tight", false).Ask }
+	waits := func() bool { return d.limiter.Admit(d.now(), "tight", false).AskTracker }
 	for d.limiter.Admit(d.now(), "tight", true).OK {
 	}
 	time.Sleep(1100 * time.Millisecond) // the burst bucket has a token again, the rate bucket has none
--- a/internal/proxy/proxy.go
+++ b/internal/proxy/proxy.go
@@ -181,14 +181,14 @@
 		return false
 	}
 	decision := s.limiter.Admit(s.now(), p.tenant.Name, false)
-	if decision.Ask {
+	if decision.AskTracker {
 		s.requestTokens(p.tenant.Name, p.timing().latestStart(time.Now()))
 		decision = s.limiter.Admit(s.now(), p.tenant.Name, true)
 	}
 	if !decision.OK {
 		s.outcomeCounts[countOverQuota].Add(1)
 		p.account.Failure(accounts.Refused)
-		s.refuse(w, p.request, http.StatusTooManyRequests, decision.Retry)
+		s.refuse(w, p.request, http.StatusTooManyRequests, decision.RetryAfter)
 		return false
 	}
 	return true
