--- a/cmd/scalerun/accounts.go
+++ b/cmd/scalerun/accounts.go
@@ -115,7 +115,7 @@
 	group.Tick(time.Second, true, alone)
 	perShard := 300 / objectives.Shards
 	report := func(proxy int, from, to uint64, closed bool) accounts.Delta {
-		delta := accounts.Delta{Life: counter.LifeID(proxy + 1), Node: fmt.Sprint("proxy-", proxy), From: from, To: to, Closed: closed, Cells: counter.Cells[string, accounts.Account]{}}
+		delta := accounts.Delta{Life: counter.IncarnationID(proxy + 1), Node: fmt.Sprint("proxy-", proxy), From: from, To: to, Closed: closed, Cells: counter.Cells[string, accounts.Account]{}}
 		for range perShard {
 			account := accounts.Account{Taken: 1000 * to}
 			account.Settled[accounts.InAim] = 1000 * to
--- a/internal/accounts/agent.go
+++ b/internal/accounts/agent.go
@@ -51,7 +51,7 @@
 // NewAgent begins a new life. Journals of lives before it that cannot be read, and a
 // journal of its own that cannot be made, are noted; accounts are kept all the same.
 func NewAgent(options AgentOptions) *Agent {
-	life := counter.LifeID(rand.Uint64() | 1)
+	life := counter.IncarnationID(rand.Uint64() | 1)
 	a := &Agent{options: options, holders: make([]string, options.Objectives.Shards), untold: make([]untold, options.Objectives.Shards)}
 	directory := options.Objectives.Journal
 	if directory == "" {
@@ -191,7 +191,7 @@
 }
 
 // finish deletes the journals of lives that majorities hold whole.
-func (a *Agent) finish(lives []counter.LifeID) {
+func (a *Agent) finish(lives []counter.IncarnationID) {
 	for _, life := range lives {
 		if err := RemoveJournal(a.options.Objectives.Journal, life); err != nil {
 			a.options.Note("account_journal", err.Error())
--- a/internal/accounts/journal.go
+++ b/internal/accounts/journal.go
@@ -51,7 +51,7 @@
 
 // CreateJournal makes the journal of a new life in a directory. Note is told of writes
 // that fail.
-func CreateJournal(directory string, life counter.LifeID, shards int, note func(error)) (*FileJournal, error) {
+func CreateJournal(directory string, life counter.IncarnationID, shards int, note func(error)) (*FileJournal, error) {
 	if shards > mostShards {
 		return nil, fmt.Errorf("journal: %d shards, at most %d", shards, mostShards)
 	}
@@ -73,7 +73,7 @@
 	return &FileJournal{file: file, records: map[string]int{}, note: note}, nil
 }
 
-func journalPath(directory string, life counter.LifeID) string {
+func journalPath(directory string, life counter.IncarnationID) string {
 	return filepath.Join(directory, fmt.Sprintf("accounts-%016x.journal", uint64(life)))
 }
 
@@ -173,7 +173,7 @@
 	if len(raw) < headerSize || string(raw[:len(journalMagic)]) != journalMagic {
 		return EndedLife{}, ErrFormat
 	}
-	life := EndedLife{Life: counter.LifeID(binary.LittleEndian.Uint64(raw[lifeOffset:])), Accounts: map[string]Account{}}
+	life := EndedLife{Life: counter.IncarnationID(binary.LittleEndian.Uint64(raw[lifeOffset:])), Accounts: map[string]Account{}}
 	shards := binary.LittleEndian.Uint64(raw[shardsOffset:])
 	if life.Life == 0 || shards == 0 || shards > mostShards {
 		return EndedLife{}, ErrGarbled
@@ -213,6 +213,6 @@
 }
 
 // RemoveJournal deletes the journal of a life of which a majority holds everything.
-func RemoveJournal(directory string, life counter.LifeID) error {
+func RemoveJournal(directory string, life counter.IncarnationID) error {
 	return os.Remove(journalPath(directory, life))
 }
--- a/internal/accounts/meter.go
+++ b/internal/accounts/meter.go
@@ -19,7 +19,7 @@
 
 // EndedLife is what a journal holds of a life that is over.
 type EndedLife struct {
-	Life     counter.LifeID
+	Life     counter.IncarnationID
 	Told     []uint64 // by shard
 	Accounts map[string]Account
 }
@@ -36,13 +36,13 @@
 
 // endedWriters tell of a life that is over; a shard in which it had nothing has no writer.
 type endedWriters struct {
-	life   counter.LifeID
+	life   counter.IncarnationID
 	shards []*counter.Writer[string, Account]
 }
 
 // NewMeter makes the meter of a new life; journal may be nil. Ended are the lives that
 // journals of earlier processes hold: what they had not settled is unknown from now on.
-func NewMeter(node string, life counter.LifeID, objectives *Objectives, journal Journal, ended []EndedLife) *Meter {
+func NewMeter(node string, life counter.IncarnationID, objectives *Objectives, journal Journal, ended []EndedLife) *Meter {
 	m := &Meter{objectives: objectives, journal: journal}
 	for range objectives.Shards {
 		m.current = append(m.current, counter.NewWriter[string, Account](node, life))
@@ -182,7 +182,7 @@
 
 // Acknowledge takes the answer to a report. It gives the lives of which majorities now
 // hold everything, so that their journals can go.
-func (m *Meter) Acknowledge(ack ReportAck) (finished []counter.LifeID) {
+func (m *Meter) Acknowledge(ack ReportAck) (finished []counter.IncarnationID) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	if ack.Refused != "" || ack.Shard < 0 || ack.Shard >= len(m.current) {
--- a/internal/accounts/wire.go
+++ b/internal/accounts/wire.go
@@ -111,7 +111,7 @@
 	if report.Life == 0 || report.Node == "" || len(report.Node) > nameMax || report.Shard < 0 || report.Shard >= shards || report.To < report.From {
 		return Delta{}, ErrGarbled
 	}
-	delta := Delta{Life: counter.LifeID(report.Life), Node: report.Node, From: report.From, To: report.To, Closed: report.Closed,
+	delta := Delta{Life: counter.IncarnationID(report.Life), Node: report.Node, From: report.From, To: report.To, Closed: report.Closed,
 		Cells: counter.Cells[string, Account]{}}
 	r := reader{rest: report.Packed}
 	for len(r.rest) > 0 && !r.bad && len(delta.Cells) < tenantsMax {
--- a/internal/counter/group.go
+++ b/internal/counter/group.go
@@ -179,8 +179,8 @@
 }
 
 // OpenLives are the lives that have not ended, by id, with their nodes.
-func (g *Group[K, V]) OpenLives() map[LifeID]string {
-	out := map[LifeID]string{}
+func (g *Group[K, V]) OpenLives() map[IncarnationID]string {
+	out := map[IncarnationID]string{}
 	for id, life := range g.replica.Lives {
 		if life.Final == 0 {
 			out[id] = life.Node
--- a/internal/counter/group_test.go
+++ b/internal/counter/group_test.go
@@ -133,7 +133,7 @@
 }
 
 func (s *simulation) addWriter(name string) *writerProcess {
-	w := &writerProcess{name: name, cells: Cells[string, Count]{}, current: NewWriter[string, Count](name, LifeID(s.Rng.Uint64()|1))}
+	w := &writerProcess{name: name, cells: Cells[string, Count]{}, current: NewWriter[string, Count](name, IncarnationID(s.Rng.Uint64()|1))}
 	s.writers = append(s.writers, w)
 	return w
 }
@@ -148,7 +148,7 @@
 // restart ends a writer's life; the next process tells what the journal holds of it.
 func (s *simulation) restart(w *writerProcess) {
 	w.ended = append(w.ended, RecoverWriter(w.name, w.current.Life(), w.current.Told(), w.cells))
-	w.current, w.cells = NewWriter[string, Count](w.name, LifeID(s.Rng.Uint64()|1)), Cells[string, Count]{}
+	w.current, w.cells = NewWriter[string, Count](w.name, IncarnationID(s.Rng.Uint64()|1)), Cells[string, Count]{}
 }
 
 // report tells the leader of all lives that it does not hold.
--- a/internal/counter/leader.go
+++ b/internal/counter/leader.go
@@ -25,11 +25,11 @@
 	roundAt    time.Duration
 	foldAt     time.Duration
 	inbox      []Delta[K, V]
-	arrived    map[LifeID]uint64 // versions with the inbox
-	closing    map[LifeID]uint64 // final versions in the inbox
-	durable    map[LifeID]uint64 // versions that a majority holds
-	totals     Cells[K, V]       // of what a majority holds
-	holders    map[K]map[LifeID]struct{}
+	arrived    map[IncarnationID]uint64 // versions with the inbox
+	closing    map[IncarnationID]uint64 // final versions in the inbox
+	durable    map[IncarnationID]uint64 // versions that a majority holds
+	totals     Cells[K, V]              // of what a majority holds
+	holders    map[K]map[IncarnationID]struct{}
 	totalsAt   time.Duration
 	whole      bool   // totals have been computed
 	unproven   bool   // another machine may have led in a pause: nothing is published
@@ -48,7 +48,7 @@
 // round is one that waits for a majority.
 type round[K comparable, V Value[V]] struct {
 	number   uint64
-	versions map[LifeID]uint64
+	versions map[IncarnationID]uint64
 	parts    [][]Delta[K, V]
 	base     *Base[K, V]             // goes with the first part
 	acks     map[string]map[int]bool // parts, by replica
@@ -84,8 +84,8 @@
 // campaign begins to lead under a ballot above all that are known here.
 func (g *Group[K, V]) campaign(now time.Duration, replicas []string) {
 	g.leader = &leader[K, V]{ballot: Ballot{g.promised.Counter + 1, g.machine, g.start}, replicas: slices.Clone(replicas),
-		assemblies: map[string]*assembly[K, V]{}, prepared: map[string]bool{}, durable: map[LifeID]uint64{},
-		arrived: map[LifeID]uint64{}, closing: map[LifeID]uint64{}, empty: map[string]emptyReplica{}, foldAt: now}
+		assemblies: map[string]*assembly[K, V]{}, prepared: map[string]bool{}, durable: map[IncarnationID]uint64{},
+		arrived: map[IncarnationID]uint64{}, closing: map[IncarnationID]uint64{}, empty: map[string]emptyReplica{}, foldAt: now}
 	g.prepare(now)
 }
 
@@ -206,7 +206,7 @@
 	clear(l.closing)
 	l.rounds++
 	l.roundAt = now
-	next := &round[K, V]{number: l.rounds, versions: map[LifeID]uint64{}, acks: map[string]map[int]bool{}, sentAt: map[string]time.Duration{}, sends: map[string]int{}}
+	next := &round[K, V]{number: l.rounds, versions: map[IncarnationID]uint64{}, acks: map[string]map[int]bool{}, sentAt: map[string]time.Duration{}, sends: map[string]int{}}
 	var deltas []Delta[K, V]
 	for _, id := range g.replica.ids() {
 		life := g.replica.Lives[id]
@@ -350,7 +350,7 @@
 // recompute adds everything up anew.
 func (l *leader[K, V]) recompute(replica *Replica[K, V]) {
 	l.totals, l.whole = replica.Totals(), true
-	l.holders = map[K]map[LifeID]struct{}{}
+	l.holders = map[K]map[IncarnationID]struct{}{}
 	for id, life := range replica.Lives {
 		for key := range life.Cells {
 			l.hold(key, id)
@@ -358,9 +358,9 @@
 	}
 }
 
-func (l *leader[K, V]) hold(key K, id LifeID) {
+func (l *leader[K, V]) hold(key K, id IncarnationID) {
 	if l.holders[key] == nil {
-		l.holders[key] = map[LifeID]struct{}{}
+		l.holders[key] = map[IncarnationID]struct{}{}
 	}
 	l.holders[key][id] = struct{}{}
 }
--- a/internal/counter/life.go
+++ b/internal/counter/life.go
@@ -5,13 +5,13 @@
 	"fmt"
 )
 
-// LifeID names one process life. It is drawn at random and is never zero.
-type LifeID uint64
+// IncarnationID names one process life. It is drawn at random and is never zero.
+type IncarnationID uint64
 
 // Delta is what changed in the cells of a life between two of its versions. Its cells are
 // whole states, so that merging it again changes nothing.
 type Delta[K comparable, V Value[V]] struct {
-	Life   LifeID
+	Life   IncarnationID
 	Node   string // the machine that the life belongs to, for operators
 	From   uint64 // the receiver must hold this version, or a later one
 	To     uint64
@@ -71,7 +71,7 @@
 }
 
 // since is the delta that takes a receiver from a version to the one held here.
-func (l *Life[K, V]) since(id LifeID, from uint64) Delta[K, V] {
+func (l *Life[K, V]) since(id IncarnationID, from uint64) Delta[K, V] {
 	delta := Delta[K, V]{Life: id, Node: l.Node, From: from, To: l.Version, Closed: l.Complete(), Cells: Cells[K, V]{}}
 	var zero V
 	for key, held := range l.Cells {
--- a/internal/counter/messages.go
+++ b/internal/counter/messages.go
@@ -58,9 +58,9 @@
 	Ballot   Ballot
 	Round    uint64
 	Part     int
-	Gaps     []LifeID // lives of which earlier versions are missing
-	NeedBase bool     // the agreed base is missing
-	Fresh    uint64   // not 0: the replica's disk has lost its copy; the number of its start
+	Gaps     []IncarnationID // lives of which earlier versions are missing
+	NeedBase bool            // the agreed base is missing
+	Fresh    uint64          // not 0: the replica's disk has lost its copy; the number of its start
 }
 
 // Send is a message to another machine that keeps a copy.
@@ -132,7 +132,7 @@
 		return nil, false
 	}
 	copied := NewReplica[K, V]()
-	copied.Base = Base[K, V]{Ballot: part.Base.Ballot, Number: part.Base.Number, Folded: map[LifeID]uint64{}, Cells: Cells[K, V]{}}
+	copied.Base = Base[K, V]{Ballot: part.Base.Ballot, Number: part.Base.Number, Folded: map[IncarnationID]uint64{}, Cells: Cells[K, V]{}}
 	for _, p := range a.parts {
 		for id, final := range p.Base.Folded {
 			copied.Base.Folded[id] = final
--- a/internal/counter/replica.go
+++ b/internal/counter/replica.go
@@ -31,7 +31,7 @@
 type Base[K comparable, V Value[V]] struct {
 	Ballot Ballot
 	Number uint64
-	Folded map[LifeID]uint64 // final versions of the lives in it
+	Folded map[IncarnationID]uint64 // final versions of the lives in it
 	Cells  Cells[K, V]
 }
 
@@ -45,16 +45,16 @@
 type Replica[K comparable, V Value[V]] struct {
 	Base     Base[K, V]
 	Proposed Base[K, V] // not less than Base
-	Lives    map[LifeID]*Life[K, V]
+	Lives    map[IncarnationID]*Life[K, V]
 }
 
 // NewReplica makes an empty replica.
 func NewReplica[K comparable, V Value[V]]() *Replica[K, V] {
-	return &Replica[K, V]{Lives: map[LifeID]*Life[K, V]{}}
+	return &Replica[K, V]{Lives: map[IncarnationID]*Life[K, V]{}}
 }
 
 // Version is what is held of a life, and the final version if it is over.
-func (r *Replica[K, V]) Version(id LifeID) (version, final uint64) {
+func (r *Replica[K, V]) Version(id IncarnationID) (version, final uint64) {
 	if final, folded := r.Base.Folded[id]; folded {
 		return final, final
 	}
@@ -97,13 +97,13 @@
 }
 
 // Since is the delta of a life from a version on.
-func (r *Replica[K, V]) Since(id LifeID, from uint64) Delta[K, V] {
+func (r *Replica[K, V]) Since(id IncarnationID, from uint64) Delta[K, V] {
 	return r.Lives[id].since(id, from)
 }
 
 // ids are the lives, sorted: what is sent must not depend on the order of a map, so that a
 // simulated run can be had again.
-func (r *Replica[K, V]) ids() []LifeID { return slices.Sorted(maps.Keys(r.Lives)) }
+func (r *Replica[K, V]) ids() []IncarnationID { return slices.Sorted(maps.Keys(r.Lives)) }
 
 // Total is the sum over all lives.
 func (r *Replica[K, V]) Total(key K) V {
@@ -132,7 +132,7 @@
 func (r *Replica[K, V]) Candidate(ballot Ballot, atMost int) (Base[K, V], bool) {
 	next := Base[K, V]{Ballot: ballot, Number: max(r.Base.Number, r.Proposed.Number) + 1, Folded: maps.Clone(r.Base.Folded), Cells: r.Base.Cells.Clone()}
 	if next.Folded == nil {
-		next.Folded = map[LifeID]uint64{}
+		next.Folded = map[IncarnationID]uint64{}
 	}
 	added := 0
 	for _, id := range r.ids() {
@@ -200,7 +200,7 @@
 	return nil
 }
 
-func (r *Replica[K, V]) absorbLife(id LifeID, life *Life[K, V]) error {
+func (r *Replica[K, V]) absorbLife(id IncarnationID, life *Life[K, V]) error {
 	if err := r.Merge(life.since(id, 0)); err != nil && !errors.Is(err, ErrAfterClose) {
 		return err
 	}
--- a/internal/counter/writer.go
+++ b/internal/counter/writer.go
@@ -3,7 +3,7 @@
 // Writer holds the cells of one life, of which it is the only writer, and tells a receiver
 // what it does not hold yet. It is not safe for concurrent use.
 type Writer[K comparable, V Value[V]] struct {
-	life    LifeID
+	life    IncarnationID
 	node    string
 	version uint64
 	closed  bool
@@ -23,13 +23,13 @@
 }
 
 // NewWriter makes the writer of a new life.
-func NewWriter[K comparable, V Value[V]](node string, life LifeID) *Writer[K, V] {
+func NewWriter[K comparable, V Value[V]](node string, life IncarnationID) *Writer[K, V] {
 	return &Writer[K, V]{life: life, node: node, cells: map[K]*Versioned[V]{}}
 }
 
 // RecoverWriter makes the writer that tells of a life which is over. Told is at least the
 // newest version that the life has told anyone; cells are all that is known of it.
-func RecoverWriter[K comparable, V Value[V]](node string, life LifeID, told uint64, cells Cells[K, V]) *Writer[K, V] {
+func RecoverWriter[K comparable, V Value[V]](node string, life IncarnationID, told uint64, cells Cells[K, V]) *Writer[K, V] {
 	w := NewWriter[K, V](node, life)
 	w.version, w.told, w.closed = told+1, told+1, true
 	for key, value := range cells {
@@ -39,7 +39,7 @@
 }
 
 // Life is the life written here.
-func (w *Writer[K, V]) Life() LifeID { return w.life }
+func (w *Writer[K, V]) Life() IncarnationID { return w.life }
 
 // Update changes a cell. The change must take its state upward.
 func (w *Writer[K, V]) Update(key K, change func(*V)) {
--- a/internal/emulator/proxy.go
+++ b/internal/emulator/proxy.go
@@ -28,8 +28,8 @@
 	RepeatOrder float64       // share of silent orders that it wrongly offers again
 	world       *World
 	meter       *accounts.Meter
-	journals    map[counter.LifeID]*memoryJournal
-	life        counter.LifeID
+	journals    map[counter.IncarnationID]*memoryJournal
+	life        counter.IncarnationID
 	Wipes       []Wipe
 }
 
@@ -60,7 +60,7 @@
 
 // NewProxy makes a proxy and starts it.
 func (w *World) NewProxy(name string) *Proxy {
-	p := &Proxy{Name: name, OverQuota: 0.03, RepeatOrder: 0.3, world: w, journals: map[counter.LifeID]*memoryJournal{}}
+	p := &Proxy{Name: name, OverQuota: 0.03, RepeatOrder: 0.3, world: w, journals: map[counter.IncarnationID]*memoryJournal{}}
 	w.Proxies[name] = p
 	w.proxyNames = append(w.proxyNames, name)
 	p.Start()
@@ -79,7 +79,7 @@
 		journal := p.journals[life]
 		ended = append(ended, accounts.EndedLife{Life: life, Told: journal.told, Accounts: maps.Clone(journal.accounts)})
 	}
-	p.life = counter.LifeID(p.world.Rng.Uint64() | 1)
+	p.life = counter.IncarnationID(p.world.Rng.Uint64() | 1)
 	journal := &memoryJournal{told: make([]uint64, p.world.Objectives.Shards), accounts: map[string]accounts.Account{}}
 	p.journals[p.life] = journal
 	p.meter = accounts.NewMeter(p.Name, p.life, p.world.Objectives, journal, ended)
@@ -97,7 +97,7 @@
 		p.Wipes = append(p.Wipes, Wipe{p.Life, p.world.Now})
 	}
 	p.Up = false
-	p.journals = map[counter.LifeID]*memoryJournal{}
+	p.journals = map[counter.IncarnationID]*memoryJournal{}
 }
 
 // Freeze has the process stand still for a while.
