--- a/internal/counter/leader.go
+++ b/internal/counter/leader.go
@@ -177,7 +177,7 @@
 	if _, folded := g.replica.Base.Folded[delta.Life]; folded {
 		return g.replica.Check(delta)
 	}
-	arrived := Life[K, V]{Version: l.arrived[delta.Life]}
+	arrived := Incarnation[K, V]{Version: l.arrived[delta.Life]}
 	if _, final := g.replica.Version(delta.Life); final > 0 {
 		arrived.Final = final
 	}
--- a/internal/counter/life.go
+++ b/internal/counter/life.go
@@ -26,8 +26,8 @@
 	ErrGarbled    = errors.New("delta is garbled")
 )
 
-// Life is a replica's copy of the cells of a life.
-type Life[K comparable, V Value[V]] struct {
+// Incarnation is a replica's copy of the cells of a life.
+type Incarnation[K comparable, V Value[V]] struct {
 	Node    string
 	Version uint64
 	Final   uint64 // the last version; 0 while the life goes on
@@ -41,10 +41,10 @@
 }
 
 // Complete reports whether the life is over and all of it is held.
-func (l *Life[K, V]) Complete() bool { return l.Final > 0 && l.Version == l.Final }
+func (l *Incarnation[K, V]) Complete() bool { return l.Final > 0 && l.Version == l.Final }
 
 // check reports why a delta does not fit, without changing anything.
-func (l *Life[K, V]) check(delta Delta[K, V]) error {
+func (l *Incarnation[K, V]) check(delta Delta[K, V]) error {
 	switch {
 	case delta.Life == 0 || delta.To < delta.From:
 		return ErrGarbled
@@ -58,7 +58,7 @@
 	return nil
 }
 
-func (l *Life[K, V]) merge(delta Delta[K, V]) {
+func (l *Incarnation[K, V]) merge(delta Delta[K, V]) {
 	l.Node = delta.Node
 	for key, value := range delta.Cells {
 		held := l.Cells[key]
@@ -71,7 +71,7 @@
 }
 
 // since is the delta that takes a receiver from a version to the one held here.
-func (l *Life[K, V]) since(id IncarnationID, from uint64) Delta[K, V] {
+func (l *Incarnation[K, V]) since(id IncarnationID, from uint64) Delta[K, V] {
 	delta := Delta[K, V]{Life: id, Node: l.Node, From: from, To: l.Version, Closed: l.Complete(), Cells: Cells[K, V]{}}
 	var zero V
 	for key, held := range l.Cells {
--- a/internal/counter/replica.go
+++ b/internal/counter/replica.go
@@ -45,12 +45,12 @@
 type Replica[K comparable, V Value[V]] struct {
 	Base     Base[K, V]
 	Proposed Base[K, V] // not less than Base
-	Lives    map[IncarnationID]*Life[K, V]
+	Lives    map[IncarnationID]*Incarnation[K, V]
 }
 
 // NewReplica makes an empty replica.
 func NewReplica[K comparable, V Value[V]]() *Replica[K, V] {
-	return &Replica[K, V]{Lives: map[IncarnationID]*Life[K, V]{}}
+	return &Replica[K, V]{Lives: map[IncarnationID]*Incarnation[K, V]{}}
 }
 
 // Version is what is held of a life, and the final version if it is over.
@@ -74,7 +74,7 @@
 	}
 	life := r.Lives[delta.Life]
 	if life == nil {
-		life = &Life[K, V]{}
+		life = &Incarnation[K, V]{}
 	}
 	return life.check(delta)
 }
@@ -89,7 +89,7 @@
 	}
 	life := r.Lives[delta.Life]
 	if life == nil {
-		life = &Life[K, V]{Cells: map[K]Versioned[V]{}}
+		life = &Incarnation[K, V]{Cells: map[K]Versioned[V]{}}
 		r.Lives[delta.Life] = life
 	}
 	life.merge(delta)
@@ -200,7 +200,7 @@
 	return nil
 }
 
-func (r *Replica[K, V]) absorbLife(id IncarnationID, life *Life[K, V]) error {
+func (r *Replica[K, V]) absorbLife(id IncarnationID, life *Incarnation[K, V]) error {
 	if err := r.Merge(life.since(id, 0)); err != nil && !errors.Is(err, ErrAfterClose) {
 		return err
 	}
