--- a/internal/counter/life.go
+++ b/internal/counter/life.go
@@ -23,7 +23,7 @@
 var (
 	ErrGap        = errors.New("delta begins after the version held")
 	ErrAfterClose = errors.New("delta goes beyond the final version of its life")
-	ErrGarbled    = errors.New("delta is garbled")
+	ErrMalformed  = errors.New("delta is garbled")
 )
 
 // Incarnation is a replica's copy of the cells of a life.
@@ -47,7 +47,7 @@
 func (l *Incarnation[K, V]) check(delta Delta[K, V]) error {
 	switch {
 	case delta.Life == 0 || delta.To < delta.From:
-		return ErrGarbled
+		return ErrMalformed
 	case delta.From > l.Version:
 		return fmt.Errorf("%w: %d after %d", ErrGap, delta.From, l.Version)
 	case l.Final > 0 && (delta.To > l.Final || delta.Closed && delta.To != l.Final):
