--- a/internal/counter/group.go
+++ b/internal/counter/group.go
@@ -139,7 +139,7 @@
 		return true
 	}
 	whole := saved[K, V]{Promised: g.promised, Base: g.replica.Base, Proposed: g.replica.Proposed}
-	for id, life := range g.replica.Lives {
+	for id, life := range g.replica.Incarnations {
 		whole.Deltas = append(whole.Deltas, life.since(id, 0))
 	}
 	if g.failed = g.store.Put(g.wholeKey(), whole); g.failed != nil {
@@ -175,13 +175,13 @@
 
 // Lives is the number of lives that are not in the base, and of those in it.
 func (g *Group[K, V]) Lives() (open, folded int) {
-	return len(g.replica.Lives), len(g.replica.Base.Folded)
+	return len(g.replica.Incarnations), len(g.replica.Base.Folded)
 }
 
 // OpenLives are the lives that have not ended, by id, with their nodes.
 func (g *Group[K, V]) OpenLives() map[IncarnationID]string {
 	out := map[IncarnationID]string{}
-	for id, life := range g.replica.Lives {
+	for id, life := range g.replica.Incarnations {
 		if life.Final == 0 {
 			out[id] = life.Node
 		}
--- a/internal/counter/leader.go
+++ b/internal/counter/leader.go
@@ -149,7 +149,7 @@
 		return
 	}
 	l.ready = true
-	for id := range g.replica.Lives {
+	for id := range g.replica.Incarnations {
 		l.arrived[id], _ = g.replica.Version(id)
 	}
 }
@@ -209,7 +209,7 @@
 	next := &round[K, V]{number: l.rounds, versions: map[IncarnationID]uint64{}, acks: map[string]map[int]bool{}, sentAt: map[string]time.Duration{}, sends: map[string]int{}}
 	var deltas []Delta[K, V]
 	for _, id := range g.replica.ids() {
-		life := g.replica.Lives[id]
+		life := g.replica.Incarnations[id]
 		if from, known := l.durable[id]; !known || life.Version > from {
 			next.versions[id] = life.Version
 			deltas = append(deltas, life.since(id, from))
@@ -351,7 +351,7 @@
 func (l *leader[K, V]) recompute(replica *Replica[K, V]) {
 	l.totals, l.whole = replica.Totals(), true
 	l.holders = map[K]map[IncarnationID]struct{}{}
-	for id, life := range replica.Lives {
+	for id, life := range replica.Incarnations {
 		for key := range life.Cells {
 			l.hold(key, id)
 		}
@@ -372,7 +372,7 @@
 			l.hold(key, delta.Life)
 			total := replica.Base.Cells[key]
 			for id := range l.holders[key] {
-				total = total.Plus(replica.Lives[id].Cells[key].Value)
+				total = total.Plus(replica.Incarnations[id].Cells[key].Value)
 			}
 			l.totals[key] = total
 		}
--- a/internal/counter/messages.go
+++ b/internal/counter/messages.go
@@ -102,7 +102,7 @@
 		cells++
 	}
 	for _, id := range r.ids() {
-		life := r.Lives[id]
+		life := r.Incarnations[id]
 		if cells >= cellsAtOnce {
 			flush()
 		}
--- a/internal/counter/replica.go
+++ b/internal/counter/replica.go
@@ -43,14 +43,14 @@
 // Replica is one copy of the counters: an agreed base, a base that may have been agreed,
 // and all lives that are not in the agreed base.
 type Replica[K comparable, V Value[V]] struct {
-	Base     Base[K, V]
-	Proposed Base[K, V] // not less than Base
-	Lives    map[IncarnationID]*Incarnation[K, V]
+	Base         Base[K, V]
+	Proposed     Base[K, V] // not less than Base
+	Incarnations map[IncarnationID]*Incarnation[K, V]
 }
 
 // NewReplica makes an empty replica.
 func NewReplica[K comparable, V Value[V]]() *Replica[K, V] {
-	return &Replica[K, V]{Lives: map[IncarnationID]*Incarnation[K, V]{}}
+	return &Replica[K, V]{Incarnations: map[IncarnationID]*Incarnation[K, V]{}}
 }
 
 // Version is what is held of a life, and the final version if it is over.
@@ -58,7 +58,7 @@
 	if final, folded := r.Base.Folded[id]; folded {
 		return final, final
 	}
-	if life := r.Lives[id]; life != nil {
+	if life := r.Incarnations[id]; life != nil {
 		return life.Version, life.Final
 	}
 	return 0, 0
@@ -72,7 +72,7 @@
 		}
 		return nil
 	}
-	life := r.Lives[delta.Life]
+	life := r.Incarnations[delta.Life]
 	if life == nil {
 		life = &Incarnation[K, V]{}
 	}
@@ -87,10 +87,10 @@
 	if _, folded := r.Base.Folded[delta.Life]; folded {
 		return nil
 	}
-	life := r.Lives[delta.Life]
+	life := r.Incarnations[delta.Life]
 	if life == nil {
 		life = &Incarnation[K, V]{Cells: map[K]Versioned[V]{}}
-		r.Lives[delta.Life] = life
+		r.Incarnations[delta.Life] = life
 	}
 	life.merge(delta)
 	return nil
@@ -98,17 +98,17 @@
 
 // Since is the delta of a life from a version on.
 func (r *Replica[K, V]) Since(id IncarnationID, from uint64) Delta[K, V] {
-	return r.Lives[id].since(id, from)
+	return r.Incarnations[id].since(id, from)
 }
 
 // ids are the lives, sorted: what is sent must not depend on the order of a map, so that a
 // simulated run can be had again.
-func (r *Replica[K, V]) ids() []IncarnationID { return slices.Sorted(maps.Keys(r.Lives)) }
+func (r *Replica[K, V]) ids() []IncarnationID { return slices.Sorted(maps.Keys(r.Incarnations)) }
 
 // Total is the sum over all lives.
 func (r *Replica[K, V]) Total(key K) V {
 	total := r.Base.Cells[key]
-	for _, life := range r.Lives {
+	for _, life := range r.Incarnations {
 		if held, ok := life.Cells[key]; ok {
 			total = total.Plus(held.Value)
 		}
@@ -119,7 +119,7 @@
 // Totals are the sums of all keys.
 func (r *Replica[K, V]) Totals() Cells[K, V] {
 	out := r.Base.Cells.Clone()
-	for _, life := range r.Lives {
+	for _, life := range r.Incarnations {
 		for key, held := range life.Cells {
 			out[key] = out[key].Plus(held.Value)
 		}
@@ -136,7 +136,7 @@
 	}
 	added := 0
 	for _, id := range r.ids() {
-		life := r.Lives[id]
+		life := r.Incarnations[id]
 		if !life.Complete() || added == atMost {
 			continue
 		}
@@ -180,7 +180,7 @@
 		r.Proposed = base
 	}
 	for id := range base.Folded {
-		delete(r.Lives, id)
+		delete(r.Incarnations, id)
 	}
 }
 
@@ -192,7 +192,7 @@
 			r.Proposed = base
 		}
 	}
-	for id, life := range other.Lives {
+	for id, life := range other.Incarnations {
 		if err := r.absorbLife(id, life); err != nil {
 			return err
 		}
