--- a/internal/counter/leader.go
+++ b/internal/counter/leader.go
@@ -306,7 +306,7 @@
 func (g *Group[K, V]) sendCopy(to string, start, round uint64) {
 	var deltas []Delta[K, V]
 	for _, id := range g.replica.ids() {
-		deltas = append(deltas, g.replica.Since(id, 0))
+		deltas = append(deltas, g.replica.DeltaSince(id, 0))
 	}
 	agreed := g.replica.Base
 	parts := splitDeltas(deltas, g.options.CellsAtOnce)
@@ -424,7 +424,7 @@
 	deltas := slices.Clone(l.round.parts[m.Part])
 	for i, delta := range deltas {
 		if slices.Contains(m.Gaps, delta.Life) {
-			deltas[i] = g.replica.Since(delta.Life, 0)
+			deltas[i] = g.replica.DeltaSince(delta.Life, 0)
 		}
 	}
 	g.replicate(to, m.Part, deltas)
--- a/internal/counter/replica.go
+++ b/internal/counter/replica.go
@@ -96,8 +96,8 @@
 	return nil
 }
 
-// Since is the delta of a life from a version on.
-func (r *Replica[K, V]) Since(id IncarnationID, from uint64) Delta[K, V] {
+// DeltaSince is the delta of a life from a version on.
+func (r *Replica[K, V]) DeltaSince(id IncarnationID, from uint64) Delta[K, V] {
 	return r.Incarnations[id].since(id, from)
 }
 
