--- a/internal/counter/leader.go
+++ b/internal/counter/leader.go
@@ -385,7 +385,7 @@
 		return
 	}
 	copied, whole := l.assemblies[from].add(m)
-	if !whole || g.replica.Absorb(copied) != nil || !g.saveWhole() {
+	if !whole || g.replica.MergeReplica(copied) != nil || !g.saveWhole() {
 		return
 	}
 	l.prepared[from] = true
--- a/internal/counter/replica.go
+++ b/internal/counter/replica.go
@@ -184,9 +184,9 @@
 	}
 }
 
-// Absorb merges another replica's copy: the higher of all bases, and every life that is
+// MergeReplica merges another replica's copy: the higher of all bases, and every life that is
 // not in it.
-func (r *Replica[K, V]) Absorb(other *Replica[K, V]) error {
+func (r *Replica[K, V]) MergeReplica(other *Replica[K, V]) error {
 	for _, base := range []Base[K, V]{other.Base, other.Proposed} {
 		if r.Proposed.Less(base) {
 			r.Proposed = base
