--- a/internal/accounts/holder.go
+++ b/internal/accounts/holder.go
@@ -259,7 +259,7 @@
 	defer h.mu.Unlock()
 	var out []ShardState
 	for shard, group := range h.groups {
-		lives, folded := group.Lives()
+		lives, folded := group.IncarnationCounts()
 		open := len(group.OpenLives())
 		_, age, leading := group.Totals(now)
 		out = append(out, ShardState{shard, leading, age, open, lives - open, folded, group.Refused})
--- a/internal/counter/checker_test.go
+++ b/internal/counter/checker_test.go
@@ -172,7 +172,7 @@
 		if schedules++; w.failure != "" || w.published != compactionTruth {
 			t.Fatalf("schedule %v: %s, published %d at last", choices, w.failure, w.published)
 		}
-		if _, folded := w.groups[w.leader].Lives(); folded != 1 {
+		if _, folded := w.groups[w.leader].IncarnationCounts(); folded != 1 {
 			t.Fatalf("schedule %v: %d lives are folded, one is over", choices, folded)
 		}
 		i := depth - 1
--- a/internal/counter/group.go
+++ b/internal/counter/group.go
@@ -173,8 +173,8 @@
 	return g.leader.totals, now - g.leader.totalsAt, true
 }
 
-// Lives is the number of lives that are not in the base, and of those in it.
-func (g *Group[K, V]) Lives() (open, folded int) {
+// IncarnationCounts is the number of lives that are not in the base, and of those in it.
+func (g *Group[K, V]) IncarnationCounts() (open, folded int) {
 	return len(g.replica.Incarnations), len(g.replica.Base.Folded)
 }
 
--- a/internal/counter/group_test.go
+++ b/internal/counter/group_test.go
@@ -270,7 +270,7 @@
 		}
 		s.Run(6500*time.Millisecond, nil)
 		s.settle(5 * time.Second)
-		_, n := s.machines[s.leader].group.Lives()
+		_, n := s.machines[s.leader].group.IncarnationCounts()
 		folded += n
 		for _, w := range s.writers {
 			if len(w.ended) > 1 {
@@ -306,7 +306,7 @@
 		s.Run(1200*time.Millisecond, nil)
 		s.onMessage = nil
 		s.settle(2 * time.Second)
-		if _, folded := s.machines[s.leader].group.Lives(); folded == 0 {
+		if _, folded := s.machines[s.leader].group.IncarnationCounts(); folded == 0 {
 			t.Errorf("%s: the ended life was never folded", s.label)
 		}
 	}
