--- a/internal/accounts/holder.go
+++ b/internal/accounts/holder.go
@@ -260,7 +260,7 @@
 	var out []ShardState
 	for shard, group := range h.groups {
 		lives, folded := group.IncarnationCounts()
-		open := len(group.OpenLives())
+		open := len(group.OpenIncarnations())
 		_, age, leading := group.Totals(now)
 		out = append(out, ShardState{shard, leading, age, open, lives - open, folded, group.Refused})
 	}
--- a/internal/counter/group.go
+++ b/internal/counter/group.go
@@ -178,8 +178,8 @@
 	return len(g.replica.Incarnations), len(g.replica.Base.Folded)
 }
 
-// OpenLives are the lives that have not ended, by id, with their nodes.
-func (g *Group[K, V]) OpenLives() map[IncarnationID]string {
+// OpenIncarnations are the lives that have not ended, by id, with their nodes.
+func (g *Group[K, V]) OpenIncarnations() map[IncarnationID]string {
 	out := map[IncarnationID]string{}
 	for id, life := range g.replica.Incarnations {
 		if life.Final == 0 {
