--- a/internal/counter/group.go
+++ b/internal/counter/group.go
@@ -15,12 +15,12 @@
 
 // Options are the times and sizes of a group.
 type Options struct {
-	RoundEvery  time.Duration // between two rounds of replication
-	ResendAfter time.Duration // an answer that has not come by then is asked for again
-	FoldEvery   time.Duration // between two proposals of a base
-	FoldAtMost  int           // lives folded at once
-	CellsAtOnce int           // cells in one message
-	SavesAtOnce int           // rounds kept on disk by themselves before the whole is written
+	RoundInterval time.Duration // between two rounds of replication
+	ResendAfter   time.Duration // an answer that has not come by then is asked for again
+	FoldEvery     time.Duration // between two proposals of a base
+	FoldAtMost    int           // lives folded at once
+	CellsAtOnce   int           // cells in one message
+	SavesAtOnce   int           // rounds kept on disk by themselves before the whole is written
 }
 
 // Group is one machine's part in keeping a group of counters: a replica on its disk and,
@@ -209,7 +209,7 @@
 		}
 	case g.leader.round != nil:
 		g.resend(now)
-	case now-g.leader.roundAt >= g.options.RoundEvery || !g.leader.whole || g.leader.unproven:
+	case now-g.leader.roundAt >= g.options.RoundInterval || !g.leader.whole || g.leader.unproven:
 		g.begin(now)
 	}
 	return g.flush()
--- a/internal/counter/resume_test.go
+++ b/internal/counter/resume_test.go
@@ -23,7 +23,7 @@
 
 // tick advances one machine by a turn.
 func (w *trio) tick(name string, leads bool) {
-	w.now += testOptions.RoundEvery
+	w.now += testOptions.RoundInterval
 	w.put(name, w.groups[name].Tick(w.now, leads, w.names))
 }
 
