--- a/internal/counter/checker_test.go
+++ b/internal/counter/checker_test.go
@@ -85,7 +85,7 @@
 
 // tick lets time go by until everybody has something to send again.
 func (w *checkedWorld) tick() {
-	w.now += testOptions.ResendAfter
+	w.now += testOptions.ResendTimeout
 	for _, name := range w.names {
 		w.put(name, w.groups[name].Tick(w.now, w.leader == name, w.names))
 	}
--- a/internal/counter/group.go
+++ b/internal/counter/group.go
@@ -16,7 +16,7 @@
 // Options are the times and sizes of a group.
 type Options struct {
 	RoundInterval time.Duration // between two rounds of replication
-	ResendAfter   time.Duration // an answer that has not come by then is asked for again
+	ResendTimeout time.Duration // an answer that has not come by then is asked for again
 	FoldEvery     time.Duration // between two proposals of a base
 	FoldAtMost    int           // lives folded at once
 	CellsAtOnce   int           // cells in one message
@@ -204,7 +204,7 @@
 	case g.leader == nil || !slices.Equal(g.leader.replicas, replicas):
 		g.campaign(now, replicas)
 	case !g.leader.ready:
-		if now-g.leader.askedAt >= backoff(g.options.ResendAfter, g.leader.asks) {
+		if now-g.leader.askedAt >= backoff(g.options.ResendTimeout, g.leader.asks) {
 			g.prepare(now)
 		}
 	case g.leader.round != nil:
--- a/internal/counter/leader.go
+++ b/internal/counter/leader.go
@@ -282,7 +282,7 @@
 func (g *Group[K, V]) resend(now time.Duration) {
 	l := g.leader
 	for _, to := range l.replicas {
-		if now-l.round.sentAt[to] >= backoff(g.options.ResendAfter, l.round.sends[to]) {
+		if now-l.round.sentAt[to] >= backoff(g.options.ResendTimeout, l.round.sends[to]) {
 			g.replicateAll(now, to)
 		}
 	}
