--- a/internal/accounts/holder.go
+++ b/internal/accounts/holder.go
@@ -28,7 +28,7 @@
 const TellEvery = 25 * time.Second
 
 // DefaultOptions are those of a deployment.
-var DefaultOptions = counter.Options{RoundInterval: roundEvery, ResendTimeout: resendAfter, FoldEvery: foldEvery,
+var DefaultOptions = counter.Options{RoundInterval: roundEvery, ResendTimeout: resendAfter, CompactionInterval: foldEvery,
 	FoldAtMost: foldAtMost, CellsAtOnce: cellsAtOnce, SavesAtOnce: savesAtOnce}
 
 // Holder is a control machine's part in keeping the accounts: a replica of every shard,
--- a/internal/counter/checker_test.go
+++ b/internal/counter/checker_test.go
@@ -67,7 +67,7 @@
 		w.groups["a"].Report(delta)
 	}
 	w.settle(2)
-	w.now += testOptions.FoldEvery
+	w.now += testOptions.CompactionInterval
 	w.tick()
 	return w
 }
@@ -167,7 +167,7 @@
 			w.step(choices[i])
 		}
 		w.flying = nil
-		w.now += testOptions.FoldEvery
+		w.now += testOptions.CompactionInterval
 		w.settle(12)
 		if schedules++; w.failure != "" || w.published != compactionTruth {
 			t.Fatalf("schedule %v: %s, published %d at last", choices, w.failure, w.published)
--- a/internal/counter/group_test.go
+++ b/internal/counter/group_test.go
@@ -9,7 +9,7 @@
 	"slateridge/internal/simnet"
 )
 
-var testOptions = Options{RoundInterval: 100 * time.Millisecond, ResendTimeout: 120 * time.Millisecond, FoldEvery: 400 * time.Millisecond,
+var testOptions = Options{RoundInterval: 100 * time.Millisecond, ResendTimeout: 120 * time.Millisecond, CompactionInterval: 400 * time.Millisecond,
 	FoldAtMost: 3, CellsAtOnce: 4, SavesAtOnce: 3}
 
 // replicaMachine is one machine of the simulated group.
--- a/internal/counter/leader.go
+++ b/internal/counter/leader.go
@@ -242,7 +242,7 @@
 		base.Ballot = l.ballot
 		return &base
 	}
-	if now-l.foldAt < g.options.FoldEvery {
+	if now-l.foldAt < g.options.CompactionInterval {
 		return nil
 	}
 	l.foldAt = now
