--- a/cmd/scalerun/accounts.go
+++ b/cmd/scalerun/accounts.go
@@ -106,7 +106,7 @@
 func accountHolderSlope(w io.Writer, objectives *accounts.Objectives, proxies int) {
 	rng := rand.New(rand.NewPCG(2, 2))
 	options := accounts.DefaultOptions
-	options.CompactionInterval, options.FoldAtMost = time.Hour, proxies
+	options.CompactionInterval, options.IncarnationsPerCompaction = time.Hour, proxies
 	base := heap()
 	store := &memoryStore{}
 	group := counter.NewGroup[string, accounts.Account](0, "a", options, store, true, 1)
--- a/internal/counter/group.go
+++ b/internal/counter/group.go
@@ -15,12 +15,12 @@
 
 // Options are the times and sizes of a group.
 type Options struct {
-	RoundInterval      time.Duration // between two rounds of replication
-	ResendTimeout      time.Duration // an answer that has not come by then is asked for again
-	CompactionInterval time.Duration // between two proposals of a base
-	FoldAtMost         int           // lives folded at once
-	CellsAtOnce        int           // cells in one message
-	SavesAtOnce        int           // rounds kept on disk by themselves before the whole is written
+	RoundInterval             time.Duration // between two rounds of replication
+	ResendTimeout             time.Duration // an answer that has not come by then is asked for again
+	CompactionInterval        time.Duration // between two proposals of a base
+	IncarnationsPerCompaction int           // lives folded at once
+	CellsAtOnce               int           // cells in one message
+	SavesAtOnce               int           // rounds kept on disk by themselves before the whole is written
 }
 
 // Group is one machine's part in keeping a group of counters: a replica on its disk and,
--- a/internal/counter/leader.go
+++ b/internal/counter/leader.go
@@ -246,7 +246,7 @@
 		return nil
 	}
 	l.foldAt = now
-	if base, some := g.replica.Candidate(l.ballot, g.options.FoldAtMost); some {
+	if base, some := g.replica.Candidate(l.ballot, g.options.IncarnationsPerCompaction); some {
 		return &base
 	}
 	return nil
