--- a/internal/counter/group.go
+++ b/internal/counter/group.go
@@ -19,7 +19,7 @@
 	ResendTimeout             time.Duration // an answer that has not come by then is asked for again
 	CompactionInterval        time.Duration // between two proposals of a base
 	IncarnationsPerCompaction int           // lives folded at once
-	CellsAtOnce               int           // cells in one message
+	MaxCellsPerMessage        int           // cells in one message
 	SavesAtOnce               int           // rounds kept on disk by themselves before the whole is written
 }
 
@@ -257,7 +257,7 @@
 		return
 	}
 	g.copies++
-	for _, part := range promises(g.group, m.Ballot, SnapshotID{g.start, g.copies}, g.replica, g.options.CellsAtOnce) {
+	for _, part := range promises(g.group, m.Ballot, SnapshotID{g.start, g.copies}, g.replica, g.options.MaxCellsPerMessage) {
 		g.send(from, part)
 	}
 }
--- a/internal/counter/leader.go
+++ b/internal/counter/leader.go
@@ -215,7 +215,7 @@
 			deltas = append(deltas, life.since(id, from))
 		}
 	}
-	next.parts = splitDeltas(deltas, g.options.CellsAtOnce)
+	next.parts = splitDeltas(deltas, g.options.MaxCellsPerMessage)
 	if next.base = g.nextBase(now); next.base != nil {
 		if g.replica.Propose(*next.base) != nil || !g.saveWhole() {
 			return
@@ -309,7 +309,7 @@
 		deltas = append(deltas, g.replica.DeltaSince(id, 0))
 	}
 	agreed := g.replica.Base
-	parts := splitDeltas(deltas, g.options.CellsAtOnce)
+	parts := splitDeltas(deltas, g.options.MaxCellsPerMessage)
 	for part, deltas := range parts {
 		message := Replicate[K, V]{Group: g.group, Ballot: g.leader.ballot, Round: round, Part: part, Parts: len(parts), Deltas: deltas, Agreed: agreed.ID(), Whole: start}
 		if part == 0 {
