--- a/internal/accounts/holder.go
+++ b/internal/accounts/holder.go
@@ -29,7 +29,7 @@
 
 // DefaultOptions are those of a deployment.
 var DefaultOptions = counter.Options{RoundInterval: roundEvery, ResendTimeout: resendAfter, CompactionInterval: foldEvery,
-	IncarnationsPerCompaction: foldAtMost, MaxCellsPerMessage: cellsAtOnce, SavesAtOnce: savesAtOnce}
+	IncarnationsPerCompaction: foldAtMost, MaxCellsPerMessage: cellsAtOnce, MaxIncrementalSaves: savesAtOnce}
 
 // Holder is a control machine's part in keeping the accounts: a replica of every shard,
 // and the totals of the shards whose leases it holds.
--- a/internal/counter/group.go
+++ b/internal/counter/group.go
@@ -20,7 +20,7 @@
 	CompactionInterval        time.Duration // between two proposals of a base
 	IncarnationsPerCompaction int           // lives folded at once
 	MaxCellsPerMessage        int           // cells in one message
-	SavesAtOnce               int           // rounds kept on disk by themselves before the whole is written
+	MaxIncrementalSaves       int           // rounds kept on disk by themselves before the whole is written
 }
 
 // Group is one machine's part in keeping a group of counters: a replica on its disk and,
@@ -101,7 +101,7 @@
 		g.replica.Base, g.replica.Proposed = whole.Base, whole.Proposed
 		g.mergeAll(whole.Deltas)
 	}
-	for i := 0; i < g.options.SavesAtOnce && !g.fresh; i++ {
+	for i := 0; i < g.options.MaxIncrementalSaves && !g.fresh; i++ {
 		var next savedRound[K, V]
 		if g.store.Get(g.roundKey(i), &next) {
 			if g.promised.Less(next.Promised) {
@@ -110,7 +110,7 @@
 			g.mergeAll(next.Deltas)
 		}
 	}
-	g.saves = g.options.SavesAtOnce // the rounds are needed until the whole has been written
+	g.saves = g.options.MaxIncrementalSaves // the rounds are needed until the whole has been written
 }
 
 func (g *Group[K, V]) mergeAll(deltas []Delta[K, V]) {
@@ -123,7 +123,7 @@
 
 // save makes deltas last; true if they do.
 func (g *Group[K, V]) save(deltas []Delta[K, V]) bool {
-	if g.fresh || g.failed != nil || g.saves == g.options.SavesAtOnce {
+	if g.fresh || g.failed != nil || g.saves == g.options.MaxIncrementalSaves {
 		return g.saveWhole()
 	}
 	g.failed = g.store.Put(g.roundKey(g.saves), savedRound[K, V]{g.promised, deltas})
--- a/internal/counter/group_test.go
+++ b/internal/counter/group_test.go
@@ -10,7 +10,7 @@
 )
 
 var testOptions = Options{RoundInterval: 100 * time.Millisecond, ResendTimeout: 120 * time.Millisecond, CompactionInterval: 400 * time.Millisecond,
-	IncarnationsPerCompaction: 3, MaxCellsPerMessage: 4, SavesAtOnce: 3}
+	IncarnationsPerCompaction: 3, MaxCellsPerMessage: 4, MaxIncrementalSaves: 3}
 
 // replicaMachine is one machine of the simulated group.
 type replicaMachine struct {
--- a/internal/emulator/world.go
+++ b/internal/emulator/world.go
@@ -36,7 +36,7 @@
 
 // fastOptions replicate and fold often enough for short runs.
 var fastOptions = counter.Options{RoundInterval: 300 * time.Millisecond, ResendTimeout: 150 * time.Millisecond, CompactionInterval: time.Second,
-	IncarnationsPerCompaction: 4, MaxCellsPerMessage: 3, SavesAtOnce: 4}
+	IncarnationsPerCompaction: 4, MaxCellsPerMessage: 3, MaxIncrementalSaves: 4}
 
 // New makes an empty world for some objectives.
 func New(seed uint64, objectives *accounts.Objectives) *World {
