--- a/internal/accounts/meter.go
+++ b/internal/accounts/meter.go
@@ -188,7 +188,7 @@
 	if ack.Refused != "" || ack.Shard < 0 || ack.Shard >= len(m.current) {
 		return nil
 	}
-	if writer := m.current[ack.Shard]; uint64(writer.Life()) == ack.Life {
+	if writer := m.current[ack.Shard]; uint64(writer.Incarnation()) == ack.Life {
 		writer.Acknowledge(ack.Ack)
 	}
 	left := m.ended[:0]
--- a/internal/counter/writer.go
+++ b/internal/counter/writer.go
@@ -38,8 +38,8 @@
 	return w
 }
 
-// Life is the life written here.
-func (w *Writer[K, V]) Life() IncarnationID { return w.life }
+// Incarnation is the life written here.
+func (w *Writer[K, V]) Incarnation() IncarnationID { return w.life }
 
 // Update changes a cell. The change must take its state upward.
 func (w *Writer[K, V]) Update(key K, change func(*V)) {
