--- a/internal/accounts/meter.go
+++ b/internal/accounts/meter.go
@@ -174,7 +174,7 @@
 	if !some {
 		return out
 	}
-	if m.journal != nil && !m.journal.Told(shard, writer.Told()) {
+	if m.journal != nil && !m.journal.Told(shard, writer.SentVersion()) {
 		return out
 	}
 	return append(out, packReport(shard, delta))
--- a/internal/counter/group_test.go
+++ b/internal/counter/group_test.go
@@ -147,7 +147,7 @@
 
 // restart ends a writer's life; the next process tells what the journal holds of it.
 func (s *simulation) restart(w *writerProcess) {
-	w.ended = append(w.ended, RecoverWriter(w.name, w.current.Incarnation(), w.current.Told(), w.cells))
+	w.ended = append(w.ended, RecoverWriter(w.name, w.current.Incarnation(), w.current.SentVersion(), w.cells))
 	w.current, w.cells = NewWriter[string, Count](w.name, IncarnationID(s.Rng.Uint64()|1)), Cells[string, Count]{}
 }
 
--- a/internal/counter/writer.go
+++ b/internal/counter/writer.go
@@ -94,8 +94,8 @@
 // Finished reports whether the life is over and a majority holds all of it.
 func (w *Writer[K, V]) Finished() bool { return w.closed && w.durable >= w.version }
 
-// Told is the newest version that a receiver may hold.
-func (w *Writer[K, V]) Told() uint64 { return w.told }
+// SentVersion is the newest version that a receiver may hold.
+func (w *Writer[K, V]) SentVersion() uint64 { return w.told }
 
 // Durable is the newest version that a majority holds.
 func (w *Writer[K, V]) Durable() uint64 { return w.durable }
