--- a/internal/counter/writer.go
+++ b/internal/counter/writer.go
@@ -97,8 +97,8 @@
 // SentVersion is the newest version that a receiver may hold.
 func (w *Writer[K, V]) SentVersion() uint64 { return w.told }
 
-// Durable is the newest version that a majority holds.
-func (w *Writer[K, V]) Durable() uint64 { return w.durable }
+// DurableVersion is the newest version that a majority holds.
+func (w *Writer[K, V]) DurableVersion() uint64 { return w.durable }
 
 // Cell is the present state of a key.
 func (w *Writer[K, V]) Cell(key K) V {
