--- a/internal/controlplane/chain/duties_test.go
+++ b/internal/controlplane/chain/duties_test.go
@@ -81,7 +81,7 @@
 	w.lease(n, l.Tick(w.network.Now))
 	since, _ := l.Holds(w.network.Now, testDuty)
 	rec := w.record(n)
-	w.carry(n, h.Step(w.network.Now, l.Until(w.network.Now, testDuty), rec, func(after uint64) (uint64, []byte, bool) {
+	w.carry(n, h.Step(w.network.Now, l.Expiry(w.network.Now, testDuty), rec, func(after uint64) (uint64, []byte, bool) {
 		return w.tallies[n].Next(usage.Moment{Steady: w.network.Now, Agreed: w.agreed(), Held: w.network.Now - since}, after, w.span, w.delay, []string{"p", "q"})
 	}))
 }
@@ -219,12 +219,12 @@
 	}
 	if t, some := w.meters[p].Report(p, w.window()); some {
 		for _, n := range w.names {
-			if l := w.leases[n]; l != nil && w.chain[n] != nil && l.Until(w.network.Now, testDuty) > 0 {
+			if l := w.leases[n]; l != nil && w.chain[n] != nil && l.Expiry(w.network.Now, testDuty) > 0 {
 				for range 1 + w.network.Rng.IntN(2) { // some words come twice
 					w.network.Send(p, n, func() {
 						w.later(n, w.life[n], func() {
 							h, ok := w.tallies[n].Take(w.network.Now, w.window(), t)
-							if ok && w.leases[n].Until(w.network.Now, testDuty) > 0 {
+							if ok && w.leases[n].Expiry(w.network.Now, testDuty) > 0 {
 								w.network.Send(n, p, func() { w.meters[p].Acknowledged(t, h) })
 							}
 						})
--- a/internal/controlplane/leases.go
+++ b/internal/controlplane/leases.go
@@ -99,7 +99,7 @@
 	defer l.mu.Unlock()
 	now := l.now()
 	since, _ = l.manager.Holds(now, duty)
-	return l.manager.Until(now, duty), since
+	return l.manager.Expiry(now, duty), since
 }
 
 // holder is who holds a duty as far as is known here; empty when nobody does.
--- a/internal/lease/lease.go
+++ b/internal/lease/lease.go
@@ -170,9 +170,9 @@
 	return c.since, c.until > now
 }
 
-// Until is when this machine's lease of a duty ends by its own reckoning; 0 while
+// Expiry is when this machine's lease of a duty ends by its own reckoning; 0 while
 // it has none.
-func (manager *Manager) Until(now time.Duration, duty string) time.Duration {
+func (manager *Manager) Expiry(now time.Duration, duty string) time.Duration {
 	if c := manager.claims[duty]; c != nil && c.until > now {
 		return c.until
 	}
--- a/internal/modelcheck/chainmodel/duties.go
+++ b/internal/modelcheck/chainmodel/duties.go
@@ -75,7 +75,7 @@
 	if d := c.Committed(); d != nil {
 		rec = d.Duties[dutyName]
 	}
-	m.carryOut(n, o.holder.Step(m.world.Now, o.lease.Until(m.world.Now, dutyName), rec, func(after uint64) (uint64, []byte, bool) {
+	m.carryOut(n, o.holder.Step(m.world.Now, o.lease.Expiry(m.world.Now, dutyName), rec, func(after uint64) (uint64, []byte, bool) {
 		key := uint64(m.world.Now / actEvery)
 		return key, []byte(n + strconv.FormatUint(key, 10)), key > after
 	}))
