--- a/internal/controlplane/chain/duties_test.go
+++ b/internal/controlplane/chain/duties_test.go
@@ -128,7 +128,7 @@
 		case duty.Order:
 			w.run(n, life, func(ch *Chain) []Effect { return ch.Act(w.network.Now, x) })
 		case duty.Yield:
-			w.lease(n, w.leases[n].Leave(w.network.Now, testDuty))
+			w.lease(n, w.leases[n].Resign(w.network.Now, testDuty))
 		case duty.Act:
 			if _, ok := w.leases[n].Holds(w.network.Now, testDuty); !ok {
 				w.fail("%s sends %d under fence %d without the lease", n, x.Key, x.Fence)
--- a/internal/controlplane/chain/return_test.go
+++ b/internal/controlplane/chain/return_test.go
@@ -121,7 +121,7 @@
 // leaveInOrder stops a machine as the daemon does: duties given back, then a wait for
 // the view without it.
 func (l *leasedCore) leaveInOrder(n string) {
-	l.carry(n, l.leases[n].Leave(l.network.Now))
+	l.carry(n, l.leases[n].Resign(l.network.Now))
 	began := l.network.Now
 	l.core.run(n, l.life[n], func(ch *Chain) []Effect { return ch.Leave(l.network.Now) })
 	for end := began + constants.LeaveWait; !l.chain[n].Left() && l.chain[n].CanLeave() && l.network.Now < end; {
--- a/internal/controlplane/leases.go
+++ b/internal/controlplane/leases.go
@@ -66,7 +66,7 @@
 // leave gives up all leases before a planned stop, or only those named.
 func (l *leases) leave(only ...string) {
 	l.mu.Lock()
-	messages := l.manager.Leave(l.now(), only...)
+	messages := l.manager.Resign(l.now(), only...)
 	l.mu.Unlock()
 	l.sendAll(messages)
 }
--- a/internal/lease/electorate_test.go
+++ b/internal/lease/electorate_test.go
@@ -211,7 +211,7 @@
 	case 0, 1: // the process ends, and with it perhaps its disk
 		wipe := b.Rng.IntN(3) == 0
 		if m.w != nil && b.Rng.IntN(3) == 0 && !m.frozen {
-			e.put(n, m.w.Leave(e.clock(n)))
+			e.put(n, m.w.Resign(e.clock(n)))
 		}
 		e.stop(n)
 		life := m.life
@@ -244,7 +244,7 @@
 		}
 	case 5:
 		if m.w != nil && !m.frozen {
-			e.put(n, m.w.Leave(e.clock(n)))
+			e.put(n, m.w.Resign(e.clock(n)))
 		}
 	case 6: // several views in quick succession
 		for i := range 1 + b.Rng.IntN(3)*b.Rng.IntN(2) {
--- a/internal/lease/lease.go
+++ b/internal/lease/lease.go
@@ -398,10 +398,10 @@
 	c.until = until
 }
 
-// Leave gives up what is held, before a planned stop, or the one duty named. Before a
+// Resign gives up what is held, before a planned stop, or the one duty named. Before a
 // stop each duty goes to a machine that has just granted its renewal, which takes it up
 // at once, and nothing is claimed any more.
-func (manager *Manager) Leave(now time.Duration, only ...string) []Send {
+func (manager *Manager) Resign(now time.Duration, only ...string) []Send {
 	for i, d := range manager.duties {
 		stops := len(only) == 0
 		if !stops && !slices.Contains(only, d) {
--- a/internal/lease/lease_test.go
+++ b/internal/lease/lease_test.go
@@ -74,7 +74,7 @@
 				b.After(span, func() { b.Cut(n, o, false) })
 			case 2:
 				if ms[n] != nil {
-					put(n, ms[n].Leave(clock(n)))
+					put(n, ms[n].Resign(clock(n)))
 				}
 			}
 			b.After(time.Duration(b.Rng.IntN(2000))*time.Millisecond, trouble)
--- a/internal/lease/lives_test.go
+++ b/internal/lease/lives_test.go
@@ -136,7 +136,7 @@
 		t.Fatal("alone, it does not hold")
 	}
 	left := now
-	manager.Leave(now)
+	manager.Resign(now)
 	manager.SetElectorate(now, 2, []string{"a", "b"}, false)
 	for ; now < left+constants.LeaseLength*4; now += constants.LeaseTick {
 		if out := manager.Tick(now); len(out) > 0 {
--- a/internal/modelcheck/chainmodel/duties.go
+++ b/internal/modelcheck/chainmodel/duties.go
@@ -105,7 +105,7 @@
 		case duty.Order:
 			m.run(n, func(c *chain.Chain) []chain.Effect { return c.Act(m.world.Now, x) })
 		case duty.Yield:
-			m.sendLease(n, m.dutyHolders[n].lease.Leave(m.world.Now, dutyName))
+			m.sendLease(n, m.dutyHolders[n].lease.Resign(m.world.Now, dutyName))
 		case duty.Act:
 			if _, ok := m.dutyHolders[n].lease.Holds(m.world.Now, dutyName); !ok {
 				m.broken(RuleLeased, "%s sends key %d under fence %d", n, x.Key, x.Fence)
--- a/internal/modelcheck/chainmodel/machines.go
+++ b/internal/modelcheck/chainmodel/machines.go
@@ -63,7 +63,7 @@
 	well := m.allHealthy() && m.chain[n].CanLeave() && len(m.leaving) == 0
 	m.lose(n, true)
 	if o := m.dutyHolders[n]; o != nil {
-		m.sendLease(n, o.lease.Leave(m.world.Now))
+		m.sendLease(n, o.lease.Resign(m.world.Now))
 	}
 	m.leaving[n] = leave{m.world.Now, m.world.Life(n), m.faults, forGood, well}
 	m.run(n, func(c *chain.Chain) []chain.Effect { return c.Leave(m.world.Now) })
--- a/internal/modelcheck/leasemodel/leasemodel.go
+++ b/internal/modelcheck/leasemodel/leasemodel.go
@@ -234,7 +234,7 @@
 	case "start":
 		m.start(f[1])
 	case "yield":
-		m.put(f[1], m.managers[f[1]].Leave(m.clock(f[1])))
+		m.put(f[1], m.managers[f[1]].Resign(m.clock(f[1])))
 	case "elect":
 		m.elect(f[1])
 	}
