--- a/internal/controlplane/chain/duties_test.go
+++ b/internal/controlplane/chain/duties_test.go
@@ -129,7 +129,7 @@
 			w.run(n, life, func(ch *Chain) []Effect { return ch.Act(w.network.Now, x) })
 		case duty.Yield:
 			w.lease(n, w.leases[n].Resign(w.network.Now, testDuty))
-		case duty.Act:
+		case duty.Call:
 			if _, ok := w.leases[n].Holds(w.network.Now, testDuty); !ok {
 				w.fail("%s sends %d under fence %d without the lease", n, x.Key, x.Fence)
 			}
@@ -139,7 +139,7 @@
 }
 
 // platform takes a call, checks the rules, and answers, perhaps late or never.
-func (w *dutyCluster) platform(n string, life int, p duty.Act) {
+func (w *dutyCluster) platform(n string, life int, p duty.Call) {
 	if w.platformDown {
 		w.lost++
 		return
--- a/internal/controlplane/duties.go
+++ b/internal/controlplane/duties.go
@@ -112,7 +112,7 @@
 		case duty.Yield:
 			d.events.Record("duty_refused", p.name+": the platform has seen a higher fence")
 			d.leases.leave(p.name)
-		case duty.Act:
+		case duty.Call:
 			ctx, cancel := context.WithTimeout(context.Background(), constants.DutyTimeout)
 			p.mu.Lock()
 			p.cancel, p.calling = cancel, o.ID
@@ -136,7 +136,7 @@
 }
 
 // act sends what was decided, in as many calls as it takes; status 0 is no answer.
-func (d *Daemon) act(ctx context.Context, p *dutyRunner, o duty.Act) int {
+func (d *Daemon) act(ctx context.Context, p *dutyRunner, o duty.Call) int {
 	if p.split == nil {
 		return d.call(ctx, p, o.Fence, o.Body)
 	}
--- a/internal/duty/duty_test.go
+++ b/internal/duty/duty_test.go
@@ -45,9 +45,9 @@
 
 func none(uint64) (uint64, []byte, bool) { return 0, nil, false }
 
-func posts(out []Effect) (ps []Act) {
+func posts(out []Effect) (ps []Call) {
 	for _, o := range out {
-		if p, ok := o.(Act); ok {
+		if p, ok := o.(Call); ok {
 			ps = append(ps, p)
 		}
 	}
@@ -113,7 +113,7 @@
 	for now := time.Duration(0); now < 3*time.Minute && !order; now += constants.DutyTick {
 		for _, x := range h.Step(now, time.Hour, rec, func(uint64) (uint64, []byte, bool) { return 2, nil, true }) {
 			switch x := x.(type) {
-			case Act:
+			case Call:
 				if n > 0 && now-last < time.Duration(float64(time.Second)/(2*constants.DutyRatePart)) {
 					t.Fatalf("calls %v apart", now-last)
 				}
--- a/internal/duty/holder.go
+++ b/internal/duty/holder.go
@@ -12,13 +12,13 @@
 type Effect interface{ effect() }
 
 func (Order) effect()  {}
-func (Act) effect()    {}
+func (Call) effect()   {}
 func (Cancel) effect() {}
 func (Yield) effect()  {}
 
-// Act is an act to send: the bytes that were decided, under the holder's fence.
+// Call is an act to send: the bytes that were decided, under the holder's fence.
 // A call still under way when the lease is lost is cut.
-type Act struct {
+type Call struct {
 	ID    uint64
 	Fence uint64
 	Key   uint64
@@ -108,7 +108,7 @@
 			h.calls++
 			h.calling, h.callingKey, h.calledAt = h.calls, rec.Key, now
 			h.nextCallAt = now + h.spacing
-			out = append(out, Act{h.calls, rec.Fence, rec.Key, rec.Body})
+			out = append(out, Call{h.calls, rec.Fence, rec.Key, rec.Body})
 		}
 		if !h.Latest && h.failures < constants.DutyGiveUp {
 			return out
--- a/internal/modelcheck/chainmodel/duties.go
+++ b/internal/modelcheck/chainmodel/duties.go
@@ -106,7 +106,7 @@
 			m.run(n, func(c *chain.Chain) []chain.Effect { return c.Act(m.world.Now, x) })
 		case duty.Yield:
 			m.sendLease(n, m.dutyHolders[n].lease.Resign(m.world.Now, dutyName))
-		case duty.Act:
+		case duty.Call:
 			if _, ok := m.dutyHolders[n].lease.Holds(m.world.Now, dutyName); !ok {
 				m.broken(RuleLeased, "%s sends key %d under fence %d", n, x.Key, x.Fence)
 			}
@@ -117,7 +117,7 @@
 }
 
 // post is a call at the platform; its answer may find its caller frozen or gone.
-func (m *Model) post(n string, life int, p duty.Act) {
+func (m *Model) post(n string, life int, p duty.Call) {
 	f := &m.platform
 	if f.down {
 		return
