--- a/internal/controlplane/chain/duties_test.go
+++ b/internal/controlplane/chain/duties_test.go
@@ -171,7 +171,7 @@
 	}
 	w.network.After(wait, func() {
 		w.network.Send("platform", n, func() {
-			w.later(n, life, func() { w.carry(n, w.holders[n].Answered(w.network.Now, p.ID, status)) })
+			w.later(n, life, func() { w.carry(n, w.holders[n].HandleResponse(w.network.Now, p.ID, status)) })
 		})
 	})
 }
--- a/internal/controlplane/duties.go
+++ b/internal/controlplane/duties.go
@@ -121,7 +121,7 @@
 				defer cancel()
 				status := d.act(ctx, p, o)
 				p.mu.Lock()
-				more := p.holder.Answered(d.now(), o.ID, status)
+				more := p.holder.HandleResponse(d.now(), o.ID, status)
 				p.mu.Unlock()
 				if status != http.StatusOK {
 					d.events.Count("duty_call_failed", 1)
--- a/internal/duty/duty_test.go
+++ b/internal/duty/duty_test.go
@@ -81,7 +81,7 @@
 	if out := h.Step(1100*time.Millisecond, 0, mine, none); len(out) != 1 || out[0] != any(Cancel{ps[0].ID}) {
 		t.Fatalf("the call is cut with the lease: %v", out)
 	}
-	if out := h.Answered(1200*time.Millisecond, ps[0].ID, 200); out != nil || h.Accepted != 0 {
+	if out := h.HandleResponse(1200*time.Millisecond, ps[0].ID, 200); out != nil || h.Accepted != 0 {
 		t.Error("the answer to a call that was cut counts")
 	}
 	back := mine
@@ -95,7 +95,7 @@
 	if len(ps) != 1 {
 		t.Fatal("it never acts again")
 	}
-	if out := h.Answered(6*time.Second, ps[0].ID, 409); len(out) != 1 || out[0] != any(Yield{}) {
+	if out := h.HandleResponse(6*time.Second, ps[0].ID, 409); len(out) != 1 || out[0] != any(Yield{}) {
 		t.Fatalf("refused, it steps down: %v", out)
 	}
 	out := h.Step(7*time.Second, time.Hour, back, none)
@@ -118,7 +118,7 @@
 					t.Fatalf("calls %v apart", now-last)
 				}
 				n, last = n+1, now
-				h.Answered(now, x.ID, []int{0, 500, 429}[n%3])
+				h.HandleResponse(now, x.ID, []int{0, 500, 429}[n%3])
 			case Order:
 				order = x.Key == 2
 			}
--- a/internal/duty/holder.go
+++ b/internal/duty/holder.go
@@ -140,8 +140,8 @@
 	h.nextCallAt = max(h.nextCallAt, now+pause/2+time.Duration(h.rng.Int64N(int64(pause))))
 }
 
-// Answered takes the platform's answer to a call; status 0 is none.
-func (h *Holder) Answered(now time.Duration, id uint64, status int) []Effect {
+// HandleResponse takes the platform's answer to a call; status 0 is none.
+func (h *Holder) HandleResponse(now time.Duration, id uint64, status int) []Effect {
 	if id != h.calling || id == 0 {
 		return nil
 	}
--- a/internal/modelcheck/chainmodel/duties.go
+++ b/internal/modelcheck/chainmodel/duties.go
@@ -139,7 +139,7 @@
 	}
 	m.world.After(modelcheck.Delay, func() {
 		if m.world.Life(n) == life && m.world.Up(n) {
-			m.world.Act(n, func() { m.carryOut(n, m.dutyHolders[n].holder.Answered(m.world.Now, p.ID, status)) })
+			m.world.Act(n, func() { m.carryOut(n, m.dutyHolders[n].holder.HandleResponse(m.world.Now, p.ID, status)) })
 		}
 	})
 }
