--- a/internal/controlplane/daemon.go
+++ b/internal/controlplane/daemon.go
@@ -200,7 +200,7 @@
 	if d.settings.HasDuty(settings.DutyScaling) {
 		duties = append(duties, settings.DutyScaling)
 		runner := d.newDutyRunner(settings.DutyScaling, "/scaling", d.planScaling)
-		runner.split, runner.holder.Latest = autoscale.Split, true
+		runner.split, runner.holder.LatestOnly = autoscale.Split, true
 		d.dutyRunners = append(d.dutyRunners, runner)
 	}
 	return duties
--- a/internal/duty/holder.go
+++ b/internal/duty/holder.go
@@ -40,9 +40,9 @@
 	spacing    time.Duration // between two calls to the platform
 	rng        *rand.Rand
 
-	// Latest says that a newer decision may overtake one the platform has not
+	// LatestOnly says that a newer decision may overtake one the platform has not
 	// taken: a level that is set, not an event that is told.
-	Latest bool
+	LatestOnly bool
 
 	refused     uint64        // fence the platform has turned away
 	fence       uint64        // fence under which this life acts; 0 none
@@ -110,7 +110,7 @@
 			h.nextCallAt = now + h.spacing
 			out = append(out, Call{h.calls, rec.Fence, rec.Key, rec.Body})
 		}
-		if !h.Latest && h.failures < constants.DutyGiveUp {
+		if !h.LatestOnly && h.failures < constants.DutyGiveUp {
 			return out
 		}
 	}
