--- a/internal/counter/checker_test.go
+++ b/internal/counter/compaction_test.go
@@ -16,10 +16,10 @@
 
 func (s mapStore) Get(key string, value any) bool {
 	switch kept := s[key].(type) {
-	case saved[string, Count]:
-		*value.(*saved[string, Count]) = kept
-	case savedRound[string, Count]:
-		*value.(*savedRound[string, Count]) = kept
+	case savedState[string, Count]:
+		*value.(*savedState[string, Count]) = kept
+	case savedIncrement[string, Count]:
+		*value.(*savedIncrement[string, Count]) = kept
 	default:
 		return false
 	}
@@ -45,10 +45,10 @@
 	failure   string
 }
 
-// compactionTruth is what the lives of the checked world have counted.
+// compactionTruth is what the incarnations of the checked world have counted.
 const compactionTruth = 5
 
-// newCheckedWorld is a world in which two lives, one of them over, are held by a majority
+// newCheckedWorld is a world in which two incarnations, one of them over, are held by a majority
 // and a compaction is due.
 func newCheckedWorld() *checkedWorld {
 	w := &checkedWorld{names: []string{"a", "b", "c"}, groups: map[string]*Group[string, Count]{}, stores: map[string]mapStore{}, leader: "a"}
@@ -173,7 +173,7 @@
 			t.Fatalf("schedule %v: %s, published %d at last", choices, w.failure, w.published)
 		}
 		if _, folded := w.groups[w.leader].IncarnationCounts(); folded != 1 {
-			t.Fatalf("schedule %v: %d lives are folded, one is over", choices, folded)
+			t.Fatalf("schedule %v: %d incarnations are folded, one is over", choices, folded)
 		}
 		i := depth - 1
 		for ; i >= 0; i-- {
--- a/internal/counter/group.go
+++ b/internal/counter/group.go
@@ -18,7 +18,7 @@
 	RoundInterval             time.Duration // between two rounds of replication
 	ResendTimeout             time.Duration // an answer that has not come by then is asked for again
 	CompactionInterval        time.Duration // between two proposals of a base
-	IncarnationsPerCompaction int           // lives folded at once
+	IncarnationsPerCompaction int           // incarnations folded at once
 	MaxCellsPerMessage        int           // cells in one message
 	MaxIncrementalSaves       int           // rounds kept on disk by themselves before the whole is written
 }
@@ -27,50 +27,50 @@
 // while the machine is the leader, the rounds that bring deltas to a majority of replicas.
 // It has no clock, network or lease of its own and is not safe for concurrent use.
 type Group[K comparable, V Value[V]] struct {
-	group    int
-	machine  string
-	options  Options
-	store    Store
-	replica  *Replica[K, V]
-	promised Ballot
-	saves    int
-	copies   uint64 // sent so far
-	start    uint64 // number of this process's start
-	fresh    bool   // the disk has no copy: this replica promises nothing until it was given one
-	copying  copying
-	failed   error // the disk's; nothing is promised or answered until it is mended
-	leader   *leader[K, V]
-	out      []Send
+	groupID          int
+	machine          string
+	options          Options
+	store            Store
+	replica          *Replica[K, V]
+	promised         Ballot
+	incrementalSaves int
+	snapshotsSent    uint64 // sent so far
+	start            uint64 // number of this process's start
+	needsCopy        bool   // the disk has no copy: this replica promises nothing until it was given one
+	copyProgress     copyProgress
+	diskErr          error // the disk's; nothing is promised or answered until it is mended
+	leader           *leader[K, V]
+	outbox           []Send
 
 	Refused uint64 // deltas that were garbled or went beyond a final version
 }
 
-// copying notes which parts of a copy have come.
-type copying struct {
+// copyProgress notes which parts of a copy have come.
+type copyProgress struct {
 	ballot Ballot
 	round  uint64
 	parts  map[int]bool
 }
 
 // add notes a part; true once all are there.
-func (c *copying) add(ballot Ballot, round uint64, part, parts int) bool {
+func (c *copyProgress) add(ballot Ballot, round uint64, part, parts int) bool {
 	if c.parts == nil || c.ballot != ballot || c.round != round {
-		*c = copying{ballot, round, map[int]bool{}}
+		*c = copyProgress{ballot, round, map[int]bool{}}
 	}
 	c.parts[part] = true
 	return len(c.parts) == parts
 }
 
-// saved is the whole of a replica on disk.
-type saved[K comparable, V Value[V]] struct {
+// savedState is the whole of a replica on disk.
+type savedState[K comparable, V Value[V]] struct {
 	Promised Ballot
 	Base     Base[K, V]
 	Proposed Base[K, V]
 	Deltas   []Delta[K, V]
 }
 
-// savedRound is what has come since the whole was written.
-type savedRound[K comparable, V Value[V]] struct {
+// savedIncrement is what has come since the whole was written.
+type savedIncrement[K comparable, V Value[V]] struct {
 	Promised Ballot
 	Deltas   []Delta[K, V]
 }
@@ -79,38 +79,38 @@
 // deployment starts for the first time; else an empty disk has lost what it held. Start
 // is a number that no other start of the process has, and not zero.
 func NewGroup[K comparable, V Value[V]](group int, machine string, options Options, store Store, founding bool, start uint64) *Group[K, V] {
-	g := &Group[K, V]{group: group, machine: machine, options: options, store: store, replica: NewReplica[K, V](), start: start, fresh: true}
+	g := &Group[K, V]{groupID: group, machine: machine, options: options, store: store, replica: NewReplica[K, V](), start: start, needsCopy: true}
 	g.load()
-	if g.fresh && founding {
-		g.fresh = false
-		g.saveWhole()
+	if g.needsCopy && founding {
+		g.needsCopy = false
+		g.saveState()
 	}
 	return g
 }
 
-func (g *Group[K, V]) wholeKey() string { return "counters-" + strconv.Itoa(g.group) }
+func (g *Group[K, V]) stateKey() string { return "counters-" + strconv.Itoa(g.groupID) }
 
-func (g *Group[K, V]) roundKey(i int) string { return g.wholeKey() + "-" + strconv.Itoa(i) }
+func (g *Group[K, V]) incrementKey(i int) string { return g.stateKey() + "-" + strconv.Itoa(i) }
 
 // load merges the whole and the rounds after it. Rounds before it may still stand there;
 // merging them changes nothing.
 func (g *Group[K, V]) load() {
-	var whole saved[K, V]
-	if g.store.Get(g.wholeKey(), &whole) {
-		g.fresh, g.promised = false, whole.Promised
-		g.replica.Base, g.replica.Proposed = whole.Base, whole.Proposed
-		g.mergeAll(whole.Deltas)
+	var state savedState[K, V]
+	if g.store.Get(g.stateKey(), &state) {
+		g.needsCopy, g.promised = false, state.Promised
+		g.replica.Base, g.replica.Proposed = state.Base, state.Proposed
+		g.mergeAll(state.Deltas)
 	}
-	for i := 0; i < g.options.MaxIncrementalSaves && !g.fresh; i++ {
-		var next savedRound[K, V]
-		if g.store.Get(g.roundKey(i), &next) {
-			if g.promised.Less(next.Promised) {
-				g.promised = next.Promised
+	for i := 0; i < g.options.MaxIncrementalSaves && !g.needsCopy; i++ {
+		var increment savedIncrement[K, V]
+		if g.store.Get(g.incrementKey(i), &increment) {
+			if g.promised.Less(increment.Promised) {
+				g.promised = increment.Promised
 			}
-			g.mergeAll(next.Deltas)
+			g.mergeAll(increment.Deltas)
 		}
 	}
-	g.saves = g.options.MaxIncrementalSaves // the rounds are needed until the whole has been written
+	g.incrementalSaves = g.options.MaxIncrementalSaves // the rounds are needed until the whole has been written
 }
 
 func (g *Group[K, V]) mergeAll(deltas []Delta[K, V]) {
@@ -123,39 +123,39 @@
 
 // save makes deltas last; true if they do.
 func (g *Group[K, V]) save(deltas []Delta[K, V]) bool {
-	if g.fresh || g.failed != nil || g.saves == g.options.MaxIncrementalSaves {
-		return g.saveWhole()
+	if g.needsCopy || g.diskErr != nil || g.incrementalSaves == g.options.MaxIncrementalSaves {
+		return g.saveState()
 	}
-	g.failed = g.store.Put(g.roundKey(g.saves), savedRound[K, V]{g.promised, deltas})
-	if g.failed == nil {
-		g.saves++
+	g.diskErr = g.store.Put(g.incrementKey(g.incrementalSaves), savedIncrement[K, V]{g.promised, deltas})
+	if g.diskErr == nil {
+		g.incrementalSaves++
 	}
-	return g.failed == nil
+	return g.diskErr == nil
 }
 
-// saveWhole writes the whole copy; a replica without one has nothing to write.
-func (g *Group[K, V]) saveWhole() bool {
-	if g.fresh {
+// saveState writes the whole copy; a replica without one has nothing to write.
+func (g *Group[K, V]) saveState() bool {
+	if g.needsCopy {
 		return true
 	}
-	whole := saved[K, V]{Promised: g.promised, Base: g.replica.Base, Proposed: g.replica.Proposed}
-	for id, life := range g.replica.Incarnations {
-		whole.Deltas = append(whole.Deltas, life.since(id, 0))
+	state := savedState[K, V]{Promised: g.promised, Base: g.replica.Base, Proposed: g.replica.Proposed}
+	for id, incarnation := range g.replica.Incarnations {
+		state.Deltas = append(state.Deltas, incarnation.since(id, 0))
 	}
-	if g.failed = g.store.Put(g.wholeKey(), whole); g.failed != nil {
+	if g.diskErr = g.store.Put(g.stateKey(), state); g.diskErr != nil {
 		return false
 	}
-	g.saves = 0
+	g.incrementalSaves = 0
 	return true
 }
 
 func (g *Group[K, V]) send(to string, message any) {
-	g.out = append(g.out, Send{to, message})
+	g.outbox = append(g.outbox, Send{to, message})
 }
 
-func (g *Group[K, V]) flush() []Send {
-	out := g.out
-	g.out = nil
+func (g *Group[K, V]) takeOutbox() []Send {
+	out := g.outbox
+	g.outbox = nil
 	return out
 }
 
@@ -167,23 +167,23 @@
 // Totals are the sums of what a majority holds, and how old that knowledge is; false
 // unless this machine leads. The cells must not be changed.
 func (g *Group[K, V]) Totals(now time.Duration) (Cells[K, V], time.Duration, bool) {
-	if !g.Leading() || !g.leader.whole || g.leader.unproven {
+	if !g.Leading() || !g.leader.totalsReady || g.leader.unconfirmed {
 		return nil, 0, false
 	}
 	return g.leader.totals, now - g.leader.totalsAt, true
 }
 
-// IncarnationCounts is the number of lives that are not in the base, and of those in it.
+// IncarnationCounts is the number of incarnations that are not in the base, and of those in it.
 func (g *Group[K, V]) IncarnationCounts() (open, folded int) {
 	return len(g.replica.Incarnations), len(g.replica.Base.Folded)
 }
 
-// OpenIncarnations are the lives that have not ended, by id, with their nodes.
+// OpenIncarnations are the incarnations that have not ended, by id, with their nodes.
 func (g *Group[K, V]) OpenIncarnations() map[IncarnationID]string {
 	out := map[IncarnationID]string{}
-	for id, life := range g.replica.Incarnations {
-		if life.Final == 0 {
-			out[id] = life.Node
+	for id, incarnation := range g.replica.Incarnations {
+		if incarnation.Final == 0 {
+			out[id] = incarnation.Node
 		}
 	}
 	return out
@@ -204,15 +204,15 @@
 	case g.leader == nil || !slices.Equal(g.leader.replicas, replicas):
 		g.campaign(now, replicas)
 	case !g.leader.ready:
-		if now-g.leader.askedAt >= backoff(g.options.ResendTimeout, g.leader.asks) {
+		if now-g.leader.prepareSentAt >= backoff(g.options.ResendTimeout, g.leader.prepareAttempts) {
 			g.prepare(now)
 		}
 	case g.leader.round != nil:
-		g.resend(now)
-	case now-g.leader.roundAt >= g.options.RoundInterval || !g.leader.whole || g.leader.unproven:
-		g.begin(now)
+		g.resendRound(now)
+	case now-g.leader.roundAt >= g.options.RoundInterval || !g.leader.totalsReady || g.leader.unconfirmed:
+		g.startRound(now)
 	}
-	return g.flush()
+	return g.takeOutbox()
 }
 
 // promise notes on disk that no lower ballot is accepted any more; a leader under one
@@ -221,7 +221,7 @@
 	if ballot.Less(g.promised) {
 		return false
 	}
-	if ballot == g.promised && g.failed == nil {
+	if ballot == g.promised && g.diskErr == nil {
 		return true
 	}
 	if g.leader != nil && g.leader.ballot != ballot {
@@ -245,26 +245,26 @@
 	case Reject:
 		g.onReject(m)
 	}
-	return g.flush()
+	return g.takeOutbox()
 }
 
 func (g *Group[K, V]) onPrepare(from string, m Prepare) {
 	if m.Ballot.Less(g.promised) {
-		g.send(from, Reject{g.group, g.promised})
+		g.send(from, Reject{g.groupID, g.promised})
 		return
 	}
-	if g.fresh || !g.promise(m.Ballot) {
+	if g.needsCopy || !g.promise(m.Ballot) {
 		return
 	}
-	g.copies++
-	for _, part := range promises(g.group, m.Ballot, SnapshotID{g.start, g.copies}, g.replica, g.options.MaxCellsPerMessage) {
+	g.snapshotsSent++
+	for _, part := range splitSnapshot(g.groupID, m.Ballot, SnapshotID{g.start, g.snapshotsSent}, g.replica, g.options.MaxCellsPerMessage) {
 		g.send(from, part)
 	}
 }
 
 func (g *Group[K, V]) onReplicate(from string, m Replicate[K, V]) {
 	if m.Ballot.Less(g.promised) {
-		g.send(from, Reject{g.group, g.promised})
+		g.send(from, Reject{g.groupID, g.promised})
 		return
 	}
 	if g.promised.Less(m.Ballot) && !g.promise(m.Ballot) {
@@ -275,14 +275,14 @@
 
 // accept takes a round in and answers once the disk holds it.
 func (g *Group[K, V]) accept(from string, m Replicate[K, V]) {
-	answer := Replicated{Group: g.group, Ballot: m.Ballot, Round: m.Round, Part: m.Part}
-	if g.fresh && m.Whole != g.start {
+	answer := Replicated{Group: g.groupID, Ballot: m.Ballot, Round: m.Round, Part: m.Part}
+	if g.needsCopy && m.Whole != g.start {
 		answer.Fresh = g.start
 		g.send(from, answer)
 		return
 	}
-	before := g.replica.Base.ID()
-	if !g.takeBase(m) {
+	previousBase := g.replica.Base.ID()
+	if !g.applyBase(m) {
 		return
 	}
 	answer.NeedBase = g.replica.Base.ID().Less(m.Agreed)
@@ -295,13 +295,13 @@
 			answer.Gaps = append(answer.Gaps, delta.Life)
 		}
 	}
-	if g.fresh && !g.copying.add(m.Ballot, m.Round, m.Part, m.Parts) {
+	if g.needsCopy && !g.copyProgress.add(m.Ballot, m.Round, m.Part, m.Parts) {
 		return // more of the copy is to come
 	}
-	g.fresh = false
+	g.needsCopy = false
 	saved := false
-	if m.Whole > 0 || m.Base != nil || before != g.replica.Base.ID() {
-		saved = g.saveWhole()
+	if m.Whole > 0 || m.Base != nil || previousBase != g.replica.Base.ID() {
+		saved = g.saveState()
 	} else {
 		saved = g.save(merged)
 	}
@@ -310,8 +310,8 @@
 	}
 }
 
-// takeBase notes the base of a round; false if it is an old one.
-func (g *Group[K, V]) takeBase(m Replicate[K, V]) bool {
+// applyBase notes the base of a round; false if it is an old one.
+func (g *Group[K, V]) applyBase(m Replicate[K, V]) bool {
 	switch {
 	case m.Base == nil:
 	case m.Base.ID() == m.Agreed:
--- a/internal/counter/group_test.go
+++ b/internal/counter/group_test.go
@@ -14,20 +14,20 @@
 
 // replicaMachine is one machine of the simulated group.
 type replicaMachine struct {
-	name  string
-	disk  *simnet.Disk
-	group *Group[string, Count]
-	life  int
-	up    bool
-	until time.Duration // frozen until then
+	name        string
+	disk        *simnet.Disk
+	group       *Group[string, Count]
+	incarnation int
+	up          bool
+	until       time.Duration // frozen until then
 }
 
-// writerProcess is one writing process and the lives that ended on its machine before it.
+// writerProcess is one writing process and the incarnations that ended on its machine before it.
 type writerProcess struct {
 	name    string
 	current *Writer[string, Count]
 	ended   []*Writer[string, Count]
-	cells   Cells[string, Count] // of the current life, as a journal would hold them
+	cells   Cells[string, Count] // of the current incarnation, as a journal would hold them
 }
 
 // simulation is a group of replicas, an oracle that elects, and writers.
@@ -60,23 +60,23 @@
 
 func (s *simulation) start(name string, founding bool) {
 	m := s.machines[name]
-	m.life++
+	m.incarnation++
 	m.up = true
-	m.group = NewGroup[string, Count](0, name, testOptions, m.disk, founding, uint64(m.life))
-	s.tick(m, m.life)
+	m.group = NewGroup[string, Count](0, name, testOptions, m.disk, founding, uint64(m.incarnation))
+	s.tick(m, m.incarnation)
 }
 
 func (s *simulation) kill(name string) {
 	m := s.machines[name]
 	m.up = false
-	m.life++
+	m.incarnation++
 }
 
-func (s *simulation) tick(m *replicaMachine, life int) {
-	if m.life != life {
+func (s *simulation) tick(m *replicaMachine, incarnation int) {
+	if m.incarnation != incarnation {
 		return
 	}
-	s.After(s.turn, func() { s.tick(m, life) })
+	s.After(s.turn, func() { s.tick(m, incarnation) })
 	if s.Now >= m.until {
 		s.put(m.name, m.group.Tick(s.Now, s.leader == m.name, s.names))
 		s.observe(m)
@@ -145,13 +145,13 @@
 	s.truth[key]++
 }
 
-// restart ends a writer's life; the next process tells what the journal holds of it.
+// restart ends a writer's incarnation; the next process tells what the journal holds of it.
 func (s *simulation) restart(w *writerProcess) {
 	w.ended = append(w.ended, RecoverWriter(w.name, w.current.Incarnation(), w.current.SentVersion(), w.cells))
 	w.current, w.cells = NewWriter[string, Count](w.name, IncarnationID(s.Rng.Uint64()|1)), Cells[string, Count]{}
 }
 
-// report tells the leader of all lives that it does not hold.
+// report tells the leader of all incarnations that it does not hold.
 func (s *simulation) report(w *writerProcess) {
 	w.ended = slices.DeleteFunc(w.ended, (*Writer[string, Count]).Finished)
 	for _, writer := range append(slices.Clone(w.ended), w.current) {
@@ -219,7 +219,7 @@
 	m := s.machines[victim]
 	other := s.names[s.Rng.IntN(len(s.names))]
 	for _, name := range s.names {
-		if !s.machines[name].up || s.machines[name].group.fresh {
+		if !s.machines[name].up || s.machines[name].group.needsCopy {
 			return // one at a time
 		}
 	}
@@ -256,7 +256,7 @@
 }
 
 // TestTotalsAgainstModel plays seeded runs with kills, wipes, cuts, freezes, refusing disks,
-// lost and doubled messages, leaders that change, and lives that end and are folded.
+// lost and doubled messages, leaders that change, and incarnations that end and are folded.
 func TestTotalsAgainstModel(t *testing.T) {
 	folded := 0
 	for seed := uint64(1); seed <= 120; seed++ {
@@ -274,12 +274,12 @@
 		folded += n
 		for _, w := range s.writers {
 			if len(w.ended) > 1 {
-				t.Errorf("seed %d: %d lives of %s are still told", seed, len(w.ended), w.name)
+				t.Errorf("seed %d: %d incarnations of %s are still told", seed, len(w.ended), w.name)
 			}
 		}
 	}
 	if folded == 0 {
-		t.Error("no life was folded in any run")
+		t.Error("no incarnation was folded in any run")
 	}
 }
 
@@ -307,12 +307,12 @@
 		s.onMessage = nil
 		s.settle(2 * time.Second)
 		if _, folded := s.machines[s.leader].group.IncarnationCounts(); folded == 0 {
-			t.Errorf("%s: the ended life was never folded", s.label)
+			t.Errorf("%s: the ended incarnation was never folded", s.label)
 		}
 	}
 }
 
-// TestMergeLaws merges the deltas of a few lives in every order, and some of them twice:
+// TestMergeLaws merges the deltas of a few incarnations in every order, and some of them twice:
 // all replicas come to the same totals.
 func TestMergeLaws(t *testing.T) {
 	a, b := NewWriter[string, Count]("a", 1), NewWriter[string, Count]("b", 2)
@@ -331,7 +331,7 @@
 	order = func(left, taken []int) {
 		r := NewReplica[string, Count]()
 		for _, i := range taken {
-			if err := r.Merge(deltas[i]); err != nil && i != 1 { // the closed life's older delta
+			if err := r.Merge(deltas[i]); err != nil && i != 1 { // the closed incarnation's older delta
 				t.Fatalf("%v: delta %d: %v", taken, i, err)
 			}
 		}
--- a/internal/counter/life.go
+++ b/internal/counter/incarnation.go
@@ -5,14 +5,14 @@
 	"fmt"
 )
 
-// IncarnationID names one process life. It is drawn at random and is never zero.
+// IncarnationID names one process incarnation. It is drawn at random and is never zero.
 type IncarnationID uint64
 
-// Delta is what changed in the cells of a life between two of its versions. Its cells are
+// Delta is what changed in the cells of a incarnation between two of its versions. Its cells are
 // whole states, so that merging it again changes nothing.
 type Delta[K comparable, V Value[V]] struct {
 	Life   IncarnationID
-	Node   string // the machine that the life belongs to, for operators
+	Node   string // the machine that the incarnation belongs to, for operators
 	From   uint64 // the receiver must hold this version, or a later one
 	To     uint64
 	Closed bool // version To is the last one
@@ -22,15 +22,15 @@
 // Errors of a delta that cannot be merged. Nothing is changed by it.
 var (
 	ErrGap        = errors.New("delta begins after the version held")
-	ErrAfterClose = errors.New("delta goes beyond the final version of its life")
+	ErrAfterClose = errors.New("delta goes beyond the final version of its incarnation")
 	ErrMalformed  = errors.New("delta is garbled")
 )
 
-// Incarnation is a replica's copy of the cells of a life.
+// Incarnation is a replica's copy of the cells of a incarnation.
 type Incarnation[K comparable, V Value[V]] struct {
 	Node    string
 	Version uint64
-	Final   uint64 // the last version; 0 while the life goes on
+	Final   uint64 // the last version; 0 while the incarnation goes on
 	Cells   map[K]Versioned[V]
 }
 
@@ -40,7 +40,7 @@
 	Version uint64
 }
 
-// Complete reports whether the life is over and all of it is held.
+// Complete reports whether the incarnation is over and all of it is held.
 func (l *Incarnation[K, V]) Complete() bool { return l.Final > 0 && l.Version == l.Final }
 
 // check reports why a delta does not fit, without changing anything.
--- a/internal/counter/leader.go
+++ b/internal/counter/leader.go
@@ -7,42 +7,42 @@
 	"time"
 )
 
-// mostDoublings bounds the time between two sendings: eight times the first.
-const mostDoublings = 3
+// maxBackoffDoublings bounds the time between two sendings: eight times the first.
+const maxBackoffDoublings = 3
 
 // leader is what a machine knows while it leads.
 type leader[K comparable, V Value[V]] struct {
-	ballot     Ballot
-	replicas   []string // all machines that keep a copy, this one included
-	assemblies map[string]*assembly[K, V]
-	prepared   map[string]bool
-	askedAt    time.Duration
-	asks       int  // times that replicas were asked to prepare
-	ready      bool // a majority has answered
-	paused     bool // the lease has lapsed: nothing is proposed or published, the ballot stays
-	round      *round[K, V]
-	rounds     uint64
-	roundAt    time.Duration
-	foldAt     time.Duration
-	inbox      []Delta[K, V]
-	arrived    map[IncarnationID]uint64 // versions with the inbox
-	closing    map[IncarnationID]uint64 // final versions in the inbox
-	durable    map[IncarnationID]uint64 // versions that a majority holds
-	totals     Cells[K, V]              // of what a majority holds
-	holders    map[K]map[IncarnationID]struct{}
-	totalsAt   time.Duration
-	whole      bool   // totals have been computed
-	unproven   bool   // another machine may have led in a pause: nothing is published
-	proof      uint64 // the first round whose end shows that none has
-	empty      map[string]emptyReplica
+	ballot            Ballot
+	replicas          []string // all machines that keep a copy, this one included
+	assemblies        map[string]*snapshotAssembly[K, V]
+	prepared          map[string]bool
+	prepareSentAt     time.Duration
+	prepareAttempts   int  // times that replicas were asked to prepare
+	ready             bool // a majority has answered
+	paused            bool // the lease has lapsed: nothing is proposed or published, the ballot stays
+	round             *round[K, V]
+	lastRound         uint64
+	roundAt           time.Duration
+	compactedAt       time.Duration
+	inbox             []Delta[K, V]
+	receivedVersions  map[IncarnationID]uint64 // versions with the inbox
+	receivedFinals    map[IncarnationID]uint64 // final versions in the inbox
+	durableVersions   map[IncarnationID]uint64 // versions that a majority holds
+	totals            Cells[K, V]              // of what a majority holds
+	incarnationsByKey map[K]map[IncarnationID]struct{}
+	totalsAt          time.Duration
+	totalsReady       bool   // totals have been computed
+	unconfirmed       bool   // another machine may have led in a pause: nothing is published
+	confirmingRound   uint64 // the first round whose end shows that none has
+	emptyReplicas     map[string]emptyReplica
 }
 
 // emptyReplica is a replica whose disk has lost its copy. It has also forgotten which
 // ballots it accepts none below, so that it may be given a copy only by a leader whose
 // ballot a majority of the others has accepted since.
 type emptyReplica struct {
-	start uint64 // number of its process's start
-	after uint64 // the round under way as it was heard of
+	start      uint64 // number of its process's start
+	detectedIn uint64 // the round under way as it was heard of
 }
 
 // round is one that waits for a majority.
@@ -56,8 +56,8 @@
 	sends    map[string]int // by replica
 }
 
-// holders are the replicas that hold all parts.
-func (r *round[K, V]) holders() map[string]bool {
+// completeReplicas are the replicas that hold all parts.
+func (r *round[K, V]) completeReplicas() map[string]bool {
 	out := map[string]bool{}
 	for replica, parts := range r.acks {
 		out[replica] = len(parts) == len(r.parts)
@@ -66,12 +66,12 @@
 }
 
 // splitDeltas divides deltas into parts of a bounded number of cells, at least one.
-func splitDeltas[K comparable, V Value[V]](deltas []Delta[K, V], cellsAtOnce int) [][]Delta[K, V] {
+func splitDeltas[K comparable, V Value[V]](deltas []Delta[K, V], maxCells int) [][]Delta[K, V] {
 	parts := make([][]Delta[K, V], 1)
 	cells := 0
 	for _, delta := range deltas {
 		last := len(parts) - 1
-		if cells > 0 && cells+len(delta.Cells) > cellsAtOnce {
+		if cells > 0 && cells+len(delta.Cells) > maxCells {
 			parts = append(parts, nil)
 			last, cells = last+1, 0
 		}
@@ -84,37 +84,37 @@
 // campaign begins to lead under a ballot above all that are known here.
 func (g *Group[K, V]) campaign(now time.Duration, replicas []string) {
 	g.leader = &leader[K, V]{ballot: Ballot{g.promised.Counter + 1, g.machine, g.start}, replicas: slices.Clone(replicas),
-		assemblies: map[string]*assembly[K, V]{}, prepared: map[string]bool{}, durable: map[IncarnationID]uint64{},
-		arrived: map[IncarnationID]uint64{}, closing: map[IncarnationID]uint64{}, empty: map[string]emptyReplica{}, foldAt: now}
+		assemblies: map[string]*snapshotAssembly[K, V]{}, prepared: map[string]bool{}, durableVersions: map[IncarnationID]uint64{},
+		receivedVersions: map[IncarnationID]uint64{}, receivedFinals: map[IncarnationID]uint64{}, emptyReplicas: map[string]emptyReplica{}, compactedAt: now}
 	g.prepare(now)
 }
 
 func (g *Group[K, V]) prepare(now time.Duration) {
 	l := g.leader
-	l.askedAt = now
-	l.asks++
+	l.prepareSentAt = now
+	l.prepareAttempts++
 	if !g.promise(l.ballot) {
 		if l.ballot.Less(g.promised) {
 			g.leader = nil // the next tick campaigns above that ballot
 		}
 		return
 	}
-	l.prepared[g.machine] = !g.fresh
+	l.prepared[g.machine] = !g.needsCopy
 	for _, to := range l.replicas {
 		if to != g.machine && !l.prepared[to] {
 			if l.assemblies[to] == nil {
-				l.assemblies[to] = &assembly[K, V]{parts: map[int]Promise[K, V]{}}
+				l.assemblies[to] = &snapshotAssembly[K, V]{parts: map[int]Promise[K, V]{}}
 			}
-			g.send(to, Prepare{g.group, l.ballot})
+			g.send(to, Prepare{g.groupID, l.ballot})
 		}
 	}
-	g.tryReady()
+	g.tryBecomeReady()
 }
 
-func (l *leader[K, V]) majority(have map[string]bool) bool {
+func (l *leader[K, V]) hasMajority(members map[string]bool) bool {
 	count := 0
 	for _, replica := range l.replicas {
-		if have[replica] {
+		if members[replica] {
 			count++
 		}
 	}
@@ -131,26 +131,26 @@
 func (g *Group[K, V]) resume() {
 	l := g.leader
 	l.paused = false
-	l.unproven, l.proof = true, l.rounds+1
-	g.tryReady()
-	g.tryFinish()
+	l.unconfirmed, l.confirmingRound = true, l.lastRound+1
+	g.tryBecomeReady()
+	g.tryCompleteRound()
 }
 
-// tryReady begins to lead once a majority has answered. The highest base that any of them
+// tryBecomeReady begins to lead once a majority has answered. The highest base that any of them
 // holds is proposed anew, as it may have been agreed.
-func (g *Group[K, V]) tryReady() {
+func (g *Group[K, V]) tryBecomeReady() {
 	l := g.leader
-	if l.ready || l.paused || !l.majority(l.prepared) {
+	if l.ready || l.paused || !l.hasMajority(l.prepared) {
 		return
 	}
-	g.fresh = false // a majority's copies are in this one
-	if !g.saveWhole() {
-		g.fresh = true
+	g.needsCopy = false // a majority's copies are in this one
+	if !g.saveState() {
+		g.needsCopy = true
 		return
 	}
 	l.ready = true
 	for id := range g.replica.Incarnations {
-		l.arrived[id], _ = g.replica.Version(id)
+		l.receivedVersions[id], _ = g.replica.Version(id)
 	}
 }
 
@@ -164,7 +164,7 @@
 		g.Refused++
 		return Ack{}, false
 	}
-	ack := Ack{Term: l.ballot, Heard: l.arrived[delta.Life], Durable: l.durable[delta.Life]}
+	ack := Ack{Term: l.ballot, Heard: l.receivedVersions[delta.Life], Durable: l.durableVersions[delta.Life]}
 	if final, folded := g.replica.Base.Folded[delta.Life]; folded {
 		ack.Heard, ack.Durable = final, final
 	}
@@ -177,47 +177,47 @@
 	if _, folded := g.replica.Base.Folded[delta.Life]; folded {
 		return g.replica.Check(delta)
 	}
-	arrived := Incarnation[K, V]{Version: l.arrived[delta.Life]}
+	received := Incarnation[K, V]{Version: l.receivedVersions[delta.Life]}
 	if _, final := g.replica.Version(delta.Life); final > 0 {
-		arrived.Final = final
+		received.Final = final
 	}
-	if final, closed := l.closing[delta.Life]; closed {
-		arrived.Final = final
+	if final, closed := l.receivedFinals[delta.Life]; closed {
+		received.Final = final
 	}
-	if err := arrived.check(delta); err != nil {
+	if err := received.check(delta); err != nil {
 		return err
 	}
 	l.inbox = append(l.inbox, delta)
-	l.arrived[delta.Life] = max(arrived.Version, delta.To)
+	l.receivedVersions[delta.Life] = max(received.Version, delta.To)
 	if delta.Closed {
-		l.closing[delta.Life] = delta.To
+		l.receivedFinals[delta.Life] = delta.To
 	}
 	return nil
 }
 
-// begin starts a round with all that a majority is not known to hold.
-func (g *Group[K, V]) begin(now time.Duration) {
+// startRound starts a round with all that a majority is not known to hold.
+func (g *Group[K, V]) startRound(now time.Duration) {
 	l := g.leader
 	g.mergeAll(l.inbox)
 	if !g.save(l.inbox) {
 		return // the inbox is kept; merging it again changes nothing
 	}
 	l.inbox = nil
-	clear(l.closing)
-	l.rounds++
+	clear(l.receivedFinals)
+	l.lastRound++
 	l.roundAt = now
-	next := &round[K, V]{number: l.rounds, versions: map[IncarnationID]uint64{}, acks: map[string]map[int]bool{}, sentAt: map[string]time.Duration{}, sends: map[string]int{}}
+	next := &round[K, V]{number: l.lastRound, versions: map[IncarnationID]uint64{}, acks: map[string]map[int]bool{}, sentAt: map[string]time.Duration{}, sends: map[string]int{}}
 	var deltas []Delta[K, V]
-	for _, id := range g.replica.ids() {
-		life := g.replica.Incarnations[id]
-		if from, known := l.durable[id]; !known || life.Version > from {
-			next.versions[id] = life.Version
-			deltas = append(deltas, life.since(id, from))
+	for _, id := range g.replica.sortedIDs() {
+		incarnation := g.replica.Incarnations[id]
+		if from, known := l.durableVersions[id]; !known || incarnation.Version > from {
+			next.versions[id] = incarnation.Version
+			deltas = append(deltas, incarnation.since(id, from))
 		}
 	}
 	next.parts = splitDeltas(deltas, g.options.MaxCellsPerMessage)
 	if next.base = g.nextBase(now); next.base != nil {
-		if g.replica.Propose(*next.base) != nil || !g.saveWhole() {
+		if g.replica.Propose(*next.base) != nil || !g.saveState() {
 			return
 		}
 	}
@@ -228,45 +228,45 @@
 	}
 	for _, to := range l.replicas {
 		if to != g.machine {
-			g.replicateAll(now, to)
+			g.sendRound(now, to)
 		}
 	}
-	g.tryFinish()
+	g.tryCompleteRound()
 }
 
 // nextBase is the base to propose with the next round, if any.
 func (g *Group[K, V]) nextBase(now time.Duration) *Base[K, V] {
 	l := g.leader
-	if !l.whole {
+	if !l.totalsReady {
 		base := g.replica.Proposed
 		base.Ballot = l.ballot
 		return &base
 	}
-	if now-l.foldAt < g.options.CompactionInterval {
+	if now-l.compactedAt < g.options.CompactionInterval {
 		return nil
 	}
-	l.foldAt = now
+	l.compactedAt = now
 	if base, some := g.replica.Candidate(l.ballot, g.options.IncarnationsPerCompaction); some {
 		return &base
 	}
 	return nil
 }
 
-// replicateAll sends a replica the parts of the round that it has not acknowledged.
-func (g *Group[K, V]) replicateAll(now time.Duration, to string) {
+// sendRound sends a replica the parts of the round that it has not acknowledged.
+func (g *Group[K, V]) sendRound(now time.Duration, to string) {
 	l := g.leader
 	l.round.sentAt[to] = now
 	l.round.sends[to]++
 	for part, deltas := range l.round.parts {
 		if !l.round.acks[to][part] {
-			g.replicate(to, part, deltas)
+			g.sendPart(to, part, deltas)
 		}
 	}
 }
 
-func (g *Group[K, V]) replicate(to string, part int, deltas []Delta[K, V]) {
+func (g *Group[K, V]) sendPart(to string, part int, deltas []Delta[K, V]) {
 	l := g.leader
-	message := Replicate[K, V]{Group: g.group, Ballot: l.ballot, Round: l.round.number, Part: part, Deltas: deltas, Agreed: g.replica.Base.ID()}
+	message := Replicate[K, V]{Group: g.groupID, Ballot: l.ballot, Round: l.round.number, Part: part, Deltas: deltas, Agreed: g.replica.Base.ID()}
 	if part == 0 {
 		message.Base = l.round.base
 	}
@@ -276,42 +276,42 @@
 // backoff is the time until a message that was sent so many times is sent again. Sending
 // it sooner would load machines that are slow to answer because of their load.
 func backoff(first time.Duration, sends int) time.Duration {
-	return first << min(max(sends-1, 0), mostDoublings)
+	return first << min(max(sends-1, 0), maxBackoffDoublings)
 }
 
-func (g *Group[K, V]) resend(now time.Duration) {
+func (g *Group[K, V]) resendRound(now time.Duration) {
 	l := g.leader
 	for _, to := range l.replicas {
 		if now-l.round.sentAt[to] >= backoff(g.options.ResendTimeout, l.round.sends[to]) {
-			g.replicateAll(now, to)
+			g.sendRound(now, to)
 		}
 	}
 }
 
-// fill gives replicas whose disks were empty a copy, once a round that began after they
+// restoreEmptyReplicas gives replicas whose disks were empty a copy, once a round that began after they
 // were heard of has a majority without them.
-func (g *Group[K, V]) fill(finished uint64) {
+func (g *Group[K, V]) restoreEmptyReplicas(finished uint64) {
 	l := g.leader
-	for _, to := range slices.Sorted(maps.Keys(l.empty)) {
-		empty := l.empty[to]
-		if finished <= empty.after {
+	for _, to := range slices.Sorted(maps.Keys(l.emptyReplicas)) {
+		empty := l.emptyReplicas[to]
+		if finished <= empty.detectedIn {
 			continue
 		}
-		delete(l.empty, to)
+		delete(l.emptyReplicas, to)
 		g.sendCopy(to, empty.start, finished)
 	}
 }
 
-// sendCopy sends the base with the first part, and all lives.
+// sendCopy sends the base with the first part, and all incarnations.
 func (g *Group[K, V]) sendCopy(to string, start, round uint64) {
 	var deltas []Delta[K, V]
-	for _, id := range g.replica.ids() {
+	for _, id := range g.replica.sortedIDs() {
 		deltas = append(deltas, g.replica.DeltaSince(id, 0))
 	}
 	agreed := g.replica.Base
 	parts := splitDeltas(deltas, g.options.MaxCellsPerMessage)
 	for part, deltas := range parts {
-		message := Replicate[K, V]{Group: g.group, Ballot: g.leader.ballot, Round: round, Part: part, Parts: len(parts), Deltas: deltas, Agreed: agreed.ID(), Whole: start}
+		message := Replicate[K, V]{Group: g.groupID, Ballot: g.leader.ballot, Round: round, Part: part, Parts: len(parts), Deltas: deltas, Agreed: agreed.ID(), Whole: start}
 		if part == 0 {
 			message.Base = &agreed
 		}
@@ -319,59 +319,59 @@
 	}
 }
 
-// tryFinish ends the round once a majority holds it.
-func (g *Group[K, V]) tryFinish() {
+// tryCompleteRound ends the round once a majority holds it.
+func (g *Group[K, V]) tryCompleteRound() {
 	l := g.leader
-	if l.round == nil || l.paused || !l.majority(l.round.holders()) {
+	if l.round == nil || l.paused || !l.hasMajority(l.round.completeReplicas()) {
 		return
 	}
 	finished := l.round
 	l.round = nil
-	l.unproven = l.unproven && finished.number < l.proof
-	maps.Copy(l.durable, finished.versions)
+	l.unconfirmed = l.unconfirmed && finished.number < l.confirmingRound
+	maps.Copy(l.durableVersions, finished.versions)
 	l.totalsAt = l.roundAt
 	if finished.base != nil {
 		g.replica.Install(finished.base.Ballot, finished.base.Number)
 		for id := range g.replica.Base.Folded {
-			delete(l.durable, id)
-			delete(l.arrived, id)
+			delete(l.durableVersions, id)
+			delete(l.receivedVersions, id)
 		}
 	}
-	if !l.whole || finished.base != nil {
-		l.recompute(g.replica)
+	if !l.totalsReady || finished.base != nil {
+		l.recomputeTotals(g.replica)
 	} else {
 		for _, deltas := range finished.parts {
-			l.update(g.replica, deltas)
+			l.updateTotals(g.replica, deltas)
 		}
 	}
-	g.fill(finished.number)
+	g.restoreEmptyReplicas(finished.number)
 }
 
-// recompute adds everything up anew.
-func (l *leader[K, V]) recompute(replica *Replica[K, V]) {
-	l.totals, l.whole = replica.Totals(), true
-	l.holders = map[K]map[IncarnationID]struct{}{}
-	for id, life := range replica.Incarnations {
-		for key := range life.Cells {
-			l.hold(key, id)
+// recomputeTotals adds everything up anew.
+func (l *leader[K, V]) recomputeTotals(replica *Replica[K, V]) {
+	l.totals, l.totalsReady = replica.Totals(), true
+	l.incarnationsByKey = map[K]map[IncarnationID]struct{}{}
+	for id, incarnation := range replica.Incarnations {
+		for key := range incarnation.Cells {
+			l.indexIncarnation(key, id)
 		}
 	}
 }
 
-func (l *leader[K, V]) hold(key K, id IncarnationID) {
-	if l.holders[key] == nil {
-		l.holders[key] = map[IncarnationID]struct{}{}
+func (l *leader[K, V]) indexIncarnation(key K, id IncarnationID) {
+	if l.incarnationsByKey[key] == nil {
+		l.incarnationsByKey[key] = map[IncarnationID]struct{}{}
 	}
-	l.holders[key][id] = struct{}{}
+	l.incarnationsByKey[key][id] = struct{}{}
 }
 
-// update adds up the cells that a round has changed.
-func (l *leader[K, V]) update(replica *Replica[K, V], deltas []Delta[K, V]) {
+// updateTotals adds up the cells that a round has changed.
+func (l *leader[K, V]) updateTotals(replica *Replica[K, V], deltas []Delta[K, V]) {
 	for _, delta := range deltas {
 		for key := range delta.Cells {
-			l.hold(key, delta.Life)
+			l.indexIncarnation(key, delta.Life)
 			total := replica.Base.Cells[key]
-			for id := range l.holders[key] {
+			for id := range l.incarnationsByKey[key] {
 				total = total.Plus(replica.Incarnations[id].Cells[key].Value)
 			}
 			l.totals[key] = total
@@ -384,12 +384,12 @@
 	if l == nil || l.ready || m.Ballot != l.ballot || l.prepared[from] || l.assemblies[from] == nil {
 		return
 	}
-	copied, whole := l.assemblies[from].add(m)
-	if !whole || g.replica.MergeReplica(copied) != nil || !g.saveWhole() {
+	copied, complete := l.assemblies[from].add(m)
+	if !complete || g.replica.MergeReplica(copied) != nil || !g.saveState() {
 		return
 	}
 	l.prepared[from] = true
-	g.tryReady()
+	g.tryBecomeReady()
 }
 
 func (g *Group[K, V]) onReplicated(from string, m Replicated) {
@@ -402,7 +402,7 @@
 			l.round.acks[from] = map[int]bool{}
 		}
 		l.round.acks[from][m.Part] = true
-		g.tryFinish()
+		g.tryCompleteRound()
 		return
 	}
 	g.repair(from, m)
@@ -412,14 +412,14 @@
 func (g *Group[K, V]) repair(to string, m Replicated) {
 	l := g.leader
 	if m.Fresh > 0 {
-		if l.empty[to].start != m.Fresh {
-			l.empty[to] = emptyReplica{m.Fresh, m.Round}
+		if l.emptyReplicas[to].start != m.Fresh {
+			l.emptyReplicas[to] = emptyReplica{m.Fresh, m.Round}
 		}
 		return
 	}
 	if m.NeedBase {
 		agreed := g.replica.Base
-		g.send(to, Replicate[K, V]{Group: g.group, Ballot: l.ballot, Base: &agreed, Agreed: agreed.ID()})
+		g.send(to, Replicate[K, V]{Group: g.groupID, Ballot: l.ballot, Base: &agreed, Agreed: agreed.ID()})
 	}
 	deltas := slices.Clone(l.round.parts[m.Part])
 	for i, delta := range deltas {
@@ -427,7 +427,7 @@
 			deltas[i] = g.replica.DeltaSince(delta.Life, 0)
 		}
 	}
-	g.replicate(to, m.Part, deltas)
+	g.sendPart(to, m.Part, deltas)
 }
 
 func (g *Group[K, V]) onReject(m Reject) {
--- a/internal/counter/messages.go
+++ b/internal/counter/messages.go
@@ -58,7 +58,7 @@
 	Ballot   Ballot
 	Round    uint64
 	Part     int
-	Gaps     []IncarnationID // lives of which earlier versions are missing
+	Gaps     []IncarnationID // incarnations of which earlier versions are missing
 	NeedBase bool            // the agreed base is missing
 	Fresh    uint64          // not 0: the replica's disk has lost its copy; the number of its start
 }
@@ -77,22 +77,22 @@
 // ID names the base.
 func (b Base[K, V]) ID() BaseID { return BaseID{b.Ballot, b.Number} }
 
-// promises splits a replica's copy into messages of a bounded number of cells each.
-func promises[K comparable, V Value[V]](group int, ballot Ballot, snapshot SnapshotID, r *Replica[K, V], cellsAtOnce int) []Promise[K, V] {
-	blank := Promise[K, V]{Group: group, Ballot: ballot, Snapshot: snapshot}
-	blank.Base = Base[K, V]{Ballot: r.Base.Ballot, Number: r.Base.Number}
-	current, cells := blank, 0
+// splitSnapshot splits a replica's copy into messages of a bounded number of cells each.
+func splitSnapshot[K comparable, V Value[V]](group int, ballot Ballot, snapshot SnapshotID, r *Replica[K, V], maxCells int) []Promise[K, V] {
+	header := Promise[K, V]{Group: group, Ballot: ballot, Snapshot: snapshot}
+	header.Base = Base[K, V]{Ballot: r.Base.Ballot, Number: r.Base.Number}
+	current, cells := header, 0
 	var out []Promise[K, V]
 	flush := func() {
 		out = append(out, current)
-		current, cells = blank, 0
+		current, cells = header, 0
 	}
 	current.Base.Folded = r.Base.Folded
 	if r.Base.Less(r.Proposed) {
 		current.Proposed = &r.Proposed
 	}
 	for key, value := range r.Base.Cells {
-		if cells == cellsAtOnce {
+		if cells == maxCells {
 			flush()
 		}
 		if current.Base.Cells == nil {
@@ -101,13 +101,13 @@
 		current.Base.Cells[key] = value
 		cells++
 	}
-	for _, id := range r.ids() {
-		life := r.Incarnations[id]
-		if cells >= cellsAtOnce {
+	for _, id := range r.sortedIDs() {
+		incarnation := r.Incarnations[id]
+		if cells >= maxCells {
 			flush()
 		}
-		current.Deltas = append(current.Deltas, life.since(id, 0))
-		cells += len(life.Cells)
+		current.Deltas = append(current.Deltas, incarnation.since(id, 0))
+		cells += len(incarnation.Cells)
 	}
 	flush()
 	for i := range out {
@@ -116,14 +116,14 @@
 	return out
 }
 
-// assembly gathers the parts of one replica's copy.
-type assembly[K comparable, V Value[V]] struct {
+// snapshotAssembly gathers the parts of one replica's copy.
+type snapshotAssembly[K comparable, V Value[V]] struct {
 	snapshot SnapshotID
 	parts    map[int]Promise[K, V]
 }
 
 // add takes a part; it gives the copy once all parts are there.
-func (a *assembly[K, V]) add(part Promise[K, V]) (*Replica[K, V], bool) {
+func (a *snapshotAssembly[K, V]) add(part Promise[K, V]) (*Replica[K, V], bool) {
 	if part.Snapshot != a.snapshot {
 		a.snapshot, a.parts = part.Snapshot, map[int]Promise[K, V]{}
 	}
--- a/internal/counter/replica.go
+++ b/internal/counter/replica.go
@@ -25,13 +25,13 @@
 	return b.Start < other.Start
 }
 
-// Base is the sum of lives that are over. A leader proposes it under its ballot, numbered
+// Base is the sum of incarnations that are over. A leader proposes it under its ballot, numbered
 // in order; of two bases the one with the higher ballot, then number, contains the other
 // if either has been agreed.
 type Base[K comparable, V Value[V]] struct {
 	Ballot Ballot
 	Number uint64
-	Folded map[IncarnationID]uint64 // final versions of the lives in it
+	Folded map[IncarnationID]uint64 // final versions of the incarnations in it
 	Cells  Cells[K, V]
 }
 
@@ -41,7 +41,7 @@
 }
 
 // Replica is one copy of the counters: an agreed base, a base that may have been agreed,
-// and all lives that are not in the agreed base.
+// and all incarnations that are not in the agreed base.
 type Replica[K comparable, V Value[V]] struct {
 	Base         Base[K, V]
 	Proposed     Base[K, V] // not less than Base
@@ -53,13 +53,13 @@
 	return &Replica[K, V]{Incarnations: map[IncarnationID]*Incarnation[K, V]{}}
 }
 
-// Version is what is held of a life, and the final version if it is over.
+// Version is what is held of a incarnation, and the final version if it is over.
 func (r *Replica[K, V]) Version(id IncarnationID) (version, final uint64) {
 	if final, folded := r.Base.Folded[id]; folded {
 		return final, final
 	}
-	if life := r.Incarnations[id]; life != nil {
-		return life.Version, life.Final
+	if incarnation := r.Incarnations[id]; incarnation != nil {
+		return incarnation.Version, incarnation.Final
 	}
 	return 0, 0
 }
@@ -72,14 +72,14 @@
 		}
 		return nil
 	}
-	life := r.Incarnations[delta.Life]
-	if life == nil {
-		life = &Incarnation[K, V]{}
+	incarnation := r.Incarnations[delta.Life]
+	if incarnation == nil {
+		incarnation = &Incarnation[K, V]{}
 	}
-	return life.check(delta)
+	return incarnation.check(delta)
 }
 
-// Merge takes a delta in; of a life in the base there is nothing to take.
+// Merge takes a delta in; of a incarnation in the base there is nothing to take.
 func (r *Replica[K, V]) Merge(delta Delta[K, V]) error {
 	if err := r.Check(delta); err != nil {
 		return err
@@ -87,29 +87,29 @@
 	if _, folded := r.Base.Folded[delta.Life]; folded {
 		return nil
 	}
-	life := r.Incarnations[delta.Life]
-	if life == nil {
-		life = &Incarnation[K, V]{Cells: map[K]Versioned[V]{}}
-		r.Incarnations[delta.Life] = life
+	incarnation := r.Incarnations[delta.Life]
+	if incarnation == nil {
+		incarnation = &Incarnation[K, V]{Cells: map[K]Versioned[V]{}}
+		r.Incarnations[delta.Life] = incarnation
 	}
-	life.merge(delta)
+	incarnation.merge(delta)
 	return nil
 }
 
-// DeltaSince is the delta of a life from a version on.
+// DeltaSince is the delta of a incarnation from a version on.
 func (r *Replica[K, V]) DeltaSince(id IncarnationID, from uint64) Delta[K, V] {
 	return r.Incarnations[id].since(id, from)
 }
 
-// ids are the lives, sorted: what is sent must not depend on the order of a map, so that a
+// sortedIDs are the incarnations, sorted: what is sent must not depend on the order of a map, so that a
 // simulated run can be had again.
-func (r *Replica[K, V]) ids() []IncarnationID { return slices.Sorted(maps.Keys(r.Incarnations)) }
+func (r *Replica[K, V]) sortedIDs() []IncarnationID { return slices.Sorted(maps.Keys(r.Incarnations)) }
 
-// Total is the sum over all lives.
+// Total is the sum over all incarnations.
 func (r *Replica[K, V]) Total(key K) V {
 	total := r.Base.Cells[key]
-	for _, life := range r.Incarnations {
-		if held, ok := life.Cells[key]; ok {
+	for _, incarnation := range r.Incarnations {
+		if held, ok := incarnation.Cells[key]; ok {
 			total = total.Plus(held.Value)
 		}
 	}
@@ -119,15 +119,15 @@
 // Totals are the sums of all keys.
 func (r *Replica[K, V]) Totals() Cells[K, V] {
 	out := r.Base.Cells.Clone()
-	for _, life := range r.Incarnations {
-		for key, held := range life.Cells {
+	for _, incarnation := range r.Incarnations {
+		for key, held := range incarnation.Cells {
 			out[key] = out[key].Plus(held.Value)
 		}
 	}
 	return out
 }
 
-// Candidate is the next base: the present one and some complete lives; false if there are
+// Candidate is the next base: the present one and some complete incarnations; false if there are
 // none. The replica itself is unchanged until the base is agreed and installed.
 func (r *Replica[K, V]) Candidate(ballot Ballot, atMost int) (Base[K, V], bool) {
 	next := Base[K, V]{Ballot: ballot, Number: max(r.Base.Number, r.Proposed.Number) + 1, Folded: maps.Clone(r.Base.Folded), Cells: r.Base.Cells.Clone()}
@@ -135,14 +135,14 @@
 		next.Folded = map[IncarnationID]uint64{}
 	}
 	added := 0
-	for _, id := range r.ids() {
-		life := r.Incarnations[id]
-		if !life.Complete() || added == atMost {
+	for _, id := range r.sortedIDs() {
+		incarnation := r.Incarnations[id]
+		if !incarnation.Complete() || added == atMost {
 			continue
 		}
 		added++
-		next.Folded[id] = life.Final
-		for key, held := range life.Cells {
+		next.Folded[id] = incarnation.Final
+		for key, held := range incarnation.Cells {
 			next.Cells[key] = next.Cells[key].Plus(held.Value)
 		}
 	}
@@ -162,7 +162,7 @@
 }
 
 // Install makes the proposed base the agreed one if it is the one named, and drops the
-// lives that are in it.
+// incarnations that are in it.
 func (r *Replica[K, V]) Install(ballot Ballot, number uint64) {
 	if r.Proposed.Ballot != ballot || r.Proposed.Number != number || !r.Base.Less(r.Proposed) {
 		return
@@ -184,7 +184,7 @@
 	}
 }
 
-// MergeReplica merges another replica's copy: the higher of all bases, and every life that is
+// MergeReplica merges another replica's copy: the higher of all bases, and every incarnation that is
 // not in it.
 func (r *Replica[K, V]) MergeReplica(other *Replica[K, V]) error {
 	for _, base := range []Base[K, V]{other.Base, other.Proposed} {
@@ -192,16 +192,16 @@
 			r.Proposed = base
 		}
 	}
-	for id, life := range other.Incarnations {
-		if err := r.absorbLife(id, life); err != nil {
+	for id, incarnation := range other.Incarnations {
+		if err := r.mergeIncarnation(id, incarnation); err != nil {
 			return err
 		}
 	}
 	return nil
 }
 
-func (r *Replica[K, V]) absorbLife(id IncarnationID, life *Incarnation[K, V]) error {
-	if err := r.Merge(life.since(id, 0)); err != nil && !errors.Is(err, ErrAfterClose) {
+func (r *Replica[K, V]) mergeIncarnation(id IncarnationID, incarnation *Incarnation[K, V]) error {
+	if err := r.Merge(incarnation.since(id, 0)); err != nil && !errors.Is(err, ErrAfterClose) {
 		return err
 	}
 	return nil // a copy that is behind the final version has nothing new
--- a/internal/duty/holder.go
+++ b/internal/duty/holder.go
@@ -35,26 +35,26 @@
 // the lease, has its acts decided, sends them, and steps down. It has no clock and
 // no network of its own.
 type Holder struct {
-	name, self string
-	lease      time.Duration // no A-B-A of acts within this time
-	spacing    time.Duration // between two calls to the platform
-	rng        *rand.Rand
+	name, self  string
+	leaseLength time.Duration // no A-B-A of acts within this time
+	spacing     time.Duration // between two calls to the platform
+	rng         *rand.Rand
 
 	// LatestOnly says that a newer decision may overtake one the platform has not
 	// taken: a level that is set, not an event that is told.
 	LatestOnly bool
 
-	refused     uint64        // fence the platform has turned away
-	fence       uint64        // fence under which this life acts; 0 none
-	heldSince   time.Duration // when this life first saw that it has it
-	nextOrderAt time.Duration // the last order, repeated after a while
-	accepted    uint64        // key the platform has accepted, as far as known here
-	failures    int
-	nextCallAt  time.Duration
-	calls       uint64
-	calling     uint64 // call under way; 0 none
-	callingKey  uint64
-	calledAt    time.Duration
+	refusedFence        uint64        // fence the platform has turned away
+	fence               uint64        // fence under which this life acts; 0 none
+	heldSince           time.Duration // when this life first saw that it has it
+	nextOrderAt         time.Duration // the last order, repeated after a while
+	acceptedKey         uint64        // key the platform has accepted, as far as known here
+	consecutiveFailures int
+	nextCallAt          time.Duration
+	lastCallID          uint64
+	activeCall          uint64 // call under way; 0 none
+	activeKey           uint64
+	activeSince         time.Duration
 
 	Accepted, Refused, Failed uint64
 	LastStatus                int
@@ -63,10 +63,10 @@
 
 // NewHolder makes the machine; me is the node's name, lease the bound within
 // which no two holders may take turns, perS the calls a second it may make.
-func NewHolder(name, me string, lease time.Duration, perS float64, rng *rand.Rand) *Holder {
-	h := &Holder{name: name, self: me, lease: lease, rng: rng, spacing: constants.DutySpacing}
-	if perS > 0 {
-		h.spacing = max(h.spacing, time.Duration(float64(time.Second)/(perS*constants.DutyRatePart)))
+func NewHolder(name, self string, leaseLength time.Duration, callsPerSecond float64, rng *rand.Rand) *Holder {
+	h := &Holder{name: name, self: self, leaseLength: leaseLength, rng: rng, spacing: constants.DutySpacing}
+	if callsPerSecond > 0 {
+		h.spacing = max(h.spacing, time.Duration(float64(time.Second)/(callsPerSecond*constants.DutyRatePart)))
 	}
 	return h
 }
@@ -79,7 +79,7 @@
 		h.fence = 0
 		return h.cancel()
 	}
-	if rec.Holder != h.self || rec.Fence == h.refused {
+	if rec.Holder != h.self || rec.Fence == h.refusedFence {
 		out := h.cancel()
 		h.fence = 0
 		if now < h.nextOrderAt {
@@ -91,26 +91,26 @@
 	var out []Effect
 	if rec.Fence != h.fence {
 		out = h.cancel()
-		h.fence, h.heldSince, h.accepted, h.nextOrderAt, h.failures, h.nextCallAt = rec.Fence, now, 0, 0, 0, 0
+		h.fence, h.heldSince, h.acceptedKey, h.nextOrderAt, h.consecutiveFailures, h.nextCallAt = rec.Fence, now, 0, 0, 0, 0
 	}
-	if rec.Back && now < h.heldSince+h.lease+constants.DutyMargin {
+	if rec.Back && now < h.heldSince+h.leaseLength+constants.DutyMargin {
 		return out // it acted before the one before it did
 	}
-	if h.calling != 0 {
-		if now-h.calledAt > constants.DutyTimeout {
+	if h.activeCall != 0 {
+		if now-h.activeSince > constants.DutyTimeout {
 			out = append(out, h.cancel()...)
-			h.failed(now)
+			h.recordFailure(now)
 		}
 		return out
 	}
-	if rec.Key > 0 && h.accepted != rec.Key {
+	if rec.Key > 0 && h.acceptedKey != rec.Key {
 		if now >= h.nextCallAt {
-			h.calls++
-			h.calling, h.callingKey, h.calledAt = h.calls, rec.Key, now
+			h.lastCallID++
+			h.activeCall, h.activeKey, h.activeSince = h.lastCallID, rec.Key, now
 			h.nextCallAt = now + h.spacing
-			out = append(out, Call{h.calls, rec.Fence, rec.Key, rec.Body})
+			out = append(out, Call{h.lastCallID, rec.Fence, rec.Key, rec.Body})
 		}
-		if !h.LatestOnly && h.failures < constants.DutyGiveUp {
+		if !h.LatestOnly && h.consecutiveFailures < constants.DutyGiveUp {
 			return out
 		}
 	}
@@ -125,46 +125,46 @@
 }
 
 func (h *Holder) cancel() []Effect {
-	if h.calling == 0 {
+	if h.activeCall == 0 {
 		return nil
 	}
-	id := h.calling
-	h.calling = 0
+	id := h.activeCall
+	h.activeCall = 0
 	return []Effect{Cancel{id}}
 }
 
-func (h *Holder) failed(now time.Duration) {
-	h.failures++
+func (h *Holder) recordFailure(now time.Duration) {
+	h.consecutiveFailures++
 	h.Failed++
-	pause := min(constants.DutyPause<<min(h.failures-1, 5), constants.DutyPauseMax)
+	pause := min(constants.DutyPause<<min(h.consecutiveFailures-1, 5), constants.DutyPauseMax)
 	h.nextCallAt = max(h.nextCallAt, now+pause/2+time.Duration(h.rng.Int64N(int64(pause))))
 }
 
 // HandleResponse takes the platform's answer to a call; status 0 is none.
 func (h *Holder) HandleResponse(now time.Duration, id uint64, status int) []Effect {
-	if id != h.calling || id == 0 {
+	if id != h.activeCall || id == 0 {
 		return nil
 	}
-	h.calling = 0
+	h.activeCall = 0
 	h.LastStatus = status
 	switch status {
 	case 200:
-		h.accepted, h.AcceptedAt, h.failures = h.callingKey, now, 0
+		h.acceptedKey, h.AcceptedAt, h.consecutiveFailures = h.activeKey, now, 0
 		h.Accepted++
 	case 409:
 		h.Refused++
-		h.refused, h.fence = h.fence, 0
-		h.failed(now)
+		h.refusedFence, h.fence = h.fence, 0
+		h.recordFailure(now)
 		return []Effect{Yield{}}
 	default:
-		h.failed(now)
+		h.recordFailure(now)
 	}
 	return nil
 }
 
 // Backlog tells what is decided and not known to be accepted: 0 or its key.
 func (h *Holder) Backlog(rec Record) uint64 {
-	if rec.Key != 0 && rec.Key != h.accepted {
+	if rec.Key != 0 && rec.Key != h.acceptedKey {
 		return rec.Key
 	}
 	return 0
--- a/internal/lease/electorate_test.go
+++ b/internal/lease/electorate_test.go
@@ -17,18 +17,18 @@
 	disks  map[string]int
 }
 
-// voter is a machine of the model: its disk, and the life of its process. What is on
+// voter is a machine of the model: its disk, and the incarnation of its process. What is on
 // the disk is the view it has learned and whether it has promised to leave it.
 type voter struct {
-	disk     int // a wipe makes another one
-	view     int // the newest it knows; -1 none
-	promised bool
-	life     int
-	w        *Manager // nil: down
-	frozen   bool
-	waiting  []func() // what arrives while it is frozen
-	born     time.Duration
-	rate     float64 // its steady clock against true time
+	disk        int // a wipe makes another one
+	view        int // the newest it knows; -1 none
+	promised    bool
+	incarnation int
+	w           *Manager // nil: down
+	frozen      bool
+	waiting     []func() // what arrives while it is frozen
+	born        time.Duration
+	rate        float64 // its steady clock against true time
 }
 
 // election is the model: voters leave, are replaced and come back, by views that a
@@ -77,33 +77,33 @@
 
 func (e *election) start(n string) {
 	m := e.at[n]
-	m.life++
+	m.incarnation++
 	m.born, m.rate, m.frozen, m.waiting = e.network.Now, 0.95+0.1*e.network.Rng.Float64(), false, nil
 	m.w = New(0, e.network.Rng.Uint64(), n, []string{"x"})
-	e.tick(n, m.life)
+	e.tick(n, m.incarnation)
 }
 
 func (e *election) stop(n string) {
 	m := e.at[n]
-	m.life++
+	m.incarnation++
 	m.w, m.frozen, m.waiting = nil, false, nil
 }
 
-func (e *election) tick(n string, life int) {
+func (e *election) tick(n string, incarnation int) {
 	m := e.at[n]
-	if m.life != life {
+	if m.incarnation != incarnation {
 		return
 	}
 	if !m.frozen {
 		e.tell(n)
 		e.put(n, m.w.Tick(e.clock(n)))
 	}
-	e.network.After(constants.LeaseTick, func() { e.tick(n, life) })
+	e.network.After(constants.LeaseTick, func() { e.tick(n, incarnation) })
 }
 
-func (e *election) thaw(n string, life int) {
+func (e *election) thaw(n string, incarnation int) {
 	m := e.at[n]
-	if m.life != life || !m.frozen {
+	if m.incarnation != incarnation || !m.frozen {
 		return
 	}
 	m.frozen = false
@@ -145,8 +145,8 @@
 		have++
 		if e.late && e.network.Rng.IntN(4) == 0 {
 			m.frozen = true // between the promise and the next step
-			life := m.life
-			e.network.After(time.Duration(e.network.Rng.IntN(20000))*time.Millisecond, func() { e.thaw(n, life) })
+			incarnation := m.incarnation
+			e.network.After(time.Duration(e.network.Rng.IntN(20000))*time.Millisecond, func() { e.thaw(n, incarnation) })
 		}
 	}
 	if have <= len(v.voters)/2 {
@@ -214,9 +214,9 @@
 			e.put(n, m.w.Resign(e.clock(n)))
 		}
 		e.stop(n)
-		life := m.life
+		incarnation := m.incarnation
 		b.After(span/3, func() {
-			if m.life != life {
+			if m.incarnation != incarnation {
 				return
 			}
 			if wipe {
@@ -230,8 +230,8 @@
 	case 2:
 		if m.w != nil && !m.frozen {
 			m.frozen = true
-			life := m.life
-			b.After(span, func() { e.thaw(n, life) })
+			incarnation := m.incarnation
+			b.After(span, func() { e.thaw(n, incarnation) })
 		}
 	case 3:
 		b.Cut(n, o, true)
@@ -307,7 +307,7 @@
 					b.Cut(n, o, false)
 				}
 				m := e.at[n]
-				e.thaw(n, m.life)
+				e.thaw(n, m.incarnation)
 				if m.w == nil {
 					e.start(n)
 				}
@@ -326,7 +326,7 @@
 				// late events of the trouble are undone
 				for _, n := range e.names {
 					m := e.at[n]
-					e.thaw(n, m.life)
+					e.thaw(n, m.incarnation)
 					if m.w == nil {
 						e.start(n)
 					}
@@ -341,7 +341,7 @@
 }
 
 // TestElectorateLosesVoters: voters leave, are replaced, sleep through it, come back
-// in an old life or a new one, or with an empty disk. No moment has two holders, and
+// in an old incarnation or a new one, or with an empty disk. No moment has two holders, and
 // in calm there is one within a stated time.
 func TestElectorateLosesVoters(t *testing.T) {
 	t.Parallel()
--- a/internal/lease/lives_test.go
+++ b/internal/lease/incarnations_test.go
@@ -18,27 +18,27 @@
 	return false
 }
 
-// Words of a holder's earlier life that come late, on a connection of their own, do
-// not take away what its present life relies on.
+// Words of a holder's earlier incarnation that come late, on a connection of their own, do
+// not take away what its present incarnation relies on.
 func TestLateWordsOfAnEarlierLife(t *testing.T) {
 	for _, again := range []bool{false, true} {
-		for _, lives := range [][2]uint64{{3 << 32, 7 << 32}, {7 << 32, 3 << 32}} {
-			early, late := lives[0], lives[1]
+		for _, incarnations := range [][2]uint64{{3 << 32, 7 << 32}, {7 << 32, 3 << 32}} {
+			early, late := incarnations[0], incarnations[1]
 			manager := withPeers(New(0, 1, "a", []string{"x"}), []string{"a", "b", "c"})
 			now := 10 * time.Second
 			if !allowed(manager, now, "b", Request{"x", 1, early + 1, false}) {
-				t.Fatal("not granted to the first life")
+				t.Fatal("not granted to the first incarnation")
 			}
 			now += 50 * time.Millisecond
 			if !allowed(manager, now, "b", Request{"x", 1, late + 1, true}) {
-				t.Fatal("not granted to the life that came straight back")
+				t.Fatal("not granted to the incarnation that came straight back")
 			}
 			held := now + constants.LeaseLength
 			manager.Recv(now, "b", Request{"x", 1, early + 2, again})
 			manager.Recv(now, "b", Release{"x", early + 2, ""})
 			for ; now < held; now += 10 * time.Millisecond {
 				if allowed(manager, now, "c", Request{"x", 1, 1, false}) {
-					t.Fatalf("granted to another %v before the present life's lease ends (again: %v)", held-now, again)
+					t.Fatalf("granted to another %v before the present incarnation's lease ends (again: %v)", held-now, again)
 				}
 			}
 			now = held + 2*constants.LeaseMargin
@@ -49,7 +49,7 @@
 	}
 }
 
-// A Release gives back at once what its own life was granted.
+// A Release gives back at once what its own incarnation was granted.
 func TestReleaseOfOneLife(t *testing.T) {
 	manager := withPeers(New(0, 1, "a", []string{"x"}), []string{"a", "b", "c"})
 	now := 10 * time.Second
@@ -57,7 +57,7 @@
 		allowed(manager, now, "b", Request{"x", 1, 9<<32 + n, false})
 	}
 	if allowed(manager, now, "b", Request{"x", 1, 9 << 32, true}) {
-		t.Error("an overtaken word of the same life is granted")
+		t.Error("an overtaken word of the same incarnation is granted")
 	}
 	manager.Recv(now, "b", Release{"x", 9<<32 + 1, ""}) // an earlier claim's
 	if allowed(manager, now, "c", Request{"x", 1, 1, false}) {
--- a/internal/lease/lease.go
+++ b/internal/lease/lease.go
@@ -3,13 +3,13 @@
 // and longer, both by the steady clock, so a holder has stopped before anyone else can
 // start. A grantor that has just started grants nothing until every lease it may have
 // granted before has ended. A holder that comes straight back may take up at once what the
-// others still have granted to it: the life that held it is over.
+// others still have granted to it: the incarnation that held it is over.
 //
 // Why there are never two holders, whatever the electorate does:
 //
 //   - Within one electorate two majorities share a grantor, and it grants to one
 //     holder at a time: until its grant has run out, or that holder has given back
-//     what its latest Request got. What another life of the holder got is kept.
+//     what its latest Request got. What another incarnation of the holder got is kept.
 //   - Half of the others stand for a majority where a holder comes straight back: with
 //     its own vote, which grants nothing yet, too few are left for a majority that
 //     none of them is in.
@@ -74,34 +74,34 @@
 }
 
 type grant struct {
-	holder     string
-	nonce      uint64 // of the holder's latest Request
-	until      time.Duration
-	otherUntil time.Duration // until when another life of the holder may rely on it
+	holder                string
+	nonce                 uint64 // of the holder's latest Request
+	until                 time.Duration
+	otherIncarnationUntil time.Duration // until when another incarnation of the holder may rely on it
 }
 
-// sameLife says whether one life of a machine asked both: the upper half of a nonce
-// is the life's number, the lower half counts.
-func sameLife(a, b uint64) bool { return a>>32 == b>>32 }
+// sameIncarnation says whether one incarnation of a machine asked both: the upper half of a nonce
+// is the incarnation's number, the lower half counts.
+func sameIncarnation(a, b uint64) bool { return a>>32 == b>>32 }
 
 // round is one round of asking; several may be under way, since answers can take
 // longer than the time between two.
 type round struct {
-	nonce   uint64
-	again   bool
-	asked   time.Duration
-	granted map[string]bool
+	nonce       uint64
+	reclaim     bool
+	requestedAt time.Duration
+	granted     map[string]bool
 }
 
 type claim struct {
-	nonce       uint64        // of the latest question; 0: none counts
-	rounds      []round       // the latest last
-	until       time.Duration // holder's own reckoning; 0 when not held
-	since       time.Duration // start of the unbroken holding
-	nextAt      time.Duration
-	notBefore   time.Duration // given up on purpose: not claimed before
-	otherHeldAt time.Duration // last heard that another holds it
-	heir        time.Duration // until when it is kept here for this machine, its holder having stopped
+	nonce         uint64        // of the latest question; 0: none counts
+	rounds        []round       // the latest last
+	until         time.Duration // holder's own reckoning; 0 when not held
+	since         time.Duration // start of the unbroken holding
+	nextRequestAt time.Duration
+	notBefore     time.Duration // given up on purpose: not claimed before
+	otherHeldAt   time.Duration // last heard that another holds it
+	reservedUntil time.Duration // until when it is kept here for this machine, its holder having stopped
 }
 
 // Manager is one machine's part: it grants, and it claims.
@@ -121,10 +121,10 @@
 }
 
 // New makes the machine, without an electorate; all machines name the same
-// duties in the same order. life is a number no earlier life of this machine is
+// duties in the same order. incarnation is a number no earlier incarnation of this machine is
 // likely to have had.
-func New(now time.Duration, life uint64, me string, duties []string) *Manager {
-	manager := &Manager{self: me, duties: duties, startedAt: now, nonce: life << 32, grants: map[string]grant{}, claims: map[string]*claim{}}
+func New(now time.Duration, incarnation uint64, self string, duties []string) *Manager {
+	manager := &Manager{self: self, duties: duties, startedAt: now, nonce: incarnation << 32, grants: map[string]grant{}, claims: map[string]*claim{}}
 	for _, d := range duties {
 		manager.claims[d] = &claim{}
 	}
@@ -156,7 +156,7 @@
 	}
 	manager.grants = map[string]grant{}
 	for _, c := range manager.claims {
-		c.nonce, c.rounds, c.otherHeldAt, c.nextAt = 0, nil, 0, 0 // what is held runs out
+		c.nonce, c.rounds, c.otherHeldAt, c.nextRequestAt = 0, nil, 0, 0 // what is held runs out
 	}
 }
 
@@ -193,7 +193,7 @@
 
 func (manager *Manager) send(to string, m any, now time.Duration) {
 	if to == manager.self {
-		manager.take(now, to, m)
+		manager.dispatch(now, to, m)
 		return
 	}
 	manager.outbox = append(manager.outbox, Send{to, m})
@@ -216,59 +216,59 @@
 		if !held {
 			c.since = 0
 		}
-		if now < max(c.nextAt, c.notBefore) {
+		if now < max(c.nextRequestAt, c.notBefore) {
 			continue
 		}
-		again := false
+		reclaim := false
 		if !held {
 			if g := manager.grants[d]; g.until > now && g.holder != manager.self {
 				c.otherHeldAt = now // here it is known to be held
 				continue
 			}
 			wait := time.Duration(manager.rank(i)) * constants.LeaseStagger
-			if now < c.heir {
+			if now < c.reservedUntil {
 				wait = 0
 			}
-			again = now-manager.startedAt < 2*constants.LeaseRenew // longer, and its asking would keep the duty from others
-			if !again && (now-manager.startedAt < constants.LeaseLength+constants.LeaseMargin+wait || c.otherHeldAt > 0 && now-c.otherHeldAt < wait) {
+			reclaim = now-manager.startedAt < 2*constants.LeaseRenew // longer, and its asking would keep the duty from others
+			if !reclaim && (now-manager.startedAt < constants.LeaseLength+constants.LeaseMargin+wait || c.otherHeldAt > 0 && now-c.otherHeldAt < wait) {
 				continue
 			}
 		}
-		manager.ask(now, d, again)
+		manager.startRound(now, d, reclaim)
 	}
 	out := manager.outbox
 	manager.outbox = nil
 	return out
 }
 
-// ask begins a round of asking for a duty.
-func (manager *Manager) ask(now time.Duration, duty string, again bool) {
+// startRound begins a round of asking for a duty.
+func (manager *Manager) startRound(now time.Duration, duty string, reclaim bool) {
 	c := manager.claims[duty]
 	manager.nonce++
 	c.nonce = manager.nonce
-	c.rounds = append(c.rounds, round{manager.nonce, again, now, map[string]bool{}})
+	c.rounds = append(c.rounds, round{manager.nonce, reclaim, now, map[string]bool{}})
 	c.rounds = c.rounds[max(0, len(c.rounds)-int(constants.LeaseLength/constants.LeaseRenew)):]
-	c.nextAt = now + constants.LeaseRenew
+	c.nextRequestAt = now + constants.LeaseRenew
 	for _, p := range manager.peers {
-		manager.send(p, Request{duty, manager.epoch, c.nonce, again}, now)
+		manager.send(p, Request{duty, manager.epoch, c.nonce, reclaim}, now)
 	}
 }
 
-// inherit takes up a duty whose holder has stopped and named this machine.
-func (manager *Manager) inherit(now time.Duration, duty string) {
+// acceptHandover takes up a duty whose holder has stopped and named this machine.
+func (manager *Manager) acceptHandover(now time.Duration, duty string) {
 	c := manager.claims[duty]
 	if c.until > now || now < c.notBefore || now-manager.startedAt < constants.LeaseLength+constants.LeaseMargin {
 		return
 	}
-	c.heir = now + constants.LeaseReserve
-	manager.ask(now, duty, false)
-	c.nextAt = now // what a refusal by one that the Release has not reached yet costs is one step
+	c.reservedUntil = now + constants.LeaseReserve
+	manager.startRound(now, duty, false)
+	c.nextRequestAt = now // what a refusal by one that the Release has not reached yet costs is one step
 }
 
 // Recv takes a message.
 func (manager *Manager) Recv(now time.Duration, from string, msg any) []Send {
 	if from != manager.self && slices.Contains(manager.peers, from) && slices.Contains(manager.peers, manager.self) {
-		manager.take(now, from, msg)
+		manager.dispatch(now, from, msg)
 	} else {
 		manager.Dropped++
 	}
@@ -277,7 +277,7 @@
 	return out
 }
 
-func (manager *Manager) take(now time.Duration, from string, msg any) {
+func (manager *Manager) dispatch(now time.Duration, from string, msg any) {
 	switch m := msg.(type) {
 	case Request:
 		manager.onRequest(now, from, m)
@@ -300,8 +300,8 @@
 		return
 	}
 	g := manager.grants[m.Duty]
-	known := g.holder == from && g.until > now
-	if known && sameLife(m.Nonce, g.nonce) && m.Nonce < g.nonce {
+	renewal := g.holder == from && g.until > now
+	if renewal && sameIncarnation(m.Nonce, g.nonce) && m.Nonce < g.nonce {
 		return // overtaken by a later one
 	}
 	ok := (g.until <= now || g.holder == from) && now-manager.startedAt >= constants.LeaseLength+constants.LeaseMargin
@@ -309,16 +309,16 @@
 		return
 	}
 	if ok {
-		// Of two lives of the holder nothing tells here which is the later one, as
+		// Of two incarnations of the holder nothing tells here which is the later one, as
 		// words of the one that is over may come last: each keeps what it got.
-		other := time.Duration(0)
-		if known {
-			other = g.otherUntil
-			if !sameLife(m.Nonce, g.nonce) {
-				other = max(other, g.until)
+		otherUntil := time.Duration(0)
+		if renewal {
+			otherUntil = g.otherIncarnationUntil
+			if !sameIncarnation(m.Nonce, g.nonce) {
+				otherUntil = max(otherUntil, g.until)
 			}
 		}
-		g = grant{from, m.Nonce, now + constants.LeaseLength + constants.LeaseMargin, other}
+		g = grant{from, m.Nonce, now + constants.LeaseLength + constants.LeaseMargin, otherUntil}
 		manager.grants[m.Duty] = g
 	}
 	manager.send(from, Grant{m.Duty, manager.epoch, m.Nonce, ok, g.holder}, now)
@@ -331,16 +331,16 @@
 		return
 	}
 	g := manager.grants[m.Duty]
-	if g.holder != from || g.nonce != m.Nonce && !(sameLife(g.nonce, m.Nonce) && g.nonce < m.Nonce) {
-		return // of a later Request, or of another life
+	if g.holder != from || g.nonce != m.Nonce && !(sameIncarnation(g.nonce, m.Nonce) && g.nonce < m.Nonce) {
+		return // of a later Request, or of another incarnation
 	}
-	manager.grants[m.Duty] = grant{holder: from, until: g.otherUntil, otherUntil: g.otherUntil}
-	if m.Successor == "" || g.until <= now || g.otherUntil > now {
+	manager.grants[m.Duty] = grant{holder: from, until: g.otherIncarnationUntil, otherIncarnationUntil: g.otherIncarnationUntil}
+	if m.Successor == "" || g.until <= now || g.otherIncarnationUntil > now {
 		return
 	}
 	manager.grants[m.Duty] = grant{holder: m.Successor, until: now + constants.LeaseReserve}
 	if m.Successor == manager.self {
-		manager.inherit(now, m.Duty)
+		manager.acceptHandover(now, m.Duty)
 	}
 }
 
@@ -351,7 +351,7 @@
 		manager.Dropped++
 		return
 	}
-	i := slices.IndexFunc(c.rounds, func(q round) bool { return q.nonce == m.Nonce })
+	i := slices.IndexFunc(c.rounds, func(r round) bool { return r.nonce == m.Nonce })
 	switch {
 	case i < 0: // overtaken
 	case m.OK:
@@ -369,10 +369,10 @@
 		return
 	}
 	c.otherHeldAt = now
-	if c.until > now || now < c.heir {
+	if c.until > now || now < c.reservedUntil {
 		return
 	}
-	c.nextAt = now + constants.LeaseRenew + constants.LeaseStagger*time.Duration(1+slices.Index(manager.peers, manager.self))
+	c.nextRequestAt = now + constants.LeaseRenew + constants.LeaseStagger*time.Duration(1+slices.Index(manager.peers, manager.self))
 	for _, p := range manager.peers {
 		manager.send(p, Release{Duty: m.Duty, Nonce: c.nonce}, now)
 	}
@@ -382,14 +382,14 @@
 // granted counts a grant; with enough of them this machine holds the duty. A holder that
 // came straight back has forgotten its own grant. Half of all machines, itself not counted,
 // leave too few for anyone else.
-func (manager *Manager) granted(now time.Duration, from string, c *claim, q round) {
-	q.granted[from] = true
-	enough := len(manager.peers)/2 + 1
-	if q.again {
-		enough = (len(manager.peers) + 1) / 2
-	}
-	until := q.asked + constants.LeaseLength
-	if len(q.granted) < enough || until <= now || until <= c.until {
+func (manager *Manager) granted(now time.Duration, from string, c *claim, r round) {
+	r.granted[from] = true
+	needed := len(manager.peers)/2 + 1
+	if r.reclaim {
+		needed = (len(manager.peers) + 1) / 2
+	}
+	until := r.requestedAt + constants.LeaseLength
+	if len(r.granted) < needed || until <= now || until <= c.until {
 		return
 	}
 	if c.until <= now {
@@ -403,17 +403,17 @@
 // at once, and nothing is claimed any more.
 func (manager *Manager) Resign(now time.Duration, only ...string) []Send {
 	for i, d := range manager.duties {
-		stops := len(only) == 0
-		if !stops && !slices.Contains(only, d) {
+		stopping := len(only) == 0
+		if !stopping && !slices.Contains(only, d) {
 			continue
 		}
 		successor := ""
-		if stops {
+		if stopping {
 			successor = manager.successor(i)
 			manager.claims[d].notBefore = now + constants.LeaseLength*4
 		}
 		if manager.claims[d].until > now {
-			manager.giveUp(now, d, successor)
+			manager.releaseDuty(now, d, successor)
 		}
 	}
 	out := manager.outbox
@@ -421,7 +421,7 @@
 	return out
 }
 
-func (manager *Manager) giveUp(now time.Duration, duty, successor string) {
+func (manager *Manager) releaseDuty(now time.Duration, duty, successor string) {
 	c := manager.claims[duty]
 	c.until, c.since, c.notBefore = 0, 0, now+constants.LeaseLength*4
 	for _, p := range manager.peers {
@@ -436,7 +436,7 @@
 	c := manager.claims[manager.duties[duty]]
 	for i := range manager.peers {
 		p := manager.peers[(duty+i)%len(manager.peers)]
-		if p != manager.self && slices.ContainsFunc(c.rounds, func(q round) bool { return q.granted[p] }) {
+		if p != manager.self && slices.ContainsFunc(c.rounds, func(r round) bool { return r.granted[p] }) {
 			return p
 		}
 	}
--- a/internal/lease/lease_test.go
+++ b/internal/lease/lease_test.go
@@ -20,7 +20,7 @@
 		names := []string{"a", "b", "c", "d", "e", "f"}[:3+seed%4]
 		duties := []string{"x", "y"}
 		ms := map[string]*Manager{}
-		life := map[string]int{}
+		incarnation := map[string]int{}
 		rate := map[string]float64{} // a machine's steady clock against true time
 		born := map[string]time.Duration{}
 		clock := func(n string) time.Duration { return time.Duration(float64(b.Now-born[n]) * rate[n]) }
@@ -36,18 +36,18 @@
 		}
 		var tick func(n string, l int)
 		tick = func(n string, l int) {
-			if life[n] != l || ms[n] == nil {
+			if incarnation[n] != l || ms[n] == nil {
 				return
 			}
 			put(n, ms[n].Tick(clock(n)))
 			b.After(constants.LeaseTick, func() { tick(n, l) })
 		}
 		start := func(n string) {
-			life[n]++
+			incarnation[n]++
 			born[n] = b.Now
 			rate[n] = 0.95 + 0.1*b.Rng.Float64()
 			ms[n] = withPeers(New(0, b.Rng.Uint64(), n, duties), names)
-			tick(n, life[n])
+			tick(n, incarnation[n])
 		}
 		for _, n := range names {
 			start(n)
@@ -63,7 +63,7 @@
 			switch b.Rng.IntN(3) {
 			case 0:
 				ms[n] = nil
-				life[n]++
+				incarnation[n]++
 				b.After(span, func() {
 					if ms[n] == nil {
 						start(n)
