--- a/internal/counter/group.go
+++ b/internal/counter/group.go
@@ -7,25 +7,25 @@
 	"time"
 )
 
-// Store keeps values on the machine's disk; Put returns once the value will last.
+// Store persists values on the local disk. Put returns once the value is durable.
 type Store interface {
 	Get(key string, value any) bool
 	Put(key string, value any) error
 }
 
-// Options are the times and sizes of a group.
+// Options configures the timing and the size limits of a group.
 type Options struct {
-	RoundInterval             time.Duration // between two rounds of replication
-	ResendTimeout             time.Duration // an answer that has not come by then is asked for again
-	CompactionInterval        time.Duration // between two proposals of a base
-	IncarnationsPerCompaction int           // incarnations folded at once
-	MaxCellsPerMessage        int           // cells in one message
-	MaxIncrementalSaves       int           // rounds kept on disk by themselves before the whole is written
+	RoundInterval             time.Duration // between replication rounds
+	ResendTimeout             time.Duration // until the first resend of an unanswered message
+	CompactionInterval        time.Duration // between proposals of a new base
+	IncarnationsPerCompaction int           // limit on the incarnations folded into one base
+	MaxCellsPerMessage        int           // limit on the cells in one message
+	MaxIncrementalSaves       int           // increments stored before the full state is written again
 }
 
-// Group is one machine's part in keeping a group of counters: a replica on its disk and,
-// while the machine is the leader, the rounds that bring deltas to a majority of replicas.
-// It has no clock, network or lease of its own and is not safe for concurrent use.
+// Group is one machine's part in a replicated group of counters: a persistent replica and,
+// while the machine leads, the rounds that replicate deltas to a majority. It has no clock,
+// network or lease of its own and is not safe for concurrent use.
 type Group[K comparable, V Value[V]] struct {
 	groupID          int
 	machine          string
@@ -34,25 +34,25 @@
 	replica          *Replica[K, V]
 	promised         Ballot
 	incrementalSaves int
-	snapshotsSent    uint64 // sent so far
-	start            uint64 // number of this process's start
-	needsCopy        bool   // the disk has no copy: this replica promises nothing until it was given one
+	snapshotsSent    uint64
+	start            uint64 // identifies this start of the process
+	needsCopy        bool   // the disk holds no state: the replica promises nothing until it has received a copy
 	copyProgress     copyProgress
-	diskErr          error // the disk's; nothing is promised or answered until it is mended
+	diskErr          error // last write error; nothing is promised or answered until a write succeeds
 	leader           *leader[K, V]
 	outbox           []Send
 
-	Refused uint64 // deltas that were garbled or went beyond a final version
+	Refused uint64 // deltas that were malformed or exceeded a final version
 }
 
-// copyProgress notes which parts of a copy have come.
+// copyProgress tracks the received parts of a full copy.
 type copyProgress struct {
 	ballot Ballot
 	round  uint64
 	parts  map[int]bool
 }
 
-// add notes a part; true once all are there.
+// add records a part and reports whether all parts have arrived.
 func (c *copyProgress) add(ballot Ballot, round uint64, part, parts int) bool {
 	if c.parts == nil || c.ballot != ballot || c.round != round {
 		*c = copyProgress{ballot, round, map[int]bool{}}
@@ -61,7 +61,7 @@
 	return len(c.parts) == parts
 }
 
-// savedState is the whole of a replica on disk.
+// savedState is the full state of a replica on disk.
 type savedState[K comparable, V Value[V]] struct {
 	Promised Ballot
 	Base     Base[K, V]
@@ -69,15 +69,15 @@
 	Deltas   []Delta[K, V]
 }
 
-// savedIncrement is what has come since the whole was written.
+// savedIncrement holds the changes of one save since the full state was written.
 type savedIncrement[K comparable, V Value[V]] struct {
 	Promised Ballot
 	Deltas   []Delta[K, V]
 }
 
-// NewGroup takes up what the machine's disk holds of a group. Founding says that the
-// deployment starts for the first time; else an empty disk has lost what it held. Start
-// is a number that no other start of the process has, and not zero.
+// NewGroup loads the state of a group from the store. founding means that the deployment
+// starts for the first time; otherwise an empty store has lost its state. start is nonzero
+// and differs between all starts of the process.
 func NewGroup[K comparable, V Value[V]](group int, machine string, options Options, store Store, founding bool, start uint64) *Group[K, V] {
 	g := &Group[K, V]{groupID: group, machine: machine, options: options, store: store, replica: NewReplica[K, V](), start: start, needsCopy: true}
 	g.load()
@@ -92,8 +92,8 @@
 
 func (g *Group[K, V]) incrementKey(i int) string { return g.stateKey() + "-" + strconv.Itoa(i) }
 
-// load merges the whole and the rounds after it. Rounds before it may still stand there;
-// merging them changes nothing.
+// load merges the full state and the increments that follow it. Increments from before the
+// full state may still be on disk; merging them has no effect.
 func (g *Group[K, V]) load() {
 	var state savedState[K, V]
 	if g.store.Get(g.stateKey(), &state) {
@@ -110,7 +110,7 @@
 			g.mergeAll(increment.Deltas)
 		}
 	}
-	g.incrementalSaves = g.options.MaxIncrementalSaves // the rounds are needed until the whole has been written
+	g.incrementalSaves = g.options.MaxIncrementalSaves // the increments are needed until the full state has been written
 }
 
 func (g *Group[K, V]) mergeAll(deltas []Delta[K, V]) {
@@ -121,7 +121,7 @@
 	}
 }
 
-// save makes deltas last; true if they do.
+// save persists deltas and reports whether they are durable.
 func (g *Group[K, V]) save(deltas []Delta[K, V]) bool {
 	if g.needsCopy || g.diskErr != nil || g.incrementalSaves == g.options.MaxIncrementalSaves {
 		return g.saveState()
@@ -133,7 +133,7 @@
 	return g.diskErr == nil
 }
 
-// saveState writes the whole copy; a replica without one has nothing to write.
+// saveState writes the full state. A replica that still needs a copy has nothing to write.
 func (g *Group[K, V]) saveState() bool {
 	if g.needsCopy {
 		return true
@@ -159,13 +159,13 @@
 	return out
 }
 
-// Leading reports whether this machine leads and a majority has answered it.
+// Leading reports whether this machine leads and a majority has answered its Prepare.
 func (g *Group[K, V]) Leading() bool {
 	return g.leader != nil && g.leader.ready && !g.leader.paused
 }
 
-// Totals are the sums of what a majority holds, and how old that knowledge is; false
-// unless this machine leads. The cells must not be changed.
+// Totals returns the sums of what a majority holds and the age of that information; false
+// unless this machine leads and the sums are confirmed. The cells must not be modified.
 func (g *Group[K, V]) Totals(now time.Duration) (Cells[K, V], time.Duration, bool) {
 	if !g.Leading() || !g.leader.totalsReady || g.leader.unconfirmed {
 		return nil, 0, false
@@ -173,12 +173,12 @@
 	return g.leader.totals, now - g.leader.totalsAt, true
 }
 
-// IncarnationCounts is the number of incarnations that are not in the base, and of those in it.
+// IncarnationCounts returns the number of incarnations outside and inside the agreed base.
 func (g *Group[K, V]) IncarnationCounts() (open, folded int) {
 	return len(g.replica.Incarnations), len(g.replica.Base.Folded)
 }
 
-// OpenIncarnations are the incarnations that have not ended, by id, with their nodes.
+// OpenIncarnations returns the nodes of the incarnations that have not ended, by ID.
 func (g *Group[K, V]) OpenIncarnations() map[IncarnationID]string {
 	out := map[IncarnationID]string{}
 	for id, incarnation := range g.replica.Incarnations {
@@ -189,9 +189,9 @@
 	return out
 }
 
-// Tick advances the group. Leads says that this machine holds the lease, and replicas are
-// all machines that keep a copy. A leader whose lease lapses pauses, and goes on under its
-// ballot if it holds the lease again before another machine has led.
+// Tick advances the group. leads reports whether this machine holds the lease; replicas are
+// all machines that keep a copy. A leader whose lease lapses pauses, and continues under its
+// ballot if it regains the lease before another machine has led.
 func (g *Group[K, V]) Tick(now time.Duration, leads bool, replicas []string) []Send {
 	if g.leader != nil && leads && g.leader.paused {
 		g.resume()
@@ -215,8 +215,8 @@
 	return g.takeOutbox()
 }
 
-// promise notes on disk that no lower ballot is accepted any more; a leader under one
-// leads no longer.
+// promise persists that lower ballots are rejected from now on and reports whether that is
+// durable. A leader under a different ballot steps down.
 func (g *Group[K, V]) promise(ballot Ballot) bool {
 	if ballot.Less(g.promised) {
 		return false
@@ -231,7 +231,7 @@
 	return g.save(nil)
 }
 
-// Receive takes a message from another machine of the group.
+// Receive processes a message from another replica of the group.
 func (g *Group[K, V]) Receive(from string, message any) []Send {
 	switch m := message.(type) {
 	case Prepare:
@@ -273,7 +273,7 @@
 	g.accept(from, m)
 }
 
-// accept takes a round in and answers once the disk holds it.
+// accept merges a part of a round and answers once it is durable.
 func (g *Group[K, V]) accept(from string, m Replicate[K, V]) {
 	answer := Replicated{Group: g.groupID, Ballot: m.Ballot, Round: m.Round, Part: m.Part}
 	if g.needsCopy && m.Whole != g.start {
@@ -296,7 +296,7 @@
 		}
 	}
 	if g.needsCopy && !g.copyProgress.add(m.Ballot, m.Round, m.Part, m.Parts) {
-		return // more of the copy is to come
+		return // more parts of the copy are outstanding
 	}
 	g.needsCopy = false
 	saved := false
@@ -310,7 +310,7 @@
 	}
 }
 
-// applyBase notes the base of a round; false if it is an old one.
+// applyBase records the base of a round and reports false if it is stale.
 func (g *Group[K, V]) applyBase(m Replicate[K, V]) bool {
 	switch {
 	case m.Base == nil:
--- a/internal/counter/leader.go
+++ b/internal/counter/leader.go
@@ -7,56 +7,56 @@
 	"time"
 )
 
-// maxBackoffDoublings bounds the time between two sendings: eight times the first.
+// maxBackoffDoublings caps the resend interval at eight times the first one.
 const maxBackoffDoublings = 3
 
-// leader is what a machine knows while it leads.
+// leader is the state of a machine while it leads.
 type leader[K comparable, V Value[V]] struct {
 	ballot            Ballot
-	replicas          []string // all machines that keep a copy, this one included
+	replicas          []string // all replicas, this machine included
 	assemblies        map[string]*snapshotAssembly[K, V]
 	prepared          map[string]bool
 	prepareSentAt     time.Duration
-	prepareAttempts   int  // times that replicas were asked to prepare
-	ready             bool // a majority has answered
-	paused            bool // the lease has lapsed: nothing is proposed or published, the ballot stays
+	prepareAttempts   int
+	ready             bool // a majority has promised
+	paused            bool // the lease has lapsed: proposes and publishes nothing, keeps the ballot
 	round             *round[K, V]
 	lastRound         uint64
 	roundAt           time.Duration
 	compactedAt       time.Duration
 	inbox             []Delta[K, V]
-	receivedVersions  map[IncarnationID]uint64 // versions with the inbox
+	receivedVersions  map[IncarnationID]uint64 // versions held, the inbox included
 	receivedFinals    map[IncarnationID]uint64 // final versions in the inbox
 	durableVersions   map[IncarnationID]uint64 // versions that a majority holds
-	totals            Cells[K, V]              // of what a majority holds
+	totals            Cells[K, V]              // sums of what a majority holds
 	incarnationsByKey map[K]map[IncarnationID]struct{}
 	totalsAt          time.Duration
-	totalsReady       bool   // totals have been computed
-	unconfirmed       bool   // another machine may have led in a pause: nothing is published
-	confirmingRound   uint64 // the first round whose end shows that none has
+	totalsReady       bool
+	unconfirmed       bool   // another machine may have led during a pause: nothing is published
+	confirmingRound   uint64 // first round whose completion shows that no other machine has led
 	emptyReplicas     map[string]emptyReplica
 }
 
-// emptyReplica is a replica whose disk has lost its copy. It has also forgotten which
-// ballots it accepts none below, so that it may be given a copy only by a leader whose
-// ballot a majority of the others has accepted since.
+// emptyReplica is a replica that has lost its state. It has also lost its promises, so it may
+// only receive a copy from a leader whose ballot a majority of the others has accepted since
+// the loss was detected.
 type emptyReplica struct {
-	start      uint64 // number of its process's start
-	detectedIn uint64 // the round under way as it was heard of
+	start      uint64 // start of its process
+	detectedIn uint64 // the round in progress when the loss was detected
 }
 
-// round is one that waits for a majority.
+// round is a replication round that waits for a majority.
 type round[K comparable, V Value[V]] struct {
 	number   uint64
 	versions map[IncarnationID]uint64
 	parts    [][]Delta[K, V]
-	base     *Base[K, V]             // goes with the first part
-	acks     map[string]map[int]bool // parts, by replica
+	base     *Base[K, V]             // sent with the first part
+	acks     map[string]map[int]bool // acknowledged parts, by replica
 	sentAt   map[string]time.Duration
 	sends    map[string]int // by replica
 }
 
-// completeReplicas are the replicas that hold all parts.
+// completeReplicas maps each replica that has answered to whether it holds all parts.
 func (r *round[K, V]) completeReplicas() map[string]bool {
 	out := map[string]bool{}
 	for replica, parts := range r.acks {
@@ -65,7 +65,8 @@
 	return out
 }
 
-// splitDeltas divides deltas into parts of a bounded number of cells, at least one.
+// splitDeltas groups deltas into parts of at most maxCells cells each, at least one part. A
+// delta is never split, so one with more cells makes a larger part.
 func splitDeltas[K comparable, V Value[V]](deltas []Delta[K, V], maxCells int) [][]Delta[K, V] {
 	parts := make([][]Delta[K, V], 1)
 	cells := 0
@@ -81,7 +82,7 @@
 	return parts
 }
 
-// campaign begins to lead under a ballot above all that are known here.
+// campaign tries to become leader under a ballot above all that are known here.
 func (g *Group[K, V]) campaign(now time.Duration, replicas []string) {
 	g.leader = &leader[K, V]{ballot: Ballot{g.promised.Counter + 1, g.machine, g.start}, replicas: slices.Clone(replicas),
 		assemblies: map[string]*snapshotAssembly[K, V]{}, prepared: map[string]bool{}, durableVersions: map[IncarnationID]uint64{},
@@ -121,13 +122,13 @@
 	return count > len(l.replicas)/2
 }
 
-// pause stops proposing and publishing while the machine has no lease. What is known
-// under the ballot stays: a replica that has promised a higher one rejects it.
+// pause stops proposing and publishing while the machine does not hold the lease. The state
+// under the ballot is kept: a replica that has promised a higher ballot rejects it.
 func (l *leader[K, V]) pause() { l.paused = true }
 
-// resume goes on under the ballot once the lease is held again. Another machine may have
-// led meanwhile and published more than this one holds. If so, a majority has promised it
-// a higher ballot, and no round that begins now can end.
+// resume continues under the ballot once the lease is held again. Another machine may have
+// led in the meantime and published more than this one holds. If so, a majority has promised
+// it a higher ballot, and no round that starts now can complete.
 func (g *Group[K, V]) resume() {
 	l := g.leader
 	l.paused = false
@@ -136,14 +137,14 @@
 	g.tryCompleteRound()
 }
 
-// tryBecomeReady begins to lead once a majority has answered. The highest base that any of them
-// holds is proposed anew, as it may have been agreed.
+// tryBecomeReady starts leading once a majority has promised. The first round proposes the
+// highest base that any of them holds again, as it may have been agreed.
 func (g *Group[K, V]) tryBecomeReady() {
 	l := g.leader
 	if l.ready || l.paused || !l.hasMajority(l.prepared) {
 		return
 	}
-	g.needsCopy = false // a majority's copies are in this one
+	g.needsCopy = false // the replica now includes the state of a majority
 	if !g.saveState() {
 		g.needsCopy = true
 		return
@@ -154,7 +155,8 @@
 	}
 }
 
-// Report takes a proxy's delta to the leader; false where there is none.
+// Report hands a proxy's delta to the leader; false if this machine does not lead or the
+// delta is refused.
 func (g *Group[K, V]) Report(delta Delta[K, V]) (Ack, bool) {
 	if !g.Leading() {
 		return Ack{}, false
@@ -171,7 +173,7 @@
 	return ack, true
 }
 
-// admit puts a delta into the inbox if it fits what has arrived before.
+// admit adds a delta to the inbox if it follows what has been received before.
 func (g *Group[K, V]) admit(delta Delta[K, V]) error {
 	l := g.leader
 	if _, folded := g.replica.Base.Folded[delta.Life]; folded {
@@ -195,12 +197,12 @@
 	return nil
 }
 
-// startRound starts a round with all that a majority is not known to hold.
+// startRound starts a round with all versions that a majority is not known to hold.
 func (g *Group[K, V]) startRound(now time.Duration) {
 	l := g.leader
 	g.mergeAll(l.inbox)
 	if !g.save(l.inbox) {
-		return // the inbox is kept; merging it again changes nothing
+		return // the inbox is kept; merging it again has no effect
 	}
 	l.inbox = nil
 	clear(l.receivedFinals)
@@ -234,7 +236,7 @@
 	g.tryCompleteRound()
 }
 
-// nextBase is the base to propose with the next round, if any.
+// nextBase returns the base to propose with the next round, or nil.
 func (g *Group[K, V]) nextBase(now time.Duration) *Base[K, V] {
 	l := g.leader
 	if !l.totalsReady {
@@ -246,7 +248,7 @@
 		return nil
 	}
 	l.compactedAt = now
-	if base, some := g.replica.Candidate(l.ballot, g.options.IncarnationsPerCompaction); some {
+	if base, ok := g.replica.Candidate(l.ballot, g.options.IncarnationsPerCompaction); ok {
 		return &base
 	}
 	return nil
@@ -273,8 +275,9 @@
 	g.send(to, message)
 }
 
-// backoff is the time until a message that was sent so many times is sent again. Sending
-// it sooner would load machines that are slow to answer because of their load.
+// backoff returns the time to wait before a message that was sent the given number of times
+// is sent again. Shorter intervals would add load to machines that answer slowly because
+// they are overloaded.
 func backoff(first time.Duration, sends int) time.Duration {
 	return first << min(max(sends-1, 0), maxBackoffDoublings)
 }
@@ -288,8 +291,8 @@
 	}
 }
 
-// restoreEmptyReplicas gives replicas whose disks were empty a copy, once a round that began after they
-// were heard of has a majority without them.
+// restoreEmptyReplicas sends full copies to replicas that have lost their state, once a round
+// that started after the loss was detected has a majority without them.
 func (g *Group[K, V]) restoreEmptyReplicas(finished uint64) {
 	l := g.leader
 	for _, to := range slices.Sorted(maps.Keys(l.emptyReplicas)) {
@@ -302,7 +305,7 @@
 	}
 }
 
-// sendCopy sends the base with the first part, and all incarnations.
+// sendCopy sends all incarnations, with the base in the first part.
 func (g *Group[K, V]) sendCopy(to string, start, round uint64) {
 	var deltas []Delta[K, V]
 	for _, id := range g.replica.sortedIDs() {
@@ -347,7 +350,7 @@
 	g.restoreEmptyReplicas(finished.number)
 }
 
-// recomputeTotals adds everything up anew.
+// recomputeTotals rebuilds the totals and the index of incarnations by key.
 func (l *leader[K, V]) recomputeTotals(replica *Replica[K, V]) {
 	l.totals, l.totalsReady = replica.Totals(), true
 	l.incarnationsByKey = map[K]map[IncarnationID]struct{}{}
@@ -365,7 +368,7 @@
 	l.incarnationsByKey[key][id] = struct{}{}
 }
 
-// updateTotals adds up the cells that a round has changed.
+// updateTotals recomputes the totals of the keys that the deltas change.
 func (l *leader[K, V]) updateTotals(replica *Replica[K, V], deltas []Delta[K, V]) {
 	for _, delta := range deltas {
 		for key := range delta.Cells {
@@ -408,7 +411,7 @@
 	g.repair(from, m)
 }
 
-// repair sends a replica what it lacks, and then the round again.
+// repair sends a replica what it is missing, and then the part again.
 func (g *Group[K, V]) repair(to string, m Replicated) {
 	l := g.leader
 	if m.Fresh > 0 {
@@ -434,6 +437,6 @@
 	if g.leader == nil || !g.leader.ballot.Less(m.Promised) {
 		return
 	}
-	g.leader = nil        // the next tick campaigns above the ballot, if the lease still holds
-	g.promise(m.Promised) // on the disk too: a Prepare under this ballot is answered without another write
+	g.leader = nil        // the next tick campaigns above that ballot, if the lease is still held
+	g.promise(m.Promised) // persisted as well: a Prepare under this ballot then needs no further write
 }
--- a/internal/counter/messages.go
+++ b/internal/counter/messages.go
@@ -1,83 +1,86 @@
 package counter
 
-// Prepare asks a replica to accept no lower ballot from now on, and to send its copy.
+// Prepare asks a replica to reject lower ballots from now on and to send a snapshot of its
+// state.
 type Prepare struct {
 	Group  int
 	Ballot Ballot
 }
 
-// SnapshotID names a copy by the start of the process that sent it, and a number.
+// SnapshotID identifies a snapshot by the start of the process that sent it and a sequence
+// number.
 type SnapshotID struct {
 	Start  uint64
 	Number uint64
 }
 
-// Promise answers Prepare with a part of the replica's copy. A base that stands in several
-// parts has its cells split over them.
+// Promise answers Prepare with one part of the replica's snapshot. The cells of the base may
+// be spread over several parts.
 type Promise[K comparable, V Value[V]] struct {
 	Group    int
 	Ballot   Ballot
-	Snapshot SnapshotID // the same in all parts of one copy
+	Snapshot SnapshotID // the same in all parts of one snapshot
 	Part     int
 	Parts    int
 	Base     Base[K, V]
-	Proposed *Base[K, V] // nil where it is the agreed base
+	Proposed *Base[K, V] // nil if it equals the agreed base
 	Deltas   []Delta[K, V]
 }
 
-// Reject answers a message of a ballot below one that has been promised.
+// Reject answers a message whose ballot is lower than the promised one.
 type Reject struct {
 	Group    int
 	Promised Ballot
 }
 
-// BaseID names a base.
+// BaseID identifies a base.
 type BaseID struct {
 	Ballot Ballot
 	Number uint64
 }
 
-// Replicate brings a round's deltas to a replica, a base that is proposed, and the name
-// of the one that is agreed.
+// Replicate carries a part of a round's deltas to a replica, the base that is being
+// proposed, if any, and the ID of the agreed base.
 type Replicate[K comparable, V Value[V]] struct {
 	Group  int
 	Ballot Ballot
 	Round  uint64
-	Part   int // a round's deltas may go in several messages
-	Parts  int // of a copy: how many there are
+	Part   int // index of this message among those of the round or copy
+	Parts  int // number of parts of a full copy; 0 in a round
 	Deltas []Delta[K, V]
 	Base   *Base[K, V]
 	Agreed BaseID
-	Whole  uint64 // not 0: part of a copy for the replica whose disk was empty at that start
+	Whole  uint64 // nonzero: part of a full copy for the replica that lost its state, at that start
 }
 
-// Replicated answers Replicate once the replica's store holds what it brought, or with
-// what the replica lacks first.
+// Replicated answers Replicate once the replica's store holds the contents, or reports what
+// the replica has to receive first.
 type Replicated struct {
 	Group    int
 	Ballot   Ballot
 	Round    uint64
 	Part     int
-	Gaps     []IncarnationID // incarnations of which earlier versions are missing
+	Gaps     []IncarnationID // incarnations whose earlier versions are missing
 	NeedBase bool            // the agreed base is missing
-	Fresh    uint64          // not 0: the replica's disk has lost its copy; the number of its start
+	Fresh    uint64          // nonzero: the replica has lost its state; the number of its start
 }
 
-// Send is a message to another machine that keeps a copy.
+// Send is a message to another replica of the group.
 type Send struct {
 	To      string
 	Message any
 }
 
-// Less orders bases by their names.
+// Less reports whether id is lower than other in ballot, then number.
 func (id BaseID) Less(other BaseID) bool {
 	return id.Ballot.Less(other.Ballot) || id.Ballot == other.Ballot && id.Number < other.Number
 }
 
-// ID names the base.
+// ID returns the ID of the base.
 func (b Base[K, V]) ID() BaseID { return BaseID{b.Ballot, b.Number} }
 
-// splitSnapshot splits a replica's copy into messages of a bounded number of cells each.
+// splitSnapshot splits a replica's state into messages and starts a new one once the current
+// one has maxCells cells. An incarnation is never split.
 func splitSnapshot[K comparable, V Value[V]](group int, ballot Ballot, snapshot SnapshotID, r *Replica[K, V], maxCells int) []Promise[K, V] {
 	header := Promise[K, V]{Group: group, Ballot: ballot, Snapshot: snapshot}
 	header.Base = Base[K, V]{Ballot: r.Base.Ballot, Number: r.Base.Number}
@@ -116,13 +119,13 @@
 	return out
 }
 
-// snapshotAssembly gathers the parts of one replica's copy.
+// snapshotAssembly collects the parts of one replica's snapshot.
 type snapshotAssembly[K comparable, V Value[V]] struct {
 	snapshot SnapshotID
 	parts    map[int]Promise[K, V]
 }
 
-// add takes a part; it gives the copy once all parts are there.
+// add stores a part and returns the assembled replica once all parts have arrived.
 func (a *snapshotAssembly[K, V]) add(part Promise[K, V]) (*Replica[K, V], bool) {
 	if part.Snapshot != a.snapshot {
 		a.snapshot, a.parts = part.Snapshot, map[int]Promise[K, V]{}
--- a/internal/counter/replica.go
+++ b/internal/counter/replica.go
@@ -6,15 +6,15 @@
 	"slices"
 )
 
-// Ballot orders the machines that have led a group of replicas; the zero ballot is below
-// all others. Start tells a machine that has lost its disk from what it was before.
+// Ballot orders the leaders of a replica group; the zero ballot is the lowest. Start
+// distinguishes a machine that has lost its disk from its earlier self.
 type Ballot struct {
 	Counter uint64
 	Machine string
 	Start   uint64
 }
 
-// Less orders ballots.
+// Less reports whether b is lower than other.
 func (b Ballot) Less(other Ballot) bool {
 	if b.Counter != other.Counter {
 		return b.Counter < other.Counter
@@ -25,35 +25,35 @@
 	return b.Start < other.Start
 }
 
-// Base is the sum of incarnations that are over. A leader proposes it under its ballot, numbered
-// in order; of two bases the one with the higher ballot, then number, contains the other
-// if either has been agreed.
+// Base is the sum of ended incarnations. A leader proposes bases under its ballot, with
+// increasing numbers. Of two bases, the one with the higher ballot, then number, contains
+// the other if either has been agreed.
 type Base[K comparable, V Value[V]] struct {
 	Ballot Ballot
 	Number uint64
-	Folded map[IncarnationID]uint64 // final versions of the incarnations in it
+	Folded map[IncarnationID]uint64 // final version of each incarnation that the base includes
 	Cells  Cells[K, V]
 }
 
-// Less orders bases.
+// Less reports whether b is lower than other in ballot, then number.
 func (b Base[K, V]) Less(other Base[K, V]) bool {
 	return b.Ballot.Less(other.Ballot) || b.Ballot == other.Ballot && b.Number < other.Number
 }
 
-// Replica is one copy of the counters: an agreed base, a base that may have been agreed,
-// and all incarnations that are not in the agreed base.
+// Replica is one copy of the counters: the agreed base, a base that may have been agreed,
+// and all incarnations that are not part of the agreed base.
 type Replica[K comparable, V Value[V]] struct {
 	Base         Base[K, V]
-	Proposed     Base[K, V] // not less than Base
+	Proposed     Base[K, V] // never lower than Base
 	Incarnations map[IncarnationID]*Incarnation[K, V]
 }
 
-// NewReplica makes an empty replica.
+// NewReplica returns an empty replica.
 func NewReplica[K comparable, V Value[V]]() *Replica[K, V] {
 	return &Replica[K, V]{Incarnations: map[IncarnationID]*Incarnation[K, V]{}}
 }
 
-// Version is what is held of a incarnation, and the final version if it is over.
+// Version returns the version held of an incarnation, and its final version if it has ended.
 func (r *Replica[K, V]) Version(id IncarnationID) (version, final uint64) {
 	if final, folded := r.Base.Folded[id]; folded {
 		return final, final
@@ -64,7 +64,7 @@
 	return 0, 0
 }
 
-// Check reports whether a delta can be merged.
+// Check returns an error if the delta cannot be merged.
 func (r *Replica[K, V]) Check(delta Delta[K, V]) error {
 	if final, folded := r.Base.Folded[delta.Life]; folded {
 		if delta.To > final {
@@ -79,7 +79,8 @@
 	return incarnation.check(delta)
 }
 
-// Merge takes a delta in; of a incarnation in the base there is nothing to take.
+// Merge merges a delta. A valid delta of an incarnation that is part of the base has no
+// effect.
 func (r *Replica[K, V]) Merge(delta Delta[K, V]) error {
 	if err := r.Check(delta); err != nil {
 		return err
@@ -96,16 +97,16 @@
 	return nil
 }
 
-// DeltaSince is the delta of a incarnation from a version on.
+// DeltaSince returns the delta of an incarnation from the given version on.
 func (r *Replica[K, V]) DeltaSince(id IncarnationID, from uint64) Delta[K, V] {
 	return r.Incarnations[id].since(id, from)
 }
 
-// sortedIDs are the incarnations, sorted: what is sent must not depend on the order of a map, so that a
-// simulated run can be had again.
+// sortedIDs returns the sorted incarnation IDs. Messages must not depend on map iteration
+// order, so that simulated runs are reproducible.
 func (r *Replica[K, V]) sortedIDs() []IncarnationID { return slices.Sorted(maps.Keys(r.Incarnations)) }
 
-// Total is the sum over all incarnations.
+// Total returns the sum of a key over all incarnations.
 func (r *Replica[K, V]) Total(key K) V {
 	total := r.Base.Cells[key]
 	for _, incarnation := range r.Incarnations {
@@ -116,7 +117,7 @@
 	return total
 }
 
-// Totals are the sums of all keys.
+// Totals returns the sums of all keys.
 func (r *Replica[K, V]) Totals() Cells[K, V] {
 	out := r.Base.Cells.Clone()
 	for _, incarnation := range r.Incarnations {
@@ -127,8 +128,9 @@
 	return out
 }
 
-// Candidate is the next base: the present one and some complete incarnations; false if there are
-// none. The replica itself is unchanged until the base is agreed and installed.
+// Candidate returns the next base, which adds up to atMost complete incarnations to the
+// agreed one; false if there are none. The replica itself is unchanged until the base is
+// agreed and installed.
 func (r *Replica[K, V]) Candidate(ballot Ballot, atMost int) (Base[K, V], bool) {
 	next := Base[K, V]{Ballot: ballot, Number: max(r.Base.Number, r.Proposed.Number) + 1, Folded: maps.Clone(r.Base.Folded), Cells: r.Base.Cells.Clone()}
 	if next.Folded == nil {
@@ -149,10 +151,10 @@
 	return next, added > 0
 }
 
-// ErrStaleBase is given for a base that is below the one held.
+// ErrStaleBase is returned for a base that is lower than the one held.
 var ErrStaleBase = errors.New("base is older than the one held")
 
-// Propose notes a base that may come to be agreed.
+// Propose records a base that may become agreed.
 func (r *Replica[K, V]) Propose(base Base[K, V]) error {
 	if base.Less(r.Proposed) || base.Less(r.Base) {
 		return ErrStaleBase
@@ -161,8 +163,8 @@
 	return nil
 }
 
-// Install makes the proposed base the agreed one if it is the one named, and drops the
-// incarnations that are in it.
+// Install makes the proposed base the agreed one if it has the given ballot and number, and
+// drops the incarnations that it includes.
 func (r *Replica[K, V]) Install(ballot Ballot, number uint64) {
 	if r.Proposed.Ballot != ballot || r.Proposed.Number != number || !r.Base.Less(r.Proposed) {
 		return
@@ -170,7 +172,7 @@
 	r.Adopt(r.Proposed)
 }
 
-// Adopt takes over a base that is known to be agreed.
+// Adopt replaces the base by a higher one that is known to be agreed.
 func (r *Replica[K, V]) Adopt(base Base[K, V]) {
 	if !r.Base.Less(base) {
 		return
@@ -184,8 +186,8 @@
 	}
 }
 
-// MergeReplica merges another replica's copy: the higher of all bases, and every incarnation that is
-// not in it.
+// MergeReplica merges another replica's state: every incarnation that is not part of the
+// agreed base, and the highest base as the proposed one.
 func (r *Replica[K, V]) MergeReplica(other *Replica[K, V]) error {
 	for _, base := range []Base[K, V]{other.Base, other.Proposed} {
 		if r.Proposed.Less(base) {
@@ -200,9 +202,11 @@
 	return nil
 }
 
+// mergeIncarnation merges another replica's copy of an incarnation. A copy that lags behind
+// the final version held here has nothing new, so ErrAfterClose is ignored.
 func (r *Replica[K, V]) mergeIncarnation(id IncarnationID, incarnation *Incarnation[K, V]) error {
 	if err := r.Merge(incarnation.since(id, 0)); err != nil && !errors.Is(err, ErrAfterClose) {
 		return err
 	}
-	return nil // a copy that is behind the final version has nothing new
+	return nil
 }
--- a/internal/counter/writer.go
+++ b/internal/counter/writer.go
@@ -1,7 +1,7 @@
 package counter
 
-// Writer holds the cells of one incarnation, of which it is the only writer, and tells a receiver
-// what it does not hold yet. It is not safe for concurrent use.
+// Writer holds the cells of one incarnation, of which it is the only writer, and computes
+// the deltas that a receiver is missing. It is not safe for concurrent use.
 type Writer[K comparable, V Value[V]] struct {
 	incarnation IncarnationID
 	node        string
@@ -9,26 +9,28 @@
 	closed      bool
 	cells       map[K]*Versioned[V]
 	sent        uint64
-	term        Ballot // of the receiver that has acknowledged what follows
+	term        Ballot // highest term acknowledged; acked belongs to it
 	acked       uint64
 	durable     uint64
 }
 
-// Ack is a receiver's answer to a delta: what it holds of the incarnation, and what of that
-// a majority holds. The term tells one receiver from its successor.
+// Ack is a receiver's answer to a delta. Heard is the version of the incarnation that the
+// receiver holds, Durable the version that a majority of the replicas holds. Term identifies
+// the receiver's leadership.
 type Ack struct {
 	Term    Ballot
 	Heard   uint64
 	Durable uint64
 }
 
-// NewWriter makes the writer of a new incarnation.
+// NewWriter returns a Writer for a new incarnation.
 func NewWriter[K comparable, V Value[V]](node string, incarnation IncarnationID) *Writer[K, V] {
 	return &Writer[K, V]{incarnation: incarnation, node: node, cells: map[K]*Versioned[V]{}}
 }
 
-// RecoverWriter makes the writer that tells of a incarnation which is over. Told is at least the
-// newest version that the incarnation has told anyone; cells are all that is known of it.
+// RecoverWriter returns a Writer that reports an incarnation which has ended. sent is at
+// least the newest version that the incarnation has sent to any receiver; cells are all its
+// known states.
 func RecoverWriter[K comparable, V Value[V]](node string, incarnation IncarnationID, sent uint64, cells Cells[K, V]) *Writer[K, V] {
 	w := NewWriter[K, V](node, incarnation)
 	w.version, w.sent, w.closed = sent+1, sent+1, true
@@ -38,10 +40,10 @@
 	return w
 }
 
-// Incarnation is the incarnation written here.
+// Incarnation returns the ID of the incarnation.
 func (w *Writer[K, V]) Incarnation() IncarnationID { return w.incarnation }
 
-// Update changes a cell. The change must take its state upward.
+// Update changes a cell. The change must move its state up the semilattice.
 func (w *Writer[K, V]) Update(key K, change func(*V)) {
 	cell := w.cells[key]
 	if cell == nil {
@@ -53,16 +55,17 @@
 	w.version = w.sent + 1
 }
 
-// Close makes the present version the last one.
+// Close makes the current version the final one.
 func (w *Writer[K, V]) Close() {
 	if !w.closed {
 		w.version, w.closed = w.sent+1, true
 	}
 }
 
-// Pending is the delta that the receiver lacks, which has no cells where it holds all but
-// a majority may not; false when a majority holds everything. A receiver that is lost
-// before a majority holds what it has heard is followed by one that has to be told again.
+// Pending returns the delta that the receiver is missing; false if a majority of the
+// replicas holds everything. The delta has no cells if the receiver holds everything but a
+// majority may not. If the receiver is lost before then, its successor has to be sent the
+// changes again.
 func (w *Writer[K, V]) Pending() (Delta[K, V], bool) {
 	if w.durable >= w.version {
 		return Delta[K, V]{}, false
@@ -78,8 +81,8 @@
 	return delta, true
 }
 
-// Acknowledge takes a receiver's answer. The first one of a new term says from which
-// version on that receiver has to be told; answers of an earlier term are passed over.
+// Acknowledge processes a receiver's answer. The first answer of a new term resets the
+// version from which that receiver needs deltas; answers of earlier terms are ignored.
 func (w *Writer[K, V]) Acknowledge(ack Ack) {
 	if ack.Term.Less(w.term) || ack.Heard > w.sent || ack.Durable > ack.Heard {
 		return
@@ -91,16 +94,17 @@
 	w.durable = max(w.durable, ack.Durable)
 }
 
-// Finished reports whether the incarnation is over and a majority holds all of it.
+// Finished reports whether the incarnation has ended and a majority of the replicas holds
+// all of it.
 func (w *Writer[K, V]) Finished() bool { return w.closed && w.durable >= w.version }
 
-// SentVersion is the newest version that a receiver may hold.
+// SentVersion returns the newest version that a receiver may hold.
 func (w *Writer[K, V]) SentVersion() uint64 { return w.sent }
 
-// DurableVersion is the newest version that a majority holds.
+// DurableVersion returns the newest version that a majority of the replicas holds.
 func (w *Writer[K, V]) DurableVersion() uint64 { return w.durable }
 
-// Cell is the present state of a key.
+// Cell returns the current state of a key.
 func (w *Writer[K, V]) Cell(key K) V {
 	if cell := w.cells[key]; cell != nil {
 		return cell.Value
@@ -109,5 +113,5 @@
 	return zero
 }
 
-// Len is the number of cells.
+// Len returns the number of cells.
 func (w *Writer[K, V]) Len() int { return len(w.cells) }
