--- a/internal/lease/incarnations_test.go
+++ b/internal/lease/incarnations_test.go
@@ -174,11 +174,11 @@
 	}
 }
 
-// TestWhatTheElectorateMustTell holds, on one course of events each, what the teller of
+// TestElectorateCallerObligations holds, on one course of events each, what the teller of
 // the electorate owes the leases: c is cut off and has not learned that a and b have
 // put d in its place. With the promise told before it leaves b, and b not taken for a
 // voter of the old view once its disk is new, one holds the duty; without, two do.
-func TestWhatTheElectorateMustTell(t *testing.T) {
+func TestElectorateCallerObligations(t *testing.T) {
 	for _, wiped := range []bool{false, true} {
 		for _, owed := range []bool{true, false} {
 			b := simnet.New(1)
--- a/internal/lease/lease.go
+++ b/internal/lease/lease.go
@@ -1,30 +1,34 @@
-// Package lease assigns the single duties by leases that a majority of the control machines
-// grants. The holder reckons its lease from before it asked, a grantor from after it granted
-// and longer, both by the steady clock, so a holder has stopped before anyone else can
-// start. A grantor that has just started grants nothing until every lease it may have
-// granted before has ended. A holder that comes straight back may take up at once what the
-// others still have granted to it: the incarnation that held it is over.
+// Package lease assigns singleton duties to control machines by leases that a majority of
+// them grants. A holder measures its lease from before it sent the request; a grantor
+// measures its grant from after it answered, and for longer. Both use the monotonic clock, so
+// a holder has stopped before anyone else can start. A grantor that has just started grants
+// nothing until every lease it may have granted before the restart has expired. A holder that
+// restarts quickly may reclaim at once what the others still have granted to it, because the
+// incarnation that held it is gone.
 //
-// Why there are never two holders, whatever the electorate does:
+// Why there are never two holders, however the electorate changes:
 //
-//   - Within one electorate two majorities share a grantor, and it grants to one
-//     holder at a time: until its grant has run out, or that holder has given back
-//     what its latest Request got. What another incarnation of the holder got is kept.
-//   - Half of the others stand for a majority where a holder comes straight back: with
-//     its own vote, which grants nothing yet, too few are left for a majority that
-//     none of them is in.
-//   - A new electorate is decided by a view that a majority of the voters before has
-//     accepted. Who has accepted a view with another electorate is sealed and grants
-//     nothing until it knows a newer view, or has accepted another in its place, which
-//     shows that the first was not decided. So any lease of the old electorate has a
-//     grantor that granted it before the decision, and ends at most LeaseLength after
-//     the decision. Whoever grants in the new electorate has learned of it after the
-//     decision and waits LeaseLength + LeaseMargin from then. The same holds view by
-//     view for one that skips some. A view with the same electorate stops no grant.
-//   - Numbers of electorates name them: words of another are dropped. A machine that
-//     slept through a change is a minority of the old electorate with all that did.
+//   - Within one electorate any two majorities share a grantor, and a grantor grants to one
+//     holder at a time: until the grant has expired, or until that holder has released
+//     what its latest Request obtained. What another incarnation of the holder obtained
+//     stays reserved.
+//   - To reclaim, half of all machines without the holder are enough in place of a
+//     majority: apart from them and the holder, whose own vote grants nothing yet, too
+//     few machines remain for another majority.
+//   - A new electorate is decided by a view that a majority of the previous voters has
+//     accepted. A machine that has accepted a view with another electorate is sealed and
+//     grants nothing until it learns of a newer view, or has accepted another view in its
+//     place, which shows that the first was not decided. So any lease of the old
+//     electorate has a grantor that granted it before the decision, and it ends at most
+//     LeaseLength after the decision. Every grantor of the new electorate has learned of
+//     it after the decision and waits LeaseLength + LeaseMargin from then. The same holds
+//     step by step for a machine that skips views. A view with the same electorate does
+//     not interrupt granting.
+//   - Electorates are identified by number, and messages of another electorate are
+//     dropped. The machines that slept through a change are together a minority of the
+//     old electorate.
 //
-// What that asks of who calls SetElectorate stands there.
+// SetElectorate lists what its caller has to guarantee for this to hold.
 package lease
 
 import (
@@ -37,14 +41,14 @@
 )
 
 type (
-	// Request wants a lease or its renewal.
+	// Request asks for a lease or for its renewal.
 	Request struct {
 		Duty  string
 		Epoch uint64
 		Nonce uint64
-		Again bool // from a machine that has just started: only what is granted to it already
+		Again bool // sent shortly after a start: only extends what is already granted to the sender
 	}
-	// Grant answers; OK false names who holds it instead.
+	// Grant answers a Request. If OK is false, Holder is the machine that holds the duty.
 	Grant struct {
 		Duty   string
 		Epoch  uint64
@@ -52,8 +56,8 @@
 		OK     bool
 		Holder string
 	}
-	// Release gives back the grant that answered a Request. A machine that stops in order
-	// names who goes on: what it gives back is kept for that one for a moment.
+	// Release gives back the grant that answered a Request. A machine that shuts down names a
+	// successor, for which the grantors reserve the duty for a short time.
 	Release struct {
 		Duty      string
 		Nonce     uint64
@@ -77,15 +81,15 @@
 	holder                string
 	nonce                 uint64 // of the holder's latest Request
 	until                 time.Duration
-	otherIncarnationUntil time.Duration // until when another incarnation of the holder may rely on it
+	otherIncarnationUntil time.Duration // expiry of what another incarnation of the holder may still rely on
 }
 
-// sameIncarnation says whether one incarnation of a machine asked both: the upper half of a nonce
-// is the incarnation's number, the lower half counts.
+// sameIncarnation reports whether one incarnation of a machine sent both nonces: the upper
+// half of a nonce identifies the incarnation, the lower half is a counter.
 func sameIncarnation(a, b uint64) bool { return a>>32 == b>>32 }
 
-// round is one round of asking; several may be under way, since answers can take
-// longer than the time between two.
+// round is one round of requests. Several may be in flight, since answers can take longer
+// than the renewal interval.
 type round struct {
 	nonce       uint64
 	reclaim     bool
@@ -93,18 +97,19 @@
 	granted     map[string]bool
 }
 
+// claim is this machine's state as a claimant of one duty.
 type claim struct {
-	nonce         uint64        // of the latest question; 0: none counts
-	rounds        []round       // the latest last
-	until         time.Duration // holder's own reckoning; 0 when not held
-	since         time.Duration // start of the unbroken holding
+	nonce         uint64        // of the latest request; 0: no request is valid
+	rounds        []round       // in order of request
+	until         time.Duration // expiry by the holder's own measure; 0 if not held
+	since         time.Duration // start of the uninterrupted holding
 	nextRequestAt time.Duration
-	notBefore     time.Duration // given up on purpose: not claimed before
-	otherHeldAt   time.Duration // last heard that another holds it
-	reservedUntil time.Duration // until when it is kept here for this machine, its holder having stopped
+	notBefore     time.Duration // no claim before this time after a voluntary release
+	otherHeldAt   time.Duration // when another holder was last observed
+	reservedUntil time.Duration // end of this machine's reservation as the named successor
 }
 
-// Manager is one machine's part: it grants, and it claims.
+// Manager is one machine's part in assigning the duties, both as grantor and as claimant.
 type Manager struct {
 	self      string
 	epoch     uint64
@@ -117,12 +122,12 @@
 	nonce     uint64
 	outbox    []Send
 
-	Dropped uint64 // words from or to who has no vote, of another electorate, or on no duty
+	Dropped uint64 // messages from or to a non-voter, of another electorate, or about no known duty
 }
 
-// New makes the machine, without an electorate; all machines name the same
-// duties in the same order. incarnation is a number no earlier incarnation of this machine is
-// likely to have had.
+// New returns a Manager without an electorate. All machines must list the same duties in the
+// same order. incarnation is a number that earlier incarnations of this machine are unlikely
+// to have used.
 func New(now time.Duration, incarnation uint64, self string, duties []string) *Manager {
 	manager := &Manager{self: self, duties: duties, startedAt: now, nonce: incarnation << 32, grants: map[string]grant{}, claims: map[string]*claim{}}
 	for _, d := range duties {
@@ -131,19 +136,24 @@
 	return manager
 }
 
-// SetElectorate takes the machines whose majority grants, under the number of
-// the view that made them so, and whether this machine has accepted a view with
-// another electorate. A sealed machine grants nothing, and a majority is sealed before
-// a new electorate is decided; whoever learns of one grants nothing until all that
-// the old one granted has ended. So majorities of two electorates never meet.
+// SetElectorate sets the machines whose majority grants leases, the number of the view that
+// established them, and whether this machine has accepted a view with another electorate. A
+// sealed machine grants nothing, and a majority is sealed before a new electorate is
+// decided. A machine that learns of a new electorate grants nothing until all grants of the
+// old one have expired. So majorities of two electorates never overlap in time.
 //
-// The caller owes that the number changes whenever the addresses do; that an acceptance
-// is told here before the word of it leaves the machine, and no older word after it; and
-// that a machine whose disk has forgotten what it accepted is told as sealed until a view
-// names its new disk. TestWhatTheElectorateMustTell shows what comes of less.
+// The caller must guarantee that
+//
+//   - the number changes whenever the addresses do,
+//   - an acceptance is reported here before the message about it leaves the machine, and
+//     no older state is reported afterwards, and
+//   - a machine whose disk has lost what it accepted is reported as sealed until a view
+//     names its new disk.
+//
+// TestElectorateCallerObligations shows what happens otherwise.
 func (manager *Manager) SetElectorate(now time.Duration, epoch uint64, peers []string, sealed bool) {
 	if epoch < manager.epoch {
-		return // told late
+		return // stale report
 	}
 	manager.sealed = sealed
 	if epoch == manager.epoch {
@@ -156,22 +166,22 @@
 	}
 	manager.grants = map[string]grant{}
 	for _, c := range manager.claims {
-		c.nonce, c.rounds, c.otherHeldAt, c.nextRequestAt = 0, nil, 0, 0 // what is held runs out
+		c.nonce, c.rounds, c.otherHeldAt, c.nextRequestAt = 0, nil, 0, 0 // a lease that is held expires by itself
 	}
 }
 
-// Duties lists the duties by name.
+// Duties returns the names of the duties.
 func (manager *Manager) Duties() []string { return manager.duties }
 
-// Holds says whether this machine may do a duty at this moment, and since when
-// it has held it without a break.
+// Holds reports whether this machine holds a duty at the given time, and since when it has
+// held it without interruption.
 func (manager *Manager) Holds(now time.Duration, duty string) (since time.Duration, ok bool) {
 	c := manager.claims[duty]
 	return c.since, c.until > now
 }
 
-// Expiry is when this machine's lease of a duty ends by its own reckoning; 0 while
-// it has none.
+// Expiry returns when this machine's lease of a duty expires by its own measure, or 0 if it
+// holds none.
 func (manager *Manager) Expiry(now time.Duration, duty string) time.Duration {
 	if c := manager.claims[duty]; c != nil && c.until > now {
 		return c.until
@@ -179,8 +189,8 @@
 	return 0
 }
 
-// Holder is who this machine has granted a duty to, if anyone. Its own grant to
-// itself does not count without a majority's.
+// Holder returns the machine to which this one has granted a duty, or "". A grant of this
+// machine to itself does not count without a majority.
 func (manager *Manager) Holder(now time.Duration, duty string) string {
 	if _, ok := manager.Holds(now, duty); ok {
 		return manager.self
@@ -199,13 +209,14 @@
 	manager.outbox = append(manager.outbox, Send{to, m})
 }
 
-// rank orders the machines for a duty: it falls to the first that is there.
+// rank returns this machine's position in the order in which machines claim a duty; the
+// first available one gets it. The order is rotated by one for each duty.
 func (manager *Manager) rank(duty int) int {
 	n := len(manager.peers)
 	return ((slices.Index(manager.peers, manager.self)-duty)%n + n) % n
 }
 
-// Tick claims and renews.
+// Tick claims and renews leases and returns the messages to send.
 func (manager *Manager) Tick(now time.Duration) []Send {
 	if !slices.Contains(manager.peers, manager.self) {
 		return nil
@@ -222,14 +233,14 @@
 		reclaim := false
 		if !held {
 			if g := manager.grants[d]; g.until > now && g.holder != manager.self {
-				c.otherHeldAt = now // here it is known to be held
+				c.otherHeldAt = now // by this machine's own grant
 				continue
 			}
 			wait := time.Duration(manager.rank(i)) * constants.LeaseStagger
 			if now < c.reservedUntil {
 				wait = 0
 			}
-			reclaim = now-manager.startedAt < 2*constants.LeaseRenew // longer, and its asking would keep the duty from others
+			reclaim = now-manager.startedAt < 2*constants.LeaseRenew // reclaiming for longer would keep the duty from others
 			if !reclaim && (now-manager.startedAt < constants.LeaseLength+constants.LeaseMargin+wait || c.otherHeldAt > 0 && now-c.otherHeldAt < wait) {
 				continue
 			}
@@ -241,7 +252,7 @@
 	return out
 }
 
-// startRound begins a round of asking for a duty.
+// startRound requests a duty from the whole electorate.
 func (manager *Manager) startRound(now time.Duration, duty string, reclaim bool) {
 	c := manager.claims[duty]
 	manager.nonce++
@@ -254,7 +265,7 @@
 	}
 }
 
-// acceptHandover takes up a duty whose holder has stopped and named this machine.
+// acceptHandover claims a duty whose holder has shut down and named this machine.
 func (manager *Manager) acceptHandover(now time.Duration, duty string) {
 	c := manager.claims[duty]
 	if c.until > now || now < c.notBefore || now-manager.startedAt < constants.LeaseLength+constants.LeaseMargin {
@@ -262,10 +273,10 @@
 	}
 	c.reservedUntil = now + constants.LeaseReserve
 	manager.startRound(now, duty, false)
-	c.nextRequestAt = now // what a refusal by one that the Release has not reached yet costs is one step
+	c.nextRequestAt = now // a refusal by a grantor that has not received the Release yet costs only one tick
 }
 
-// Recv takes a message.
+// Recv processes a message and returns the answers to send.
 func (manager *Manager) Recv(now time.Duration, from string, msg any) []Send {
 	if from != manager.self && slices.Contains(manager.peers, from) && slices.Contains(manager.peers, manager.self) {
 		manager.dispatch(now, from, msg)
@@ -290,7 +301,7 @@
 	}
 }
 
-// onRequest grants a duty to whoever asks, unless it is another's.
+// onRequest grants a duty to the sender unless it is granted to another machine.
 func (manager *Manager) onRequest(now time.Duration, from string, m Request) {
 	if manager.claims[m.Duty] == nil || m.Epoch != manager.epoch {
 		manager.Dropped++
@@ -302,15 +313,15 @@
 	g := manager.grants[m.Duty]
 	renewal := g.holder == from && g.until > now
 	if renewal && sameIncarnation(m.Nonce, g.nonce) && m.Nonce < g.nonce {
-		return // overtaken by a later one
+		return // superseded by a later request
 	}
 	ok := (g.until <= now || g.holder == from) && now-manager.startedAt >= constants.LeaseLength+constants.LeaseMargin
 	if m.Again && (g.until <= now || g.holder != from) {
 		return
 	}
 	if ok {
-		// Of two incarnations of the holder nothing tells here which is the later one, as
-		// words of the one that is over may come last: each keeps what it got.
+		// The order of the holder's incarnations is unknown here, as messages of the ended
+		// one may arrive last: each keeps what it was granted.
 		otherUntil := time.Duration(0)
 		if renewal {
 			otherUntil = g.otherIncarnationUntil
@@ -324,7 +335,7 @@
 	manager.send(from, Grant{m.Duty, manager.epoch, m.Nonce, ok, g.holder}, now)
 }
 
-// onRelease ends a grant, and reserves the duty for the successor it names.
+// onRelease ends a grant and reserves the duty for the successor that the message names.
 func (manager *Manager) onRelease(now time.Duration, from string, m Release) {
 	if manager.claims[m.Duty] == nil {
 		manager.Dropped++
@@ -332,7 +343,7 @@
 	}
 	g := manager.grants[m.Duty]
 	if g.holder != from || g.nonce != m.Nonce && !(sameIncarnation(g.nonce, m.Nonce) && g.nonce < m.Nonce) {
-		return // of a later Request, or of another incarnation
+		return // the grant belongs to a later Request or to another incarnation
 	}
 	manager.grants[m.Duty] = grant{holder: from, until: g.otherIncarnationUntil, otherIncarnationUntil: g.otherIncarnationUntil}
 	if m.Successor == "" || g.until <= now || g.otherIncarnationUntil > now {
@@ -344,7 +355,7 @@
 	}
 }
 
-// onGrant takes the answer to a Request of this machine's.
+// onGrant processes the answer to a Request of this machine.
 func (manager *Manager) onGrant(now time.Duration, from string, m Grant) {
 	c := manager.claims[m.Duty]
 	if c == nil || m.Epoch != manager.epoch || !m.OK && m.Holder != "" && !slices.Contains(manager.peers, m.Holder) {
@@ -353,7 +364,7 @@
 	}
 	i := slices.IndexFunc(c.rounds, func(r round) bool { return r.nonce == m.Nonce })
 	switch {
-	case i < 0: // overtaken
+	case i < 0: // superseded
 	case m.OK:
 		manager.granted(now, from, c, c.rounds[i])
 	case m.Nonce == c.nonce:
@@ -361,9 +372,10 @@
 	}
 }
 
-// denied takes a refusal of the latest Request. Another holder has the duty, or is about
-// to: what was granted here and there is given back, and the next try waits a time of this
-// machine's own, since claims that split the votes would keep them split for ever.
+// denied processes a refusal of the latest Request. Another machine holds the duty or is
+// about to. What was granted so far is released, and the next attempt is delayed by a time
+// specific to this machine, since otherwise claims that split the votes could split them
+// forever.
 func (manager *Manager) denied(now time.Duration, c *claim, m Grant) {
 	if m.Holder == "" || m.Holder == manager.self {
 		return
@@ -379,9 +391,9 @@
 	c.nonce, c.rounds = 0, nil
 }
 
-// granted counts a grant; with enough of them this machine holds the duty. A holder that
-// came straight back has forgotten its own grant. Half of all machines, itself not counted,
-// leave too few for anyone else.
+// granted counts a grant; with enough of them this machine holds the duty. To reclaim, grants
+// from half of all machines are enough, its own not included: this machine has lost its own
+// grant in the restart, and too few others remain for anyone else's majority.
 func (manager *Manager) granted(now time.Duration, from string, c *claim, r round) {
 	r.granted[from] = true
 	needed := len(manager.peers)/2 + 1
@@ -398,9 +410,10 @@
 	c.until = until
 }
 
-// Resign gives up what is held, before a planned stop, or the one duty named. Before a
-// stop each duty goes to a machine that has just granted its renewal, which takes it up
-// at once, and nothing is claimed any more.
+// Resign releases the leases that are held: only those of the named duties, or, before a
+// planned shutdown, all of them. Before a shutdown each duty is handed over to a machine that
+// granted one of the latest renewals and that claims it at once, and no duty is claimed for a
+// while.
 func (manager *Manager) Resign(now time.Duration, only ...string) []Send {
 	for i, d := range manager.duties {
 		stopping := len(only) == 0
@@ -421,17 +434,18 @@
 	return out
 }
 
+// releaseDuty gives up a lease and sends a Release to the electorate.
 func (manager *Manager) releaseDuty(now time.Duration, duty, successor string) {
 	c := manager.claims[duty]
 	c.until, c.since, c.notBefore = 0, 0, now+constants.LeaseLength*4
 	for _, p := range manager.peers {
 		manager.send(p, Release{duty, c.nonce, successor}, now)
 	}
-	c.nonce, c.rounds = 0, nil // an answer still under way must not bring it back
+	c.nonce, c.rounds = 0, nil // a grant still in flight must not restore the lease
 }
 
-// successor is the first in rank for a duty of those that granted its latest renewals;
-// empty when none did.
+// successor returns the first machine in rank for a duty that granted one of its latest
+// renewals, or "".
 func (manager *Manager) successor(duty int) string {
 	c := manager.claims[manager.duties[duty]]
 	for i := range manager.peers {
