--- a/internal/duty/holder.go
+++ b/internal/duty/holder.go
@@ -7,8 +7,8 @@
 	"slateridge/internal/constants"
 )
 
-// Effect is what the caller of a step has to carry out, in the order given: an Order, an
-// Act, a Cancel or a Yield, and nothing else.
+// Effect is an action that the caller of a step has to carry out, in the order given: an
+// Order, a Call, a Cancel or a Yield.
 type Effect interface{ effect() }
 
 func (Order) effect()  {}
@@ -16,8 +16,8 @@
 func (Cancel) effect() {}
 func (Yield) effect()  {}
 
-// Call is an act to send: the bytes that were decided, under the holder's fence.
-// A call still under way when the lease is lost is cut.
+// Call is a call to send to the platform: the decided body, under the holder's fence. A call
+// that is still in flight when the lease is lost is canceled.
 type Call struct {
 	ID    uint64
 	Fence uint64
@@ -25,34 +25,34 @@
 	Body  []byte
 }
 
-// Cancel ends the call under way: the duty is not this machine's any more.
+// Cancel cancels the call in flight: the duty was lost or the call has timed out.
 type Cancel struct{ ID uint64 }
 
-// Yield gives the lease back: the platform has seen a higher fence.
+// Yield releases the lease because the platform has seen a higher fence.
 type Yield struct{}
 
-// Holder is one machine's part in one duty: it takes the duty over when it has
-// the lease, has its acts decided, sends them, and steps down. It has no clock and
-// no network of its own.
+// Holder is one machine's part in one duty: it takes over the duty when the machine holds the
+// lease, has its calls decided, sends them, and steps down. It has no clock and no network of
+// its own.
 type Holder struct {
 	name, self  string
-	leaseLength time.Duration // no A-B-A of acts within this time
-	spacing     time.Duration // between two calls to the platform
+	returnDelay time.Duration // holders must not alternate (A, B, A) within this time
+	spacing     time.Duration // minimum time between two calls to the platform
 	rng         *rand.Rand
 
-	// LatestOnly says that a newer decision may overtake one the platform has not
-	// taken: a level that is set, not an event that is told.
+	// LatestOnly means that a newer decision may replace one that the platform has not
+	// accepted yet: the call sets a level rather than reporting an event.
 	LatestOnly bool
 
-	refusedFence        uint64        // fence the platform has turned away
-	fence               uint64        // fence under which this life acts; 0 none
-	heldSince           time.Duration // when this life first saw that it has it
-	nextOrderAt         time.Duration // the last order, repeated after a while
-	acceptedKey         uint64        // key the platform has accepted, as far as known here
+	refusedFence        uint64        // fence that the platform has rejected
+	fence               uint64        // fence under which this incarnation acts; 0: none
+	heldSince           time.Duration // when this incarnation first saw its fence committed
+	nextOrderAt         time.Duration // the last order is repeated from then on
+	acceptedKey         uint64        // latest key known to be accepted by the platform
 	consecutiveFailures int
 	nextCallAt          time.Duration
 	lastCallID          uint64
-	activeCall          uint64 // call under way; 0 none
+	activeCall          uint64 // ID of the call in flight; 0: none
 	activeKey           uint64
 	activeSince         time.Duration
 
@@ -61,19 +61,20 @@
 	AcceptedAt                time.Duration
 }
 
-// NewHolder makes the machine; me is the node's name, lease the bound within
-// which no two holders may take turns, perS the calls a second it may make.
-func NewHolder(name, self string, leaseLength time.Duration, callsPerSecond float64, rng *rand.Rand) *Holder {
-	h := &Holder{name: name, self: self, leaseLength: leaseLength, rng: rng, spacing: constants.DutySpacing}
+// NewHolder returns a Holder. self is the node's name, returnDelay the time within which two
+// holders must not alternate, and callsPerSecond the platform's limit on calls.
+func NewHolder(name, self string, returnDelay time.Duration, callsPerSecond float64, rng *rand.Rand) *Holder {
+	h := &Holder{name: name, self: self, returnDelay: returnDelay, rng: rng, spacing: constants.DutySpacing}
 	if callsPerSecond > 0 {
 		h.spacing = max(h.spacing, time.Duration(float64(time.Second)/(callsPerSecond*constants.DutyRatePart)))
 	}
 	return h
 }
 
-// Step is driven often. until is the lease's end by this machine's steady clock (0:
-// not held), rec the newest committed record; plan names what is to be decided next,
-// once all before has been accepted.
+// Step advances the holder and returns the effects to carry out; it has to be called
+// frequently. until is the lease's expiry by this machine's monotonic clock (0: not held) and
+// rec the newest committed record. plan returns what is to be decided next, once the
+// previous decision has been accepted or may be skipped.
 func (h *Holder) Step(now, until time.Duration, rec Record, plan func(after uint64) (key uint64, body []byte, ok bool)) []Effect {
 	if until <= now+constants.DutyMargin {
 		h.fence = 0
@@ -93,8 +94,8 @@
 		out = h.cancel()
 		h.fence, h.heldSince, h.acceptedKey, h.nextOrderAt, h.consecutiveFailures, h.nextCallAt = rec.Fence, now, 0, 0, 0, 0
 	}
-	if rec.Back && now < h.heldSince+h.leaseLength+constants.DutyMargin {
-		return out // it acted before the one before it did
+	if rec.Back && now < h.heldSince+h.returnDelay+constants.DutyMargin {
+		return out // back after another holder: waits, so that holders do not alternate within returnDelay
 	}
 	if h.activeCall != 0 {
 		if now-h.activeSince > constants.DutyTimeout {
@@ -140,7 +141,8 @@
 	h.nextCallAt = max(h.nextCallAt, now+pause/2+time.Duration(h.rng.Int64N(int64(pause))))
 }
 
-// HandleResponse takes the platform's answer to a call; status 0 is none.
+// HandleResponse processes the platform's response to a call; status 0 means that there was
+// none.
 func (h *Holder) HandleResponse(now time.Duration, id uint64, status int) []Effect {
 	if id != h.activeCall || id == 0 {
 		return nil
@@ -162,7 +164,7 @@
 	return nil
 }
 
-// Backlog tells what is decided and not known to be accepted: 0 or its key.
+// Backlog returns the key that is decided and not known to be accepted, or 0.
 func (h *Holder) Backlog(rec Record) uint64 {
 	if rec.Key != 0 && rec.Key != h.acceptedKey {
 		return rec.Key
@@ -170,5 +172,5 @@
 	return 0
 }
 
-// Fence is the fence under which this machine acts; 0 none.
+// Fence returns the fence under which this machine acts, or 0.
 func (h *Holder) Fence() uint64 { return h.fence }
--- a/internal/duty/record.go
+++ b/internal/duty/record.go
@@ -1,7 +1,7 @@
-// Package duty carries out the single duties at the platform, with fencing tokens, and acts
-// that are decided durably before they are sent. Who may act is a lease's business (package
-// lease); what stands here is kept in the chain's state, so it outlasts every process and
-// as many disks as may be lost.
+// Package duty executes singleton duties at the platform, with fencing tokens and with calls
+// that are decided durably before they are sent. Package lease determines which machine may
+// act. The records of this package are part of the chain's state, so they survive process
+// restarts and the loss of as many disks as the chain tolerates.
 package duty
 
 import (
@@ -11,35 +11,36 @@
 	"slateridge/internal/transport"
 )
 
-// Record is one duty as the chain holds it.
+// Record is the state of one duty in the chain.
 type Record struct {
-	Fence  uint64 // rises by one with each new holder; 0: never held
+	Fence  uint64 // incremented with each new holder; 0: never held
 	Holder string // node name
-	// Recent are the holders before, the latest last; Back says that the present
-	// one is among them, with another between, and so has to wait before it acts.
+	// Recent lists previous holders, the latest last. Back reports that the present holder
+	// had held the duty before another one did, so that it has to wait before it acts.
 	Recent []string
 	Back   bool
-	// Key orders what has been decided; Body is what is to be sent, or has been.
+	// Key orders the decisions; Body is the content of the latest one, sent or yet to be
+	// sent.
 	Key  uint64
 	Body []byte
 }
 
-// Records are all duties, by name.
+// Records holds the records of all duties, by name.
 type Records map[string]Record
 
-// Order changes a record, at the chain's head. One that was made knowing less
-// than the head holds changes nothing, so a repeat or a late one does no harm.
+// Order changes a record at the head of the chain. An order that is based on an older record
+// than the head's has no effect, so repeated and late orders are harmless.
 type Order struct {
 	Duty   string
-	Base   uint64 // the fence its sender knows
-	Holder string // not empty: takes the duty over
-	Key    uint64 // or else decides what is sent next, above the key before
+	Base   uint64 // the fence that the sender knows
+	Holder string // if not empty, takes over the duty
+	Key    uint64 // otherwise decides the next call; must exceed the previous key
 	Body   []byte
 }
 
 func init() { transport.Register(transport.NameDutyOrder, Order{}) }
 
-// Apply gives the records after an order, and whether it changed any.
+// Apply returns the records after an order, and whether the order changed any of them.
 func (rs Records) Apply(o Order) (Records, bool) {
 	r := rs[o.Duty]
 	if o.Base != r.Fence || o.Duty == "" || len(o.Body) > constants.DutyBodyMax {
