--- a/internal/counter/compaction_test.go
+++ b/internal/counter/compaction_test.go
@@ -6,7 +6,7 @@
 	"time"
 )
 
-// mapStore keeps values that nobody changes after they were put.
+// mapStore is an in-memory Store. It keeps references, so stored values must not be modified.
 type mapStore map[string]any
 
 func (s mapStore) Put(key string, value any) error {
@@ -26,32 +26,33 @@
 	return true
 }
 
-// inFlight is a message on its way.
+// inFlight is a message that has been sent and not yet delivered.
 type inFlight struct {
 	from string
 	send Send
 }
 
-// checkedWorld is three replicas around one compaction, of which every step is a choice.
-type checkedWorld struct {
+// compactionWorld is a group of three replicas around one compaction, in which every step is
+// a choice of the test.
+type compactionWorld struct {
 	names     []string
 	groups    map[string]*Group[string, Count]
 	stores    map[string]mapStore
 	starts    uint64
 	leader    string
-	flying    []inFlight
+	messages  []inFlight
 	now       time.Duration
 	published Count
 	failure   string
 }
 
-// compactionTruth is what the incarnations of the checked world have counted.
-const compactionTruth = 5
+// compactionTotal is the sum of what the incarnations of a compactionWorld have counted.
+const compactionTotal = 5
 
-// newCheckedWorld is a world in which two incarnations, one of them over, are held by a majority
-// and a compaction is due.
-func newCheckedWorld() *checkedWorld {
-	w := &checkedWorld{names: []string{"a", "b", "c"}, groups: map[string]*Group[string, Count]{}, stores: map[string]mapStore{}, leader: "a"}
+// newCompactionWorld returns a world in which a majority holds two incarnations, one of them
+// ended, and a compaction is due.
+func newCompactionWorld() *compactionWorld {
+	w := &compactionWorld{names: []string{"a", "b", "c"}, groups: map[string]*Group[string, Count]{}, stores: map[string]mapStore{}, leader: "a"}
 	for _, name := range w.names {
 		w.stores[name] = mapStore{}
 		w.start(name, true)
@@ -60,9 +61,9 @@
 	ended := NewWriter[string, Count]("p", 1)
 	ended.Update("x", func(c *Count) { *c = 2 })
 	ended.Close()
-	going := NewWriter[string, Count]("p", 2)
-	going.Update("x", func(c *Count) { *c = 3 })
-	for _, writer := range []*Writer[string, Count]{ended, going} {
+	open := NewWriter[string, Count]("p", 2)
+	open.Update("x", func(c *Count) { *c = 3 })
+	for _, writer := range []*Writer[string, Count]{ended, open} {
 		delta, _ := writer.Pending()
 		w.groups["a"].Report(delta)
 	}
@@ -72,19 +73,19 @@
 	return w
 }
 
-func (w *checkedWorld) start(name string, founding bool) {
+func (w *compactionWorld) start(name string, founding bool) {
 	w.starts++
 	w.groups[name] = NewGroup[string, Count](0, name, testOptions, w.stores[name], founding, w.starts)
 }
 
-func (w *checkedWorld) put(from string, out []Send) {
+func (w *compactionWorld) put(from string, out []Send) {
 	for _, send := range out {
-		w.flying = append(w.flying, inFlight{from, send})
+		w.messages = append(w.messages, inFlight{from, send})
 	}
 }
 
-// tick lets time go by until everybody has something to send again.
-func (w *checkedWorld) tick() {
+// tick advances time until every machine has something to send again.
+func (w *compactionWorld) tick() {
 	w.now += testOptions.ResendTimeout
 	for _, name := range w.names {
 		w.put(name, w.groups[name].Tick(w.now, w.leader == name, w.names))
@@ -92,52 +93,53 @@
 	w.check()
 }
 
-// deliver hands over a message; kept, it will arrive again.
-func (w *checkedWorld) deliver(i int, keep bool) {
-	message := w.flying[i]
+// deliver delivers a message. With keep set, the message will be delivered once more.
+func (w *compactionWorld) deliver(i int, keep bool) {
+	message := w.messages[i]
 	if !keep {
-		w.flying = append(w.flying[:i:i], w.flying[i+1:]...)
+		w.messages = append(w.messages[:i:i], w.messages[i+1:]...)
 	}
 	to := message.send.To
 	w.put(to, w.groups[to].Receive(message.from, message.send.Message))
 	w.check()
 }
 
-// check compares what the leader publishes with the truth, and with what was published.
-func (w *checkedWorld) check() {
+// check verifies that the total published by the leader neither exceeds the true one nor
+// falls below an earlier one.
+func (w *compactionWorld) check() {
 	totals, _, ok := w.groups[w.leader].Totals(w.now)
 	if !ok {
 		return
 	}
-	if totals["x"] < w.published || totals["x"] > compactionTruth {
+	if totals["x"] < w.published || totals["x"] > compactionTotal {
 		w.failure = fmt.Sprintf("total is %d after %d at %s", totals["x"], w.published, w.leader)
 	}
 	w.published = max(w.published, totals["x"])
 }
 
-// settle delivers everything in order, a few times.
-func (w *checkedWorld) settle(ticks int) {
+// settle runs a number of ticks and delivers all messages in order.
+func (w *compactionWorld) settle(ticks int) {
 	for range ticks {
 		w.tick()
-		for len(w.flying) > 0 {
+		for len(w.messages) > 0 {
 			w.deliver(0, false)
 		}
 	}
 }
 
-// step does one of the things that can happen now, and gives their number.
-func (w *checkedWorld) step(choice int) {
-	flying := min(len(w.flying), 3)
+// step performs one of the steps that are possible now.
+func (w *compactionWorld) step(choice int) {
+	deliverable := min(len(w.messages), 3)
 	switch {
-	case choice < flying:
+	case choice < deliverable:
 		w.deliver(choice, false)
-	case choice == flying:
+	case choice == deliverable:
 		w.tick()
-	case choice < flying+3: // a machine restarts on its disk; what it had sent is lost
-		name := w.names[choice-flying-1]
+	case choice < deliverable+3: // a machine restarts from its disk; undelivered messages are lost
+		name := w.names[choice-deliverable-1]
 		w.start(name, false)
-		w.flying = nil
-	case choice == flying+3: // the lease passes on
+		w.messages = nil
+	case choice == deliverable+3: // the lease moves to the next machine
 		w.leader = map[string]string{"a": "b", "b": "c", "c": "a"}[w.leader]
 		w.tick()
 	default:
@@ -145,35 +147,36 @@
 	}
 }
 
-func (w *checkedWorld) options() int {
-	flying := min(len(w.flying), 3)
-	if flying == 0 {
+// options returns the number of steps that are possible now.
+func (w *compactionWorld) options() int {
+	deliverable := min(len(w.messages), 3)
+	if deliverable == 0 {
 		return 4
 	}
-	return flying + 5
+	return deliverable + 5
 }
 
-// TestCompactionInEverySchedule runs every schedule of a few steps around a compaction:
-// messages in any order, doubled, machines that restart, and a lease that passes on. The
-// published total never falls or exceeds the truth, and comes to it in the end.
+// TestCompactionInEverySchedule runs every schedule of a few steps around a compaction, with
+// reordered and duplicated messages, machine restarts and lease moves. The published total
+// never falls, never exceeds the true one, and reaches it in the end.
 func TestCompactionInEverySchedule(t *testing.T) {
 	const depth = 5
 	choices, limits := make([]int, depth), make([]int, depth)
 	schedules := 0
 	for {
-		w := newCheckedWorld()
+		w := newCompactionWorld()
 		for i := range depth {
 			limits[i] = w.options()
 			w.step(choices[i])
 		}
-		w.flying = nil
+		w.messages = nil
 		w.now += testOptions.CompactionInterval
 		w.settle(12)
-		if schedules++; w.failure != "" || w.published != compactionTruth {
-			t.Fatalf("schedule %v: %s, published %d at last", choices, w.failure, w.published)
+		if schedules++; w.failure != "" || w.published != compactionTotal {
+			t.Fatalf("schedule %v: %s, published %d in the end", choices, w.failure, w.published)
 		}
 		if _, folded := w.groups[w.leader].IncarnationCounts(); folded != 1 {
-			t.Fatalf("schedule %v: %d incarnations are folded, one is over", choices, folded)
+			t.Fatalf("schedule %v: %d incarnations are folded, want 1", choices, folded)
 		}
 		i := depth - 1
 		for ; i >= 0; i-- {
--- a/internal/counter/group_test.go
+++ b/internal/counter/group_test.go
@@ -19,35 +19,35 @@
 	group       *Group[string, Count]
 	incarnation int
 	up          bool
-	until       time.Duration // frozen until then
+	frozenUntil time.Duration
 }
 
-// writerProcess is one writing process and the incarnations that ended on its machine before it.
+// writerProcess is a counting process and the earlier incarnations on its machine.
 type writerProcess struct {
 	name    string
 	current *Writer[string, Count]
 	ended   []*Writer[string, Count]
-	cells   Cells[string, Count] // of the current incarnation, as a journal would hold them
+	cells   Cells[string, Count] // of the current incarnation, as its journal would hold them
 }
 
-// simulation is a group of replicas, an oracle that elects, and writers.
+// simulation is a group of replicas with writers, in which the test appoints the leader.
 type simulation struct {
 	*simnet.Network
-	t         *testing.T
-	label     string
-	machines  map[string]*replicaMachine
-	names     []string
-	leader    string
-	writers   []*writerProcess
-	truth     Cells[string, Count]
-	published Cells[string, Count]
-	delivered int
-	onMessage func(message any)
-	turn      time.Duration // between two ticks of a machine
+	t              *testing.T
+	label          string
+	machines       map[string]*replicaMachine
+	names          []string
+	leader         string
+	writers        []*writerProcess
+	expected       Cells[string, Count]
+	published      Cells[string, Count]
+	deliveredCount int
+	onMessage      func(message any)
+	tickInterval   time.Duration // between two ticks of a machine
 }
 
 func newSimulation(t *testing.T, label string, seed uint64, size int) *simulation {
-	s := &simulation{Network: simnet.New(seed), t: t, label: label, machines: map[string]*replicaMachine{}, truth: Cells[string, Count]{}, published: Cells[string, Count]{}, turn: 20 * time.Millisecond}
+	s := &simulation{Network: simnet.New(seed), t: t, label: label, machines: map[string]*replicaMachine{}, expected: Cells[string, Count]{}, published: Cells[string, Count]{}, tickInterval: 20 * time.Millisecond}
 	for i := range size {
 		name := fmt.Sprint("control-", i)
 		s.names = append(s.names, name)
@@ -76,8 +76,8 @@
 	if m.incarnation != incarnation {
 		return
 	}
-	s.After(s.turn, func() { s.tick(m, incarnation) })
-	if s.Now >= m.until {
+	s.After(s.tickInterval, func() { s.tick(m, incarnation) })
+	if s.Now >= m.frozenUntil {
 		s.put(m.name, m.group.Tick(s.Now, s.leader == m.name, s.names))
 		s.observe(m)
 	}
@@ -94,14 +94,14 @@
 
 func (s *simulation) deliver(from string, send Send) {
 	m := s.machines[send.To]
-	if s.Now < m.until {
-		s.After(m.until-s.Now, func() { s.deliver(from, send) })
+	if s.Now < m.frozenUntil {
+		s.After(m.frozenUntil-s.Now, func() { s.deliver(from, send) })
 		return
 	}
 	if !m.up {
 		return
 	}
-	s.delivered++
+	s.deliveredCount++
 	s.put(send.To, m.group.Receive(from, send.Message))
 	s.observe(m)
 	if s.onMessage != nil {
@@ -109,8 +109,8 @@
 	}
 }
 
-// observe checks the totals that the leader publishes: none above the truth, and none
-// below what has been published before.
+// observe verifies the totals that the leader publishes: none exceeds the true count or falls
+// below one published before.
 func (s *simulation) observe(m *replicaMachine) {
 	if s.leader != m.name {
 		return
@@ -125,8 +125,8 @@
 		}
 	}
 	for key, count := range totals {
-		if count > s.truth[key] {
-			s.t.Fatalf("%s at %v: total of %s is %d, there were %d", s.label, s.Now, key, count, s.truth[key])
+		if count > s.expected[key] {
+			s.t.Fatalf("%s at %v: total of %s is %d, counted %d", s.label, s.Now, key, count, s.expected[key])
 		}
 		s.published[key] = count
 	}
@@ -142,27 +142,27 @@
 	key := fmt.Sprint("tenant-", s.Rng.IntN(4))
 	w.current.Update(key, func(c *Count) { *c++ })
 	w.cells[key]++
-	s.truth[key]++
+	s.expected[key]++
 }
 
-// restart ends a writer's incarnation; the next process tells what the journal holds of it.
+// restart ends a writer's incarnation. The next process reports what the journal holds of it.
 func (s *simulation) restart(w *writerProcess) {
 	w.ended = append(w.ended, RecoverWriter(w.name, w.current.Incarnation(), w.current.SentVersion(), w.cells))
 	w.current, w.cells = NewWriter[string, Count](w.name, IncarnationID(s.Rng.Uint64()|1)), Cells[string, Count]{}
 }
 
-// report tells the leader of all incarnations that it does not hold.
+// report sends the leader the pending deltas of all incarnations.
 func (s *simulation) report(w *writerProcess) {
 	w.ended = slices.DeleteFunc(w.ended, (*Writer[string, Count]).Finished)
 	for _, writer := range append(slices.Clone(w.ended), w.current) {
-		delta, some := writer.Pending()
+		delta, pending := writer.Pending()
 		to := s.leader
-		if !some || to == "" {
+		if !pending || to == "" {
 			continue
 		}
 		s.Send(w.name, to, func() {
 			m := s.machines[to]
-			if !m.up || s.Now < m.until {
+			if !m.up || s.Now < m.frozenUntil {
 				return
 			}
 			if ack, ok := m.group.Report(delta); ok {
@@ -182,11 +182,11 @@
 	})
 }
 
-// settle lets all faults end and compares the totals with the truth.
+// settle ends all faults and compares the totals with the true counts.
 func (s *simulation) settle(after time.Duration) {
 	s.Loss = 0
 	for _, a := range s.names {
-		s.machines[a].until = 0
+		s.machines[a].frozenUntil = 0
 		s.machines[a].disk.Refuse = false
 		s.machines[a].disk.Recover()
 		if !s.machines[a].up {
@@ -203,24 +203,24 @@
 	s.Run(s.Now+after, nil)
 	totals, _, ok := s.machines[s.leader].group.Totals(s.Now)
 	if !ok {
-		s.t.Fatalf("%s: nobody leads in the end", s.label)
+		s.t.Fatalf("%s: no leader in the end", s.label)
 	}
-	for key, count := range s.truth {
+	for key, count := range s.expected {
 		if totals[key] != count {
-			s.t.Fatalf("%s: total of %s is %d, there were %d", s.label, key, totals[key], count)
+			s.t.Fatalf("%s: total of %s is %d, counted %d", s.label, key, totals[key], count)
 		}
 	}
 }
 
-// trouble does one thing that goes wrong, and mends it after a while. At most a minority
-// of the replicas is affected at once.
-func (s *simulation) trouble() {
+// injectFault injects one fault that ends after a while. At most a minority of the replicas is
+// affected at a time.
+func (s *simulation) injectFault() {
 	victim := s.names[s.Rng.IntN(len(s.names))]
 	m := s.machines[victim]
 	other := s.names[s.Rng.IntN(len(s.names))]
 	for _, name := range s.names {
 		if !s.machines[name].up || s.machines[name].group.needsCopy {
-			return // one at a time
+			return // another fault is in progress
 		}
 	}
 	switch s.Rng.IntN(7) {
@@ -240,7 +240,7 @@
 		s.Cut(victim, other, true)
 		s.After(time.Second, func() { s.Cut(victim, other, false) })
 	case 3:
-		m.until = s.Now + time.Duration(s.Rng.IntN(800))*time.Millisecond
+		m.frozenUntil = s.Now + time.Duration(s.Rng.IntN(800))*time.Millisecond
 	case 4:
 		m.disk.Refuse = true
 		s.After(300*time.Millisecond, func() {
@@ -255,8 +255,9 @@
 	}
 }
 
-// TestTotalsAgainstModel plays seeded runs with kills, wipes, cuts, freezes, refusing disks,
-// lost and doubled messages, leaders that change, and incarnations that end and are folded.
+// TestTotalsAgainstModel runs seeded simulations with killed machines, wiped and failing disks,
+// network partitions, frozen machines, lost and duplicated messages, leader changes, and
+// incarnations that end and are compacted.
 func TestTotalsAgainstModel(t *testing.T) {
 	folded := 0
 	for seed := uint64(1); seed <= 120; seed++ {
@@ -266,7 +267,7 @@
 			s.drive(s.addWriter(fmt.Sprint("proxy-", i)), time.Duration(15+20*i)*time.Millisecond, 6*time.Second)
 		}
 		for at := 300 * time.Millisecond; at < 6*time.Second; at += time.Duration(100+s.Rng.IntN(500)) * time.Millisecond {
-			s.After(at, s.trouble)
+			s.After(at, s.injectFault)
 		}
 		s.Run(6500*time.Millisecond, nil)
 		s.settle(5 * time.Second)
@@ -274,7 +275,7 @@
 		folded += n
 		for _, w := range s.writers {
 			if len(w.ended) > 1 {
-				t.Errorf("seed %d: %d incarnations of %s are still told", seed, len(w.ended), w.name)
+				t.Errorf("seed %d: %d incarnations of %s are still reported", seed, len(w.ended), w.name)
 			}
 		}
 	}
@@ -283,9 +284,9 @@
 	}
 }
 
-// TestCompactionCutShort kills the leader after each message of a compaction, one run per
-// message, and lets another machine lead: no total falls or grows.
-func TestCompactionCutShort(t *testing.T) {
+// TestLeaderKilledDuringCompaction kills the leader after each message of a compaction, in one
+// run per message, and lets another machine lead: no total falls or exceeds the true count.
+func TestLeaderKilledDuringCompaction(t *testing.T) {
 	for cut := 0; cut < 60; cut++ {
 		s := newSimulation(t, fmt.Sprint("cut after message ", cut), uint64(cut+1), 3)
 		w := s.addWriter("proxy-0")
@@ -312,9 +313,9 @@
 	}
 }
 
-// TestMergeLaws merges the deltas of a few incarnations in every order, and some of them twice:
-// all replicas come to the same totals.
-func TestMergeLaws(t *testing.T) {
+// TestMergeIsOrderIndependent merges the deltas of a few incarnations in every order, some of
+// them twice: all replicas reach the same totals.
+func TestMergeIsOrderIndependent(t *testing.T) {
 	a, b := NewWriter[string, Count]("a", 1), NewWriter[string, Count]("b", 2)
 	var deltas []Delta[string, Count]
 	for i := range 4 {
@@ -331,7 +332,7 @@
 	order = func(left, taken []int) {
 		r := NewReplica[string, Count]()
 		for _, i := range taken {
-			if err := r.Merge(deltas[i]); err != nil && i != 1 { // the closed incarnation's older delta
+			if err := r.Merge(deltas[i]); err != nil && i != 1 { // an older delta of the closed incarnation
 				t.Fatalf("%v: delta %d: %v", taken, i, err)
 			}
 		}
@@ -346,8 +347,8 @@
 	order([]int{0, 1, 2, 3, 0, 2}, nil)
 }
 
-// TestBadDeltas gives deltas that must change nothing.
-func TestBadDeltas(t *testing.T) {
+// TestInvalidDeltas merges deltas that must be rejected without any effect.
+func TestInvalidDeltas(t *testing.T) {
 	r := NewReplica[string, Count]()
 	good := Delta[string, Count]{Life: 1, To: 5, Closed: true, Cells: Cells[string, Count]{"x": 3}}
 	if err := r.Merge(good); err != nil {
@@ -362,7 +363,7 @@
 	}
 	for i, delta := range bad {
 		if r.Merge(delta) == nil {
-			t.Errorf("bad delta %d was merged", i)
+			t.Errorf("invalid delta %d was merged", i)
 		}
 	}
 	base, _ := r.Candidate(Ballot{1, "a", 1}, 10)
@@ -374,6 +375,6 @@
 		t.Errorf("after compaction the total is %d", r.Total("x"))
 	}
 	if r.Propose(Base[string, Count]{}) == nil {
-		t.Error("an old base was taken")
+		t.Error("a stale base was accepted")
 	}
 }
--- a/internal/counter/resume_test.go
+++ b/internal/counter/resume_test.go
@@ -5,58 +5,59 @@
 	"time"
 )
 
-// trio is three machines' groups with messages that the test delivers by hand.
-type trio struct {
-	groups map[string]*Group[string, Count]
-	names  []string
-	now    time.Duration
-	flying []inFlight
+// manualCluster is a group of three machines whose messages the test delivers by hand.
+type manualCluster struct {
+	groups   map[string]*Group[string, Count]
+	names    []string
+	now      time.Duration
+	messages []inFlight
 }
 
-func newTrio() *trio {
-	w := &trio{groups: map[string]*Group[string, Count]{}, names: []string{"a", "b", "c"}}
+func newManualCluster() *manualCluster {
+	w := &manualCluster{groups: map[string]*Group[string, Count]{}, names: []string{"a", "b", "c"}}
 	for i, name := range w.names {
 		w.groups[name] = NewGroup[string, Count](0, name, testOptions, mapStore{}, true, uint64(i+1))
 	}
 	return w
 }
 
-// tick advances one machine by a turn.
-func (w *trio) tick(name string, leads bool) {
+// tick advances time by a round interval and steps one machine.
+func (w *manualCluster) tick(name string, leads bool) {
 	w.now += testOptions.RoundInterval
 	w.put(name, w.groups[name].Tick(w.now, leads, w.names))
 }
 
-func (w *trio) put(from string, out []Send) {
+func (w *manualCluster) put(from string, out []Send) {
 	for _, send := range out {
-		w.flying = append(w.flying, inFlight{from, send})
+		w.messages = append(w.messages, inFlight{from, send})
 	}
 }
 
-// deliver delivers messages, and what comes of them, but none from or to a machine that is
-// cut off: those stay on their way.
-func (w *trio) deliver(cutOff string) {
+// deliver delivers messages until none are left, except those from or to a machine that is cut
+// off, which stay in flight.
+func (w *manualCluster) deliver(cutOff string) {
 	var held []inFlight
-	for len(w.flying) > 0 {
-		next := w.flying[0]
-		w.flying = w.flying[1:]
+	for len(w.messages) > 0 {
+		next := w.messages[0]
+		w.messages = w.messages[1:]
 		if next.from == cutOff || next.send.To == cutOff {
 			held = append(held, next)
 			continue
 		}
 		w.put(next.send.To, w.groups[next.send.To].Receive(next.from, next.send.Message))
 	}
-	w.flying = held
+	w.messages = held
 }
 
-func (w *trio) lead(name, cutOff string) {
+// lead lets a machine lead for six ticks and delivers all messages after each.
+func (w *manualCluster) lead(name, cutOff string) {
 	for range 6 {
 		w.tick(name, true)
 		w.deliver(cutOff)
 	}
 }
 
-func (w *trio) report(t *testing.T, to string, from, version uint64, count Count) {
+func (w *manualCluster) report(t *testing.T, to string, from, version uint64, count Count) {
 	t.Helper()
 	delta := Delta[string, Count]{Life: 1, Node: "p", From: from, To: version, Cells: Cells[string, Count]{"x": count}}
 	if ack, ok := w.groups[to].Report(delta); !ok || ack.Heard != version {
@@ -64,21 +65,22 @@
 	}
 }
 
-func (w *trio) total(name string) (Count, bool) {
+func (w *manualCluster) total(name string) (Count, bool) {
 	totals, _, ok := w.groups[name].Totals(w.now)
 	return totals["x"], ok
 }
 
-// TestPausedLeaderGoesOn has a lease lapse for a moment: the leader publishes and takes
-// nothing meanwhile, and goes on under its ballot, with what it had heard.
-func TestPausedLeaderGoesOn(t *testing.T) {
-	w := newTrio()
+// TestPausedLeaderResumes lets a lease lapse for a short time. Meanwhile the leader publishes
+// nothing and accepts no reports; afterwards it continues under its ballot with what it had
+// received.
+func TestPausedLeaderResumes(t *testing.T) {
+	w := newManualCluster()
 	w.lead("a", "")
 	w.report(t, "a", 0, 1, 3)
 	ballot := w.groups["a"].leader.ballot
 	w.tick("a", false)
-	if len(w.flying) > 0 {
-		t.Errorf("a paused leader sent %+v", w.flying)
+	if len(w.messages) > 0 {
+		t.Errorf("a paused leader sent %+v", w.messages)
 	}
 	if _, ok := w.total("a"); ok || w.groups["a"].Leading() {
 		t.Error("a paused leader publishes")
@@ -88,7 +90,7 @@
 	}
 	w.tick("a", true)
 	if _, ok := w.total("a"); ok {
-		t.Error("it publishes before a majority has answered it again")
+		t.Error("the leader publishes before a majority has answered again")
 	}
 	w.deliver("")
 	if total, ok := w.total("a"); !ok || total != 3 || w.groups["a"].leader.ballot != ballot {
@@ -96,21 +98,21 @@
 	}
 }
 
-// TestResumedLeaderWasReplaced has another machine lead and publish more during a pause.
-// The paused leader has heard nothing of it. With its lease back, it publishes nothing
-// lower, whether or not a round was under way as the lease lapsed.
-func TestResumedLeaderWasReplaced(t *testing.T) {
-	for _, underWay := range []bool{false, true} {
-		w := newTrio()
+// TestLeaderReplacedDuringPause lets another machine lead and publish more while a leader is
+// paused and receives none of it. When the first leader regains the lease, it publishes
+// nothing lower, whether or not a round was in progress when the lease lapsed.
+func TestLeaderReplacedDuringPause(t *testing.T) {
+	for _, inProgress := range []bool{false, true} {
+		w := newManualCluster()
 		w.lead("a", "")
 		w.report(t, "a", 0, 1, 3)
 		w.lead("a", "")
-		if underWay {
+		if inProgress {
 			w.report(t, "a", 1, 2, 4)
 			w.tick("a", true)
-			round := w.flying
-			w.flying = nil
-			for _, message := range round { // its answers stay on their way
+			round := w.messages
+			w.messages = nil
+			for _, message := range round { // the answers stay in flight
 				w.put(message.send.To, w.groups[message.send.To].Receive("a", message.send.Message))
 			}
 		}
@@ -119,36 +121,36 @@
 		w.report(t, "b", 0, 3, 9)
 		w.lead("b", "a")
 		if total, ok := w.total("b"); !ok || total != 9 {
-			t.Fatalf("the second leader has %d, %v", total, ok)
+			t.Fatalf("the second leader publishes %d, %v", total, ok)
 		}
 		w.tick("b", false)
-		late := w.flying
-		w.flying = nil
+		late := w.messages
+		w.messages = nil
 		w.tick("a", true)
-		for _, message := range late { // first the answers to the round before the pause
+		for _, message := range late { // answers to the round before the pause arrive first
 			if _, isAnswer := message.send.Message.(Replicated); isAnswer && message.send.To == "a" {
 				w.put("a", w.groups["a"].Receive(message.from, message.send.Message))
 			}
 			if total, ok := w.total("a"); ok {
-				t.Errorf("round under way %v: the leader before publishes %d, there were 9", underWay, total)
+				t.Errorf("round in progress %v: the first leader publishes %d, want 9", inProgress, total)
 			}
 		}
 		for range 6 {
 			w.tick("a", true)
 			if total, ok := w.total("a"); ok && total < 9 {
-				t.Errorf("round under way %v: the leader before publishes %d, there were 9", underWay, total)
+				t.Errorf("round in progress %v: the first leader publishes %d, want 9", inProgress, total)
 			}
 			w.deliver("")
 		}
 		if total, ok := w.total("a"); !ok || total != 9 {
-			t.Errorf("round under way %v: in the end %d, %v", underWay, total, ok)
+			t.Errorf("round in progress %v: in the end %d, %v", inProgress, total, ok)
 		}
 	}
 }
 
-// TestPromiseAfterRejectLasts has a leader learn of a higher ballot by a rejection, and then
-// promise that ballot to its leader. The promise outlasts the process.
-func TestPromiseAfterRejectLasts(t *testing.T) {
+// TestPromiseAfterRejectIsDurable lets a leader learn of a higher ballot from a Reject and
+// then promise that ballot. The promise survives a restart.
+func TestPromiseAfterRejectIsDurable(t *testing.T) {
 	store := mapStore{}
 	group := NewGroup[string, Count](0, "a", testOptions, store, true, 1)
 	group.Tick(0, true, []string{"a", "b", "c"})
