--- a/internal/accounts/holder.go
+++ b/internal/accounts/holder.go
@@ -28,8 +28,8 @@
 const TellEvery = 25 * time.Second
 
 // DefaultOptions are those of a deployment.
-var DefaultOptions = counter.Options{RoundEvery: roundEvery, ResendAfter: resendAfter, FoldEvery: foldEvery,
-	FoldAtMost: foldAtMost, CellsAtOnce: cellsAtOnce, SavesAtOnce: savesAtOnce}
+var DefaultOptions = counter.Options{RoundInterval: roundEvery, ResendTimeout: resendAfter, CompactionInterval: foldEvery,
+	IncarnationsPerCompaction: foldAtMost, MaxCellsPerMessage: cellsAtOnce, MaxIncrementalSaves: savesAtOnce}
 
 // Holder is a control machine's part in keeping the accounts: a replica of every shard,
 // and the totals of the shards whose leases it holds.
@@ -259,8 +259,8 @@
 	defer h.mu.Unlock()
 	var out []ShardState
 	for shard, group := range h.groups {
-		lives, folded := group.Lives()
-		open := len(group.OpenLives())
+		lives, folded := group.IncarnationCounts()
+		open := len(group.OpenIncarnations())
 		_, age, leading := group.Totals(now)
 		out = append(out, ShardState{shard, leading, age, open, lives - open, folded, group.Refused})
 	}
--- a/internal/controlplane/chain/duties_test.go
+++ b/internal/controlplane/chain/duties_test.go
@@ -81,7 +81,7 @@
 	w.sendLease(n, l.Tick(w.network.Now))
 	since, _ := l.Holds(w.network.Now, testDuty)
 	rec := w.record(n)
-	w.applyEffects(n, h.Step(w.network.Now, l.Until(w.network.Now, testDuty), rec, func(after uint64) (uint64, []byte, bool) {
+	w.applyEffects(n, h.Step(w.network.Now, l.Expiry(w.network.Now, testDuty), rec, func(after uint64) (uint64, []byte, bool) {
 		return w.tallies[n].NextWindow(usage.Timing{Monotonic: w.network.Now, Agreed: w.wallClock(), HeldFor: w.network.Now - since}, after, w.windowLength, w.delay, []string{"p", "q"})
 	}))
 }
@@ -130,8 +130,8 @@
 		case duty.Order:
 			w.step(n, generation, func(ch *Chain) []Effect { return ch.SubmitDutyOrder(w.network.Now, x) })
 		case duty.Yield:
-			w.sendLease(n, w.leases[n].Leave(w.network.Now, testDuty))
-		case duty.Act:
+			w.sendLease(n, w.leases[n].Resign(w.network.Now, testDuty))
+		case duty.Call:
 			if _, ok := w.leases[n].Holds(w.network.Now, testDuty); !ok {
 				w.fail("%s calls for window %d with fence %d without holding the lease", n, x.Key, x.Fence)
 			}
@@ -142,7 +142,7 @@
 
 // onPlatformCall handles a call at the platform, checks the invariants, and answers, possibly
 // late.
-func (w *dutyCluster) onPlatformCall(n string, generation int, p duty.Act) {
+func (w *dutyCluster) onPlatformCall(n string, generation int, p duty.Call) {
 	if w.platformDown {
 		w.lostCalls++
 		return
@@ -174,7 +174,7 @@
 	}
 	w.network.After(delay, func() {
 		w.network.Send("platform", n, func() {
-			w.runInGeneration(n, generation, func() { w.applyEffects(n, w.holders[n].Answered(w.network.Now, p.ID, status)) })
+			w.runInGeneration(n, generation, func() { w.applyEffects(n, w.holders[n].HandleResponse(w.network.Now, p.ID, status)) })
 		})
 	})
 }
@@ -224,12 +224,12 @@
 	}
 	if t, some := w.meters[p].NextReport(p, w.currentWindow()); some {
 		for _, n := range w.names {
-			if l := w.leases[n]; l != nil && w.chains[n] != nil && l.Until(w.network.Now, testDuty) > 0 {
+			if l := w.leases[n]; l != nil && w.chains[n] != nil && l.Expiry(w.network.Now, testDuty) > 0 {
 				for range 1 + w.network.Rng.IntN(2) { // some reports arrive twice
 					w.network.Send(p, n, func() {
 						w.runInGeneration(n, w.generation[n], func() {
 							h, ok := w.tallies[n].Merge(w.network.Now, w.currentWindow(), t)
-							if ok && w.leases[n].Until(w.network.Now, testDuty) > 0 {
+							if ok && w.leases[n].Expiry(w.network.Now, testDuty) > 0 {
 								w.network.Send(n, p, func() { w.meters[p].Acknowledge(t, h) })
 							}
 						})
--- a/internal/controlplane/chain/lease_handover_test.go
+++ b/internal/controlplane/chain/lease_handover_test.go
@@ -123,7 +123,7 @@
 // stopGracefully stops a machine as the daemon does: it releases its duties and waits for a
 // view without it.
 func (l *leaseCluster) stopGracefully(n string) {
-	l.sendLeases(n, l.leases[n].Leave(l.network.Now))
+	l.sendLeases(n, l.leases[n].Resign(l.network.Now))
 	startedAt := l.network.Now
 	l.cluster.step(n, l.generation[n], func(ch *Chain) []Effect { return ch.Leave(l.network.Now) })
 	for end := startedAt + constants.LeaveWait; !l.chains[n].HasLeft() && l.chains[n].CanLeave() && l.network.Now < end; {
--- a/internal/controlplane/duties.go
+++ b/internal/controlplane/duties.go
@@ -112,7 +112,7 @@
 		case duty.Yield:
 			d.events.Record("duty_refused", runner.name+": the platform has seen a higher fencing token")
 			d.leases.release(runner.name)
-		case duty.Act:
+		case duty.Call:
 			ctx, cancel := context.WithTimeout(context.Background(), constants.DutyTimeout)
 			runner.mu.Lock()
 			runner.cancel, runner.callID = cancel, effect.ID
@@ -121,7 +121,7 @@
 				defer cancel()
 				status := d.perform(ctx, runner, effect)
 				runner.mu.Lock()
-				more := runner.holder.Answered(d.now(), effect.ID, status)
+				more := runner.holder.HandleResponse(d.now(), effect.ID, status)
 				runner.mu.Unlock()
 				if status != http.StatusOK {
 					d.events.Count("duty_call_failed", 1)
@@ -137,7 +137,7 @@
 
 // perform sends a decided act to the platform, in one or more calls. It returns the status of
 // the last call, 0 if there was no response.
-func (d *Daemon) perform(ctx context.Context, runner *dutyRunner, act duty.Act) int {
+func (d *Daemon) perform(ctx context.Context, runner *dutyRunner, act duty.Call) int {
 	if runner.split == nil {
 		return d.post(ctx, runner, act.Fence, act.Body)
 	}
--- a/internal/controlplane/leases.go
+++ b/internal/controlplane/leases.go
@@ -65,7 +65,7 @@
 // release gives up the leases of the given duties, or all leases if none is given.
 func (l *leases) release(duties ...string) {
 	l.mu.Lock()
-	messages := l.manager.Leave(l.now(), duties...)
+	messages := l.manager.Resign(l.now(), duties...)
 	l.mu.Unlock()
 	l.sendAll(messages)
 }
@@ -99,7 +99,7 @@
 	defer l.mu.Unlock()
 	now := l.now()
 	since, _ = l.manager.Holds(now, duty)
-	return l.manager.Until(now, duty), since
+	return l.manager.Expiry(now, duty), since
 }
 
 // holder returns the known holder of a duty, or "" if there is none.
--- a/internal/counter/leader.go
+++ b/internal/counter/leader.go
@@ -7,57 +7,57 @@
 	"time"
 )
 
-// mostDoublings bounds the time between two sendings: eight times the first.
-const mostDoublings = 3
+// maxBackoffDoublings caps the resend interval at eight times the first one.
+const maxBackoffDoublings = 3
 
-// leader is what a machine knows while it leads.
+// leader is the state of a machine while it leads.
 type leader[K comparable, V Value[V]] struct {
-	ballot     Ballot
-	replicas   []string // all machines that keep a copy, this one included
-	assemblies map[string]*assembly[K, V]
-	prepared   map[string]bool
-	askedAt    time.Duration
-	asks       int  // times that replicas were asked to prepare
-	ready      bool // a majority has answered
-	paused     bool // the lease has lapsed: nothing is proposed or published, the ballot stays
-	round      *round[K, V]
-	rounds     uint64
-	roundAt    time.Duration
-	foldAt     time.Duration
-	inbox      []Delta[K, V]
-	arrived    map[LifeID]uint64 // versions with the inbox
-	closing    map[LifeID]uint64 // final versions in the inbox
-	durable    map[LifeID]uint64 // versions that a majority holds
-	totals     Cells[K, V]       // of what a majority holds
-	holders    map[K]map[LifeID]struct{}
-	totalsAt   time.Duration
-	whole      bool   // totals have been computed
-	unproven   bool   // another machine may have led in a pause: nothing is published
-	proof      uint64 // the first round whose end shows that none has
-	empty      map[string]emptyReplica
+	ballot            Ballot
+	replicas          []string // all replicas, this machine included
+	assemblies        map[string]*snapshotAssembly[K, V]
+	prepared          map[string]bool
+	prepareSentAt     time.Duration
+	prepareAttempts   int
+	ready             bool // a majority has promised
+	paused            bool // the lease has lapsed: proposes and publishes nothing, keeps the ballot
+	round             *round[K, V]
+	lastRound         uint64
+	roundAt           time.Duration
+	compactedAt       time.Duration
+	inbox             []Delta[K, V]
+	receivedVersions  map[IncarnationID]uint64 // versions held, the inbox included
+	receivedFinals    map[IncarnationID]uint64 // final versions in the inbox
+	durableVersions   map[IncarnationID]uint64 // versions that a majority holds
+	totals            Cells[K, V]              // sums of what a majority holds
+	incarnationsByKey map[K]map[IncarnationID]struct{}
+	totalsAt          time.Duration
+	totalsReady       bool
+	unconfirmed       bool   // another machine may have led during a pause: nothing is published
+	confirmingRound   uint64 // first round whose completion shows that no other machine has led
+	emptyReplicas     map[string]emptyReplica
 }
 
-// emptyReplica is a replica whose disk has lost its copy. It has also forgotten which
-// ballots it accepts none below, so that it may be given a copy only by a leader whose
-// ballot a majority of the others has accepted since.
+// emptyReplica is a replica that has lost its state. It has also lost its promises, so it may
+// only receive a copy from a leader whose ballot a majority of the others has accepted since
+// the loss was detected.
 type emptyReplica struct {
-	start uint64 // number of its process's start
-	after uint64 // the round under way as it was heard of
+	start      uint64 // start of its process
+	detectedIn uint64 // the round in progress when the loss was detected
 }
 
-// round is one that waits for a majority.
+// round is a replication round that waits for a majority.
 type round[K comparable, V Value[V]] struct {
 	number   uint64
-	versions map[LifeID]uint64
+	versions map[IncarnationID]uint64
 	parts    [][]Delta[K, V]
-	base     *Base[K, V]             // goes with the first part
-	acks     map[string]map[int]bool // parts, by replica
+	base     *Base[K, V]             // sent with the first part
+	acks     map[string]map[int]bool // acknowledged parts, by replica
 	sentAt   map[string]time.Duration
 	sends    map[string]int // by replica
 }
 
-// holders are the replicas that hold all parts.
-func (r *round[K, V]) holders() map[string]bool {
+// completeReplicas maps each replica that has answered to whether it holds all parts.
+func (r *round[K, V]) completeReplicas() map[string]bool {
 	out := map[string]bool{}
 	for replica, parts := range r.acks {
 		out[replica] = len(parts) == len(r.parts)
@@ -65,13 +65,14 @@
 	return out
 }
 
-// splitDeltas divides deltas into parts of a bounded number of cells, at least one.
-func splitDeltas[K comparable, V Value[V]](deltas []Delta[K, V], cellsAtOnce int) [][]Delta[K, V] {
+// splitDeltas groups deltas into parts of at most maxCells cells each, at least one part. A
+// delta is never split, so one with more cells makes a larger part.
+func splitDeltas[K comparable, V Value[V]](deltas []Delta[K, V], maxCells int) [][]Delta[K, V] {
 	parts := make([][]Delta[K, V], 1)
 	cells := 0
 	for _, delta := range deltas {
 		last := len(parts) - 1
-		if cells > 0 && cells+len(delta.Cells) > cellsAtOnce {
+		if cells > 0 && cells+len(delta.Cells) > maxCells {
 			parts = append(parts, nil)
 			last, cells = last+1, 0
 		}
@@ -81,80 +82,81 @@
 	return parts
 }
 
-// campaign begins to lead under a ballot above all that are known here.
+// campaign tries to become leader under a ballot above all that are known here.
 func (g *Group[K, V]) campaign(now time.Duration, replicas []string) {
 	g.leader = &leader[K, V]{ballot: Ballot{g.promised.Counter + 1, g.machine, g.start}, replicas: slices.Clone(replicas),
-		assemblies: map[string]*assembly[K, V]{}, prepared: map[string]bool{}, durable: map[LifeID]uint64{},
-		arrived: map[LifeID]uint64{}, closing: map[LifeID]uint64{}, empty: map[string]emptyReplica{}, foldAt: now}
+		assemblies: map[string]*snapshotAssembly[K, V]{}, prepared: map[string]bool{}, durableVersions: map[IncarnationID]uint64{},
+		receivedVersions: map[IncarnationID]uint64{}, receivedFinals: map[IncarnationID]uint64{}, emptyReplicas: map[string]emptyReplica{}, compactedAt: now}
 	g.prepare(now)
 }
 
 func (g *Group[K, V]) prepare(now time.Duration) {
 	l := g.leader
-	l.askedAt = now
-	l.asks++
+	l.prepareSentAt = now
+	l.prepareAttempts++
 	if !g.promise(l.ballot) {
 		if l.ballot.Less(g.promised) {
 			g.leader = nil // the next tick campaigns above that ballot
 		}
 		return
 	}
-	l.prepared[g.machine] = !g.fresh
+	l.prepared[g.machine] = !g.needsCopy
 	for _, to := range l.replicas {
 		if to != g.machine && !l.prepared[to] {
 			if l.assemblies[to] == nil {
-				l.assemblies[to] = &assembly[K, V]{parts: map[int]Promise[K, V]{}}
+				l.assemblies[to] = &snapshotAssembly[K, V]{parts: map[int]Promise[K, V]{}}
 			}
-			g.send(to, Prepare{g.group, l.ballot})
+			g.send(to, Prepare{g.groupID, l.ballot})
 		}
 	}
-	g.tryReady()
+	g.tryBecomeReady()
 }
 
-func (l *leader[K, V]) majority(have map[string]bool) bool {
+func (l *leader[K, V]) hasMajority(members map[string]bool) bool {
 	count := 0
 	for _, replica := range l.replicas {
-		if have[replica] {
+		if members[replica] {
 			count++
 		}
 	}
 	return count > len(l.replicas)/2
 }
 
-// pause stops proposing and publishing while the machine has no lease. What is known
-// under the ballot stays: a replica that has promised a higher one rejects it.
+// pause stops proposing and publishing while the machine does not hold the lease. The state
+// under the ballot is kept: a replica that has promised a higher ballot rejects it.
 func (l *leader[K, V]) pause() { l.paused = true }
 
-// resume goes on under the ballot once the lease is held again. Another machine may have
-// led meanwhile and published more than this one holds. If so, a majority has promised it
-// a higher ballot, and no round that begins now can end.
+// resume continues under the ballot once the lease is held again. Another machine may have
+// led in the meantime and published more than this one holds. If so, a majority has promised
+// it a higher ballot, and no round that starts now can complete.
 func (g *Group[K, V]) resume() {
 	l := g.leader
 	l.paused = false
-	l.unproven, l.proof = true, l.rounds+1
-	g.tryReady()
-	g.tryFinish()
+	l.unconfirmed, l.confirmingRound = true, l.lastRound+1
+	g.tryBecomeReady()
+	g.tryCompleteRound()
 }
 
-// tryReady begins to lead once a majority has answered. The highest base that any of them
-// holds is proposed anew, as it may have been agreed.
-func (g *Group[K, V]) tryReady() {
+// tryBecomeReady starts leading once a majority has promised. The first round proposes the
+// highest base that any of them holds again, as it may have been agreed.
+func (g *Group[K, V]) tryBecomeReady() {
 	l := g.leader
-	if l.ready || l.paused || !l.majority(l.prepared) {
+	if l.ready || l.paused || !l.hasMajority(l.prepared) {
 		return
 	}
-	g.fresh = false // a majority's copies are in this one
-	if !g.saveWhole() {
-		g.fresh = true
+	g.needsCopy = false // the replica now includes the state of a majority
+	if !g.saveState() {
+		g.needsCopy = true
 		return
 	}
 	l.ready = true
-	for id := range g.replica.Lives {
-		l.arrived[id], _ = g.replica.Version(id)
+	for id := range g.replica.Incarnations {
+		l.receivedVersions[id], _ = g.replica.Version(id)
 	}
 }
 
-// Report takes a proxy's delta to the leader; false where there is none.
+// Report hands a proxy's delta to the leader; false if this machine does not lead or the
+// delta is refused.
 func (g *Group[K, V]) Report(delta Delta[K, V]) (Ack, bool) {
 	if !g.Leading() {
 		return Ack{}, false
@@ -164,60 +166,60 @@
 		g.Refused++
 		return Ack{}, false
 	}
-	ack := Ack{Term: l.ballot, Heard: l.arrived[delta.Life], Durable: l.durable[delta.Life]}
+	ack := Ack{Term: l.ballot, Heard: l.receivedVersions[delta.Life], Durable: l.durableVersions[delta.Life]}
 	if final, folded := g.replica.Base.Folded[delta.Life]; folded {
 		ack.Heard, ack.Durable = final, final
 	}
 	return ack, true
 }
 
-// admit puts a delta into the inbox if it fits what has arrived before.
+// admit adds a delta to the inbox if it follows what has been received before.
 func (g *Group[K, V]) admit(delta Delta[K, V]) error {
 	l := g.leader
 	if _, folded := g.replica.Base.Folded[delta.Life]; folded {
 		return g.replica.Check(delta)
 	}
-	arrived := Life[K, V]{Version: l.arrived[delta.Life]}
+	received := Incarnation[K, V]{Version: l.receivedVersions[delta.Life]}
 	if _, final := g.replica.Version(delta.Life); final > 0 {
-		arrived.Final = final
+		received.Final = final
 	}
-	if final, closed := l.closing[delta.Life]; closed {
-		arrived.Final = final
+	if final, closed := l.receivedFinals[delta.Life]; closed {
+		received.Final = final
 	}
-	if err := arrived.check(delta); err != nil {
+	if err := received.check(delta); err != nil {
 		return err
 	}
 	l.inbox = append(l.inbox, delta)
-	l.arrived[delta.Life] = max(arrived.Version, delta.To)
+	l.receivedVersions[delta.Life] = max(received.Version, delta.To)
 	if delta.Closed {
-		l.closing[delta.Life] = delta.To
+		l.receivedFinals[delta.Life] = delta.To
 	}
 	return nil
 }
 
-// begin starts a round with all that a majority is not known to hold.
-func (g *Group[K, V]) begin(now time.Duration) {
+// startRound starts a round with all versions that a majority is not known to hold.
+func (g *Group[K, V]) startRound(now time.Duration) {
 	l := g.leader
 	g.mergeAll(l.inbox)
 	if !g.save(l.inbox) {
-		return // the inbox is kept; merging it again changes nothing
+		return // the inbox is kept; merging it again has no effect
 	}
 	l.inbox = nil
-	clear(l.closing)
-	l.rounds++
+	clear(l.receivedFinals)
+	l.lastRound++
 	l.roundAt = now
-	next := &round[K, V]{number: l.rounds, versions: map[LifeID]uint64{}, acks: map[string]map[int]bool{}, sentAt: map[string]time.Duration{}, sends: map[string]int{}}
+	next := &round[K, V]{number: l.lastRound, versions: map[IncarnationID]uint64{}, acks: map[string]map[int]bool{}, sentAt: map[string]time.Duration{}, sends: map[string]int{}}
 	var deltas []Delta[K, V]
-	for _, id := range g.replica.ids() {
-		life := g.replica.Lives[id]
-		if from, known := l.durable[id]; !known || life.Version > from {
-			next.versions[id] = life.Version
-			deltas = append(deltas, life.since(id, from))
+	for _, id := range g.replica.sortedIDs() {
+		incarnation := g.replica.Incarnations[id]
+		if from, known := l.durableVersions[id]; !known || incarnation.Version > from {
+			next.versions[id] = incarnation.Version
+			deltas = append(deltas, incarnation.since(id, from))
 		}
 	}
-	next.parts = splitDeltas(deltas, g.options.CellsAtOnce)
+	next.parts = splitDeltas(deltas, g.options.MaxCellsPerMessage)
 	if next.base = g.nextBase(now); next.base != nil {
-		if g.replica.Propose(*next.base) != nil || !g.saveWhole() {
+		if g.replica.Propose(*next.base) != nil || !g.saveState() {
 			return
 		}
 	}
@@ -228,90 +230,91 @@
 	}
 	for _, to := range l.replicas {
 		if to != g.machine {
-			g.replicateAll(now, to)
+			g.sendRound(now, to)
 		}
 	}
-	g.tryFinish()
+	g.tryCompleteRound()
 }
 
-// nextBase is the base to propose with the next round, if any.
+// nextBase returns the base to propose with the next round, or nil.
 func (g *Group[K, V]) nextBase(now time.Duration) *Base[K, V] {
 	l := g.leader
-	if !l.whole {
+	if !l.totalsReady {
 		base := g.replica.Proposed
 		base.Ballot = l.ballot
 		return &base
 	}
-	if now-l.foldAt < g.options.FoldEvery {
+	if now-l.compactedAt < g.options.CompactionInterval {
 		return nil
 	}
-	l.foldAt = now
-	if base, some := g.replica.Candidate(l.ballot, g.options.FoldAtMost); some {
+	l.compactedAt = now
+	if base, ok := g.replica.Candidate(l.ballot, g.options.IncarnationsPerCompaction); ok {
 		return &base
 	}
 	return nil
 }
 
-// replicateAll sends a replica the parts of the round that it has not acknowledged.
-func (g *Group[K, V]) replicateAll(now time.Duration, to string) {
+// sendRound sends a replica the parts of the round that it has not acknowledged.
+func (g *Group[K, V]) sendRound(now time.Duration, to string) {
 	l := g.leader
 	l.round.sentAt[to] = now
 	l.round.sends[to]++
 	for part, deltas := range l.round.parts {
 		if !l.round.acks[to][part] {
-			g.replicate(to, part, deltas)
+			g.sendPart(to, part, deltas)
 		}
 	}
 }
 
-func (g *Group[K, V]) replicate(to string, part int, deltas []Delta[K, V]) {
+func (g *Group[K, V]) sendPart(to string, part int, deltas []Delta[K, V]) {
 	l := g.leader
-	message := Replicate[K, V]{Group: g.group, Ballot: l.ballot, Round: l.round.number, Part: part, Deltas: deltas, Agreed: g.replica.Base.ID()}
+	message := Replicate[K, V]{Group: g.groupID, Ballot: l.ballot, Round: l.round.number, Part: part, Deltas: deltas, Agreed: g.replica.Base.ID()}
 	if part == 0 {
 		message.Base = l.round.base
 	}
 	g.send(to, message)
 }
 
-// backoff is the time until a message that was sent so many times is sent again. Sending
-// it sooner would load machines that are slow to answer because of their load.
+// backoff returns the time to wait before a message that was sent the given number of times
+// is sent again. Shorter intervals would add load to machines that answer slowly because
+// they are overloaded.
 func backoff(first time.Duration, sends int) time.Duration {
-	return first << min(max(sends-1, 0), mostDoublings)
+	return first << min(max(sends-1, 0), maxBackoffDoublings)
 }
 
-func (g *Group[K, V]) resend(now time.Duration) {
+func (g *Group[K, V]) resendRound(now time.Duration) {
 	l := g.leader
 	for _, to := range l.replicas {
-		if now-l.round.sentAt[to] >= backoff(g.options.ResendAfter, l.round.sends[to]) {
-			g.replicateAll(now, to)
+		if now-l.round.sentAt[to] >= backoff(g.options.ResendTimeout, l.round.sends[to]) {
+			g.sendRound(now, to)
 		}
 	}
 }
 
-// fill gives replicas whose disks were empty a copy, once a round that began after they
-// were heard of has a majority without them.
-func (g *Group[K, V]) fill(finished uint64) {
+// restoreEmptyReplicas sends full copies to replicas that have lost their state, once a round
+// that started after the loss was detected has a majority without them.
+func (g *Group[K, V]) restoreEmptyReplicas(finished uint64) {
 	l := g.leader
-	for _, to := range slices.Sorted(maps.Keys(l.empty)) {
-		empty := l.empty[to]
-		if finished <= empty.after {
+	for _, to := range slices.Sorted(maps.Keys(l.emptyReplicas)) {
+		empty := l.emptyReplicas[to]
+		if finished <= empty.detectedIn {
 			continue
 		}
-		delete(l.empty, to)
+		delete(l.emptyReplicas, to)
 		g.sendCopy(to, empty.start, finished)
 	}
 }
 
-// sendCopy sends the base with the first part, and all lives.
+// sendCopy sends all incarnations, with the base in the first part.
 func (g *Group[K, V]) sendCopy(to string, start, round uint64) {
 	var deltas []Delta[K, V]
-	for _, id := range g.replica.ids() {
-		deltas = append(deltas, g.replica.Since(id, 0))
+	for _, id := range g.replica.sortedIDs() {
+		deltas = append(deltas, g.replica.DeltaSince(id, 0))
 	}
 	agreed := g.replica.Base
-	parts := splitDeltas(deltas, g.options.CellsAtOnce)
+	parts := splitDeltas(deltas, g.options.MaxCellsPerMessage)
 	for part, deltas := range parts {
-		message := Replicate[K, V]{Group: g.group, Ballot: g.leader.ballot, Round: round, Part: part, Parts: len(parts), Deltas: deltas, Agreed: agreed.ID(), Whole: start}
+		message := Replicate[K, V]{Group: g.groupID, Ballot: g.leader.ballot, Round: round, Part: part, Parts: len(parts), Deltas: deltas, Agreed: agreed.ID(), Whole: start}
 		if part == 0 {
 			message.Base = &agreed
 		}
@@ -319,60 +322,60 @@
 	}
 }
 
-// tryFinish ends the round once a majority holds it.
-func (g *Group[K, V]) tryFinish() {
+// tryCompleteRound ends the round once a majority holds it.
+func (g *Group[K, V]) tryCompleteRound() {
 	l := g.leader
-	if l.round == nil || l.paused || !l.majority(l.round.holders()) {
+	if l.round == nil || l.paused || !l.hasMajority(l.round.completeReplicas()) {
 		return
 	}
 	finished := l.round
 	l.round = nil
-	l.unproven = l.unproven && finished.number < l.proof
-	maps.Copy(l.durable, finished.versions)
+	l.unconfirmed = l.unconfirmed && finished.number < l.confirmingRound
+	maps.Copy(l.durableVersions, finished.versions)
 	l.totalsAt = l.roundAt
 	if finished.base != nil {
 		g.replica.Install(finished.base.Ballot, finished.base.Number)
 		for id := range g.replica.Base.Folded {
-			delete(l.durable, id)
-			delete(l.arrived, id)
+			delete(l.durableVersions, id)
+			delete(l.receivedVersions, id)
 		}
 	}
-	if !l.whole || finished.base != nil {
-		l.recompute(g.replica)
+	if !l.totalsReady || finished.base != nil {
+		l.recomputeTotals(g.replica)
 	} else {
 		for _, deltas := range finished.parts {
-			l.update(g.replica, deltas)
+			l.updateTotals(g.replica, deltas)
 		}
 	}
-	g.fill(finished.number)
+	g.restoreEmptyReplicas(finished.number)
 }
 
-// recompute adds everything up anew.
-func (l *leader[K, V]) recompute(replica *Replica[K, V]) {
-	l.totals, l.whole = replica.Totals(), true
-	l.holders = map[K]map[LifeID]struct{}{}
-	for id, life := range replica.Lives {
-		for key := range life.Cells {
-			l.hold(key, id)
+// recomputeTotals rebuilds the totals and the index of incarnations by key.
+func (l *leader[K, V]) recomputeTotals(replica *Replica[K, V]) {
+	l.totals, l.totalsReady = replica.Totals(), true
+	l.incarnationsByKey = map[K]map[IncarnationID]struct{}{}
+	for id, incarnation := range replica.Incarnations {
+		for key := range incarnation.Cells {
+			l.indexIncarnation(key, id)
 		}
 	}
 }
 
-func (l *leader[K, V]) hold(key K, id LifeID) {
-	if l.holders[key] == nil {
-		l.holders[key] = map[LifeID]struct{}{}
+func (l *leader[K, V]) indexIncarnation(key K, id IncarnationID) {
+	if l.incarnationsByKey[key] == nil {
+		l.incarnationsByKey[key] = map[IncarnationID]struct{}{}
 	}
-	l.holders[key][id] = struct{}{}
+	l.incarnationsByKey[key][id] = struct{}{}
 }
 
-// update adds up the cells that a round has changed.
-func (l *leader[K, V]) update(replica *Replica[K, V], deltas []Delta[K, V]) {
+// updateTotals recomputes the totals of the keys that the deltas change.
+func (l *leader[K, V]) updateTotals(replica *Replica[K, V], deltas []Delta[K, V]) {
 	for _, delta := range deltas {
 		for key := range delta.Cells {
-			l.hold(key, delta.Life)
+			l.indexIncarnation(key, delta.Life)
 			total := replica.Base.Cells[key]
-			for id := range l.holders[key] {
-				total = total.Plus(replica.Lives[id].Cells[key].Value)
+			for id := range l.incarnationsByKey[key] {
+				total = total.Plus(replica.Incarnations[id].Cells[key].Value)
 			}
 			l.totals[key] = total
 		}
@@ -384,12 +387,12 @@
 	if l == nil || l.ready || m.Ballot != l.ballot || l.prepared[from] || l.assemblies[from] == nil {
 		return
 	}
-	copied, whole := l.assemblies[from].add(m)
-	if !whole || g.replica.Absorb(copied) != nil || !g.saveWhole() {
+	copied, complete := l.assemblies[from].add(m)
+	if !complete || g.replica.MergeReplica(copied) != nil || !g.saveState() {
 		return
 	}
 	l.prepared[from] = true
-	g.tryReady()
+	g.tryBecomeReady()
 }
 
 func (g *Group[K, V]) onReplicated(from string, m Replicated) {
@@ -402,38 +405,38 @@
 			l.round.acks[from] = map[int]bool{}
 		}
 		l.round.acks[from][m.Part] = true
-		g.tryFinish()
+		g.tryCompleteRound()
 		return
 	}
 	g.repair(from, m)
 }
 
-// repair sends a replica what it lacks, and then the round again.
+// repair sends a replica what it is missing, and then the part again.
 func (g *Group[K, V]) repair(to string, m Replicated) {
 	l := g.leader
 	if m.Fresh > 0 {
-		if l.empty[to].start != m.Fresh {
-			l.empty[to] = emptyReplica{m.Fresh, m.Round}
+		if l.emptyReplicas[to].start != m.Fresh {
+			l.emptyReplicas[to] = emptyReplica{m.Fresh, m.Round}
 		}
 		return
 	}
 	if m.NeedBase {
 		agreed := g.replica.Base
-		g.send(to, Replicate[K, V]{Group: g.group, Ballot: l.ballot, Base: &agreed, Agreed: agreed.ID()})
+		g.send(to, Replicate[K, V]{Group: g.groupID, Ballot: l.ballot, Base: &agreed, Agreed: agreed.ID()})
 	}
 	deltas := slices.Clone(l.round.parts[m.Part])
 	for i, delta := range deltas {
 		if slices.Contains(m.Gaps, delta.Life) {
-			deltas[i] = g.replica.Since(delta.Life, 0)
+			deltas[i] = g.replica.DeltaSince(delta.Life, 0)
 		}
 	}
-	g.replicate(to, m.Part, deltas)
+	g.sendPart(to, m.Part, deltas)
 }
 
 func (g *Group[K, V]) onReject(m Reject) {
 	if g.leader == nil || !g.leader.ballot.Less(m.Promised) {
 		return
 	}
-	g.leader = nil        // the next tick campaigns above the ballot, if the lease still holds
-	g.promise(m.Promised) // on the disk too: a Prepare under this ballot is answered without another write
+	g.leader = nil        // the next tick campaigns above that ballot, if the lease is still held
+	g.promise(m.Promised) // persisted as well: a Prepare under this ballot then needs no further write
 }
--- a/internal/counter/replica.go
+++ b/internal/counter/replica.go
@@ -6,15 +6,15 @@
 	"slices"
 )
 
-// Ballot orders the machines that have led a group of replicas; the zero ballot is below
-// all others. Start tells a machine that has lost its disk from what it was before.
+// Ballot orders the leaders of a replica group; the zero ballot is the lowest. Start
+// distinguishes a machine that has lost its disk from its earlier self.
 type Ballot struct {
 	Counter uint64
 	Machine string
 	Start   uint64
 }
 
-// Less orders ballots.
+// Less reports whether b is lower than other.
 func (b Ballot) Less(other Ballot) bool {
 	if b.Counter != other.Counter {
 		return b.Counter < other.Counter
@@ -25,46 +25,46 @@
 	return b.Start < other.Start
 }
 
-// Base is the sum of lives that are over. A leader proposes it under its ballot, numbered
-// in order; of two bases the one with the higher ballot, then number, contains the other
-// if either has been agreed.
+// Base is the sum of ended incarnations. A leader proposes bases under its ballot, with
+// increasing numbers. Of two bases, the one with the higher ballot, then number, contains
+// the other if either has been agreed.
 type Base[K comparable, V Value[V]] struct {
 	Ballot Ballot
 	Number uint64
-	Folded map[LifeID]uint64 // final versions of the lives in it
+	Folded map[IncarnationID]uint64 // final version of each incarnation that the base includes
 	Cells  Cells[K, V]
 }
 
-// Less orders bases.
+// Less reports whether b is lower than other in ballot, then number.
 func (b Base[K, V]) Less(other Base[K, V]) bool {
 	return b.Ballot.Less(other.Ballot) || b.Ballot == other.Ballot && b.Number < other.Number
 }
 
-// Replica is one copy of the counters: an agreed base, a base that may have been agreed,
-// and all lives that are not in the agreed base.
+// Replica is one copy of the counters: the agreed base, a base that may have been agreed,
+// and all incarnations that are not part of the agreed base.
 type Replica[K comparable, V Value[V]] struct {
-	Base     Base[K, V]
-	Proposed Base[K, V] // not less than Base
-	Lives    map[LifeID]*Life[K, V]
+	Base         Base[K, V]
+	Proposed     Base[K, V] // never lower than Base
+	Incarnations map[IncarnationID]*Incarnation[K, V]
 }
 
-// NewReplica makes an empty replica.
+// NewReplica returns an empty replica.
 func NewReplica[K comparable, V Value[V]]() *Replica[K, V] {
-	return &Replica[K, V]{Lives: map[LifeID]*Life[K, V]{}}
+	return &Replica[K, V]{Incarnations: map[IncarnationID]*Incarnation[K, V]{}}
 }
 
-// Version is what is held of a life, and the final version if it is over.
-func (r *Replica[K, V]) Version(id LifeID) (version, final uint64) {
+// Version returns the version held of an incarnation, and its final version if it has ended.
+func (r *Replica[K, V]) Version(id IncarnationID) (version, final uint64) {
 	if final, folded := r.Base.Folded[id]; folded {
 		return final, final
 	}
-	if life := r.Lives[id]; life != nil {
-		return life.Version, life.Final
+	if incarnation := r.Incarnations[id]; incarnation != nil {
+		return incarnation.Version, incarnation.Final
 	}
 	return 0, 0
 }
 
-// Check reports whether a delta can be merged.
+// Check returns an error if the delta cannot be merged.
 func (r *Replica[K, V]) Check(delta Delta[K, V]) error {
 	if final, folded := r.Base.Folded[delta.Life]; folded {
 		if delta.To > final {
@@ -72,14 +72,15 @@
 		}
 		return nil
 	}
-	life := r.Lives[delta.Life]
-	if life == nil {
-		life = &Life[K, V]{}
+	incarnation := r.Incarnations[delta.Life]
+	if incarnation == nil {
+		incarnation = &Incarnation[K, V]{}
 	}
-	return life.check(delta)
+	return incarnation.check(delta)
 }
 
-// Merge takes a delta in; of a life in the base there is nothing to take.
+// Merge merges a delta. A valid delta of an incarnation that is part of the base has no
+// effect.
 func (r *Replica[K, V]) Merge(delta Delta[K, V]) error {
 	if err := r.Check(delta); err != nil {
 		return err
@@ -87,72 +88,73 @@
 	if _, folded := r.Base.Folded[delta.Life]; folded {
 		return nil
 	}
-	life := r.Lives[delta.Life]
-	if life == nil {
-		life = &Life[K, V]{Cells: map[K]Versioned[V]{}}
-		r.Lives[delta.Life] = life
+	incarnation := r.Incarnations[delta.Life]
+	if incarnation == nil {
+		incarnation = &Incarnation[K, V]{Cells: map[K]Versioned[V]{}}
+		r.Incarnations[delta.Life] = incarnation
 	}
-	life.merge(delta)
+	incarnation.merge(delta)
 	return nil
 }
 
-// Since is the delta of a life from a version on.
-func (r *Replica[K, V]) Since(id LifeID, from uint64) Delta[K, V] {
-	return r.Lives[id].since(id, from)
+// DeltaSince returns the delta of an incarnation from the given version on.
+func (r *Replica[K, V]) DeltaSince(id IncarnationID, from uint64) Delta[K, V] {
+	return r.Incarnations[id].since(id, from)
 }
 
-// ids are the lives, sorted: what is sent must not depend on the order of a map, so that a
-// simulated run can be had again.
-func (r *Replica[K, V]) ids() []LifeID { return slices.Sorted(maps.Keys(r.Lives)) }
+// sortedIDs returns the sorted incarnation IDs. Messages must not depend on map iteration
+// order, so that simulated runs are reproducible.
+func (r *Replica[K, V]) sortedIDs() []IncarnationID { return slices.Sorted(maps.Keys(r.Incarnations)) }
 
-// Total is the sum over all lives.
+// Total returns the sum of a key over all incarnations.
 func (r *Replica[K, V]) Total(key K) V {
 	total := r.Base.Cells[key]
-	for _, life := range r.Lives {
-		if held, ok := life.Cells[key]; ok {
+	for _, incarnation := range r.Incarnations {
+		if held, ok := incarnation.Cells[key]; ok {
 			total = total.Plus(held.Value)
 		}
 	}
 	return total
 }
 
-// Totals are the sums of all keys.
+// Totals returns the sums of all keys.
 func (r *Replica[K, V]) Totals() Cells[K, V] {
 	out := r.Base.Cells.Clone()
-	for _, life := range r.Lives {
-		for key, held := range life.Cells {
+	for _, incarnation := range r.Incarnations {
+		for key, held := range incarnation.Cells {
 			out[key] = out[key].Plus(held.Value)
 		}
 	}
 	return out
 }
 
-// Candidate is the next base: the present one and some complete lives; false if there are
-// none. The replica itself is unchanged until the base is agreed and installed.
+// Candidate returns the next base, which adds up to atMost complete incarnations to the
+// agreed one; false if there are none. The replica itself is unchanged until the base is
+// agreed and installed.
 func (r *Replica[K, V]) Candidate(ballot Ballot, atMost int) (Base[K, V], bool) {
 	next := Base[K, V]{Ballot: ballot, Number: max(r.Base.Number, r.Proposed.Number) + 1, Folded: maps.Clone(r.Base.Folded), Cells: r.Base.Cells.Clone()}
 	if next.Folded == nil {
-		next.Folded = map[LifeID]uint64{}
+		next.Folded = map[IncarnationID]uint64{}
 	}
 	added := 0
-	for _, id := range r.ids() {
-		life := r.Lives[id]
-		if !life.Complete() || added == atMost {
+	for _, id := range r.sortedIDs() {
+		incarnation := r.Incarnations[id]
+		if !incarnation.Complete() || added == atMost {
 			continue
 		}
 		added++
-		next.Folded[id] = life.Final
-		for key, held := range life.Cells {
+		next.Folded[id] = incarnation.Final
+		for key, held := range incarnation.Cells {
 			next.Cells[key] = next.Cells[key].Plus(held.Value)
 		}
 	}
 	return next, added > 0
 }
 
-// ErrStaleBase is given for a base that is below the one held.
+// ErrStaleBase is returned for a base that is lower than the one held.
 var ErrStaleBase = errors.New("base is older than the one held")
 
-// Propose notes a base that may come to be agreed.
+// Propose records a base that may become agreed.
 func (r *Replica[K, V]) Propose(base Base[K, V]) error {
 	if base.Less(r.Proposed) || base.Less(r.Base) {
 		return ErrStaleBase
@@ -161,8 +163,8 @@
 	return nil
 }
 
-// Install makes the proposed base the agreed one if it is the one named, and drops the
-// lives that are in it.
+// Install makes the proposed base the agreed one if it has the given ballot and number, and
+// drops the incarnations that it includes.
 func (r *Replica[K, V]) Install(ballot Ballot, number uint64) {
 	if r.Proposed.Ballot != ballot || r.Proposed.Number != number || !r.Base.Less(r.Proposed) {
 		return
@@ -170,7 +172,7 @@
 	r.Adopt(r.Proposed)
 }
 
-// Adopt takes over a base that is known to be agreed.
+// Adopt replaces the base by a higher one that is known to be agreed.
 func (r *Replica[K, V]) Adopt(base Base[K, V]) {
 	if !r.Base.Less(base) {
 		return
@@ -180,29 +182,31 @@
 		r.Proposed = base
 	}
 	for id := range base.Folded {
-		delete(r.Lives, id)
+		delete(r.Incarnations, id)
 	}
 }
 
-// Absorb merges another replica's copy: the higher of all bases, and every life that is
-// not in it.
-func (r *Replica[K, V]) Absorb(other *Replica[K, V]) error {
+// MergeReplica merges another replica's state: every incarnation that is not part of the
+// agreed base, and the highest base as the proposed one.
+func (r *Replica[K, V]) MergeReplica(other *Replica[K, V]) error {
 	for _, base := range []Base[K, V]{other.Base, other.Proposed} {
 		if r.Proposed.Less(base) {
 			r.Proposed = base
 		}
 	}
-	for id, life := range other.Lives {
-		if err := r.absorbLife(id, life); err != nil {
+	for id, incarnation := range other.Incarnations {
+		if err := r.mergeIncarnation(id, incarnation); err != nil {
 			return err
 		}
 	}
 	return nil
 }
 
-func (r *Replica[K, V]) absorbLife(id LifeID, life *Life[K, V]) error {
-	if err := r.Merge(life.since(id, 0)); err != nil && !errors.Is(err, ErrAfterClose) {
+// mergeIncarnation merges another replica's copy of an incarnation. A copy that lags behind
+// the final version held here has nothing new, so ErrAfterClose is ignored.
+func (r *Replica[K, V]) mergeIncarnation(id IncarnationID, incarnation *Incarnation[K, V]) error {
+	if err := r.Merge(incarnation.since(id, 0)); err != nil && !errors.Is(err, ErrAfterClose) {
 		return err
 	}
-	return nil // a copy that is behind the final version has nothing new
+	return nil
 }
--- a/internal/duty/holder.go
+++ b/internal/duty/holder.go
@@ -7,79 +7,80 @@
 	"slateridge/internal/constants"
 )
 
-// Effect is what the caller of a step has to carry out, in the order given: an Order, an
-// Act, a Cancel or a Yield, and nothing else.
+// Effect is an action that the caller of a step has to carry out, in the order given: an
+// Order, a Call, a Cancel or a Yield.
 type Effect interface{ effect() }
 
 func (Order) effect()  {}
-func (Act) effect()    {}
+func (Call) effect()   {}
 func (Cancel) effect() {}
 func (Yield) effect()  {}
 
-// Act is an act to send: the bytes that were decided, under the holder's fence.
-// A call still under way when the lease is lost is cut.
-type Act struct {
+// Call is a call to send to the platform: the decided body, under the holder's fence. A call
+// that is still in flight when the lease is lost is canceled.
+type Call struct {
 	ID    uint64
 	Fence uint64
 	Key   uint64
 	Body  []byte
 }
 
-// Cancel ends the call under way: the duty is not this machine's any more.
+// Cancel cancels the call in flight: the duty was lost or the call has timed out.
 type Cancel struct{ ID uint64 }
 
-// Yield gives the lease back: the platform has seen a higher fence.
+// Yield releases the lease because the platform has seen a higher fence.
 type Yield struct{}
 
-// Holder is one machine's part in one duty: it takes the duty over when it has
-// the lease, has its acts decided, sends them, and steps down. It has no clock and
-// no network of its own.
+// Holder is one machine's part in one duty: it takes over the duty when the machine holds the
+// lease, has its calls decided, sends them, and steps down. It has no clock and no network of
+// its own.
 type Holder struct {
-	name, self string
-	lease      time.Duration // no A-B-A of acts within this time
-	spacing    time.Duration // between two calls to the platform
-	rng        *rand.Rand
-
-	// Latest says that a newer decision may overtake one the platform has not
-	// taken: a level that is set, not an event that is told.
-	Latest bool
-
-	refused     uint64        // fence the platform has turned away
-	fence       uint64        // fence under which this life acts; 0 none
-	heldSince   time.Duration // when this life first saw that it has it
-	nextOrderAt time.Duration // the last order, repeated after a while
-	accepted    uint64        // key the platform has accepted, as far as known here
-	failures    int
-	nextCallAt  time.Duration
-	calls       uint64
-	calling     uint64 // call under way; 0 none
-	callingKey  uint64
-	calledAt    time.Duration
+	name, self  string
+	returnDelay time.Duration // holders must not alternate (A, B, A) within this time
+	spacing     time.Duration // minimum time between two calls to the platform
+	rng         *rand.Rand
+
+	// LatestOnly means that a newer decision may replace one that the platform has not
+	// accepted yet: the call sets a level rather than reporting an event.
+	LatestOnly bool
+
+	refusedFence        uint64        // fence that the platform has rejected
+	fence               uint64        // fence under which this incarnation acts; 0: none
+	heldSince           time.Duration // when this incarnation first saw its fence committed
+	nextOrderAt         time.Duration // the last order is repeated from then on
+	acceptedKey         uint64        // latest key known to be accepted by the platform
+	consecutiveFailures int
+	nextCallAt          time.Duration
+	lastCallID          uint64
+	activeCall          uint64 // ID of the call in flight; 0: none
+	activeKey           uint64
+	activeSince         time.Duration
 
 	Accepted, Refused, Failed uint64
 	LastStatus                int
 	AcceptedAt                time.Duration
 }
 
-// NewHolder makes the machine; me is the node's name, lease the bound within
-// which no two holders may take turns, perS the calls a second it may make.
-func NewHolder(name, me string, lease time.Duration, perS float64, rng *rand.Rand) *Holder {
-	h := &Holder{name: name, self: me, lease: lease, rng: rng, spacing: constants.DutySpacing}
-	if perS > 0 {
-		h.spacing = max(h.spacing, time.Duration(float64(time.Second)/(perS*constants.DutyRatePart)))
+// NewHolder returns a Holder. self is the node's name, returnDelay the time within which two
+// holders must not alternate, and callsPerSecond the platform's limit on calls.
+func NewHolder(name, self string, returnDelay time.Duration, callsPerSecond float64, rng *rand.Rand) *Holder {
+	h := &Holder{name: name, self: self, returnDelay: returnDelay, rng: rng, spacing: constants.DutySpacing}
+	if callsPerSecond > 0 {
+		h.spacing = max(h.spacing, time.Duration(float64(time.Second)/(callsPerSecond*constants.DutyRatePart)))
 	}
 	return h
 }
 
-// Step is driven often. until is the lease's end by this machine's steady clock (0:
-// not held), rec the newest committed record; plan names what is to be decided next,
-// once all before has been accepted.
+// Step advances the holder and returns the effects to carry out; it has to be called
+// frequently. until is the lease's expiry by this machine's monotonic clock (0: not held) and
+// rec the newest committed record. plan returns what is to be decided next, once the
+// previous decision has been accepted or may be skipped.
 func (h *Holder) Step(now, until time.Duration, rec Record, plan func(after uint64) (key uint64, body []byte, ok bool)) []Effect {
 	if until <= now+constants.DutyMargin {
 		h.fence = 0
 		return h.cancel()
 	}
-	if rec.Holder != h.self || rec.Fence == h.refused {
+	if rec.Holder != h.self || rec.Fence == h.refusedFence {
 		out := h.cancel()
 		h.fence = 0
 		if now < h.nextOrderAt {
@@ -91,26 +92,26 @@
 	var out []Effect
 	if rec.Fence != h.fence {
 		out = h.cancel()
-		h.fence, h.heldSince, h.accepted, h.nextOrderAt, h.failures, h.nextCallAt = rec.Fence, now, 0, 0, 0, 0
+		h.fence, h.heldSince, h.acceptedKey, h.nextOrderAt, h.consecutiveFailures, h.nextCallAt = rec.Fence, now, 0, 0, 0, 0
 	}
-	if rec.Back && now < h.heldSince+h.lease+constants.DutyMargin {
-		return out // it acted before the one before it did
+	if rec.Back && now < h.heldSince+h.returnDelay+constants.DutyMargin {
+		return out // back after another holder: waits, so that holders do not alternate within returnDelay
 	}
-	if h.calling != 0 {
-		if now-h.calledAt > constants.DutyTimeout {
+	if h.activeCall != 0 {
+		if now-h.activeSince > constants.DutyTimeout {
 			out = append(out, h.cancel()...)
-			h.failed(now)
+			h.recordFailure(now)
 		}
 		return out
 	}
-	if rec.Key > 0 && h.accepted != rec.Key {
+	if rec.Key > 0 && h.acceptedKey != rec.Key {
 		if now >= h.nextCallAt {
-			h.calls++
-			h.calling, h.callingKey, h.calledAt = h.calls, rec.Key, now
+			h.lastCallID++
+			h.activeCall, h.activeKey, h.activeSince = h.lastCallID, rec.Key, now
 			h.nextCallAt = now + h.spacing
-			out = append(out, Act{h.calls, rec.Fence, rec.Key, rec.Body})
+			out = append(out, Call{h.lastCallID, rec.Fence, rec.Key, rec.Body})
 		}
-		if !h.Latest && h.failures < constants.DutyGiveUp {
+		if !h.LatestOnly && h.consecutiveFailures < constants.DutyGiveUp {
 			return out
 		}
 	}
@@ -125,50 +126,51 @@
 }
 
 func (h *Holder) cancel() []Effect {
-	if h.calling == 0 {
+	if h.activeCall == 0 {
 		return nil
 	}
-	id := h.calling
-	h.calling = 0
+	id := h.activeCall
+	h.activeCall = 0
 	return []Effect{Cancel{id}}
 }
 
-func (h *Holder) failed(now time.Duration) {
-	h.failures++
+func (h *Holder) recordFailure(now time.Duration) {
+	h.consecutiveFailures++
 	h.Failed++
-	pause := min(constants.DutyPause<<min(h.failures-1, 5), constants.DutyPauseMax)
+	pause := min(constants.DutyPause<<min(h.consecutiveFailures-1, 5), constants.DutyPauseMax)
 	h.nextCallAt = max(h.nextCallAt, now+pause/2+time.Duration(h.rng.Int64N(int64(pause))))
 }
 
-// Answered takes the platform's answer to a call; status 0 is none.
-func (h *Holder) Answered(now time.Duration, id uint64, status int) []Effect {
-	if id != h.calling || id == 0 {
+// HandleResponse processes the platform's response to a call; status 0 means that there was
+// none.
+func (h *Holder) HandleResponse(now time.Duration, id uint64, status int) []Effect {
+	if id != h.activeCall || id == 0 {
 		return nil
 	}
-	h.calling = 0
+	h.activeCall = 0
 	h.LastStatus = status
 	switch status {
 	case 200:
-		h.accepted, h.AcceptedAt, h.failures = h.callingKey, now, 0
+		h.acceptedKey, h.AcceptedAt, h.consecutiveFailures = h.activeKey, now, 0
 		h.Accepted++
 	case 409:
 		h.Refused++
-		h.refused, h.fence = h.fence, 0
-		h.failed(now)
+		h.refusedFence, h.fence = h.fence, 0
+		h.recordFailure(now)
 		return []Effect{Yield{}}
 	default:
-		h.failed(now)
+		h.recordFailure(now)
 	}
 	return nil
 }
 
-// Backlog tells what is decided and not known to be accepted: 0 or its key.
+// Backlog returns the key that is decided and not known to be accepted, or 0.
 func (h *Holder) Backlog(rec Record) uint64 {
-	if rec.Key != 0 && rec.Key != h.accepted {
+	if rec.Key != 0 && rec.Key != h.acceptedKey {
 		return rec.Key
 	}
 	return 0
 }
 
-// Fence is the fence under which this machine acts; 0 none.
+// Fence returns the fence under which this machine acts, or 0.
 func (h *Holder) Fence() uint64 { return h.fence }
--- a/internal/modelcheck/chainmodel/duties.go
+++ b/internal/modelcheck/chainmodel/duties.go
@@ -75,7 +75,7 @@
 	if d := c.Committed(); d != nil {
 		rec = d.Duties[dutyName]
 	}
-	m.carryOut(n, o.holder.Step(m.world.Now, o.lease.Until(m.world.Now, dutyName), rec, func(after uint64) (uint64, []byte, bool) {
+	m.carryOut(n, o.holder.Step(m.world.Now, o.lease.Expiry(m.world.Now, dutyName), rec, func(after uint64) (uint64, []byte, bool) {
 		key := uint64(m.world.Now / actEvery)
 		return key, []byte(n + strconv.FormatUint(key, 10)), key > after
 	}))
@@ -105,8 +105,8 @@
 		case duty.Order:
 			m.run(n, func(c *chain.Chain) []chain.Effect { return c.SubmitDutyOrder(m.world.Now, x) })
 		case duty.Yield:
-			m.sendLease(n, m.dutyHolders[n].lease.Leave(m.world.Now, dutyName))
-		case duty.Act:
+			m.sendLease(n, m.dutyHolders[n].lease.Resign(m.world.Now, dutyName))
+		case duty.Call:
 			if _, ok := m.dutyHolders[n].lease.Holds(m.world.Now, dutyName); !ok {
 				m.broken(RuleLeased, "%s sends key %d under fence %d", n, x.Key, x.Fence)
 			}
@@ -117,7 +117,7 @@
 }
 
 // post is a call at the platform; its answer may find its caller frozen or gone.
-func (m *Model) post(n string, life int, p duty.Act) {
+func (m *Model) post(n string, life int, p duty.Call) {
 	f := &m.platform
 	if f.down {
 		return
@@ -139,7 +139,7 @@
 	}
 	m.world.After(modelcheck.Delay, func() {
 		if m.world.Life(n) == life && m.world.Up(n) {
-			m.world.Act(n, func() { m.carryOut(n, m.dutyHolders[n].holder.Answered(m.world.Now, p.ID, status)) })
+			m.world.Act(n, func() { m.carryOut(n, m.dutyHolders[n].holder.HandleResponse(m.world.Now, p.ID, status)) })
 		}
 	})
 }
