--- a/internal/controlplane/daemon.go
+++ b/internal/controlplane/daemon.go
@@ -222,7 +222,7 @@
 		roster:       d.roster,
 		locations:    d.locations,
 	}
-	d.proxyPublisher.publisher = distribution.New(d.proxyPublisher.snapshot, d.roster.hasShare)
+	d.proxyPublisher.publisher = distribution.NewPublisher(d.proxyPublisher.snapshot, d.roster.hasShare)
 	d.proxyPublisher.publisher.OnClosed = d.roster.handleDisconnect
 }
 
--- a/internal/distribution/publish_order_test.go
+++ b/internal/distribution/publish_order_test.go
@@ -19,7 +19,7 @@
 	const port, changes = 39163, 20
 	var state atomic.Uint64
 	state.Store(1)
-	publisher := New(func() Snapshot {
+	publisher := NewPublisher(func() Snapshot {
 		num := state.Load()
 		time.Sleep(time.Duration(num%2) * 5 * time.Millisecond)
 		return Snapshot{Update: Update{Current: true, StateNum: num}}
--- a/internal/distribution/publisher.go
+++ b/internal/distribution/publisher.go
@@ -147,8 +147,8 @@
 	return k.diffs[have]
 }
 
-// New makes the control side; face tells what is in force.
-func New(face func() Snapshot, sharing func(node string) bool) *Publisher {
+// NewPublisher makes the control side; face tells what is in force.
+func NewPublisher(face func() Snapshot, sharing func(node string) bool) *Publisher {
 	return &Publisher{conns: map[*transport.Conn]*subscriberConn{}, snapshot: face, sharing: sharing,
 		configs: history[config.Doc, config.Packed]{num: func(d *config.Doc) uint64 { return d.Version },
 			diff: func(base, d *config.Doc) *config.Packed { p := config.Pack(base, d); return &p }},
--- a/internal/distribution/publisher_test.go
+++ b/internal/distribution/publisher_test.go
@@ -31,7 +31,7 @@
 
 func newPublisherHost(t *testing.T, ip string, port int) *publisherHost {
 	h := &publisherHost{}
-	h.publisher = New(func() Snapshot { h.mu.Lock(); defer h.mu.Unlock(); return h.snapshot }, func(string) bool { return true })
+	h.publisher = NewPublisher(func() Snapshot { h.mu.Lock(); defer h.mu.Unlock(); return h.snapshot }, func(string) bool { return true })
 	l, err := transport.Listen(fmt.Sprintf("%s:%d", ip, port))
 	if err != nil {
 		t.Fatal(err)
