--- a/internal/controlplane/daemon.go
+++ b/internal/controlplane/daemon.go
@@ -392,7 +392,7 @@
 	}
 	d.roster.handleSubscription(m)
 	d.upstreamList.observeNumber(m.ListNum)
-	return d.proxyPublisher.publisher.Subscribed(conn, m)
+	return d.proxyPublisher.publisher.HandleSubscription(conn, m)
 }
 
 // Reload returns a function that validates the settings file again and records the result. A
--- a/internal/distribution/publish_order_test.go
+++ b/internal/distribution/publish_order_test.go
@@ -30,7 +30,7 @@
 	}
 	t.Cleanup(func() { listener.Close() })
 	go transport.Serve(listener, func(conn *transport.Conn, body any) any {
-		return publisher.Subscribed(conn, body.(Subscription))
+		return publisher.HandleSubscription(conn, body.(Subscription))
 	})
 	var mu sync.Mutex
 	var told []uint64
--- a/internal/distribution/publisher.go
+++ b/internal/distribution/publisher.go
@@ -155,8 +155,8 @@
 		lists: history[discovery.List, discovery.Change]{num: func(l *discovery.List) uint64 { return l.Num }, diff: discovery.Diff}}
 }
 
-// Subscribed takes a proxy's word and answers it.
-func (p *Publisher) Subscribed(conn *transport.Conn, subscription Subscription) Update {
+// HandleSubscription takes a proxy's word and answers it.
+func (p *Publisher) HandleSubscription(conn *transport.Conn, subscription Subscription) Update {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	f := p.snapshot()
--- a/internal/distribution/publisher_test.go
+++ b/internal/distribution/publisher_test.go
@@ -39,7 +39,7 @@
 	t.Cleanup(func() { l.Close() })
 	go transport.Serve(l, func(conn *transport.Conn, body any) any {
 		if m, ok := body.(Subscription); ok {
-			return h.publisher.Subscribed(conn, m)
+			return h.publisher.HandleSubscription(conn, m)
 		}
 		return nil
 	})
