--- a/internal/controlplane/daemon.go
+++ b/internal/controlplane/daemon.go
@@ -223,7 +223,7 @@
 		locations:    d.locations,
 	}
 	d.proxyPublisher.publisher = distribution.NewPublisher(d.proxyPublisher.snapshot, d.roster.hasShare)
-	d.proxyPublisher.publisher.OnClosed = d.roster.handleDisconnect
+	d.proxyPublisher.publisher.OnDisconnect = d.roster.handleDisconnect
 }
 
 // now returns the monotonic time since this process started.
--- a/internal/distribution/publisher.go
+++ b/internal/distribution/publisher.go
@@ -108,11 +108,11 @@
 	snapshot func() Snapshot
 	// sharing says whether a proxy may be told the live count: from then on it
 	// uses a share of the split quotas.
-	sharing  func(node string) bool
-	OnClosed func(node string) // told when a proxy's last held connection ends
-	pushes   uint64
-	configs  history[config.Doc, config.Packed]
-	lists    history[discovery.List, discovery.Change]
+	sharing      func(node string) bool
+	OnDisconnect func(node string) // told when a proxy's last held connection ends
+	pushes       uint64
+	configs      history[config.Doc, config.Packed]
+	lists        history[discovery.List, discovery.Change]
 }
 
 // history are the latest states of a kind, the newest last, with its differences
@@ -173,8 +173,8 @@
 				last = last && o.subscription.Node != subscription.Node
 			}
 			p.mu.Unlock()
-			if last && p.OnClosed != nil {
-				p.OnClosed(subscription.Node)
+			if last && p.OnDisconnect != nil {
+				p.OnDisconnect(subscription.Node)
 			}
 		}()
 	}
