--- a/internal/controlplane/admin.go
+++ b/internal/controlplane/admin.go
@@ -117,7 +117,7 @@
 			r.Acked++
 		}
 	}
-	r.Pushes = d.proxyPublisher.publisher.Pushed()
+	r.Pushes = d.proxyPublisher.publisher.PushCount()
 	r.Duties, r.Dropped = d.leases.holders()
 	return r
 }
--- a/internal/distribution/publisher.go
+++ b/internal/distribution/publisher.go
@@ -291,8 +291,8 @@
 	return out
 }
 
-// Pushed counts the pushes.
-func (p *Publisher) Pushed() uint64 {
+// PushCount counts the pushes.
+func (p *Publisher) PushCount() uint64 {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.pushes
