--- a/internal/distribution/peers.go
+++ b/internal/distribution/peers.go
@@ -89,8 +89,8 @@
 	})
 }
 
-// Add makes further control machines known.
-func (subscriber *Subscriber) Add(addrs []string) {
+// AddPeers makes further control machines known.
+func (subscriber *Subscriber) AddPeers(addrs []string) {
 	subscriber.mu.Lock()
 	defer subscriber.mu.Unlock()
 	subscriber.addLocked(addrs)
--- a/internal/proxy/reload.go
+++ b/internal/proxy/reload.go
@@ -31,6 +31,6 @@
 		return
 	}
 	d.nodeSettings.Store(set)
-	d.subscriber.Add(set.SeedIPs())
+	d.subscriber.AddPeers(set.SeedIPs())
 	d.events.Record("settings", "read again")
 }
