--- a/internal/distribution/subscriber.go
+++ b/internal/distribution/subscriber.go
@@ -186,8 +186,8 @@
 	}
 }
 
-// Announce has every control machine subscribed to told with the next step.
-func (subscriber *Subscriber) Announce() {
+// Resubscribe has every control machine subscribed to told with the next step.
+func (subscriber *Subscriber) Resubscribe() {
 	subscriber.mu.Lock()
 	defer subscriber.mu.Unlock()
 	for _, e := range subscriber.conns {
--- a/internal/proxy/daemon.go
+++ b/internal/proxy/daemon.go
@@ -291,7 +291,7 @@
 	began := time.Now()
 	d.shuttingDown.Store(true)
 	d.events.Record("leaving", "readiness fails from now on")
-	d.subscriber.Announce()
+	d.subscriber.Resubscribe()
 	nodeSettings := d.nodeSettings.Load()
 	grace := nodeSettings.Bounds.Grace.D() - constants.TermReserve
 	d.pool.Drain(began.Add(grace))
