--- a/internal/distribution/subscriber.go
+++ b/internal/distribution/subscriber.go
@@ -95,9 +95,9 @@
 	return subscriber
 }
 
-// ReckonBy sets how a proxy says which live count it reckons with, where that is not
+// SetLiveCountFunc sets how a proxy says which live count it reckons with, where that is not
 // simply the one it was told last.
-func (subscriber *Subscriber) ReckonBy(settled func() int) {
+func (subscriber *Subscriber) SetLiveCountFunc(settled func() int) {
 	subscriber.mu.Lock()
 	defer subscriber.mu.Unlock()
 	subscriber.settled = settled
--- a/internal/proxy/daemon.go
+++ b/internal/proxy/daemon.go
@@ -90,7 +90,7 @@
 			return handler(conn, message)
 		})
 	}, d.apply)
-	d.subscriber.ReckonBy(func() int { return d.limiter.Settled(d.now()) })
+	d.subscriber.SetLiveCountFunc(func() int { return d.limiter.Settled(d.now()) })
 	if bounds.RevocationStrict {
 		p.keyTrustPeriod, p.readIndexAt = bounds.Revoke.D()-constants.RevokeReserve, d.subscriber.ReadIndexAt
 	}
