--- a/internal/distribution/publisher_test.go
+++ b/internal/distribution/publisher_test.go
@@ -121,7 +121,7 @@
 		}
 	}()
 	<-reading
-	if _, err := subscriber.Ask("127.0.0.24", Subscription{Node: "other"}, 10*time.Second); err != nil {
+	if _, err := subscriber.Call("127.0.0.24", Subscription{Node: "other"}, 10*time.Second); err != nil {
 		t.Fatalf("a question while the configuration is read: %v", err)
 	}
 	told := func() uint64 {
--- a/internal/distribution/subscriber.go
+++ b/internal/distribution/subscriber.go
@@ -216,8 +216,8 @@
 	return s
 }
 
-// Ask sends a question to a control machine over its held connection.
-func (subscriber *Subscriber) Ask(addr string, body any, timeout time.Duration) (any, error) {
+// Call sends a question to a control machine over its held connection.
+func (subscriber *Subscriber) Call(addr string, body any, timeout time.Duration) (any, error) {
 	subscriber.mu.Lock()
 	if subscriber.conns[addr] == nil {
 		subscriber.addLocked([]string{addr})
--- a/internal/proxy/accounting.go
+++ b/internal/proxy/accounting.go
@@ -22,7 +22,7 @@
 
 // reportAccounts brings a report to a control machine.
 func (d *Daemon) reportAccounts(to string, report accounts.Report) (accounts.ReportAck, error) {
-	answer, err := d.subscriber.Ask(to, report, constants.CallTimeout)
+	answer, err := d.subscriber.Call(to, report, constants.CallTimeout)
 	if err != nil {
 		return accounts.ReportAck{}, err
 	}
--- a/internal/proxy/grants.go
+++ b/internal/proxy/grants.go
@@ -73,7 +73,7 @@
 // sendGrantRequest sends a tracker wants that were computed against its echoed time, and waits
 // for the reply.
 func (d *Daemon) sendGrantRequest(tracker string, sentAt time.Duration, echo admission.TrackerTime, wants []admission.Want, timeout time.Duration) (admission.Grants, error) {
-	reply, err := d.subscriber.Ask(tracker, admission.GrantRequest{
+	reply, err := d.subscriber.Call(tracker, admission.GrantRequest{
 		Proxy:   d.nodeSettings.Load().IPAddress,
 		Wants:   wants,
 		Echo:    echo,
