--- a/internal/distribution/publish_order_test.go
+++ b/internal/distribution/publish_order_test.go
@@ -68,8 +68,8 @@
 func TestOvertakenLimitsAreNotEvaluated(t *testing.T) {
 	var evaluated []float64
 	subscriber := NewSubscriber(Subscription{Node: "p"}, []string{"a", "b"}, func(string, transport.Handler) *transport.Peer { return nil }, func(f Changes) {
-		if f.Coming != nil {
-			evaluated = append(evaluated, f.Coming["t"].Rate)
+		if f.PendingLimits != nil {
+			evaluated = append(evaluated, f.PendingLimits["t"].Rate)
 		}
 	})
 	for _, version := range []uint64{5, 4, 7, 5, 7, 8} {
--- a/internal/distribution/receive.go
+++ b/internal/distribution/receive.go
@@ -86,7 +86,7 @@
 	f := Changes{From: a}
 	subscriber.holdLocked(&f, doc, list, misfit)
 	if update.ComingVer > max(subscriber.version, subscriber.comingVersion) && update.Coming != nil {
-		subscriber.comingVersion, f.Coming = update.ComingVer, update.Coming
+		subscriber.comingVersion, f.PendingLimits = update.ComingVer, update.Coming
 	}
 	if update.StateNum > subscriber.state {
 		subscriber.state, subscriber.evacuated = update.StateNum, update.Evacuated
--- a/internal/distribution/subscriber.go
+++ b/internal/distribution/subscriber.go
@@ -63,11 +63,11 @@
 
 // Changes is what changed, for the proxy to put in force.
 type Changes struct {
-	Config   *config.Doc
-	List     *discovery.List
-	Proxies  int // the live count, where a control machine spoke lately; 0 is no news
-	Trackers []string
-	Coming   map[string]admission.Quota
+	Config        *config.Doc
+	List          *discovery.List
+	Proxies       int // the live count, where a control machine spoke lately; 0 is no news
+	Trackers      []string
+	PendingLimits map[string]admission.Quota
 	// State numbers the orders known here; Evacuated are the zones nothing is
 	// sent to. State 0 is no news yet.
 	State     uint64
--- a/internal/distribution/subscriber_test.go
+++ b/internal/distribution/subscriber_test.go
@@ -209,7 +209,7 @@
 			Config: &c, List: discovery.Diff(nil, &discovery.List{Num: 5}), ComingVer: 6, Coming: map[string]admission.Quota{"k": {}}}
 	}
 	subscriber.receive("127.0.0.41", old(false), time.Now())
-	if v, li, f := s.all(); len(v)+len(li) > 0 || f.State != 0 || f.Proxies != 0 || f.Coming != nil {
+	if v, li, f := s.all(); len(v)+len(li) > 0 || f.State != 0 || f.Proxies != 0 || f.PendingLimits != nil {
 		t.Errorf("taken of a machine out of contact: versions %v, lists %v, %+v", v, li, f)
 	}
 	// Nor is a word that says "in contact" believed long after it was made.
--- a/internal/proxy/daemon.go
+++ b/internal/proxy/daemon.go
@@ -168,8 +168,8 @@
 	if old := d.usageHolder.Swap(&changes.Metered); d.meter != nil && (old == nil || *old != changes.Metered) {
 		go d.reportUsage() // a new holder starts without any usage
 	}
-	if changes.Coming != nil {
-		d.limiter.Evaluate(now, changes.Coming)
+	if changes.PendingLimits != nil {
+		d.limiter.Evaluate(now, changes.PendingLimits)
 	}
 	if old := d.trackers.Swap(&changes.Trackers); !slices.Equal(*old, changes.Trackers) {
 		go d.renewGrants() // a new tracker has to learn the grants held here
