--- a/internal/distribution/receive.go
+++ b/internal/distribution/receive.go
@@ -91,7 +91,7 @@
 	if update.StateNum > subscriber.state {
 		subscriber.state, subscriber.evacuated = update.StateNum, update.Evacuated
 	}
-	f.State, f.Evacuated = subscriber.state, subscriber.evacuated
+	f.StateNum, f.Evacuated = subscriber.state, subscriber.evacuated
 	subscriber.noteHoldersLocked(update, now)
 	f.Metered, f.Scaler = subscriber.metered, subscriber.scaler
 	if update.Current {
--- a/internal/distribution/subscriber.go
+++ b/internal/distribution/subscriber.go
@@ -68,9 +68,9 @@
 	Proxies       int // the live count, where a control machine spoke lately; 0 is no news
 	Trackers      []string
 	PendingLimits map[string]admission.Quota
-	// State numbers the orders known here; Evacuated are the zones nothing is
-	// sent to. State 0 is no news yet.
-	State     uint64
+	// StateNum numbers the orders known here; Evacuated are the zones nothing is
+	// sent to. StateNum 0 is no news yet.
+	StateNum  uint64
 	Evacuated []string
 	From      string // the control machine that spoke
 	Wall      int64  // its agreed time of day; 0 unknown
--- a/internal/distribution/subscriber_test.go
+++ b/internal/distribution/subscriber_test.go
@@ -86,13 +86,13 @@
 	subscriber, s := newProxy(port, "127.0.0.33", "127.0.0.31")
 	until(t, subscriber, "the newest", patience, func() bool {
 		v, li, f := s.all()
-		if f.State == 4 {
+		if f.StateNum == 4 {
 			t.Fatal("the evacuations of a machine out of contact were put in force")
 		}
 		return len(v) > 0 && len(li) > 0
 	})
-	if v, li, f := s.all(); v[0] != 7 || li[0] != 9 || f.State != 6 {
-		t.Errorf("shown first: versions %v, lists %v, orders as of %d", v, li, f.State)
+	if v, li, f := s.all(); v[0] != 7 || li[0] != 9 || f.StateNum != 6 {
+		t.Errorf("shown first: versions %v, lists %v, orders as of %d", v, li, f.StateNum)
 	}
 }
 
@@ -209,7 +209,7 @@
 			Config: &c, List: discovery.Diff(nil, &discovery.List{Num: 5}), ComingVer: 6, Coming: map[string]admission.Quota{"k": {}}}
 	}
 	subscriber.receive("127.0.0.41", old(false), time.Now())
-	if v, li, f := s.all(); len(v)+len(li) > 0 || f.State != 0 || f.Proxies != 0 || f.PendingLimits != nil {
+	if v, li, f := s.all(); len(v)+len(li) > 0 || f.StateNum != 0 || f.Proxies != 0 || f.PendingLimits != nil {
 		t.Errorf("taken of a machine out of contact: versions %v, lists %v, %+v", v, li, f)
 	}
 	// Nor is a word that says "in contact" believed long after it was made.
@@ -218,7 +218,7 @@
 		t.Errorf("taken of a word long under way: versions %v, lists %v", v, li)
 	}
 	subscriber.receive("127.0.0.41", old(true), time.Now())
-	if v, li, f := s.all(); len(v) != 1 || len(li) != 1 || f.State != 4 || f.Proxies != 3 {
+	if v, li, f := s.all(); len(v) != 1 || len(li) != 1 || f.StateNum != 4 || f.Proxies != 3 {
 		t.Errorf("of a machine in contact: versions %v, lists %v, %+v", v, li, f)
 	}
 }
@@ -237,7 +237,7 @@
 	subscriber.receive("127.0.0.41", Update{Current: true, Version: 3, Config: &c, ListNum: 8, StateNum: 5, Evacuated: []string{"y"}, Proxies: 40,
 		Wall: 6e18, Trackers: []string{"a"}, Metered: "a", Scaler: "a"}, late)
 	v, _, f := s.all()
-	if len(v) > 0 || f.State != 9 || len(f.Evacuated) > 0 {
+	if len(v) > 0 || f.StateNum != 9 || len(f.Evacuated) > 0 {
 		t.Errorf("an older state in force: versions %v, %+v", v, f)
 	}
 	if f.Proxies != 4 || f.Wall != 0 || f.Trackers[0] != "b" || f.Metered != "b" || f.Scaler != "b" {
@@ -275,7 +275,7 @@
 	if f.Proxies != 0 {
 		t.Errorf("a late word handed on the live count %d", f.Proxies)
 	}
-	if f.State != 9 || len(f.Evacuated) != 1 {
+	if f.StateNum != 9 || len(f.Evacuated) != 1 {
 		t.Errorf("what is numbered was not taken: %+v", f)
 	}
 	subscriber.receive("127.0.0.42", Update{Current: true, Proxies: 5}, time.Now())
--- a/internal/proxy/daemon.go
+++ b/internal/proxy/daemon.go
@@ -153,7 +153,7 @@
 		d.hasUpstreamList.Store(true)
 		d.events.Count("list_applied", 1)
 	}
-	if changes.State > 0 {
+	if changes.StateNum > 0 {
 		if d.pool.Evacuate(time.Now(), changes.Evacuated) {
 			d.events.Record("evacuations", strings.Join(changes.Evacuated, " "))
 		}
