--- a/internal/proxy/daemon.go
+++ b/internal/proxy/daemon.go
@@ -165,7 +165,7 @@
 	}
 	d.clock.Observe(changes.From, changes.Wall, now)
 	d.scalingHolder.Store(&changes.Scaler)
-	if old := d.usageHolder.Swap(&changes.Metered); d.meter != nil && (old == nil || *old != changes.Metered) {
+	if old := d.usageHolder.Swap(&changes.UsageHolder); d.meter != nil && (old == nil || *old != changes.UsageHolder) {
 		go d.reportUsage() // a new holder starts without any usage
 	}
 	if changes.PendingLimits != nil {
