--- a/internal/distribution/receive.go
+++ b/internal/distribution/receive.go
@@ -93,7 +93,7 @@
 	}
 	f.StateNum, f.Evacuated = subscriber.state, subscriber.evacuated
 	subscriber.noteHoldersLocked(update, now)
-	f.UsageHolder, f.Scaler = subscriber.metered, subscriber.scaler
+	f.UsageHolder, f.ScalingHolder = subscriber.metered, subscriber.scaler
 	if update.Current {
 		f.Wall = update.Wall
 		subscriber.noteCurrentLocked(update, made)
--- a/internal/distribution/subscriber.go
+++ b/internal/distribution/subscriber.go
@@ -70,12 +70,12 @@
 	PendingLimits map[string]admission.Quota
 	// StateNum numbers the orders known here; Evacuated are the zones nothing is
 	// sent to. StateNum 0 is no news yet.
-	StateNum    uint64
-	Evacuated   []string
-	From        string // the control machine that spoke
-	Wall        int64  // its agreed time of day; 0 unknown
-	UsageHolder string // who usage is told to, as last named by any
-	Scaler      string // likewise what runs
+	StateNum      uint64
+	Evacuated     []string
+	From          string // the control machine that spoke
+	Wall          int64  // its agreed time of day; 0 unknown
+	UsageHolder   string // who usage is told to, as last named by any
+	ScalingHolder string // likewise what runs
 }
 
 // NewSubscriber makes a proxy's end, with the control machines it knows to begin
--- a/internal/distribution/subscriber_test.go
+++ b/internal/distribution/subscriber_test.go
@@ -240,7 +240,7 @@
 	if len(v) > 0 || f.StateNum != 9 || len(f.Evacuated) > 0 {
 		t.Errorf("an older state in force: versions %v, %+v", v, f)
 	}
-	if f.Proxies != 4 || f.Wall != 0 || f.Trackers[0] != "b" || f.UsageHolder != "b" || f.Scaler != "b" {
+	if f.Proxies != 4 || f.Wall != 0 || f.Trackers[0] != "b" || f.UsageHolder != "b" || f.ScalingHolder != "b" {
 		t.Errorf("believed of a late word: %+v", f)
 	}
 	after := subscriber.State(now)
@@ -343,7 +343,7 @@
 	is := func(what string, proxies int, name string) {
 		t.Helper()
 		_, _, f := s.all()
-		if f.Proxies != proxies || f.UsageHolder != name || f.Scaler != name || f.Trackers[0] != name || f.Trackers[1] != "also" {
+		if f.Proxies != proxies || f.UsageHolder != name || f.ScalingHolder != name || f.Trackers[0] != name || f.Trackers[1] != "also" {
 			t.Errorf("%s: %+v", what, f)
 		}
 	}
--- a/internal/proxy/daemon.go
+++ b/internal/proxy/daemon.go
@@ -164,7 +164,7 @@
 		d.pool.SetProxies(changes.Proxies)
 	}
 	d.clock.Observe(changes.From, changes.Wall, now)
-	d.scalingHolder.Store(&changes.Scaler)
+	d.scalingHolder.Store(&changes.ScalingHolder)
 	if old := d.usageHolder.Swap(&changes.UsageHolder); d.meter != nil && (old == nil || *old != changes.UsageHolder) {
 		go d.reportUsage() // a new holder starts without any usage
 	}
