--- a/internal/directory/directory.go
+++ b/internal/directory/directory.go
@@ -40,7 +40,7 @@
 	proxies      map[string]*entry
 	answers      map[string][]string
 	answersUntil time.Duration // answers hold until then
-	Asked        uint64
+	lookups      uint64
 	Empty        uint64 // calls that could not be answered
 	Spilled      uint64 // answers made that name proxies beyond the zone asked for
 }
@@ -108,7 +108,7 @@
 func (d *Directory) Lookup(now time.Duration, zone, region string) ([]string, bool) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	d.Asked++
+	d.lookups++
 	if now >= d.answersUntil {
 		clear(d.answers)
 		d.answersUntil = now + constants.AnswerFresh
@@ -235,7 +235,7 @@
 func (d *Directory) Counts() (asked, empty, spilled uint64) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	return d.Asked, d.Empty, d.Spilled
+	return d.lookups, d.Empty, d.Spilled
 }
 
 // States lists all places.
