--- a/internal/directory/directory.go
+++ b/internal/directory/directory.go
@@ -41,7 +41,7 @@
 	answers      map[string][]string
 	answersUntil time.Duration // answers hold until then
 	lookups      uint64
-	Empty        uint64 // calls that could not be answered
+	unanswered   uint64 // calls that could not be answered
 	Spilled      uint64 // answers made that name proxies beyond the zone asked for
 }
 
@@ -125,7 +125,7 @@
 		}
 	}
 	if len(a) == 0 || now-d.began < constants.DirectoryQuiet {
-		d.Empty++
+		d.unanswered++
 		return nil, false
 	}
 	return a, true
@@ -235,7 +235,7 @@
 func (d *Directory) Counts() (asked, empty, spilled uint64) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	return d.lookups, d.Empty, d.Spilled
+	return d.lookups, d.unanswered, d.Spilled
 }
 
 // States lists all places.
