--- a/internal/directory/directory.go
+++ b/internal/directory/directory.go
@@ -42,7 +42,7 @@
 	answersUntil time.Duration // answers hold until then
 	lookups      uint64
 	unanswered   uint64 // calls that could not be answered
-	Spilled      uint64 // answers made that name proxies beyond the zone asked for
+	spilled      uint64 // answers made that name proxies beyond the zone asked for
 }
 
 // New makes a directory that knows nothing yet.
@@ -148,7 +148,7 @@
 		out = append(out, c.Front)
 	}
 	if beyond {
-		d.Spilled++
+		d.spilled++
 	}
 	slices.Sort(out)
 	return out
@@ -235,7 +235,7 @@
 func (d *Directory) Counts() (asked, empty, spilled uint64) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	return d.lookups, d.unanswered, d.Spilled
+	return d.lookups, d.unanswered, d.spilled
 }
 
 // States lists all places.
