--- a/internal/controlplane/roster.go
+++ b/internal/controlplane/roster.go
@@ -323,7 +323,7 @@
 			e.seenAt, e.count, e.location = at, s.Count, s.Place
 		}
 		if r.directory != nil {
-			r.directory.Relay(r.now(), a, s.Place, s.Age)
+			r.directory.ReportRelayed(r.now(), a, s.Place, s.Age)
 		}
 	}
 	return added
--- a/internal/directory/directory.go
+++ b/internal/directory/directory.go
@@ -63,9 +63,9 @@
 	return changed
 }
 
-// Relay takes another control machine's word on a proxy, as old as that is. What
+// ReportRelayed takes another control machine's word on a proxy, as old as that is. What
 // the proxy said here itself of late counts more.
-func (d *Directory) Relay(now time.Duration, node string, p Location, age time.Duration) {
+func (d *Directory) ReportRelayed(now time.Duration, node string, p Location, age time.Duration) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	if e := d.proxies[node]; e == nil || now-age > e.asOf {
--- a/internal/directory/directory_test.go
+++ b/internal/directory/directory_test.go
@@ -58,7 +58,7 @@
 				}
 				if p.up && now >= cut && r.IntN(8) == 0 {
 					if r.IntN(3) == 0 {
-						d.Relay(now, n, p.Location, time.Duration(r.IntN(300))*time.Millisecond)
+						d.ReportRelayed(now, n, p.Location, time.Duration(r.IntN(300))*time.Millisecond)
 					} else {
 						d.Report(now, n, p.Location, false)
 					}
