--- a/internal/controlplane/roster.go
+++ b/internal/controlplane/roster.go
@@ -156,7 +156,7 @@
 
 // handleDisconnect processes the end of a proxy's last connection to this machine.
 func (r *roster) handleDisconnect(node string) {
-	if r.directory != nil && r.directory.Disconnected(r.now(), node, true) {
+	if r.directory != nil && r.directory.MarkDisconnected(r.now(), node, true) {
 		r.sendAll(RosterUpdate{Gone: []string{node}})
 	}
 }
@@ -299,7 +299,7 @@
 	changed := r.mergeStatuses(m.Words)
 	if r.directory != nil {
 		for _, a := range m.Gone {
-			r.directory.Disconnected(r.now(), a, false)
+			r.directory.MarkDisconnected(r.now(), a, false)
 		}
 	}
 	changed = r.mergeShares(m.Shares) || changed
--- a/internal/directory/directory.go
+++ b/internal/directory/directory.go
@@ -90,9 +90,9 @@
 	return changed
 }
 
-// Disconnected notes that a proxy's connection ended, here or at another control
+// MarkDisconnected notes that a proxy's connection ended, here or at another control
 // machine: it leaves the answers until it speaks again.
-func (d *Directory) Disconnected(now time.Duration, node string, here bool) (changed bool) {
+func (d *Directory) MarkDisconnected(now time.Duration, node string, here bool) (changed bool) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	e := d.proxies[node]
--- a/internal/directory/directory_test.go
+++ b/internal/directory/directory_test.go
@@ -51,7 +51,7 @@
 					p.up, p.downAt = false, now
 					if r.IntN(2) == 0 && now >= cut {
 						p.gone = true
-						d.Disconnected(now, n, true)
+						d.MarkDisconnected(now, n, true)
 					}
 				case !p.up && r.IntN(60) == 0:
 					p.up = true
