--- a/internal/controlplane/upstreamlist.go
+++ b/internal/controlplane/upstreamlist.go
@@ -185,7 +185,7 @@
 		// Two successive new holders may have seen the same highest number of earlier
 		// holders, so each starts at its own random number.
 		return firstNumber(u.highestNum, rand.Uint64()), true
-	case u.list.Num != u.highestNum || !discovery.Same(u.list.Instances, instances):
+	case u.list.Num != u.highestNum || !discovery.SameInstances(u.list.Instances, instances):
 		return u.highestNum + 1, true
 	}
 	return u.highestNum, false
--- a/internal/discovery/discovery.go
+++ b/internal/discovery/discovery.go
@@ -91,10 +91,10 @@
 	return l, true
 }
 
-// Same says whether a later list names the same upstreams in the same states. How
+// SameInstances says whether a later list names the same upstreams in the same states. How
 // long each stays cold is counted down by whoever holds the list, so only one
 // that turned cold again makes a difference.
-func Same(a, b []Instance) bool {
+func SameInstances(a, b []Instance) bool {
 	return slices.EqualFunc(a, b, func(x, y Instance) bool {
 		if y.Warmup > x.Warmup {
 			return false
--- a/internal/discovery/discovery_test.go
+++ b/internal/discovery/discovery_test.go
@@ -47,7 +47,7 @@
 	}
 	a, b := is[:1], []Instance{is[0]}
 	b[0].Warmup = 0
-	if !Same(a, b) || Same(a, is) {
+	if !SameInstances(a, b) || SameInstances(a, is) {
 		t.Error("lists are compared wrongly")
 	}
 }
@@ -67,7 +67,7 @@
 		for _, base := range append([]*List{nil}, lists...) {
 			c := Diff(base, l)
 			got, ok := c.Apply(base)
-			if !ok || got.Num != num || !Same(got.Instances, l.Instances) {
+			if !ok || got.Num != num || !SameInstances(got.Instances, l.Instances) {
 				t.Fatalf("list %d against %v: %v", num, base, ok)
 			}
 			if other := lists[r.IntN(len(lists))]; base != nil && other.Num != base.Num {
@@ -79,7 +79,7 @@
 	}
 	warm := []Instance{{ID: "i"}}
 	cold := []Instance{{ID: "i", Warmup: time.Second}}
-	if Same(warm, cold) || !Same(cold, warm) {
+	if SameInstances(warm, cold) || !SameInstances(cold, warm) {
 		t.Error("one that turns cold makes a difference, one that warms up does not")
 	}
 }
