--- a/internal/discovery/discovery.go
+++ b/internal/discovery/discovery.go
@@ -131,8 +131,8 @@
 		Transport: &http.Transport{MaxIdleConnsPerHost: 1, DisableCompression: true, IdleConnTimeout: 10 * time.Second}}}
 }
 
-// ErrRate is returned when the platform turned a call away.
-var ErrRate = errors.New("the platform's call rate is used up")
+// ErrRateLimited is returned when the platform turned a call away.
+var ErrRateLimited = errors.New("the platform's call rate is used up")
 
 // Read fetches all pages, sorted.
 func (s *Source) Read(ctx context.Context) ([]Instance, error) {
@@ -176,7 +176,7 @@
 	case err != nil:
 		return nil, err
 	case resp.StatusCode == http.StatusTooManyRequests:
-		return nil, ErrRate
+		return nil, ErrRateLimited
 	case resp.StatusCode != http.StatusOK:
 		return nil, fmt.Errorf("the platform answered %d", resp.StatusCode)
 	}
--- a/internal/discovery/discovery_test.go
+++ b/internal/discovery/discovery_test.go
@@ -41,7 +41,7 @@
 		"error":  func(w http.ResponseWriter, _ *http.Request) { w.WriteHeader(500) },
 	} {
 		second = h
-		if is, err := s.Read(context.Background()); err == nil || is != nil || (name == "rate") != errors.Is(err, ErrRate) {
+		if is, err := s.Read(context.Background()); err == nil || is != nil || (name == "rate") != errors.Is(err, ErrRateLimited) {
 			t.Errorf("%s: got %v %v", name, is, err)
 		}
 	}
