--- a/internal/controlplane/daemon.go
+++ b/internal/controlplane/daemon.go
@@ -300,7 +300,7 @@
 
 // addLoops adds the periodic tasks. A relay only runs the membership agent and its chain.
 func (d *Daemon) addLoops(group *rungroup.Group) {
-	group.Every(membership.TickEvery, d.members.Tick)
+	group.Every(membership.TickInterval, d.members.Tick)
 	if d.replica.relay {
 		group.Every(constants.RelayEvery, d.replica.tick)
 		return
--- a/internal/membership/agent.go
+++ b/internal/membership/agent.go
@@ -92,8 +92,8 @@
 	return a.detector.Members()
 }
 
-// TickEvery is how often Tick is to be called.
-const TickEvery = constants.ProbeTimeout / 3
+// TickInterval is how often Tick is to be called.
+const TickInterval = constants.ProbeTimeout / 3
 
 // Close ends the socket.
 func (a *Agent) Close() { a.conn.Close() }
--- a/internal/membership/detector_test.go
+++ b/internal/membership/detector_test.go
@@ -40,7 +40,7 @@
 	if !c.frozen[n] {
 		c.put(n, c.all[n].Tick(c.network.Now))
 	}
-	c.network.After(TickEvery, func() { c.tick(n, l) })
+	c.network.After(TickInterval, func() { c.tick(n, l) })
 }
 
 func (c *cluster) put(n string, out []any) {
--- a/internal/proxy/daemon.go
+++ b/internal/proxy/daemon.go
@@ -238,7 +238,7 @@
 		group.Every(accounts.RetryEvery, d.accountsAgent.Retry)
 	}
 	group.Every(constants.RetireEvery, func() { d.pool.CloseExpiredIdle(time.Now()) })
-	group.Every(membership.TickEvery, d.members.Tick)
+	group.Every(membership.TickInterval, d.members.Tick)
 	return nil
 }
 
