--- a/internal/directory/directory.go
+++ b/internal/directory/directory.go
@@ -25,38 +25,38 @@
 // entry is a proxy as known here.
 type entry struct {
 	Location
-	asOf         time.Duration // when this was so
-	heardHereAt  time.Duration // when it last said so itself, to this machine
-	validFor     time.Duration // how long its word counts
-	disconnected bool          // its connection ended and it has not spoken since
+	reportedAt     time.Duration // when this was so
+	directReportAt time.Duration // when it last said so itself, to this machine
+	validFor       time.Duration // how long its word counts
+	disconnected   bool          // its connection ended and it has not spoken since
 }
 
 // Directory keeps the places and the answers made from them. An answer is made
 // anew when a place changes or grows old, not with each call.
 type Directory struct {
-	mu           sync.Mutex
-	zones        map[string]string // zone to region
-	began        time.Duration
-	proxies      map[string]*entry
-	answers      map[string][]string
-	answersUntil time.Duration // answers hold until then
-	lookups      uint64
-	unanswered   uint64 // calls that could not be answered
-	spilled      uint64 // answers made that name proxies beyond the zone asked for
+	mu             sync.Mutex
+	zones          map[string]string // zone to region
+	startedAt      time.Duration
+	proxies        map[string]*entry
+	cache          map[string][]string
+	cacheExpiresAt time.Duration // answers hold until then
+	lookups        uint64
+	unanswered     uint64 // calls that could not be answered
+	spilled        uint64 // answers made that name proxies beyond the zone asked for
 }
 
 // New makes a directory that knows nothing yet.
 func New(now time.Duration, zones map[string]string) *Directory {
-	return &Directory{zones: zones, began: now, proxies: map[string]*entry{}, answers: map[string][]string{}}
+	return &Directory{zones: zones, startedAt: now, proxies: map[string]*entry{}, cache: map[string][]string{}}
 }
 
 // Report takes a proxy's own word; often says that the next is due soon.
 func (d *Directory) Report(now time.Duration, node string, p Location, often bool) (changed bool) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	changed = d.put(now, node, p)
+	changed = d.update(now, node, p)
 	e := d.proxies[node]
-	e.heardHereAt, e.validFor = now, constants.PlaceFresh
+	e.directReportAt, e.validFor = now, constants.PlaceFresh
 	if often {
 		e.validFor = constants.PlaceOften
 	}
@@ -68,24 +68,24 @@
 func (d *Directory) ReportRelayed(now time.Duration, node string, p Location, age time.Duration) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	if e := d.proxies[node]; e == nil || now-age > e.asOf {
-		d.put(now-age, node, p)
-		if e := d.proxies[node]; now-e.heardHereAt > constants.PlaceFresh {
+	if e := d.proxies[node]; e == nil || now-age > e.reportedAt {
+		d.update(now-age, node, p)
+		if e := d.proxies[node]; now-e.directReportAt > constants.PlaceFresh {
 			e.validFor = constants.PlaceFresh
 		}
 	}
 }
 
-func (d *Directory) put(at time.Duration, node string, p Location) bool {
+func (d *Directory) update(at time.Duration, node string, p Location) bool {
 	e := d.proxies[node]
 	if e == nil {
-		e = &entry{heardHereAt: -constants.ProxyForget, validFor: constants.PlaceFresh}
+		e = &entry{directReportAt: -constants.ProxyForget, validFor: constants.PlaceFresh}
 		d.proxies[node] = e
 	}
-	changed := e.Location != p || e.disconnected || at-e.asOf > e.validFor
-	e.Location, e.asOf, e.disconnected = p, at, false
+	changed := e.Location != p || e.disconnected || at-e.reportedAt > e.validFor
+	e.Location, e.reportedAt, e.disconnected = p, at, false
 	if changed {
-		d.answersUntil = 0
+		d.cacheExpiresAt = 0
 	}
 	return changed
 }
@@ -96,11 +96,11 @@
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	e := d.proxies[node]
-	if e == nil || e.disconnected || !here && now-e.heardHereAt < constants.SubscriptionSilence {
+	if e == nil || e.disconnected || !here && now-e.directReportAt < constants.SubscriptionSilence {
 		return false
 	}
 	e.disconnected = true
-	d.answersUntil = 0
+	d.cacheExpiresAt = 0
 	return true
 }
 
@@ -109,33 +109,33 @@
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	d.lookups++
-	if now >= d.answersUntil {
-		clear(d.answers)
-		d.answersUntil = now + constants.AnswerFresh
+	if now >= d.cacheExpiresAt {
+		clear(d.cache)
+		d.cacheExpiresAt = now + constants.AnswerFresh
 	}
 	if r, ok := d.zones[zone]; ok {
 		region = r
 	}
 	key := zone + " " + region
-	a, ok := d.answers[key]
+	a, ok := d.cache[key]
 	if !ok {
-		a = d.answer(now, zone, region)
-		if len(d.answers) < constants.AnswersKept {
-			d.answers[key] = a
+		a = d.selectProxies(now, zone, region)
+		if len(d.cache) < constants.AnswersKept {
+			d.cache[key] = a
 		}
 	}
-	if len(a) == 0 || now-d.began < constants.DirectoryQuiet {
+	if len(a) == 0 || now-d.startedAt < constants.DirectoryQuiet {
 		d.unanswered++
 		return nil, false
 	}
 	return a, true
 }
 
-// answer names the ready proxies of the client's zone. When they are too few to
+// selectProxies names the ready proxies of the client's zone. When they are too few to
 // carry what the zone's proxies carry together, others make up for what is
 // missing, of the region first: as many as are needed, and so by degrees. All
-// count alike: clients choose evenly among the addresses of an answer.
-func (d *Directory) answer(now time.Duration, zone, region string) []string {
+// count alike: clients choose evenly among the addresses of an selectProxies.
+func (d *Directory) selectProxies(now time.Duration, zone, region string) []string {
 	candidates, known := d.candidates(now, zone, region)
 	var out []string
 	beyond := false
@@ -159,26 +159,26 @@
 type candidate struct {
 	*entry
 	distance int
-	lot      uint32
+	hash     uint32
 }
 
 func compareCandidates(a, b candidate) int {
-	return cmp.Or(cmp.Compare(a.distance, b.distance), cmp.Compare(a.lot, b.lot), cmp.Compare(a.Front, b.Front))
+	return cmp.Or(cmp.Compare(a.distance, b.distance), cmp.Compare(a.hash, b.hash), cmp.Compare(a.Front, b.Front))
 }
 
 // candidates lists the proxies that an answer may name, in the order of preference, and
 // counts all those known in the zone. It drops the ones that have long been silent.
 func (d *Directory) candidates(now time.Duration, zone, region string) (out []candidate, known int) {
-	old := d.allOld(now) // nobody is known afresh: what was known last is better than nothing
+	old := d.noneFresh(now) // nobody is known afresh: what was known last is better than nothing
 	for n, e := range d.proxies {
-		if now-e.asOf > constants.ProxyForget {
+		if now-e.reportedAt > constants.ProxyForget {
 			delete(d.proxies, n)
 			continue
 		}
 		if e.Zone == zone {
 			known++
 		}
-		if !e.Ready || !old && (e.disconnected || now-e.asOf > e.validFor) {
+		if !e.Ready || !old && (e.disconnected || now-e.reportedAt > e.validFor) {
 			continue
 		}
 		c := candidate{entry: e}
@@ -191,17 +191,17 @@
 		}
 		h := fnv.New32a()
 		h.Write([]byte(n + " " + zone))
-		c.lot = h.Sum32()
+		c.hash = h.Sum32()
 		out = append(out, c)
 	}
 	slices.SortFunc(out, compareCandidates)
 	return out, known
 }
 
-// allOld says whether there is no ready proxy that was heard of lately.
-func (d *Directory) allOld(now time.Duration) bool {
+// noneFresh says whether there is no ready proxy that was heard of lately.
+func (d *Directory) noneFresh(now time.Duration) bool {
 	for _, e := range d.proxies {
-		if !e.disconnected && e.Ready && now-e.asOf <= e.validFor {
+		if !e.disconnected && e.Ready && now-e.reportedAt <= e.validFor {
 			return false
 		}
 	}
@@ -244,7 +244,7 @@
 	defer d.mu.Unlock()
 	var out []LocationState
 	for n, e := range d.proxies {
-		out = append(out, LocationState{n, e.Location, now - e.asOf, e.disconnected, now-e.asOf > e.validFor})
+		out = append(out, LocationState{n, e.Location, now - e.reportedAt, e.disconnected, now-e.reportedAt > e.validFor})
 	}
 	sort.Slice(out, func(i, j int) bool { return out[i].Node < out[j].Node })
 	return out
--- a/internal/distribution/peers.go
+++ b/internal/distribution/peers.go
@@ -9,7 +9,7 @@
 	"slateridge/internal/transport"
 )
 
-func (subscriber *Subscriber) addLocked(addrs []string) {
+func (subscriber *Subscriber) addPeersLocked(addrs []string) {
 	for _, a := range addrs {
 		if subscriber.conns[a] != nil || a == "" {
 			continue
@@ -18,24 +18,24 @@
 		e.peer = subscriber.dial(a, func(_ *transport.Conn, body any) any {
 			if update, ok := body.(Update); ok {
 				// It was made after the Subscription that it names, and maybe only just after.
-				subscriber.receive(a, update, subscriber.began.Add(update.Heard))
+				subscriber.receive(a, update, subscriber.startedAt.Add(update.Heard))
 			}
 			return nil
 		})
 		subscriber.conns[a] = e
 		subscriber.order = append(subscriber.order, a)
 	}
-	subscriber.sortLocked()
+	subscriber.sortPeersLocked()
 }
 
-// departedLocked says whether a machine known here is none of control any more.
-func (subscriber *Subscriber) departedLocked(a string) bool {
-	return len(subscriber.namedPeers) > 0 && !slices.Contains(subscriber.namedPeers, a)
+// removedLocked says whether a machine known here is none of control any more.
+func (subscriber *Subscriber) removedLocked(a string) bool {
+	return len(subscriber.currentPeers) > 0 && !slices.Contains(subscriber.currentPeers, a)
 }
 
-// addPeersLocked takes control's word on where its machines stand. Addresses are learned
+// updatePeersLocked takes control's word on where its machines stand. Addresses are learned
 // from any; which machines are no more is believed of one in contact only.
-func (subscriber *Subscriber) addPeersLocked(ps []Peer, current bool) {
+func (subscriber *Subscriber) updatePeersLocked(ps []Peer, current bool) {
 	if len(ps) == 0 {
 		return
 	}
@@ -45,26 +45,26 @@
 		addrs = append(addrs, p.Addr)
 	}
 	if current {
-		subscriber.namedPeers = addrs
+		subscriber.currentPeers = addrs
 	}
-	subscriber.addLocked(addrs) // which sorts by what is known now
+	subscriber.addPeersLocked(addrs) // which sorts by what is known now
 	if !current {
 		// Better words are to be had elsewhere: dialled now, asked with the next step.
-		subscriber.chooseSubscriptionsLocked(time.Now())
+		subscriber.selectSubscriptionsLocked(time.Now())
 		for _, a := range subscriber.order {
-			if e := subscriber.conns[a]; e.subscribed && !e.answered {
+			if e := subscriber.conns[a]; e.subscribed && !e.hasUpdate {
 				e.peer.Conn()
 			}
 		}
 	}
 }
 
-// sortLocked puts near machines first, and equals in an order of this proxy's
+// sortPeersLocked puts near machines first, and equals in an order of this proxy's
 // own, so that proxies spread.
-func (subscriber *Subscriber) sortLocked() {
+func (subscriber *Subscriber) sortPeersLocked() {
 	far := func(a string) int {
 		switch p, ok := subscriber.locations[a]; {
-		case subscriber.departedLocked(a):
+		case subscriber.removedLocked(a):
 			return 4
 		case !ok || p.Zone == "":
 			return 2 // nothing is known of it yet
@@ -93,5 +93,5 @@
 func (subscriber *Subscriber) AddPeers(addrs []string) {
 	subscriber.mu.Lock()
 	defer subscriber.mu.Unlock()
-	subscriber.addLocked(addrs)
+	subscriber.addPeersLocked(addrs)
 }
--- a/internal/distribution/publisher.go
+++ b/internal/distribution/publisher.go
@@ -80,16 +80,16 @@
 
 // subscriberConn is one held connection from a proxy.
 type subscriberConn struct {
-	subscription Subscription
-	heardAt      time.Time
-	configSent   uint64 // contents sent or held
-	listSent     uint64
-	trackers     string
-	proxies      int
-	sent         [3]uint64
-	peers        string
-	metered      string
-	coming       uint64 // limits sent for evaluation
+	subscription    Subscription
+	receivedAt      time.Time
+	configSent      uint64 // contents sent or held
+	listSent        uint64
+	trackersSent    string
+	proxiesSent     int
+	numbersSent     [3]uint64
+	peersSent       string
+	usageHolderSent string
+	pendingSent     uint64 // limits sent for evaluation
 }
 
 func peersKey(ps []Peer) string {
@@ -106,9 +106,9 @@
 	mu       sync.Mutex
 	conns    map[*transport.Conn]*subscriberConn
 	snapshot func() Snapshot
-	// sharing says whether a proxy may be told the live count: from then on it
+	// hasShare says whether a proxy may be told the live count: from then on it
 	// uses a share of the split quotas.
-	sharing      func(node string) bool
+	hasShare     func(node string) bool
 	OnDisconnect func(node string) // told when a proxy's last held connection ends
 	pushes       uint64
 	configs      history[config.Doc, config.Packed]
@@ -118,23 +118,23 @@
 // history are the latest states of a kind, the newest last, with its differences
 // from the earlier ones: each is worked out once for all proxies that need it.
 type history[S any, D any] struct {
-	num    func(*S) uint64
+	number func(*S) uint64
 	diff   func(base, newest *S) *D
 	states []*S
 	diffs  map[uint64]*D
 }
 
-// from is the newest state as its difference from the one a proxy holds, or whole
+// diffFrom is the newest state as its difference diffFrom the one a proxy holds, or whole
 // where that is not kept any more.
-func (k *history[S, D]) from(newest *S, have uint64) *D {
-	if n := len(k.states); n == 0 || k.num(k.states[n-1]) != k.num(newest) {
+func (k *history[S, D]) diffFrom(newest *S, have uint64) *D {
+	if n := len(k.states); n == 0 || k.number(k.states[n-1]) != k.number(newest) {
 		k.states = append(k.states, newest)
 		k.states = k.states[max(0, len(k.states)-constants.KeptStates):]
 		k.diffs = map[uint64]*D{}
 	}
 	var base *S
 	for _, o := range k.states {
-		if k.num(o) == have && have > 0 {
+		if k.number(o) == have && have > 0 {
 			base = o
 		}
 	}
@@ -149,10 +149,10 @@
 
 // NewPublisher makes the control side; face tells what is in force.
 func NewPublisher(face func() Snapshot, sharing func(node string) bool) *Publisher {
-	return &Publisher{conns: map[*transport.Conn]*subscriberConn{}, snapshot: face, sharing: sharing,
-		configs: history[config.Doc, config.Packed]{num: func(d *config.Doc) uint64 { return d.Version },
+	return &Publisher{conns: map[*transport.Conn]*subscriberConn{}, snapshot: face, hasShare: sharing,
+		configs: history[config.Doc, config.Packed]{number: func(d *config.Doc) uint64 { return d.Version },
 			diff: func(base, d *config.Doc) *config.Packed { p := config.Pack(base, d); return &p }},
-		lists: history[discovery.List, discovery.Change]{num: func(l *discovery.List) uint64 { return l.Num }, diff: discovery.Diff}}
+		lists: history[discovery.List, discovery.Change]{number: func(l *discovery.List) uint64 { return l.Num }, diff: discovery.Diff}}
 }
 
 // HandleSubscription takes a proxy's word and answers it.
@@ -178,12 +178,12 @@
 			}
 		}()
 	}
-	c.subscription, c.heardAt, c.configSent, c.listSent = subscription, time.Now(), subscription.Version, subscription.ListNum
+	c.subscription, c.receivedAt, c.configSent, c.listSent = subscription, time.Now(), subscription.Version, subscription.ListNum
 	if subscription.Whole {
 		c.configSent, c.listSent = 0, 0
 	}
 	if subscription.Missed {
-		c.trackers, c.peers, c.coming = "", "", 0
+		c.trackersSent, c.peersSent, c.pendingSent = "", "", 0
 	}
 	return p.updateFor(c, f)
 }
@@ -195,8 +195,8 @@
 	return c.subscription.Full && (f.Current || holds || c.subscription.Stale)
 }
 
-// missing says what of the contents this proxy is to be handed.
-func (c *subscriberConn) missing(f Snapshot) (config, list bool) {
+// contentsToSend says what of the contents this proxy is to be handed.
+func (c *subscriberConn) contentsToSend(f Snapshot) (config, list bool) {
 	config = f.ConfigDoc != nil && f.ConfigDoc.Version > c.configSent && c.mayReceive(f, c.subscription.Version > 0)
 	list = f.Upstreams != nil && f.Upstreams.Num > c.listSent && c.mayReceive(f, c.subscription.ListNum > 0)
 	return config, list
@@ -206,41 +206,41 @@
 func (p *Publisher) updateFor(c *subscriberConn, f Snapshot) Update {
 	update := f.Update
 	update.Heard = c.subscription.Sent
-	c.sent = [3]uint64{update.Version, update.ListNum, update.StateNum}
+	c.numbersSent = [3]uint64{update.Version, update.ListNum, update.StateNum}
 	begins := !f.Current && c.subscription.Version == 0 && !c.subscription.Stale
-	if !p.sharing(c.subscription.Node) || begins {
+	if !p.hasShare(c.subscription.Node) || begins {
 		update.Proxies = 0
 	}
 	if begins {
 		update.StateNum, update.Evacuated = 0, nil
 	}
-	config, list := c.missing(f)
+	config, list := c.contentsToSend(f)
 	if config {
-		update.Config, c.configSent = p.configs.from(f.ConfigDoc, c.configSent), f.ConfigDoc.Version
+		update.Config, c.configSent = p.configs.diffFrom(f.ConfigDoc, c.configSent), f.ConfigDoc.Version
 	}
 	if list {
-		update.List, c.listSent = p.lists.from(f.Upstreams, c.listSent), f.Upstreams.Num
+		update.List, c.listSent = p.lists.diffFrom(f.Upstreams, c.listSent), f.Upstreams.Num
 	}
-	if update.ComingVer <= update.Version || update.ComingVer == c.coming || !c.subscription.Full || begins {
+	if update.ComingVer <= update.Version || update.ComingVer == c.pendingSent || !c.subscription.Full || begins {
 		update.ComingVer, update.Coming = 0, nil
 	} else {
-		c.coming = update.ComingVer
+		c.pendingSent = update.ComingVer
 	}
-	c.proxies, c.metered = update.Proxies, update.Metered
-	if t := joinKey(update.Trackers); t == c.trackers {
+	c.proxiesSent, c.usageHolderSent = update.Proxies, update.Metered
+	if t := trackersKey(update.Trackers); t == c.trackersSent {
 		update.Trackers = nil
 	} else {
-		c.trackers = t
+		c.trackersSent = t
 	}
-	if p := peersKey(update.Peers); p == c.peers {
+	if p := peersKey(update.Peers); p == c.peersSent {
 		update.Peers = nil
 	} else {
-		c.peers = p
+		c.peersSent = p
 	}
 	return update
 }
 
-func joinKey(ss []string) string {
+func trackersKey(ss []string) string {
 	out := ""
 	for _, s := range ss {
 		out += s + " "
@@ -254,11 +254,11 @@
 	defer p.mu.Unlock()
 	f := p.snapshot()
 	for conn, c := range p.conns {
-		if time.Since(c.heardAt) > constants.SubscriptionSilence {
+		if time.Since(c.receivedAt) > constants.SubscriptionSilence {
 			continue // it takes its news elsewhere, or is gone; its next word is answered
 		}
-		config, list := c.missing(f)
-		if !config && !list && (f.ComingVer <= f.Version || f.ComingVer == c.coming || !c.subscription.Full) && c.sent == [3]uint64{f.Version, f.ListNum, f.StateNum} && (c.metered == f.Metered || f.Metered == "") && (c.proxies == f.Proxies || c.proxies == 0 && !p.sharing(c.subscription.Node)) && c.trackers == joinKey(f.Trackers) {
+		config, list := c.contentsToSend(f)
+		if !config && !list && (f.ComingVer <= f.Version || f.ComingVer == c.pendingSent || !c.subscription.Full) && c.numbersSent == [3]uint64{f.Version, f.ListNum, f.StateNum} && (c.usageHolderSent == f.Metered || f.Metered == "") && (c.proxiesSent == f.Proxies || c.proxiesSent == 0 && !p.hasShare(c.subscription.Node)) && c.trackersSent == trackersKey(f.Trackers) {
 			continue
 		}
 		p.pushes++
@@ -278,7 +278,7 @@
 	defer p.mu.Unlock()
 	by := map[string]ProxyState{}
 	for _, c := range p.conns {
-		s := ProxyState{c.subscription, time.Since(c.heardAt)}
+		s := ProxyState{c.subscription, time.Since(c.receivedAt)}
 		if o, ok := by[s.Node]; !ok || s.Silent < o.Silent {
 			by[s.Node] = s
 		}
--- a/internal/distribution/publisher_test.go
+++ b/internal/distribution/publisher_test.go
@@ -154,9 +154,9 @@
 		refused = errors.Is(err, transport.ErrRefused)
 	}
 	now := time.Now()
-	e.subscribeAt = now
-	subscriber.ask("127.0.0.26", e, Subscription{})
-	if !e.subscribeAt.IsZero() {
+	e.subscribedAt = now
+	subscriber.sendSubscription("127.0.0.26", e, Subscription{})
+	if !e.subscribedAt.IsZero() {
 		t.Error("it is not tried again before the next regular word")
 	}
 }
--- a/internal/distribution/receive.go
+++ b/internal/distribution/receive.go
@@ -8,13 +8,13 @@
 	"slateridge/internal/discovery"
 )
 
-// noteReadIndex takes what an answer says of the versions committed, and tells since when this
+// recordReadIndex takes what an answer says of the versions committed, and tells since when this
 // proxy is sure of its own. An answer was made after its question: only from there can
 // its age be reckoned, however long it was under way.
-func (subscriber *Subscriber) noteReadIndex(update Update, asked time.Time) time.Time {
+func (subscriber *Subscriber) recordReadIndex(update Update, asked time.Time) time.Time {
 	subscriber.mu.Lock()
 	defer subscriber.mu.Unlock()
-	if at := asked.Add(-update.SureAge); update.SureVersion > 0 && update.SureVersion <= subscriber.inForce && at.After(subscriber.readIndexAt) {
+	if at := asked.Add(-update.SureAge); update.SureVersion > 0 && update.SureVersion <= subscriber.appliedVersion && at.After(subscriber.readIndexAt) {
 		subscriber.readIndexAt = at
 	}
 	return subscriber.readIndexAt
@@ -45,10 +45,10 @@
 	}
 	// What is held changes under receiveMu only.
 	subscriber.mu.Lock()
-	if !subscriber.trustsLocked(update, subscriber.version > 0) {
+	if !subscriber.acceptsContentsLocked(update, subscriber.version > 0) {
 		update.Config, update.Coming, update.StateNum, update.Proxies = nil, nil, 0, 0
 	}
-	if !subscriber.trustsLocked(update, subscriber.listNum > 0) {
+	if !subscriber.acceptsContentsLocked(update, subscriber.listNum > 0) {
 		update.List = nil
 	}
 	subscriber.mu.Unlock()
@@ -70,7 +70,7 @@
 	subscriber.apply(f)
 	if f.Config != nil || f.List != nil {
 		subscriber.mu.Lock()
-		subscriber.applying, subscriber.inForce = false, subscriber.version
+		subscriber.applying, subscriber.appliedVersion = false, subscriber.version
 		subscriber.mu.Unlock()
 	}
 }
@@ -81,22 +81,22 @@
 	defer subscriber.mu.Unlock()
 	now := time.Now()
 	e := subscriber.conns[a]
-	subscriber.addPeersLocked(update.Peers, update.Current)
-	subscriber.noteHeardLocked(e, update, late, now)
+	subscriber.updatePeersLocked(update.Peers, update.Current)
+	subscriber.recordUpdateLocked(e, update, late, now)
 	f := Changes{From: a}
-	subscriber.holdLocked(&f, doc, list, misfit)
-	if update.ComingVer > max(subscriber.version, subscriber.comingVersion) && update.Coming != nil {
-		subscriber.comingVersion, f.PendingLimits = update.ComingVer, update.Coming
+	subscriber.storeContentsLocked(&f, doc, list, misfit)
+	if update.ComingVer > max(subscriber.version, subscriber.pendingVersion) && update.Coming != nil {
+		subscriber.pendingVersion, f.PendingLimits = update.ComingVer, update.Coming
 	}
-	if update.StateNum > subscriber.state {
-		subscriber.state, subscriber.evacuated = update.StateNum, update.Evacuated
+	if update.StateNum > subscriber.stateNum {
+		subscriber.stateNum, subscriber.evacuated = update.StateNum, update.Evacuated
 	}
-	f.StateNum, f.Evacuated = subscriber.state, subscriber.evacuated
-	subscriber.noteHoldersLocked(update, now)
-	f.UsageHolder, f.ScalingHolder = subscriber.metered, subscriber.scaler
+	f.StateNum, f.Evacuated = subscriber.stateNum, subscriber.evacuated
+	subscriber.recordDutyHoldersLocked(update, now)
+	f.UsageHolder, f.ScalingHolder = subscriber.usageHolder, subscriber.scalingHolder
 	if update.Current {
 		f.Wall = update.Wall
-		subscriber.noteCurrentLocked(update, made)
+		subscriber.recordContactLocked(update, made)
 	}
 	f.Proxies = subscriber.liveCountLocked(now)
 	f.Trackers = subscriber.trackersLocked(now)
@@ -104,26 +104,26 @@
 	return f
 }
 
-// noteHeardLocked notes what a control machine said last, and that it spoke now unless
+// recordUpdateLocked notes what a control machine said last, and that it spoke now unless
 // the news is late.
-func (subscriber *Subscriber) noteHeardLocked(e *controlConn, update Update, late bool, now time.Time) {
+func (subscriber *Subscriber) recordUpdateLocked(e *controlConn, update Update, late bool, now time.Time) {
 	if update.Trackers == nil {
-		update.Trackers = e.update.Trackers // as told on this connection before
+		update.Trackers = e.lastUpdate.Trackers // as told on this connection before
 	}
 	if late {
-		e.update.Trackers = update.Trackers // the next words only say what differs from it
+		e.lastUpdate.Trackers = update.Trackers // the next words only say what differs from it
 	} else {
-		e.heardAt, e.answered, e.update, subscriber.heardAt = now, true, update, now
-		e.update.Config, e.update.List, e.update.Peers, e.update.Coming = nil, nil, nil, nil
+		e.lastUpdateAt, e.hasUpdate, e.lastUpdate, subscriber.lastUpdateAt = now, true, update, now
+		e.lastUpdate.Config, e.lastUpdate.List, e.lastUpdate.Peers, e.lastUpdate.Coming = nil, nil, nil, nil
 	}
-	if subscriber.firstHeardAt.IsZero() {
-		subscriber.firstHeardAt = now
+	if subscriber.firstUpdateAt.IsZero() {
+		subscriber.firstUpdateAt = now
 	}
 }
 
-// holdLocked takes new contents, which may be nil, as those held; misfit says that a
+// storeContentsLocked takes new contents, which may be nil, as those held; misfit says that a
 // difference did not fit what is held, so that all is asked for.
-func (subscriber *Subscriber) holdLocked(f *Changes, doc *config.Doc, list *discovery.List, misfit bool) {
+func (subscriber *Subscriber) storeContentsLocked(f *Changes, doc *config.Doc, list *discovery.List, misfit bool) {
 	if doc != nil {
 		subscriber.version, subscriber.doc, f.Config = doc.Version, doc, doc
 	}
@@ -131,27 +131,27 @@
 		subscriber.listNum, subscriber.list, f.List = list.Num, list, list
 	}
 	if doc != nil || list != nil || misfit {
-		subscriber.wantsWhole = misfit
+		subscriber.needsFull = misfit
 	}
 }
 
-// noteHoldersLocked takes who usage and load are reported to. A machine out of contact
+// recordDutyHoldersLocked takes who usage and load are reported to. A machine out of contact
 // is believed only while none in contact speaks.
-func (subscriber *Subscriber) noteHoldersLocked(update Update, now time.Time) {
+func (subscriber *Subscriber) recordDutyHoldersLocked(update Update, now time.Time) {
 	if !update.Current && now.Sub(subscriber.currentAt) <= constants.SubscriptionSilence {
 		return
 	}
 	if update.Metered != "" {
-		subscriber.metered = update.Metered
+		subscriber.usageHolder = update.Metered
 	}
 	if update.Scaler != "" {
-		subscriber.scaler = update.Scaler
+		subscriber.scalingHolder = update.Scaler
 	}
 }
 
-// noteCurrentLocked notes since when the word of a machine in contact vouches for the
+// recordContactLocked notes since when the word of a machine in contact vouches for the
 // proxy being in contact itself, and for the list it holds.
-func (subscriber *Subscriber) noteCurrentLocked(update Update, made time.Time) {
+func (subscriber *Subscriber) recordContactLocked(update Update, made time.Time) {
 	if made.After(subscriber.currentAt) {
 		subscriber.currentAt = made
 	}
@@ -163,14 +163,14 @@
 	}
 }
 
-// heardLatelyLocked lists what the machines said last that spoke lately: first those in
+// recentUpdatesLocked lists what the machines said last that spoke lately: first those in
 // contact or those out of it, each in the order of preference.
-func (subscriber *Subscriber) heardLatelyLocked(now time.Time, current bool) []*Update {
+func (subscriber *Subscriber) recentUpdatesLocked(now time.Time, current bool) []*Update {
 	var updates []*Update
 	for _, a := range subscriber.order {
 		e := subscriber.conns[a]
-		if e.answered && now.Sub(e.heardAt) < constants.SubscriptionSilence && e.update.Current == current {
-			updates = append(updates, &e.update)
+		if e.hasUpdate && now.Sub(e.lastUpdateAt) < constants.SubscriptionSilence && e.lastUpdate.Current == current {
+			updates = append(updates, &e.lastUpdate)
 		}
 	}
 	return updates
@@ -180,35 +180,35 @@
 // machine in contact lately told: too small a count would split the quotas too
 // generously. While none is, it may only rise.
 func (subscriber *Subscriber) liveCountLocked(now time.Time) int {
-	inContact, outOfContact := subscriber.heardLatelyLocked(now, true), subscriber.heardLatelyLocked(now, false)
+	inContact, outOfContact := subscriber.recentUpdatesLocked(now, true), subscriber.recentUpdatesLocked(now, false)
 	told, counted := 0, false
 	for _, update := range inContact {
 		told = max(told, update.Proxies)
 		counted = counted || update.Proxies > 0
 	}
-	toldOutside := subscriber.proxies
+	toldOutside := subscriber.liveCount
 	for _, update := range outOfContact {
 		toldOutside = max(toldOutside, update.Proxies)
 		counted = counted || update.Proxies > 0
 	}
-	if subscriber.proxies = told; told == 0 {
-		subscriber.proxies = toldOutside
+	if subscriber.liveCount = told; told == 0 {
+		subscriber.liveCount = toldOutside
 	}
 	// The count held is no news by itself. It goes on while control tells none, as when
 	// its roster is incomplete; a share that was given up it does not bring back.
 	heard := len(inContact)+len(outOfContact) > 0
-	if !counted && (!heard || now.Sub(subscriber.countAt) > constants.SplitHold) {
+	if !counted && (!heard || now.Sub(subscriber.liveCountAt) > constants.SplitHold) {
 		return 0
 	}
-	subscriber.countAt = now
-	return subscriber.proxies
+	subscriber.liveCountAt = now
+	return subscriber.liveCount
 }
 
 // trackersLocked is who tracks each shard of the quotas, as the machines that spoke
 // lately tell. A tracker that no machine in contact knows may be known to another.
 func (subscriber *Subscriber) trackersLocked(now time.Time) []string {
 	var trackers []string
-	updates := append(subscriber.heardLatelyLocked(now, true), subscriber.heardLatelyLocked(now, false)...)
+	updates := append(subscriber.recentUpdatesLocked(now, true), subscriber.recentUpdatesLocked(now, false)...)
 	for _, update := range updates {
 		for shard, tracker := range update.Trackers {
 			if len(trackers) <= shard {
--- a/internal/distribution/subscriber.go
+++ b/internal/distribution/subscriber.go
@@ -15,50 +15,50 @@
 // Subscriber is a proxy's end: held connections to all control machines, contents
 // from one of them and numbers from the rest, and whichever is newest counts.
 type Subscriber struct {
-	receiveMu     sync.Mutex // one news after the other; held while it is put in force
-	mu            sync.Mutex // never held for long: every question of a request goes through here
-	applying      bool       // something is being put in force: no word until it is
-	self          Subscription
-	began         time.Time // what Sent and Heard are reckoned from
-	conns         map[string]*controlConn
-	order         []string        // of preference: own zone, own region, the rest
-	locations     map[string]Peer // as control tells
-	namedPeers    []string        // those that the latest machine in contact named
-	doc           *config.Doc     // held, to tell differences from
-	list          *discovery.List
-	wantsWhole    bool
-	contentsFrom  string // whose contents we take
-	dial          func(addr string, h transport.Handler) *transport.Peer
-	apply         func(Changes)
-	version       uint64
-	inForce       uint64 // the version, once it is in force here
-	comingVersion uint64 // of the limits evaluated last
-	listNum       uint64
-	listCurrentAt time.Time // when the held list was last known to be current
-	readIndexAt   time.Time
-	currentAt     time.Time // when a control machine that hears a majority last spoke
-	heardAt       time.Time
-	firstHeardAt  time.Time // when any spoke first
-	stale         bool      // looked long enough for one that hears a majority: takes what may be old
-	proxies       int
-	countAt       time.Time // when the live count was last handed on
-	state         uint64
-	evacuated     []string
-	metered       string
-	scaler        string
-	settled       func() int // the live count the proxy reckons with; nil is proxies
+	receiveMu      sync.Mutex // one news after the other; held while it is put in force
+	mu             sync.Mutex // never held for long: every question of a request goes through here
+	applying       bool       // something is being put in force: no word until it is
+	self           Subscription
+	startedAt      time.Time // what Sent and Heard are reckoned from
+	conns          map[string]*controlConn
+	order          []string        // of preference: own zone, own region, the rest
+	locations      map[string]Peer // as control tells
+	currentPeers   []string        // those that the latest machine in contact named
+	doc            *config.Doc     // held, to tell differences from
+	list           *discovery.List
+	needsFull      bool
+	contentSource  string // whose contents we take
+	dial           func(addr string, h transport.Handler) *transport.Peer
+	apply          func(Changes)
+	version        uint64
+	appliedVersion uint64 // the version, once it is in force here
+	pendingVersion uint64 // of the limits evaluated last
+	listNum        uint64
+	listCurrentAt  time.Time // when the held list was last known to be current
+	readIndexAt    time.Time
+	currentAt      time.Time // when a control machine that hears a majority last spoke
+	lastUpdateAt   time.Time
+	firstUpdateAt  time.Time // when any spoke first
+	acceptStale    bool      // looked long enough for one that hears a majority: takes what may be old
+	liveCount      int
+	liveCountAt    time.Time // when the live count was last handed on
+	stateNum       uint64
+	evacuated      []string
+	usageHolder    string
+	scalingHolder  string
+	liveCountFunc  func() int // the live count the proxy reckons with; nil is proxies
 }
 
 type controlConn struct {
-	peer        *transport.Peer
-	subscribed  bool
-	update      Update
-	heardAt     time.Time // last answer or push
-	subscribeAt time.Time
-	asking      bool
-	pullAt      time.Time
-	answered    bool
-	missed      bool // its last answer did not come in time
+	peer         *transport.Peer
+	subscribed   bool
+	lastUpdate   Update
+	lastUpdateAt time.Time // last answer or push
+	subscribedAt time.Time
+	inFlight     bool
+	pullAt       time.Time
+	hasUpdate    bool
+	timedOut     bool // its last answer did not come in time
 }
 
 // Changes is what changed, for the proxy to put in force.
@@ -83,15 +83,15 @@
 func NewSubscriber(me Subscription, peers []string, dial func(addr string, h transport.Handler) *transport.Peer, apply func(Changes)) *Subscriber {
 	now := time.Now()
 	subscriber := &Subscriber{
-		self:      me,
-		locations: map[string]Peer{},
-		conns:     map[string]*controlConn{},
-		dial:      dial,
-		apply:     apply,
-		began:     now,
-		heardAt:   now,
+		self:         me,
+		locations:    map[string]Peer{},
+		conns:        map[string]*controlConn{},
+		dial:         dial,
+		apply:        apply,
+		startedAt:    now,
+		lastUpdateAt: now,
 	}
-	subscriber.addLocked(peers)
+	subscriber.addPeersLocked(peers)
 	return subscriber
 }
 
@@ -100,14 +100,14 @@
 func (subscriber *Subscriber) SetLiveCountFunc(settled func() int) {
 	subscriber.mu.Lock()
 	defer subscriber.mu.Unlock()
-	subscriber.settled = settled
+	subscriber.liveCountFunc = settled
 }
 
-func (subscriber *Subscriber) reckonsWith() int {
-	if subscriber.settled == nil {
-		return subscriber.proxies
+func (subscriber *Subscriber) liveCountInUse() int {
+	if subscriber.liveCountFunc == nil {
+		return subscriber.liveCount
 	}
-	return min(subscriber.settled(), subscriber.proxies)
+	return min(subscriber.liveCountFunc(), subscriber.liveCount)
 }
 
 // Step drives the line; it is to be called several times a second.
@@ -118,32 +118,32 @@
 		return
 	}
 	subscriber.self.Ready = ready
-	subscriber.stale = !subscriber.firstHeardAt.IsZero() && now.Sub(subscriber.firstHeardAt) > constants.StartSearch && now.Sub(subscriber.currentAt) > constants.SubscriptionSilence
-	subscriber.chooseSubscriptionsLocked(now)
-	subscriber.chooseLocked(now)
+	subscriber.acceptStale = !subscriber.firstUpdateAt.IsZero() && now.Sub(subscriber.firstUpdateAt) > constants.StartSearch && now.Sub(subscriber.currentAt) > constants.SubscriptionSilence
+	subscriber.selectSubscriptionsLocked(now)
+	subscriber.selectContentSourceLocked(now)
 	for _, a := range subscriber.order {
 		e := subscriber.conns[a]
 		if !e.subscribed {
 			continue
 		}
 		every := constants.SubscribeEveryFar
-		if a == subscriber.contentsFrom || !e.answered {
+		if a == subscriber.contentSource || !e.hasUpdate {
 			every = constants.SubscribeEvery
 		}
 		behind := subscriber.behindLocked(e)
-		if a != subscriber.contentsFrom && behind && e.pullAt.IsZero() {
+		if a != subscriber.contentSource && behind && e.pullAt.IsZero() {
 			e.pullAt = now.Add(constants.PullAfter) // the contents may be on their way
 		}
 		if !behind {
 			e.pullAt = time.Time{}
 		}
 		pull := behind && !e.pullAt.IsZero() && now.After(e.pullAt)
-		if e.asking || (now.Sub(e.subscribeAt) < every && !pull) {
+		if e.inFlight || (now.Sub(e.subscribedAt) < every && !pull) {
 			continue
 		}
-		e.asking, e.subscribeAt, e.pullAt = true, now, time.Time{}
-		full := a == subscriber.contentsFrom || pull
-		go subscriber.ask(a, e, subscriber.subscriptionLocked(now, full, e.missed))
+		e.inFlight, e.subscribedAt, e.pullAt = true, now, time.Time{}
+		full := a == subscriber.contentSource || pull
+		go subscriber.sendSubscription(a, e, subscriber.subscriptionLocked(now, full, e.timedOut))
 	}
 }
 
@@ -151,27 +151,27 @@
 // whether contents are wanted from it.
 func (subscriber *Subscriber) subscriptionLocked(now time.Time, full, missed bool) Subscription {
 	subscription := subscriber.self
-	subscription.Sent = now.Sub(subscriber.began)
+	subscription.Sent = now.Sub(subscriber.startedAt)
 	subscription.Version = subscriber.version
 	subscription.ListNum = subscriber.listNum
-	subscription.Proxies = subscriber.reckonsWith()
+	subscription.Proxies = subscriber.liveCountInUse()
 	subscription.Full = full
-	subscription.Whole = full && subscriber.wantsWhole
-	subscription.Stale = subscriber.stale
+	subscription.Whole = full && subscriber.needsFull
+	subscription.Stale = subscriber.acceptStale
 	subscription.Missed = missed
 	return subscription
 }
 
-func (subscriber *Subscriber) ask(a string, e *controlConn, subscription Subscription) {
+func (subscriber *Subscriber) sendSubscription(a string, e *controlConn, subscription Subscription) {
 	asked := time.Now()
 	v, err := e.peer.Call(subscription, constants.CallTimeout)
 	subscriber.mu.Lock()
-	e.asking = false
-	e.missed = errors.Is(err, transport.ErrTimeout)
+	e.inFlight = false
+	e.timedOut = errors.Is(err, transport.ErrTimeout)
 	if err != nil {
-		silent := time.Since(e.heardAt) > constants.SubscriptionSilence && e.answered
+		silent := time.Since(e.lastUpdateAt) > constants.SubscriptionSilence && e.hasUpdate
 		if errors.Is(err, transport.ErrClosed) || errors.Is(err, transport.ErrRefused) {
-			e.subscribeAt = time.Time{} // not connected yet: again with the next step
+			e.subscribedAt = time.Time{} // not connected yet: again with the next step
 		}
 		subscriber.mu.Unlock()
 		if silent {
@@ -182,7 +182,7 @@
 	subscriber.mu.Unlock()
 	if update, ok := v.(Update); ok {
 		subscriber.receive(a, update, asked)
-		subscriber.noteReadIndex(update, asked)
+		subscriber.recordReadIndex(update, asked)
 	}
 }
 
@@ -191,7 +191,7 @@
 	subscriber.mu.Lock()
 	defer subscriber.mu.Unlock()
 	for _, e := range subscriber.conns {
-		e.subscribeAt = time.Time{}
+		e.subscribedAt = time.Time{}
 	}
 }
 
@@ -209,9 +209,9 @@
 func (subscriber *Subscriber) State(now time.Time) State {
 	subscriber.mu.Lock()
 	defer subscriber.mu.Unlock()
-	s := State{subscriber.version, subscriber.listNum, now.Sub(subscriber.heardAt), now.Sub(subscriber.listCurrentAt), now.Sub(subscriber.currentAt), subscriber.contentsFrom, map[string]time.Duration{}}
+	s := State{subscriber.version, subscriber.listNum, now.Sub(subscriber.lastUpdateAt), now.Sub(subscriber.listCurrentAt), now.Sub(subscriber.currentAt), subscriber.contentSource, map[string]time.Duration{}}
 	for a, e := range subscriber.conns {
-		s.Ends[a] = now.Sub(e.heardAt)
+		s.Ends[a] = now.Sub(e.lastUpdateAt)
 	}
 	return s
 }
@@ -220,7 +220,7 @@
 func (subscriber *Subscriber) Call(addr string, body any, timeout time.Duration) (any, error) {
 	subscriber.mu.Lock()
 	if subscriber.conns[addr] == nil {
-		subscriber.addLocked([]string{addr})
+		subscriber.addPeersLocked([]string{addr})
 	}
 	e := subscriber.conns[addr]
 	subscriber.mu.Unlock()
--- a/internal/distribution/subscriber_test.go
+++ b/internal/distribution/subscriber_test.go
@@ -268,7 +268,7 @@
 	}
 	frozen := now.Add(-2 * constants.SplitHold)
 	for _, conn := range subscriber.conns {
-		conn.heardAt = frozen
+		conn.lastUpdateAt = frozen
 	}
 	subscriber.receive("127.0.0.41", Update{Current: true, Proxies: 4, StateNum: 9, Evacuated: []string{"y"}}, frozen)
 	_, _, f := s.all()
@@ -294,7 +294,7 @@
 	if _, _, f := s.all(); f.Proxies != 4 {
 		t.Errorf("live count %d while it is held", f.Proxies)
 	}
-	subscriber.countAt = time.Now().Add(-2 * constants.SplitHold)
+	subscriber.liveCountAt = time.Now().Add(-2 * constants.SplitHold)
 	subscriber.receive("127.0.0.41", Update{Current: true}, time.Now())
 	if _, _, f := s.all(); f.Proxies != 0 {
 		t.Errorf("live count %d revived", f.Proxies)
@@ -336,7 +336,7 @@
 	subscriber, s := alone(t, cut, good)
 	subscriber.locations = map[string]Peer{cut: {cut, "z", ""}, good: {good, "y", ""}} // the one cut off is near
 	subscriber.mu.Lock()
-	subscriber.sortLocked()
+	subscriber.sortPeersLocked()
 	subscriber.mu.Unlock()
 	now := time.Now()
 	subscriber.version = 1
@@ -357,7 +357,7 @@
 	word(cut, false, 30, "old", "also")
 	is("the other once more", 20, "new")
 	// While nobody in contact speaks, the count may rise but not fall.
-	subscriber.conns[good].heardAt, subscriber.currentAt = now.Add(-2*constants.SubscriptionSilence), now.Add(-2*constants.SubscriptionSilence)
+	subscriber.conns[good].lastUpdateAt, subscriber.currentAt = now.Add(-2*constants.SubscriptionSilence), now.Add(-2*constants.SubscriptionSilence)
 	word(cut, false, 10, "old", "also")
 	is("nobody in contact, a smaller count", 20, "old")
 	word(cut, false, 25, "old", "also")
@@ -377,7 +377,7 @@
 	until(t, subscriber, "nothing asked", patience, func() bool {
 		subscriber.mu.Lock()
 		defer subscriber.mu.Unlock()
-		return !subscriber.conns["127.0.0.45"].asking
+		return !subscriber.conns["127.0.0.45"].inFlight
 	})
 	// The control machine stands still while it answers.
 	h.mu.Lock()
@@ -385,7 +385,7 @@
 	e := subscriber.conns["127.0.0.45"]
 	done := make(chan struct{})
 	go func() {
-		subscriber.ask("127.0.0.45", e, Subscription{Node: "p", Version: 3, ListNum: 5, Full: true})
+		subscriber.sendSubscription("127.0.0.45", e, Subscription{Node: "p", Version: 3, ListNum: 5, Full: true})
 		close(done)
 	}()
 	<-done
@@ -416,7 +416,7 @@
 	until(t, subscriber, "nothing asked", patience, func() bool {
 		subscriber.mu.Lock()
 		defer subscriber.mu.Unlock()
-		return !subscriber.conns["127.0.0.48"].asking
+		return !subscriber.conns["127.0.0.48"].inFlight
 	})
 	// An answer that says so is dealt with while the version that it names, and that
 	// came by a push, is read.
@@ -425,11 +425,11 @@
 		f.Version, f.ConfigDoc = 4, &config.Doc{Version: 4, Raw: []byte("4")}
 	})
 	<-reading
-	if at := subscriber.noteReadIndex(Update{SureVersion: 4}, time.Now()); !at.IsZero() {
+	if at := subscriber.recordReadIndex(Update{SureVersion: 4}, time.Now()); !at.IsZero() {
 		t.Error("sure of a version that is being read")
 	}
 	close(read)
-	until(t, subscriber, "in force", patience, func() bool { return !subscriber.noteReadIndex(Update{SureVersion: 4}, time.Now()).IsZero() })
+	until(t, subscriber, "in force", patience, func() bool { return !subscriber.recordReadIndex(Update{SureVersion: 4}, time.Now()).IsZero() })
 }
 
 // Machines that are none of control any more are not dialled for ever, and are the
@@ -440,7 +440,7 @@
 	subscribed := func() (out []string) {
 		subscriber.mu.Lock()
 		defer subscriber.mu.Unlock()
-		subscriber.chooseSubscriptionsLocked(time.Now())
+		subscriber.selectSubscriptionsLocked(time.Now())
 		for _, x := range subscriber.order {
 			if subscriber.conns[x].subscribed {
 				out = append(out, x)
@@ -462,7 +462,7 @@
 		t.Errorf("after one out of contact named others: %v", got)
 	}
 	subscriber.mu.Lock()
-	subscriber.conns[a].heardAt = time.Now().Add(-2 * constants.SubscriptionSilence)
+	subscriber.conns[a].lastUpdateAt = time.Now().Add(-2 * constants.SubscriptionSilence)
 	subscriber.mu.Unlock()
 	if got := subscribed(); !slices.Contains(got, gone) || got[len(got)-1] != gone && got[len(got)-1] != "127.0.0.44" {
 		t.Errorf("nobody in contact: %v", got)
--- a/internal/membership/agent.go
+++ b/internal/membership/agent.go
@@ -17,8 +17,8 @@
 	mu        sync.Mutex
 	detector  *Detector
 	conn      *net.UDPConn
-	began     time.Time
-	changed   func(Fact)
+	startedAt time.Time
+	onChange  func(Fact)
 	Malformed atomic.Uint64
 }
 
@@ -33,7 +33,7 @@
 	if err != nil {
 		return nil, err
 	}
-	a := &Agent{conn: c, began: time.Now(), changed: changed}
+	a := &Agent{conn: c, startedAt: time.Now(), onChange: changed}
 	a.detector = New(0, addr, name, seeds, rand.New(rand.NewPCG(rand.Uint64(), rand.Uint64())))
 	return a, nil
 }
@@ -56,13 +56,13 @@
 			a.Malformed.Add(1)
 			continue
 		}
-		a.step(func() []any { return a.detector.Recv(time.Since(a.began), from.String(), m) })
+		a.step(func() []any { return a.detector.Recv(time.Since(a.startedAt), from.String(), m) })
 	}
 }
 
 // Tick drives the machine.
 func (a *Agent) Tick() {
-	a.step(func() []any { return a.detector.Tick(time.Since(a.began)) })
+	a.step(func() []any { return a.detector.Tick(time.Since(a.startedAt)) })
 }
 
 func (a *Agent) step(f func() []any) {
@@ -80,7 +80,7 @@
 				a.conn.WriteToUDP(b.Bytes(), to) // lost datagrams are part of the bargain
 			}
 		case Change:
-			a.changed(o.Fact)
+			a.onChange(o.Fact)
 		}
 	}
 }
--- a/internal/membership/detector.go
+++ b/internal/membership/detector.go
@@ -37,8 +37,8 @@
 	State State
 }
 
-// newer says whether f overrides o.
-func (f Fact) newer(o Fact) bool {
+// supersedes says whether f overrides o.
+func (f Fact) supersedes(o Fact) bool {
 	return f.Num > o.Num || f.Num == o.Num && f.State > o.State
 }
 
@@ -72,21 +72,21 @@
 
 type member struct {
 	fact          Fact
-	since         time.Duration
+	stateSince    time.Duration
 	transmissions int // how often the fact is still to be passed on
 }
 
 type probe struct {
-	target string
-	seq    uint64
-	began  time.Duration
-	helped bool
+	target   string
+	seq      uint64
+	sentAt   time.Duration
+	indirect bool
 }
 
 type relayedProbe struct {
 	origin string
 	seq    uint64
-	began  time.Duration
+	sentAt time.Duration
 }
 
 // Detector is one process's part.
@@ -95,12 +95,12 @@
 	seeds         []string
 	rng           *rand.Rand
 	members       map[string]*member
-	order         []string // of probing, shuffled each round
+	probeOrder    []string // of probing, shuffled each round
 	seq           uint64
 	probe         *probe
 	relayedProbes map[uint64]relayedProbe
-	nextAt        time.Duration
-	tickAt        time.Duration
+	nextProbeAt   time.Duration
+	lastTickAt    time.Duration
 	outbox        []any
 }
 
@@ -108,7 +108,7 @@
 func New(now time.Duration, addr, name string, seeds []string, rng *rand.Rand) *Detector {
 	return &Detector{self: Fact{Addr: addr, Name: name}, seeds: slices.DeleteFunc(slices.Clone(seeds), func(s string) bool { return s == addr }),
 		rng: rng, members: map[string]*member{}, relayedProbes: map[uint64]relayedProbe{}, seq: rng.Uint64() >> 1,
-		nextAt: now + time.Duration(rng.Int64N(int64(constants.ProbeEvery)))}
+		nextProbeAt: now + time.Duration(rng.Int64N(int64(constants.ProbeEvery)))}
 }
 
 // Members lists everybody known, this process too, by address.
@@ -165,18 +165,18 @@
 
 // Tick advances time; it is to be called a few times in a probe's timeout.
 func (d *Detector) Tick(now time.Duration) []any {
-	paused := d.tickAt > 0 && now-d.tickAt > constants.ProbeTimeout
-	d.tickAt = now
+	paused := d.lastTickAt > 0 && now-d.lastTickAt > constants.ProbeTimeout
+	d.lastTickAt = now
 	if paused {
 		d.resume(now)
 	}
 	d.checkProbe(now)
 	d.expire(now)
-	if now >= d.nextAt && d.probe == nil {
-		d.nextAt = now + constants.ProbeEvery
-		if t := d.next(); t != "" {
+	if now >= d.nextProbeAt && d.probe == nil {
+		d.nextProbeAt = now + constants.ProbeEvery
+		if t := d.nextTarget(); t != "" {
 			d.seq++
-			d.probe = &probe{target: t, seq: d.seq, began: now}
+			d.probe = &probe{target: t, seq: d.seq, sentAt: now}
 			d.send(t, Msg{Kind: Ping, Seq: d.seq})
 		}
 	}
@@ -189,7 +189,7 @@
 	d.probe = nil
 	for _, m := range d.members {
 		if m.fact.State == Suspect {
-			m.since = now
+			m.stateSince = now
 		}
 	}
 }
@@ -202,16 +202,16 @@
 		return
 	}
 	switch {
-	case !p.helped && now-p.began > constants.ProbeTimeout:
-		p.helped = true
-		for _, h := range d.helpers(p.target) {
+	case !p.indirect && now-p.sentAt > constants.ProbeTimeout:
+		p.indirect = true
+		for _, h := range d.pickHelpers(p.target) {
 			d.send(h, Msg{Kind: PingRequest, Seq: p.seq, Target: p.target})
 		}
-	case now-p.began > 3*constants.ProbeTimeout:
+	case now-p.sentAt > 3*constants.ProbeTimeout:
 		if m := d.members[p.target]; m != nil && m.fact.State == Alive {
 			f := m.fact
 			f.State = Suspect
-			d.learn(now, f)
+			d.applyFact(now, f)
 		}
 		d.probe = nil
 	}
@@ -221,31 +221,31 @@
 // relayed probes after their time.
 func (d *Detector) expire(now time.Duration) {
 	for _, m := range d.members {
-		if m.fact.State == Suspect && now-m.since > constants.SuspectFor {
+		if m.fact.State == Suspect && now-m.stateSince > constants.SuspectFor {
 			f := m.fact
 			f.State = Dead
-			d.learn(now, f)
+			d.applyFact(now, f)
 		}
 	}
 	for a, m := range d.members {
-		if m.fact.State == Dead && now-m.since > constants.ProxyForget {
+		if m.fact.State == Dead && now-m.stateSince > constants.ProxyForget {
 			delete(d.members, a)
 		}
 	}
 	for q, e := range d.relayedProbes {
-		if now-e.began > 3*constants.ProbeTimeout {
+		if now-e.sentAt > 3*constants.ProbeTimeout {
 			delete(d.relayedProbes, q)
 		}
 	}
 }
 
-// next is whom to probe: the members in turn, and the seeds that are not known
+// nextTarget is whom to probe: the members in turn, and the seeds that are not known
 // as members yet or any more, so that a lost group finds back.
-func (d *Detector) next() string {
+func (d *Detector) nextTarget() string {
 	for range 2 {
-		for len(d.order) > 0 {
-			a := d.order[0]
-			d.order = d.order[1:]
+		for len(d.probeOrder) > 0 {
+			a := d.probeOrder[0]
+			d.probeOrder = d.probeOrder[1:]
 			m := d.members[a]
 			alive := m != nil && m.fact.State != Dead
 			if alive || slices.Contains(d.seeds, a) {
@@ -253,20 +253,20 @@
 			}
 		}
 		for a := range d.members {
-			d.order = append(d.order, a)
+			d.probeOrder = append(d.probeOrder, a)
 		}
 		for _, a := range d.seeds {
 			if d.members[a] == nil {
-				d.order = append(d.order, a)
+				d.probeOrder = append(d.probeOrder, a)
 			}
 		}
-		sort.Strings(d.order)
-		d.rng.Shuffle(len(d.order), func(i, j int) { d.order[i], d.order[j] = d.order[j], d.order[i] })
+		sort.Strings(d.probeOrder)
+		d.rng.Shuffle(len(d.probeOrder), func(i, j int) { d.probeOrder[i], d.probeOrder[j] = d.probeOrder[j], d.probeOrder[i] })
 	}
 	return ""
 }
 
-func (d *Detector) helpers(target string) []string {
+func (d *Detector) pickHelpers(target string) []string {
 	var out []string
 	for a, m := range d.members {
 		if a != target && m.fact.State == Alive {
@@ -278,8 +278,8 @@
 	return out[:min(len(out), constants.ProbeHelpers)]
 }
 
-// learn takes up a fact that is newer than what is known.
-func (d *Detector) learn(now time.Duration, f Fact) {
+// applyFact takes up a fact that is newer than what is known.
+func (d *Detector) applyFact(now time.Duration, f Fact) {
 	if f.Addr == d.self.Addr {
 		if f.State != Alive && f.Num >= d.self.Num || f.Num > d.self.Num {
 			d.self.Num = f.Num + 1 // not so: this member refutes it
@@ -293,11 +293,11 @@
 		}
 		m = &member{}
 		d.members[f.Addr] = m
-	} else if !f.newer(m.fact) {
+	} else if !f.supersedes(m.fact) {
 		return
 	}
 	changed := m.fact.Addr == "" || m.fact.State != f.State
-	m.fact, m.since = f, now
+	m.fact, m.stateSince = f, now
 	// Passed on often enough to reach all: some multiple of the logarithm.
 	m.transmissions = 3
 	for n := len(d.members); n > 0; n /= 2 {
@@ -311,7 +311,7 @@
 // Recv takes a message.
 func (d *Detector) Recv(now time.Duration, from string, m Msg) []any {
 	for _, f := range m.Facts[:min(len(m.Facts), 4*constants.GossipFacts)] {
-		d.learn(now, f)
+		d.applyFact(now, f)
 	}
 	switch m.Kind {
 	case Ping:
