--- a/internal/directory/directory.go
+++ b/internal/directory/directory.go
@@ -1,6 +1,7 @@
-// Package directory answers clients that ask where to connect. It answers from what this
-// machine has heard of the proxies, with no agreed read and no disk on the way, so it goes
-// on through cuts and the loss of the core.
+// Package directory answers clients that ask which proxies to connect to. Answers come from
+// the proxies' reports that this machine has received. A lookup needs neither a linearizable
+// read nor the disk, so lookups keep working through network partitions and the loss of the
+// control-plane quorum.
 package directory
 
 import (
@@ -15,88 +16,90 @@
 	"slateridge/internal/constants"
 )
 
-// Location is what a proxy says of itself.
+// Location is what a proxy reports about itself.
 type Location struct {
-	Front        string // where clients connect
+	Front        string // address that clients connect to
 	Zone, Region string
 	Ready        bool
 }
 
-// entry is a proxy as known here.
+// entry is the latest known state of a proxy.
 type entry struct {
 	Location
-	reportedAt     time.Duration // when this was so
-	directReportAt time.Duration // when it last said so itself, to this machine
-	validFor       time.Duration // how long its word counts
-	disconnected   bool          // its connection ended and it has not spoken since
+	reportedAt     time.Duration // when the latest report was made
+	directReportAt time.Duration // when the proxy last reported to this machine directly
+	validFor       time.Duration // how long after reportedAt the report counts as fresh
+	disconnected   bool          // its connection ended and it has not reported since
 }
 
-// Directory keeps the places and the answers made from them. An answer is made
-// anew when a place changes or grows old, not with each call.
+// Directory keeps the locations of the proxies and a cache of answers. The cache is
+// discarded when a location changes or the cache expires, so that an answer is not
+// computed on each call.
 type Directory struct {
 	mu             sync.Mutex
 	zones          map[string]string // zone to region
 	startedAt      time.Duration
 	proxies        map[string]*entry
-	cache          map[string][]string
-	cacheExpiresAt time.Duration // answers hold until then
+	cache          map[string][]string // answers by zone and region
+	cacheExpiresAt time.Duration
 	lookups        uint64
-	unanswered     uint64 // calls that could not be answered
-	spilled        uint64 // answers made that name proxies beyond the zone asked for
+	unanswered     uint64 // lookups without an answer
+	spilled        uint64 // computed answers that include proxies outside the requested zone
 }
 
-// New makes a directory that knows nothing yet.
+// New returns a directory without any proxies.
 func New(now time.Duration, zones map[string]string) *Directory {
 	return &Directory{zones: zones, startedAt: now, proxies: map[string]*entry{}, cache: map[string][]string{}}
 }
 
-// Report takes a proxy's own word; often says that the next is due soon.
-func (d *Directory) Report(now time.Duration, node string, p Location, often bool) (changed bool) {
+// Report records a report that a proxy sent to this machine. If frequent is set, the proxy
+// reports at short intervals and its report expires earlier.
+func (d *Directory) Report(now time.Duration, node string, location Location, frequent bool) (changed bool) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	changed = d.update(now, node, p)
+	changed = d.update(now, node, location)
 	e := d.proxies[node]
 	e.directReportAt, e.validFor = now, constants.PlaceFresh
-	if often {
+	if frequent {
 		e.validFor = constants.PlaceOften
 	}
 	return changed
 }
 
-// ReportRelayed takes another control machine's word on a proxy, as old as that is. What
-// the proxy said here itself of late counts more.
-func (d *Directory) ReportRelayed(now time.Duration, node string, p Location, age time.Duration) {
+// ReportRelayed records a report of the given age that another control node relayed. A newer
+// report takes precedence, and a recent direct report keeps its own validity period.
+func (d *Directory) ReportRelayed(now time.Duration, node string, location Location, age time.Duration) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	if e := d.proxies[node]; e == nil || now-age > e.reportedAt {
-		d.update(now-age, node, p)
+		d.update(now-age, node, location)
 		if e := d.proxies[node]; now-e.directReportAt > constants.PlaceFresh {
 			e.validFor = constants.PlaceFresh
 		}
 	}
 }
 
-func (d *Directory) update(at time.Duration, node string, p Location) bool {
+func (d *Directory) update(at time.Duration, node string, location Location) bool {
 	e := d.proxies[node]
 	if e == nil {
 		e = &entry{directReportAt: -constants.ProxyForget, validFor: constants.PlaceFresh}
 		d.proxies[node] = e
 	}
-	changed := e.Location != p || e.disconnected || at-e.reportedAt > e.validFor
-	e.Location, e.reportedAt, e.disconnected = p, at, false
+	changed := e.Location != location || e.disconnected || at-e.reportedAt > e.validFor
+	e.Location, e.reportedAt, e.disconnected = location, at, false
 	if changed {
 		d.cacheExpiresAt = 0
 	}
 	return changed
 }
 
-// MarkDisconnected notes that a proxy's connection ended, here or at another control
-// machine: it leaves the answers until it speaks again.
-func (d *Directory) MarkDisconnected(now time.Duration, node string, here bool) (changed bool) {
+// MarkDisconnected records that a proxy's connection to this machine (local) or to another
+// control node ended. The proxy is left out of answers until its next report.
+func (d *Directory) MarkDisconnected(now time.Duration, node string, local bool) (changed bool) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	e := d.proxies[node]
-	if e == nil || e.disconnected || !here && now-e.directReportAt < constants.SubscriptionSilence {
+	if e == nil || e.disconnected || !local && now-e.directReportAt < constants.SubscriptionSilence {
 		return false
 	}
 	e.disconnected = true
@@ -104,7 +107,9 @@
 	return true
 }
 
-// Lookup answers a client of a zone. false: too little is known yet.
+// Lookup returns the addresses of proxies for a client in the given zone. It returns false
+// if no proxy is known or the directory has not been running long enough to have received
+// the reports of all proxies.
 func (d *Directory) Lookup(now time.Duration, zone, region string) ([]string, bool) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -117,45 +122,46 @@
 		region = r
 	}
 	key := zone + " " + region
-	a, ok := d.cache[key]
+	addresses, ok := d.cache[key]
 	if !ok {
-		a = d.selectProxies(now, zone, region)
+		addresses = d.selectProxies(now, zone, region)
 		if len(d.cache) < constants.AnswersKept {
-			d.cache[key] = a
+			d.cache[key] = addresses
 		}
 	}
-	if len(a) == 0 || now-d.startedAt < constants.DirectoryQuiet {
+	if len(addresses) == 0 || now-d.startedAt < constants.DirectoryQuiet {
 		d.unanswered++
 		return nil, false
 	}
-	return a, true
+	return addresses, true
 }
 
-// selectProxies names the ready proxies of the client's zone. When they are too few to
-// carry what the zone's proxies carry together, others make up for what is
-// missing, of the region first: as many as are needed, and so by degrees. All
-// count alike: clients choose evenly among the addresses of an selectProxies.
+// selectProxies returns the addresses of the ready proxies in the client's zone. If they are
+// too few to carry the load of all proxies known in the zone, it adds only as many proxies as
+// are missing, those of the same region first, so that load moves to other zones gradually.
+// The result is not ordered by preference: clients pick evenly among the addresses.
 func (d *Directory) selectProxies(now time.Duration, zone, region string) []string {
 	candidates, known := d.candidates(now, zone, region)
 	var out []string
-	beyond := false
+	spilled := false
 	want := int(math.Ceil(float64(known) * constants.ZoneEnough))
 	for _, c := range candidates {
 		if len(out) >= constants.AnswerMost || c.distance > 0 && len(out) >= max(want, constants.AnswerLeast) {
 			break
 		}
-		beyond = beyond || c.distance > 0
+		spilled = spilled || c.distance > 0
 		out = append(out, c.Front)
 	}
-	if beyond {
+	if spilled {
 		d.spilled++
 	}
 	slices.Sort(out)
 	return out
 }
 
-// candidate is a proxy that an answer may name. distance is 0 in the client's zone, 1 in
-// its region, 2 elsewhere; lot orders those at the same distance, differently for each zone.
+// candidate is a proxy that an answer may include. distance is 0 in the client's zone, 1 in
+// its region and 2 elsewhere. hash orders candidates at the same distance, in a different
+// order for each zone.
 type candidate struct {
 	*entry
 	distance int
@@ -166,19 +172,21 @@
 	return cmp.Or(cmp.Compare(a.distance, b.distance), cmp.Compare(a.hash, b.hash), cmp.Compare(a.Front, b.Front))
 }
 
-// candidates lists the proxies that an answer may name, in the order of preference, and
-// counts all those known in the zone. It drops the ones that have long been silent.
+// candidates returns the proxies that an answer may include, in order of preference, and the
+// number of proxies known in the zone. It deletes proxies that have not reported for
+// constants.ProxyForget. If no proxy has a fresh report, stale entries are included, because
+// an outdated answer is better than none.
 func (d *Directory) candidates(now time.Duration, zone, region string) (out []candidate, known int) {
-	old := d.noneFresh(now) // nobody is known afresh: what was known last is better than nothing
-	for n, e := range d.proxies {
+	includeStale := d.noneFresh(now)
+	for node, e := range d.proxies {
 		if now-e.reportedAt > constants.ProxyForget {
-			delete(d.proxies, n)
+			delete(d.proxies, node)
 			continue
 		}
 		if e.Zone == zone {
 			known++
 		}
-		if !e.Ready || !old && (e.disconnected || now-e.reportedAt > e.validFor) {
+		if !e.Ready || !includeStale && (e.disconnected || now-e.reportedAt > e.validFor) {
 			continue
 		}
 		c := candidate{entry: e}
@@ -190,7 +198,7 @@
 			c.distance = 2
 		}
 		h := fnv.New32a()
-		h.Write([]byte(n + " " + zone))
+		h.Write([]byte(node + " " + zone))
 		c.hash = h.Sum32()
 		out = append(out, c)
 	}
@@ -198,7 +206,7 @@
 	return out, known
 }
 
-// noneFresh says whether there is no ready proxy that was heard of lately.
+// noneFresh reports whether no ready, connected proxy has a fresh report.
 func (d *Directory) noneFresh(now time.Duration) bool {
 	for _, e := range d.proxies {
 		if !e.disconnected && e.Ready && now-e.reportedAt <= e.validFor {
@@ -208,16 +216,17 @@
 	return true
 }
 
-// LocationState is one proxy for operators.
+// LocationState is the state of one proxy as shown to operators.
 type LocationState struct {
 	Node string
 	Location
-	Silent time.Duration
-	Gone   bool
-	Old    bool // its word no longer counts
+	Silent time.Duration // since the latest report was made
+	Gone   bool          // disconnected
+	Old    bool          // the latest report has expired
 }
 
-// State is how the directory treats the proxy.
+// State returns the name of the proxy's state in the directory. A proxy in the state "named"
+// is included in answers.
 func (p LocationState) State() string {
 	switch {
 	case p.Gone:
@@ -230,21 +239,21 @@
 	return "named"
 }
 
-// Counts are the calls, those without an answer, and the answers made that name
-// proxies beyond the zone asked for.
-func (d *Directory) Counts() (asked, empty, spilled uint64) {
+// Counts returns the number of lookups, the number of lookups without an answer, and the
+// number of computed answers that include proxies outside the requested zone.
+func (d *Directory) Counts() (lookups, unanswered, spilled uint64) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	return d.lookups, d.unanswered, d.spilled
 }
 
-// States lists all places.
+// States returns the states of all known proxies, sorted by node.
 func (d *Directory) States(now time.Duration) []LocationState {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	var out []LocationState
-	for n, e := range d.proxies {
-		out = append(out, LocationState{n, e.Location, now - e.reportedAt, e.disconnected, now-e.reportedAt > e.validFor})
+	for node, e := range d.proxies {
+		out = append(out, LocationState{node, e.Location, now - e.reportedAt, e.disconnected, now-e.reportedAt > e.validFor})
 	}
 	sort.Slice(out, func(i, j int) bool { return out[i].Node < out[j].Node })
 	return out
--- a/internal/directory/directory_test.go
+++ b/internal/directory/directory_test.go
@@ -12,141 +12,141 @@
 
 var zones = map[string]string{"a1": "a", "a2": "a", "b1": "b", "b2": "b"}
 
-// TestAnswersUnderTrouble runs seeded fleets whose proxies start, leave, die
-// with or without a word, and come back, before a directory that is sometimes
-// cut off from them: an answer is never empty while a proxy it could know lives,
-// names no proxy that left a bounded time ago while others are known, and stays
-// in the client's zone while that has enough.
-func TestAnswersUnderTrouble(t *testing.T) {
+// TestLookupUnderFailures runs seeded fleets whose proxies start, leave, fail with or without
+// notice, and return, against a directory that is sometimes partitioned from them. An answer
+// is never empty while any proxy is known, does not include a proxy that left more than a
+// bounded time ago while others are fresh, and stays in the client's zone while that zone has
+// enough proxies.
+func TestLookupUnderFailures(t *testing.T) {
 	answered := 0
 	for seed := uint64(1); seed <= 200; seed++ {
-		r := rand.New(rand.NewPCG(seed, 5))
+		rng := rand.New(rand.NewPCG(seed, 5))
 		d := New(0, zones)
 		type proxy struct {
 			Location
-			up      bool
-			gone    bool          // the directory was told, and has not heard it since
-			downAt  time.Duration // when it went
-			heardAt time.Duration
+			up           bool
+			disconnected bool          // the directory was notified and has received no report since
+			downAt       time.Duration // when it left
+			reportedAt   time.Duration
 		}
-		ps := map[string]*proxy{}
+		proxies := map[string]*proxy{}
 		var names []string
-		for z, reg := range zones {
-			for i := range 3 + r.IntN(9) {
-				n := fmt.Sprint(z, "-", i)
-				ps[n] = &proxy{Location: Location{Front: n, Zone: z, Region: reg, Ready: true}, up: true, heardAt: -time.Hour}
-				names = append(names, n)
+		for zone, region := range zones {
+			for i := range 3 + rng.IntN(9) {
+				name := fmt.Sprint(zone, "-", i)
+				proxies[name] = &proxy{Location: Location{Front: name, Zone: zone, Region: region, Ready: true}, up: true, reportedAt: -time.Hour}
+				names = append(names, name)
 			}
 		}
 		slices.Sort(names)
-		cut := time.Duration(0)
+		partitionedUntil := time.Duration(0)
 		for now := time.Duration(0); now < 60*time.Second; now += 100 * time.Millisecond {
-			if r.IntN(80) == 0 {
-				cut = now + time.Duration(r.IntN(8000))*time.Millisecond
+			if rng.IntN(80) == 0 {
+				partitionedUntil = now + time.Duration(rng.IntN(8000))*time.Millisecond
 			}
-			for _, n := range names {
-				p := ps[n]
+			for _, name := range names {
+				p := proxies[name]
 				switch {
-				case p.up && r.IntN(400) == 0: // leaves, told or not
+				case p.up && rng.IntN(400) == 0: // leaves, with or without notice
 					p.up, p.downAt = false, now
-					if r.IntN(2) == 0 && now >= cut {
-						p.gone = true
-						d.MarkDisconnected(now, n, true)
+					if rng.IntN(2) == 0 && now >= partitionedUntil {
+						p.disconnected = true
+						d.MarkDisconnected(now, name, true)
 					}
-				case !p.up && r.IntN(60) == 0:
+				case !p.up && rng.IntN(60) == 0:
 					p.up = true
 				}
-				if p.up && now >= cut && r.IntN(8) == 0 {
-					if r.IntN(3) == 0 {
-						d.ReportRelayed(now, n, p.Location, time.Duration(r.IntN(300))*time.Millisecond)
+				if p.up && now >= partitionedUntil && rng.IntN(8) == 0 {
+					if rng.IntN(3) == 0 {
+						d.ReportRelayed(now, name, p.Location, time.Duration(rng.IntN(300))*time.Millisecond)
 					} else {
-						d.Report(now, n, p.Location, false)
+						d.Report(now, name, p.Location, false)
 					}
-					p.heardAt, p.gone = now, false
+					p.reportedAt, p.disconnected = now, false
 				}
 			}
-			zone := []string{"a1", "a2", "b1", "b2"}[r.IntN(4)]
+			zone := []string{"a1", "a2", "b1", "b2"}[rng.IntN(4)]
 			got, ok := d.Lookup(now, zone, zones[zone])
-			known, fresh, near := 0, 0, 0
-			for _, p := range ps {
-				if now-p.heardAt < constants.ProxyForget {
+			known, fresh, freshInZone := 0, 0, 0
+			for _, p := range proxies {
+				if now-p.reportedAt < constants.ProxyForget {
 					known++
 				}
-				if p.up && !p.gone && now-p.heardAt < constants.PlaceFresh-time.Second {
+				if p.up && !p.disconnected && now-p.reportedAt < constants.PlaceFresh-time.Second {
 					fresh++
 					if p.Zone == zone {
-						near++
+						freshInZone++
 					}
 				}
 			}
 			if now < constants.DirectoryQuiet {
 				if ok {
-					t.Fatalf("seed %d: answered after %v of life", seed, now)
+					t.Fatalf("seed %d: lookup answered %v after the start", seed, now)
 				}
 				continue
 			}
 			if !ok && known > 0 {
-				t.Fatalf("seed %d at %v: no answer, though %d proxies are known", seed, now, known)
+				t.Fatalf("seed %d at %v: no answer although %d proxies are known", seed, now, known)
 			}
 			answered++
-			for _, a := range got {
-				p := ps[a]
-				if late := constants.PlaceFresh + constants.AnswerFresh + 300*time.Millisecond; !p.up && now-p.downAt > late && fresh > 0 {
-					t.Fatalf("seed %d at %v: %s, gone for %v, is named beside %d that live", seed, now, a, now-p.downAt, fresh)
+			for _, address := range got {
+				p := proxies[address]
+				if limit := constants.PlaceFresh + constants.AnswerFresh + 300*time.Millisecond; !p.up && now-p.downAt > limit && fresh > 0 {
+					t.Fatalf("seed %d at %v: answer includes %s, down for %v, although %d proxies are fresh", seed, now, address, now-p.downAt, fresh)
 				}
 			}
-			total, far := 0, 0
-			for _, p := range ps {
-				if p.Zone == zone && now-p.heardAt < constants.ProxyForget {
+			total, outside := 0, 0
+			for _, p := range proxies {
+				if p.Zone == zone && now-p.reportedAt < constants.ProxyForget {
 					total++
 				}
 			}
-			for _, a := range got {
-				if ps[a].Zone != zone {
-					far++
+			for _, address := range got {
+				if proxies[address].Zone != zone {
+					outside++
 				}
 			}
-			if near == total && near >= constants.AnswerLeast && far > 0 {
-				t.Fatalf("seed %d at %v: %d of %d proxies of %s live, and %d beyond are named", seed, now, near, total, zone, far)
+			if freshInZone == total && freshInZone >= constants.AnswerLeast && outside > 0 {
+				t.Fatalf("seed %d at %v: %d of %d proxies of zone %s are up, but the answer includes %d of other zones", seed, now, freshInZone, total, zone, outside)
 			}
 		}
 	}
 	if answered < 100000 {
-		t.Errorf("only %d answers were looked at", answered)
+		t.Errorf("only %d answers were checked", answered)
 	}
 }
 
-// A zone that loses its proxies one by one is made up for one by one, from its
-// own region, and another region is named only when that is not enough.
-func TestSpillsByDegrees(t *testing.T) {
+// TestSpillIsGradual checks that proxies lost from a zone are replaced one for one from its
+// own region, and that another region is used only when that is not enough.
+func TestSpillIsGradual(t *testing.T) {
 	d := New(-time.Minute, zones)
-	put := func(n, z string, ready bool) {
-		d.Report(0, n, Location{Front: n, Zone: z, Region: zones[z], Ready: ready}, true)
+	report := func(node, zone string, ready bool) {
+		d.Report(0, node, Location{Front: node, Zone: zone, Region: zones[zone], Ready: ready}, true)
 	}
-	for z := range zones {
+	for zone := range zones {
 		for i := range 10 {
-			put(fmt.Sprint(z, "-", i), z, true)
+			report(fmt.Sprint(zone, "-", i), zone, true)
 		}
 	}
-	was := 0
+	previous := 0
 	for i := range 10 {
-		put(fmt.Sprint("a1-", i), "a1", false)
+		report(fmt.Sprint("a1-", i), "a1", false)
 		got, ok := d.Lookup(0, "a1", "a")
-		beyond := 0
-		for _, a := range got {
-			if a[:2] != "a1" {
-				beyond++
+		outside := 0
+		for _, address := range got {
+			if address[:2] != "a1" {
+				outside++
 			}
-			if a[0] != 'a' {
-				t.Fatalf("%d of 10 left, and %s of another region is named", 9-i, a)
+			if address[0] != 'a' {
+				t.Fatalf("%d of 10 proxies ready: answer includes %s of another region", 9-i, address)
 			}
 		}
-		if !ok || beyond-was > 1 || beyond < was || len(got) < 9 {
-			t.Fatalf("%d of 10 left: %d beyond after %d, %d in all", 9-i, beyond, was, len(got))
+		if !ok || outside-previous > 1 || outside < previous || len(got) < 9 {
+			t.Fatalf("%d of 10 proxies ready: %d from outside the zone, previously %d; %d in total", 9-i, outside, previous, len(got))
 		}
-		was = beyond
+		previous = outside
 	}
-	if was != 9 {
-		t.Fatalf("nobody left: %d beyond are named, want 9", was)
+	if previous != 9 {
+		t.Fatalf("no proxy ready in the zone: answer includes %d from outside, want 9", previous)
 	}
 }
