--- a/internal/discovery/discovery.go
+++ b/internal/discovery/discovery.go
@@ -1,5 +1,5 @@
-// Package discovery reads the platform's list of upstreams, all pages, and numbers what it
-// finds.
+// Package discovery reads the list of upstream instances from the platform's HTTP API, and
+// represents numbered versions of the list and the changes between them.
 package discovery
 
 import (
@@ -18,7 +18,7 @@
 	"slateridge/internal/settings"
 )
 
-// Instance is one upstream on the platform's list.
+// Instance is an upstream instance on the platform's list.
 type Instance struct {
 	ID, Service, Address, Zone string
 	Slots                      int
@@ -26,76 +26,78 @@
 	Warmup                     time.Duration
 }
 
-// List is the platform's list under a number; a higher number is newer.
+// List is a numbered version of the platform's list; a higher number is newer.
 type List struct {
 	Num       uint64
 	Instances []Instance
 }
 
-// Change is the difference between two numbered lists; Base 0 stands for none.
+// Change is the difference between two numbered lists. Base 0 is the empty list.
 type Change struct {
 	Base, Num uint64
-	Put       []Instance
-	Gone      []string // ids
+	Put       []Instance // added or changed
+	Gone      []string   // IDs of removed instances
 }
 
-// Diff tells a list as its difference from an earlier one, which may be nil.
-func Diff(base, l *List) *Change {
-	c := &Change{Num: l.Num}
-	old := map[string]Instance{}
+// Diff returns the change from base, which may be nil, to list. Instances that are warming up
+// are always included, so that the receiver gets their remaining warm-up time.
+func Diff(base, list *List) *Change {
+	c := &Change{Num: list.Num}
+	removed := map[string]Instance{}
 	if base != nil {
 		c.Base = base.Num
-		for _, i := range base.Instances {
-			old[i.ID] = i
+		for _, instance := range base.Instances {
+			removed[instance.ID] = instance
 		}
 	}
-	for _, i := range l.Instances {
-		was, ok := old[i.ID]
-		delete(old, i.ID)
-		is := i
-		was.Warmup, is.Warmup = 0, 0
-		if !ok || was != is || i.Warmup > 0 {
-			c.Put = append(c.Put, i)
+	for _, instance := range list.Instances {
+		previous, ok := removed[instance.ID]
+		delete(removed, instance.ID)
+		current := instance
+		previous.Warmup, current.Warmup = 0, 0
+		if !ok || previous != current || instance.Warmup > 0 {
+			c.Put = append(c.Put, instance)
 		}
 	}
-	for id := range old {
+	for id := range removed {
 		c.Gone = append(c.Gone, id)
 	}
 	sort.Strings(c.Gone)
 	return c
 }
 
-// Apply gives the list after the change; false when it does not fit base.
+// Apply returns the list that results from applying the change to base. It returns false if
+// base is not the list that the change is based on.
 func (c *Change) Apply(base *List) (*List, bool) {
-	by := map[string]Instance{}
+	byID := map[string]Instance{}
 	if c.Base > 0 {
 		if base == nil || base.Num != c.Base {
 			return nil, false
 		}
-		for _, i := range base.Instances {
-			i.Warmup = 0 // counted down by whoever was told of it
-			by[i.ID] = i
+		for _, instance := range base.Instances {
+			instance.Warmup = 0 // receivers of the base list count its warm-up times down themselves
+			byID[instance.ID] = instance
 		}
 	}
 	for _, id := range c.Gone {
-		delete(by, id)
+		delete(byID, id)
 	}
-	for _, i := range c.Put {
-		by[i.ID] = i
+	for _, instance := range c.Put {
+		byID[instance.ID] = instance
 	}
-	l := &List{Num: c.Num}
-	for _, i := range by {
-		l.Instances = append(l.Instances, i)
+	list := &List{Num: c.Num}
+	for _, instance := range byID {
+		list.Instances = append(list.Instances, instance)
 	}
-	sort.Slice(l.Instances, func(a, b int) bool { return l.Instances[a].ID < l.Instances[b].ID })
-	return l, true
+	sort.Slice(list.Instances, func(i, j int) bool { return list.Instances[i].ID < list.Instances[j].ID })
+	return list, true
 }
 
-// SameInstances says whether a later list names the same upstreams in the same states. How
-// long each stays cold is counted down by whoever holds the list, so only one
-// that turned cold again makes a difference.
-func SameInstances(a, b []Instance) bool {
-	return slices.EqualFunc(a, b, func(x, y Instance) bool {
+// SameInstances reports whether a later list contains the same instances in the same states.
+// Holders of a list count its warm-up times down themselves, so a warm-up time counts as
+// changed only if it is longer than before.
+func SameInstances(earlier, later []Instance) bool {
+	return slices.EqualFunc(earlier, later, func(x, y Instance) bool {
 		if y.Warmup > x.Warmup {
 			return false
 		}
@@ -104,7 +106,7 @@
 	})
 }
 
-// page is one page of the platform's list, by zone.
+// page is one page of the platform's list, with the instances grouped by zone.
 type page struct {
 	Instances map[string][]struct {
 		InstanceID    string            `json:"instanceId"`
@@ -118,23 +120,24 @@
 	NextPageToken *string `json:"nextPageToken"`
 }
 
-// Source is the platform's interface.
+// Source is a client of the platform's API. It is not safe for concurrent use.
 type Source struct {
 	client *http.Client
-	base   string
-	Calls  uint64
+	base   string // URL of the list
+	Calls  uint64 // HTTP requests sent
 }
 
-// NewSource reads from an address.
+// NewSource returns a Source that reads from the API at addr (host:port).
 func NewSource(addr string) *Source {
 	return &Source{base: "http://" + addr + "/instances", client: &http.Client{
 		Transport: &http.Transport{MaxIdleConnsPerHost: 1, DisableCompression: true, IdleConnTimeout: 10 * time.Second}}}
 }
 
-// ErrRateLimited is returned when the platform turned a call away.
-var ErrRateLimited = errors.New("the platform's call rate is used up")
+// ErrRateLimited is returned when the platform rejects a request with status 429.
+var ErrRateLimited = errors.New("platform API rate limit exceeded")
 
-// Read fetches all pages, sorted.
+// Read fetches all pages and returns the instances sorted by ID, without duplicates. It
+// returns an error rather than a partial list.
 func (s *Source) Read(ctx context.Context) ([]Instance, error) {
 	ctx, cancel := context.WithTimeout(ctx, constants.PollTimeout)
 	defer cancel()
@@ -147,15 +150,15 @@
 		}
 		all = append(all, p.instances()...)
 		if p.NextPageToken == nil || *p.NextPageToken == "" {
-			sort.Slice(all, func(a, b int) bool { return all[a].ID < all[b].ID })
+			sort.Slice(all, func(i, j int) bool { return all[i].ID < all[j].ID })
 			return slices.CompactFunc(all, func(a, b Instance) bool { return a.ID == b.ID }), nil
 		}
 		token = *p.NextPageToken
 	}
-	return nil, errors.New("the platform's list has no end")
+	return nil, errors.New("platform instance list exceeds the page limit")
 }
 
-// fetch reads the page that a token names; none names the first.
+// fetch reads the page with the given token, or the first page if token is empty.
 func (s *Source) fetch(ctx context.Context, token string) (*page, error) {
 	address := s.base
 	if token != "" {
@@ -178,17 +181,17 @@
 	case resp.StatusCode == http.StatusTooManyRequests:
 		return nil, ErrRateLimited
 	case resp.StatusCode != http.StatusOK:
-		return nil, fmt.Errorf("the platform answered %d", resp.StatusCode)
+		return nil, fmt.Errorf("platform API returned status %d", resp.StatusCode)
 	}
 	p := &page{}
 	if err := json.Unmarshal(body, p); err != nil {
-		return nil, fmt.Errorf("the platform's list: %w", err)
+		return nil, fmt.Errorf("decoding the platform instance list: %w", err)
 	}
 	return p, nil
 }
 
-// instances are the page's upstreams; entries without a name, an address or a service are
-// left out.
+// instances returns the instances on the page, without entries that lack an ID, an address or
+// a service.
 func (p *page) instances() []Instance {
 	var out []Instance
 	for zone, entries := range p.Instances {
