--- a/internal/membership/compatibility_test.go
+++ b/internal/membership/compatibility_test.go
@@ -11,7 +11,8 @@
 	"slateridge/internal/gobtest"
 )
 
-// datagramFields are what a datagram told before there were greetings.
+// datagramFields lists the fields of a datagram written by the build that preceded the
+// negotiation of protocol versions.
 const datagramFields = `    .Kind int
     .Seq uint64
     .Target string
@@ -20,8 +21,9 @@
     .Facts[].Num uint32
     .Facts[].State int`
 
-// A datagram of the build before is understood, every field of it.
-func TestDatagramOfTheBuildBeforeIsUnderstood(t *testing.T) {
+// TestDecodeDatagramOfPreviousBuild checks that every field of a datagram written by an earlier
+// build is decoded.
+func TestDecodeDatagramOfPreviousBuild(t *testing.T) {
 	var want, got Msg
 	gobtest.Fill("datagram", &want, datagramFields)
 	datagram, err := os.ReadFile(filepath.Join("testdata", "datagram-before.bin"))
--- a/internal/membership/detector.go
+++ b/internal/membership/detector.go
@@ -1,9 +1,10 @@
-// Package membership finds out which of the system's own processes are alive, in the way of
-// SWIM: each probes one other in turn; one that does not answer is asked for through third
-// parties, then suspected, and removed only if it does not refute that.
+// Package membership detects which of the system's own processes are alive, using the SWIM
+// protocol: each member probes the others in turn. A member that does not answer is probed
+// indirectly through other members, then suspected, and declared dead only if it does not
+// refute the suspicion in time.
 //
-// Only the steady clock counts. A process that was itself stopped for a while
-// drops the probes it had out, since their silence says nothing of others.
+// All times come from the monotonic clock. A process that was itself paused abandons its
+// outstanding probe, because the missing answer says nothing about the other member.
 package membership
 
 import (
@@ -15,11 +16,10 @@
 	"slateridge/internal/constants"
 )
 
-// State of a member, in the order in which a later one overrides an earlier
-// one of the same number.
+// State is the state of a member. Of two facts with the same number, the one with the higher
+// state takes precedence.
 type State int
 
-// The states, in the order of State.
 const (
 	Alive State = iota
 	Suspect
@@ -28,74 +28,74 @@
 
 func (s State) String() string { return [...]string{"alive", "suspect", "dead"}[s] }
 
-// Fact is what is said of a member. Num is raised by the member alone, to
-// refute what is said of it.
+// Fact is a gossiped statement about a member's state.
 type Fact struct {
 	Addr  string
 	Name  string
-	Num   uint32
+	Num   uint32 // incarnation number, increased only by the member itself to refute a suspicion
 	State State
 }
 
-// supersedes says whether f overrides o.
-func (f Fact) supersedes(o Fact) bool {
-	return f.Num > o.Num || f.Num == o.Num && f.State > o.State
+// supersedes reports whether f takes precedence over other.
+func (f Fact) supersedes(other Fact) bool {
+	return f.Num > other.Num || f.Num == other.Num && f.State > other.State
 }
 
-// Msg is a datagram between members: a probe, its answer, or the wish that
-// another be probed.
+// Msg is a datagram between members.
 type Msg struct {
 	Kind   Kind
 	Seq    uint64
-	Target string // of a PingRequest
+	Target string // member to probe, in a PingRequest
 	Facts  []Fact
 }
 
-// Kind of a message.
+// Kind is the kind of a message.
 type Kind int
 
-// The kinds of message: a probe, its answer, and the wish that another be probed.
 const (
-	Ping Kind = iota
-	Ack
-	PingRequest
+	Ping        Kind = iota // a probe
+	Ack                     // the answer to a probe
+	PingRequest             // asks the receiver to probe another member
 )
 
-// Send is a message to go out.
+// Send is an output of the Detector: a message to be sent.
 type Send struct {
 	To  string
 	Msg Msg
 }
 
-// Change is a member's new state.
+// Change is an output of the Detector: a member was added or its state changed.
 type Change struct{ Fact Fact }
 
 type member struct {
 	fact          Fact
-	stateSince    time.Duration
-	transmissions int // how often the fact is still to be passed on
+	stateSince    time.Duration // when the fact was received
+	transmissions int           // remaining times to piggyback the fact on messages
 }
 
+// probe is the outstanding probe of this process.
 type probe struct {
 	target   string
 	seq      uint64
 	sentAt   time.Duration
-	indirect bool
+	indirect bool // other members have been asked to probe the target
 }
 
+// relayedProbe is a probe sent on behalf of another member.
 type relayedProbe struct {
-	origin string
-	seq    uint64
+	origin string // member that requested the probe
+	seq    uint64 // sequence number of its request
 	sentAt time.Duration
 }
 
-// Detector is one process's part.
+// Detector is the failure detector of one process. It is a state machine without I/O: Tick
+// and Recv return the resulting Send and Change values. It is not safe for concurrent use.
 type Detector struct {
 	self          Fact
 	seeds         []string
 	rng           *rand.Rand
 	members       map[string]*member
-	probeOrder    []string // of probing, shuffled each round
+	probeOrder    []string // members left to probe in this round, shuffled
 	seq           uint64
 	probe         *probe
 	relayedProbes map[uint64]relayedProbe
@@ -104,14 +104,14 @@
 	outbox        []any
 }
 
-// New makes a member that knows its seeds only.
+// New returns a detector that knows only the addresses of its seeds.
 func New(now time.Duration, addr, name string, seeds []string, rng *rand.Rand) *Detector {
 	return &Detector{self: Fact{Addr: addr, Name: name}, seeds: slices.DeleteFunc(slices.Clone(seeds), func(s string) bool { return s == addr }),
 		rng: rng, members: map[string]*member{}, relayedProbes: map[uint64]relayedProbe{}, seq: rng.Uint64() >> 1,
 		nextProbeAt: now + time.Duration(rng.Int64N(int64(constants.ProbeEvery)))}
 }
 
-// Members lists everybody known, this process too, by address.
+// Members returns the facts of all known members, including this process, sorted by address.
 func (d *Detector) Members() []Fact {
 	out := []Fact{d.self}
 	for _, m := range d.members {
@@ -127,43 +127,46 @@
 	return out
 }
 
-func (d *Detector) send(to string, m Msg) {
-	m.Facts = append(m.Facts, d.self)
-	var tell []*member
-	for _, x := range d.members {
-		if x.transmissions > 0 && x.fact.Addr != to {
-			tell = append(tell, x)
+// send queues a message with piggybacked facts: that of this process and those of the members
+// with the most transmissions left.
+func (d *Detector) send(to string, msg Msg) {
+	msg.Facts = append(msg.Facts, d.self)
+	var recent []*member
+	for _, m := range d.members {
+		if m.transmissions > 0 && m.fact.Addr != to {
+			recent = append(recent, m)
 		}
 	}
-	sort.Slice(tell, func(i, j int) bool {
-		return tell[i].transmissions > tell[j].transmissions || tell[i].transmissions == tell[j].transmissions && tell[i].fact.Addr < tell[j].fact.Addr
+	sort.Slice(recent, func(i, j int) bool {
+		return recent[i].transmissions > recent[j].transmissions || recent[i].transmissions == recent[j].transmissions && recent[i].fact.Addr < recent[j].fact.Addr
 	})
-	for _, x := range tell[:min(len(tell), constants.GossipFacts)] {
-		x.transmissions--
-		m.Facts = append(m.Facts, x.fact)
+	for _, m := range recent[:min(len(recent), constants.GossipFacts)] {
+		m.transmissions--
+		msg.Facts = append(msg.Facts, m.fact)
 	}
-	if room := constants.GossipFacts - len(tell); room > 0 {
-		// A few old facts go along, for those whom the news passed by.
-		var all []string
-		for a, x := range d.members {
-			if x.transmissions <= 0 && a != to {
-				all = append(all, a)
+	if room := constants.GossipFacts - len(recent); room > 0 {
+		// Include a few random older facts, for members that missed them when they were new.
+		var older []string
+		for addr, m := range d.members {
+			if m.transmissions <= 0 && addr != to {
+				older = append(older, addr)
 			}
 		}
-		sort.Strings(all)
-		d.rng.Shuffle(len(all), func(i, j int) { all[i], all[j] = all[j], all[i] })
-		for _, a := range all[:min(len(all), room, constants.OldFacts)] {
-			m.Facts = append(m.Facts, d.members[a].fact)
+		sort.Strings(older)
+		d.rng.Shuffle(len(older), func(i, j int) { older[i], older[j] = older[j], older[i] })
+		for _, addr := range older[:min(len(older), room, constants.OldFacts)] {
+			msg.Facts = append(msg.Facts, d.members[addr].fact)
 		}
 	}
-	// A member that is suspected here is sent the fact, and can refute it.
-	if x := d.members[to]; x != nil && x.fact.State != Alive {
-		m.Facts = append(m.Facts, x.fact)
+	// A member considered suspect or dead gets that fact, so that it can refute it.
+	if m := d.members[to]; m != nil && m.fact.State != Alive {
+		msg.Facts = append(msg.Facts, m.fact)
 	}
-	d.outbox = append(d.outbox, Send{to, m})
+	d.outbox = append(d.outbox, Send{to, msg})
 }
 
-// Tick advances time; it is to be called a few times in a probe's timeout.
+// Tick advances the time. It must be called several times per probe timeout (see
+// TickInterval).
 func (d *Detector) Tick(now time.Duration) []any {
 	paused := d.lastTickAt > 0 && now-d.lastTickAt > constants.ProbeTimeout
 	d.lastTickAt = now
@@ -174,17 +177,17 @@
 	d.expire(now)
 	if now >= d.nextProbeAt && d.probe == nil {
 		d.nextProbeAt = now + constants.ProbeEvery
-		if t := d.nextTarget(); t != "" {
+		if target := d.nextTarget(); target != "" {
 			d.seq++
-			d.probe = &probe{target: t, seq: d.seq, sentAt: now}
-			d.send(t, Msg{Kind: Ping, Seq: d.seq})
+			d.probe = &probe{target: target, seq: d.seq, sentAt: now}
+			d.send(target, Msg{Kind: Ping, Seq: d.seq})
 		}
 	}
 	return d.flush()
 }
 
-// resume goes on after this process was paused: the others need not have been, so no
-// member is blamed for the time.
+// resume handles the end of a pause of this process. The pause must not count against other
+// members, so it abandons the outstanding probe and restarts the timers of suspects.
 func (d *Detector) resume(now time.Duration) {
 	d.probe = nil
 	for _, m := range d.members {
@@ -194,8 +197,8 @@
 	}
 }
 
-// checkProbe asks others to probe a member that does not answer, and suspects it when
-// they get no answer either.
+// checkProbe asks other members to probe a target that has not answered in time, and suspects
+// the target if the indirect probes fail too.
 func (d *Detector) checkProbe(now time.Duration) {
 	p := d.probe
 	if p == nil {
@@ -204,8 +207,8 @@
 	switch {
 	case !p.indirect && now-p.sentAt > constants.ProbeTimeout:
 		p.indirect = true
-		for _, h := range d.pickHelpers(p.target) {
-			d.send(h, Msg{Kind: PingRequest, Seq: p.seq, Target: p.target})
+		for _, helper := range d.pickHelpers(p.target) {
+			d.send(helper, Msg{Kind: PingRequest, Seq: p.seq, Target: p.target})
 		}
 	case now-p.sentAt > 3*constants.ProbeTimeout:
 		if m := d.members[p.target]; m != nil && m.fact.State == Alive {
@@ -217,8 +220,8 @@
 	}
 }
 
-// expire takes suspects that did not refute it for dead, and forgets dead members and
-// relayed probes after their time.
+// expire declares suspects dead that did not refute the suspicion in time, and deletes dead
+// members and relayed probes after their timeouts.
 func (d *Detector) expire(now time.Duration) {
 	for _, m := range d.members {
 		if m.fact.State == Suspect && now-m.stateSince > constants.SuspectFor {
@@ -227,37 +230,38 @@
 			d.applyFact(now, f)
 		}
 	}
-	for a, m := range d.members {
+	for addr, m := range d.members {
 		if m.fact.State == Dead && now-m.stateSince > constants.ProxyForget {
-			delete(d.members, a)
+			delete(d.members, addr)
 		}
 	}
-	for q, e := range d.relayedProbes {
-		if now-e.sentAt > 3*constants.ProbeTimeout {
-			delete(d.relayedProbes, q)
+	for seq, p := range d.relayedProbes {
+		if now-p.sentAt > 3*constants.ProbeTimeout {
+			delete(d.relayedProbes, seq)
 		}
 	}
 }
 
-// nextTarget is whom to probe: the members in turn, and the seeds that are not known
-// as members yet or any more, so that a lost group finds back.
+// nextTarget returns the member to probe next, or "" if there is none. It goes through the
+// members in rounds, and includes the seeds that are not known as members, so that separated
+// groups find each other again.
 func (d *Detector) nextTarget() string {
 	for range 2 {
 		for len(d.probeOrder) > 0 {
-			a := d.probeOrder[0]
+			addr := d.probeOrder[0]
 			d.probeOrder = d.probeOrder[1:]
-			m := d.members[a]
+			m := d.members[addr]
 			alive := m != nil && m.fact.State != Dead
-			if alive || slices.Contains(d.seeds, a) {
-				return a
+			if alive || slices.Contains(d.seeds, addr) {
+				return addr
 			}
 		}
-		for a := range d.members {
-			d.probeOrder = append(d.probeOrder, a)
+		for addr := range d.members {
+			d.probeOrder = append(d.probeOrder, addr)
 		}
-		for _, a := range d.seeds {
-			if d.members[a] == nil {
-				d.probeOrder = append(d.probeOrder, a)
+		for _, addr := range d.seeds {
+			if d.members[addr] == nil {
+				d.probeOrder = append(d.probeOrder, addr)
 			}
 		}
 		sort.Strings(d.probeOrder)
@@ -266,11 +270,12 @@
 	return ""
 }
 
+// pickHelpers returns random alive members to probe the target indirectly.
 func (d *Detector) pickHelpers(target string) []string {
 	var out []string
-	for a, m := range d.members {
-		if a != target && m.fact.State == Alive {
-			out = append(out, a)
+	for addr, m := range d.members {
+		if addr != target && m.fact.State == Alive {
+			out = append(out, addr)
 		}
 	}
 	sort.Strings(out)
@@ -278,11 +283,12 @@
 	return out[:min(len(out), constants.ProbeHelpers)]
 }
 
-// applyFact takes up a fact that is newer than what is known.
+// applyFact stores and gossips a fact that supersedes the known one. A fact that contradicts
+// this process being alive is refuted instead.
 func (d *Detector) applyFact(now time.Duration, f Fact) {
 	if f.Addr == d.self.Addr {
 		if f.State != Alive && f.Num >= d.self.Num || f.Num > d.self.Num {
-			d.self.Num = f.Num + 1 // not so: this member refutes it
+			d.self.Num = f.Num + 1 // the higher incarnation refutes the fact
 		}
 		return
 	}
@@ -298,7 +304,7 @@
 	}
 	changed := m.fact.Addr == "" || m.fact.State != f.State
 	m.fact, m.stateSince = f, now
-	// Passed on often enough to reach all: some multiple of the logarithm.
+	// A number of transmissions logarithmic in the cluster size spreads the fact to all members.
 	m.transmissions = 3
 	for n := len(d.members); n > 0; n /= 2 {
 		m.transmissions++
@@ -308,24 +314,24 @@
 	}
 }
 
-// Recv takes a message.
-func (d *Detector) Recv(now time.Duration, from string, m Msg) []any {
-	for _, f := range m.Facts[:min(len(m.Facts), 4*constants.GossipFacts)] {
+// Recv handles a message.
+func (d *Detector) Recv(now time.Duration, from string, msg Msg) []any {
+	for _, f := range msg.Facts[:min(len(msg.Facts), 4*constants.GossipFacts)] {
 		d.applyFact(now, f)
 	}
-	switch m.Kind {
+	switch msg.Kind {
 	case Ping:
-		d.send(from, Msg{Kind: Ack, Seq: m.Seq})
+		d.send(from, Msg{Kind: Ack, Seq: msg.Seq})
 	case PingRequest:
 		d.seq++
-		d.relayedProbes[d.seq] = relayedProbe{from, m.Seq, now}
-		d.send(m.Target, Msg{Kind: Ping, Seq: d.seq})
+		d.relayedProbes[d.seq] = relayedProbe{from, msg.Seq, now}
+		d.send(msg.Target, Msg{Kind: Ping, Seq: d.seq})
 	case Ack:
-		if e, ok := d.relayedProbes[m.Seq]; ok {
-			delete(d.relayedProbes, m.Seq)
-			d.send(e.origin, Msg{Kind: Ack, Seq: e.seq})
+		if p, ok := d.relayedProbes[msg.Seq]; ok {
+			delete(d.relayedProbes, msg.Seq)
+			d.send(p.origin, Msg{Kind: Ack, Seq: p.seq})
 		}
-		if d.probe != nil && d.probe.seq == m.Seq {
+		if d.probe != nil && d.probe.seq == msg.Seq {
 			d.probe = nil
 		}
 	}
