--- a/internal/distribution/peers.go
+++ b/internal/distribution/peers.go
@@ -9,89 +9,93 @@
 	"slateridge/internal/transport"
 )
 
-func (subscriber *Subscriber) addPeersLocked(addrs []string) {
-	for _, a := range addrs {
-		if subscriber.conns[a] != nil || a == "" {
+// addPeersLocked adds the control nodes at the given addresses, if they are not known yet.
+func (s *Subscriber) addPeersLocked(addrs []string) {
+	for _, addr := range addrs {
+		if s.conns[addr] != nil || addr == "" {
 			continue
 		}
-		e := &controlConn{}
-		e.peer = subscriber.dial(a, func(_ *transport.Conn, body any) any {
+		conn := &controlConn{}
+		conn.peer = s.dial(addr, func(_ *transport.Conn, body any) any {
 			if update, ok := body.(Update); ok {
-				// It was made after the Subscription that it names, and maybe only just after.
-				subscriber.receive(a, update, subscriber.startedAt.Add(update.Heard))
+				// The update was made after the Subscription whose time it carries, possibly
+				// immediately after.
+				s.receive(addr, update, s.startedAt.Add(update.Heard))
 			}
 			return nil
 		})
-		subscriber.conns[a] = e
-		subscriber.order = append(subscriber.order, a)
+		s.conns[addr] = conn
+		s.order = append(s.order, addr)
 	}
-	subscriber.sortPeersLocked()
+	s.sortPeersLocked()
 }
 
-// removedLocked says whether a machine known here is none of control any more.
-func (subscriber *Subscriber) removedLocked(a string) bool {
-	return len(subscriber.currentPeers) > 0 && !slices.Contains(subscriber.currentPeers, a)
+// removedLocked reports whether a node is no longer part of the control plane.
+func (s *Subscriber) removedLocked(addr string) bool {
+	return len(s.currentPeers) > 0 && !slices.Contains(s.currentPeers, addr)
 }
 
-// updatePeersLocked takes control's word on where its machines stand. Addresses are learned
-// from any; which machines are no more is believed of one in contact only.
-func (subscriber *Subscriber) updatePeersLocked(ps []Peer, current bool) {
-	if len(ps) == 0 {
+// updatePeersLocked records the control nodes that an update lists. Addresses are added from
+// any update, but only a node in contact with a majority (current) can tell which nodes have
+// left the control plane.
+func (s *Subscriber) updatePeersLocked(peers []Peer, current bool) {
+	if len(peers) == 0 {
 		return
 	}
 	var addrs []string
-	for _, p := range ps {
-		subscriber.locations[p.Addr] = p
-		addrs = append(addrs, p.Addr)
+	for _, peer := range peers {
+		s.locations[peer.Addr] = peer
+		addrs = append(addrs, peer.Addr)
 	}
 	if current {
-		subscriber.currentPeers = addrs
+		s.currentPeers = addrs
 	}
-	subscriber.addPeersLocked(addrs) // which sorts by what is known now
+	s.addPeersLocked(addrs) // also sorts by the new locations
 	if !current {
-		// Better words are to be had elsewhere: dialled now, asked with the next step.
-		subscriber.selectSubscriptionsLocked(time.Now())
-		for _, a := range subscriber.order {
-			if e := subscriber.conns[a]; e.subscribed && !e.hasUpdate {
-				e.peer.Conn()
+		// The sender is out of contact, so dial the nodes to subscribe to instead right away;
+		// the next Step sends the subscriptions.
+		s.selectSubscriptionsLocked(time.Now())
+		for _, addr := range s.order {
+			if conn := s.conns[addr]; conn.subscribed && !conn.hasUpdate {
+				conn.peer.Conn()
 			}
 		}
 	}
 }
 
-// sortPeersLocked puts near machines first, and equals in an order of this proxy's
-// own, so that proxies spread.
-func (subscriber *Subscriber) sortPeersLocked() {
-	far := func(a string) int {
-		switch p, ok := subscriber.locations[a]; {
-		case subscriber.removedLocked(a):
+// sortPeersLocked sorts the control nodes by distance. Nodes at the same distance are sorted
+// by a hash that includes this proxy's own address, so that proxies spread over them.
+func (s *Subscriber) sortPeersLocked() {
+	distance := func(addr string) int {
+		switch peer, ok := s.locations[addr]; {
+		case s.removedLocked(addr):
 			return 4
-		case !ok || p.Zone == "":
-			return 2 // nothing is known of it yet
-		case p.Zone == subscriber.self.Zone:
+		case !ok || peer.Zone == "":
+			return 2 // location not known yet
+		case peer.Zone == s.self.Zone:
 			return 0
-		case p.Region == subscriber.self.Region:
+		case peer.Region == s.self.Region:
 			return 1
 		}
 		return 3
 	}
-	lot := func(a string) uint32 {
+	hash := func(addr string) uint32 {
 		h := fnv.New32a()
-		h.Write([]byte(subscriber.self.Node + " " + a))
+		h.Write([]byte(s.self.Node + " " + addr))
 		return h.Sum32()
 	}
-	sort.SliceStable(subscriber.order, func(i, j int) bool {
-		a, b := subscriber.order[i], subscriber.order[j]
-		if far(a) != far(b) {
-			return far(a) < far(b)
+	sort.SliceStable(s.order, func(i, j int) bool {
+		a, b := s.order[i], s.order[j]
+		if distance(a) != distance(b) {
+			return distance(a) < distance(b)
 		}
-		return lot(a) < lot(b)
+		return hash(a) < hash(b)
 	})
 }
 
-// AddPeers makes further control machines known.
-func (subscriber *Subscriber) AddPeers(addrs []string) {
-	subscriber.mu.Lock()
-	defer subscriber.mu.Unlock()
-	subscriber.addPeersLocked(addrs)
+// AddPeers adds further control nodes.
+func (s *Subscriber) AddPeers(addrs []string) {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	s.addPeersLocked(addrs)
 }
--- a/internal/distribution/publisher.go
+++ b/internal/distribution/publisher.go
@@ -1,5 +1,7 @@
-// Package distribution brings what control knows to the proxies: it pushes numbered changes
-// over held connections, counts what they acknowledge, and fills gaps with a snapshot.
+// Package distribution carries configuration, upstream lists and related state from the
+// control plane to the proxies. The control plane pushes numbered changes over persistent
+// connections, tracks what the proxies acknowledge, and sends full contents to a proxy whose
+// version is too old for a difference.
 package distribution
 
 import (
@@ -15,52 +17,52 @@
 )
 
 type (
-	// Subscription is a proxy's regular word on a held connection: what it holds, which
-	// is its acknowledgement, and whether it wants contents here or numbers
-	// only.
+	// Subscription is a message that a proxy sends periodically to a control node. Its version
+	// numbers acknowledge what the proxy has put in force, and Full selects whether the
+	// updates carry contents or numbers only.
 	Subscription struct {
 		Node    string
 		Name    string
 		Zone    string
-		Version uint64
-		ListNum uint64
-		Full    bool
-		Whole   bool // what was told as a difference did not fit: tell all
-		Missed  bool // an answer did not come in time: tell again what only differences are told of
-		Stale   bool // holds nothing and found nobody who hears a majority: takes what may be old
+		Version uint64 // of the configuration
+		ListNum uint64 // of the upstream list
+		Full    bool   // send contents, not only numbers
+		Whole   bool   // send full contents, because a difference did not match its base here
+		Missed  bool   // the previous reply timed out: repeat the fields that are sent only when they change
+		Stale   bool   // holds no contents and found no node in contact with a majority: accepts possibly stale ones
 		Ready   bool
-		Proxies int
+		Proxies int // live count that the proxy uses
 		Region  string
-		Front   string        // where clients connect
-		Sent    time.Duration // by the proxy's own clock, since its line began
+		Front   string        // address that clients connect to
+		Sent    time.Duration // on the proxy's clock, since its Subscriber was created
 	}
-	// Peer is a control machine.
+	// Peer is a control node.
 	Peer struct{ Addr, Zone, Region string }
-	// Update is a numbered change, or the answer to a Subscription.
+	// Update is a pushed change, or the reply to a Subscription.
 	Update struct {
-		Heard   time.Duration // the Sent of the latest Subscription: this was made after it
-		Current bool          // this control machine hears a majority
-		Zone    string        // where it stands
+		Heard   time.Duration // Sent of the latest Subscription received: the update was made after it
+		Current bool          // this control node is in contact with a majority
+		Zone    string        // of this control node
 		Version uint64
 		ListNum uint64
 		ListAge time.Duration
-		// StateNum orders what the operator has ordered; Evacuated are the
-		// zones nothing is to be sent to, as of that state.
+		// StateNum is the number of the operator's latest order. Evacuated lists the zones
+		// that receive no requests as of that order.
 		StateNum  uint64
 		Evacuated []string
-		Proxies   int
-		Wall      int64  // the agreed time of day, in nanoseconds; 0 unknown
-		Metered   string // the control machine that usage is told to
-		Scaler    string // and what runs, where upstreams are ordered
-		// No version above SureVersion had been committed SureAge ago; 0: not known.
+		Proxies   int    // number of live proxies that share the quotas; 0 if unknown
+		Wall      int64  // agreed wall-clock time in nanoseconds; 0 if unknown
+		Metered   string // control node that holds the usage duty
+		Scaler    string // control node that holds the scaling duty, if scaling is configured
+		// No version above SureVersion had been committed SureAge ago; 0 if not known.
 		SureVersion uint64
 		SureAge     time.Duration
-		Trackers    []string // these two only when they differ from what was told last
+		Trackers    []string // quota trackers by shard; like Peers, sent only when changed
 		Peers       []Peer
 		Config      *config.Packed
 		List        *discovery.Change
-		// Coming are the limits of a version that has arrived but is not in
-		// force; they are only evaluated.
+		// Coming holds the quotas of version ComingVer, which has arrived but is not in force.
+		// Proxies only evaluate them.
 		ComingVer uint64
 		Coming    map[string]admission.Quota
 	}
@@ -71,52 +73,54 @@
 	transport.Register(transport.NameUpdate, Update{})
 }
 
-// Snapshot is what there is to tell at this moment.
+// Snapshot is the current state to publish, with full contents.
 type Snapshot struct {
 	Update
 	ConfigDoc *config.Doc
 	Upstreams *discovery.List
 }
 
-// subscriberConn is one held connection from a proxy.
+// subscriberConn is the control-side state of a persistent connection from a proxy.
 type subscriberConn struct {
 	subscription    Subscription
 	receivedAt      time.Time
-	configSent      uint64 // contents sent or held
-	listSent        uint64
+	configSent      uint64 // version sent to or held by the proxy
+	listSent        uint64 // likewise for the upstream list
 	trackersSent    string
 	proxiesSent     int
-	numbersSent     [3]uint64
+	numbersSent     [3]uint64 // Version, ListNum and StateNum
 	peersSent       string
 	usageHolderSent string
-	pendingSent     uint64 // limits sent for evaluation
+	pendingSent     uint64 // version whose quotas were sent for evaluation
 }
 
-func peersKey(ps []Peer) string {
+// peersKey returns a string that is equal for equal peers.
+func peersKey(peers []Peer) string {
 	out := ""
-	for _, p := range ps {
+	for _, p := range peers {
 		out += p.Addr + "/" + p.Zone + "/" + p.Region + " "
 	}
 	return out
 }
 
-// Publisher is the control side. A snapshot is taken under mu, so that what is told down a
-// connection never goes back to an earlier one; taking it does no I/O.
+// Publisher is the control-plane side of the distribution. Snapshots are taken while holding
+// mu, so that the states sent on a connection never go backwards. Taking a snapshot must not
+// do I/O.
 type Publisher struct {
 	mu       sync.Mutex
 	conns    map[*transport.Conn]*subscriberConn
 	snapshot func() Snapshot
-	// hasShare says whether a proxy may be told the live count: from then on it
-	// uses a share of the split quotas.
+	// hasShare reports whether a proxy may be sent the live count, after which it uses a share
+	// of the split quotas.
 	hasShare     func(node string) bool
-	OnDisconnect func(node string) // told when a proxy's last held connection ends
+	OnDisconnect func(node string) // called when the last connection of a proxy ends
 	pushes       uint64
 	configs      history[config.Doc, config.Packed]
 	lists        history[discovery.List, discovery.Change]
 }
 
-// history are the latest states of a kind, the newest last, with its differences
-// from the earlier ones: each is worked out once for all proxies that need it.
+// history holds the latest states of one kind, the newest last, and caches the differences
+// between them and the newest, so that each is computed once for all proxies.
 type history[S any, D any] struct {
 	number func(*S) uint64
 	diff   func(base, newest *S) *D
@@ -124,42 +128,43 @@
 	diffs  map[uint64]*D
 }
 
-// diffFrom is the newest state as its difference diffFrom the one a proxy holds, or whole
-// where that is not kept any more.
-func (k *history[S, D]) diffFrom(newest *S, have uint64) *D {
-	if n := len(k.states); n == 0 || k.number(k.states[n-1]) != k.number(newest) {
-		k.states = append(k.states, newest)
-		k.states = k.states[max(0, len(k.states)-constants.KeptStates):]
-		k.diffs = map[uint64]*D{}
+// diffFrom returns the difference from the state with number have to the newest state, or the
+// full newest state if the former is no longer in the history.
+func (h *history[S, D]) diffFrom(newest *S, have uint64) *D {
+	if n := len(h.states); n == 0 || h.number(h.states[n-1]) != h.number(newest) {
+		h.states = append(h.states, newest)
+		h.states = h.states[max(0, len(h.states)-constants.KeptStates):]
+		h.diffs = map[uint64]*D{}
 	}
 	var base *S
-	for _, o := range k.states {
-		if k.number(o) == have && have > 0 {
-			base = o
+	for _, state := range h.states {
+		if h.number(state) == have && have > 0 {
+			base = state
 		}
 	}
 	if base == nil {
 		have = 0
 	}
-	if k.diffs[have] == nil {
-		k.diffs[have] = k.diff(base, newest)
+	if h.diffs[have] == nil {
+		h.diffs[have] = h.diff(base, newest)
 	}
-	return k.diffs[have]
+	return h.diffs[have]
 }
 
-// NewPublisher makes the control side; face tells what is in force.
-func NewPublisher(face func() Snapshot, sharing func(node string) bool) *Publisher {
-	return &Publisher{conns: map[*transport.Conn]*subscriberConn{}, snapshot: face, hasShare: sharing,
-		configs: history[config.Doc, config.Packed]{number: func(d *config.Doc) uint64 { return d.Version },
-			diff: func(base, d *config.Doc) *config.Packed { p := config.Pack(base, d); return &p }},
-		lists: history[discovery.List, discovery.Change]{number: func(l *discovery.List) uint64 { return l.Num }, diff: discovery.Diff}}
+// NewPublisher returns a Publisher of the states that snapshot returns. hasShare reports
+// whether a proxy may be sent the live count.
+func NewPublisher(snapshot func() Snapshot, hasShare func(node string) bool) *Publisher {
+	return &Publisher{conns: map[*transport.Conn]*subscriberConn{}, snapshot: snapshot, hasShare: hasShare,
+		configs: history[config.Doc, config.Packed]{number: func(doc *config.Doc) uint64 { return doc.Version },
+			diff: func(base, doc *config.Doc) *config.Packed { packed := config.Pack(base, doc); return &packed }},
+		lists: history[discovery.List, discovery.Change]{number: func(list *discovery.List) uint64 { return list.Num }, diff: discovery.Diff}}
 }
 
-// HandleSubscription takes a proxy's word and answers it.
+// HandleSubscription records a subscription and returns the reply to it.
 func (p *Publisher) HandleSubscription(conn *transport.Conn, subscription Subscription) Update {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	f := p.snapshot()
+	snapshot := p.snapshot()
 	c := p.conns[conn]
 	if c == nil {
 		c = &subscriberConn{}
@@ -169,8 +174,8 @@
 			p.mu.Lock()
 			delete(p.conns, conn)
 			last := true
-			for _, o := range p.conns {
-				last = last && o.subscription.Node != subscription.Node
+			for _, other := range p.conns {
+				last = last && other.subscription.Node != subscription.Node
 			}
 			p.mu.Unlock()
 			if last && p.OnDisconnect != nil {
@@ -185,113 +190,119 @@
 	if subscription.Missed {
 		c.trackersSent, c.peersSent, c.pendingSent = "", "", 0
 	}
-	return p.updateFor(c, f)
+	return p.updateFor(c, snapshot)
 }
 
-// mayReceive says whether contents may be handed to a proxy, which may hold an earlier
-// state of them. What is committed and newer than that is always better; to one that
-// holds nothing, all that a machine out of contact has would look like the newest.
-func (c *subscriberConn) mayReceive(f Snapshot, holds bool) bool {
-	return c.subscription.Full && (f.Current || holds || c.subscription.Stale)
+// mayReceive reports whether contents may be sent to the proxy; hasState says whether it holds
+// an earlier version of them. A newer committed version is always an improvement on an earlier
+// one. A proxy that holds nothing would take any contents for the newest, so a node out of
+// contact with a majority sends it none until the proxy has found no better source (Stale).
+func (c *subscriberConn) mayReceive(snapshot Snapshot, hasState bool) bool {
+	return c.subscription.Full && (snapshot.Current || hasState || c.subscription.Stale)
 }
 
-// contentsToSend says what of the contents this proxy is to be handed.
-func (c *subscriberConn) contentsToSend(f Snapshot) (config, list bool) {
-	config = f.ConfigDoc != nil && f.ConfigDoc.Version > c.configSent && c.mayReceive(f, c.subscription.Version > 0)
-	list = f.Upstreams != nil && f.Upstreams.Num > c.listSent && c.mayReceive(f, c.subscription.ListNum > 0)
+// contentsToSend reports whether the configuration and the upstream list must be sent to the
+// proxy.
+func (c *subscriberConn) contentsToSend(snapshot Snapshot) (config, list bool) {
+	config = snapshot.ConfigDoc != nil && snapshot.ConfigDoc.Version > c.configSent && c.mayReceive(snapshot, c.subscription.Version > 0)
+	list = snapshot.Upstreams != nil && snapshot.Upstreams.Num > c.listSent && c.mayReceive(snapshot, c.subscription.ListNum > 0)
 	return config, list
 }
 
-// updateFor fills in what this proxy lacks.
-func (p *Publisher) updateFor(c *subscriberConn, f Snapshot) Update {
-	update := f.Update
+// updateFor returns the update to send to a proxy, with the contents and the changed fields
+// that the proxy does not have yet, and records them as sent.
+func (p *Publisher) updateFor(c *subscriberConn, snapshot Snapshot) Update {
+	update := snapshot.Update
 	update.Heard = c.subscription.Sent
 	c.numbersSent = [3]uint64{update.Version, update.ListNum, update.StateNum}
-	begins := !f.Current && c.subscription.Version == 0 && !c.subscription.Stale
-	if !p.hasShare(c.subscription.Node) || begins {
+	// A proxy without a configuration does not take its initial state from a node that is out
+	// of contact with a majority.
+	withhold := !snapshot.Current && c.subscription.Version == 0 && !c.subscription.Stale
+	if !p.hasShare(c.subscription.Node) || withhold {
 		update.Proxies = 0
 	}
-	if begins {
+	if withhold {
 		update.StateNum, update.Evacuated = 0, nil
 	}
-	config, list := c.contentsToSend(f)
+	config, list := c.contentsToSend(snapshot)
 	if config {
-		update.Config, c.configSent = p.configs.diffFrom(f.ConfigDoc, c.configSent), f.ConfigDoc.Version
+		update.Config, c.configSent = p.configs.diffFrom(snapshot.ConfigDoc, c.configSent), snapshot.ConfigDoc.Version
 	}
 	if list {
-		update.List, c.listSent = p.lists.diffFrom(f.Upstreams, c.listSent), f.Upstreams.Num
+		update.List, c.listSent = p.lists.diffFrom(snapshot.Upstreams, c.listSent), snapshot.Upstreams.Num
 	}
-	if update.ComingVer <= update.Version || update.ComingVer == c.pendingSent || !c.subscription.Full || begins {
+	if update.ComingVer <= update.Version || update.ComingVer == c.pendingSent || !c.subscription.Full || withhold {
 		update.ComingVer, update.Coming = 0, nil
 	} else {
 		c.pendingSent = update.ComingVer
 	}
 	c.proxiesSent, c.usageHolderSent = update.Proxies, update.Metered
-	if t := trackersKey(update.Trackers); t == c.trackersSent {
+	if key := trackersKey(update.Trackers); key == c.trackersSent {
 		update.Trackers = nil
 	} else {
-		c.trackersSent = t
+		c.trackersSent = key
 	}
-	if p := peersKey(update.Peers); p == c.peersSent {
+	if key := peersKey(update.Peers); key == c.peersSent {
 		update.Peers = nil
 	} else {
-		c.peersSent = p
+		c.peersSent = key
 	}
 	return update
 }
 
-func trackersKey(ss []string) string {
+// trackersKey returns a string that is equal for equal trackers.
+func trackersKey(trackers []string) string {
 	out := ""
-	for _, s := range ss {
-		out += s + " "
+	for _, tracker := range trackers {
+		out += tracker + " "
 	}
 	return out
 }
 
-// Publish pushes what has changed down every held connection.
+// Publish pushes pending changes to all connected proxies.
 func (p *Publisher) Publish() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	f := p.snapshot()
+	snapshot := p.snapshot()
 	for conn, c := range p.conns {
 		if time.Since(c.receivedAt) > constants.SubscriptionSilence {
-			continue // it takes its news elsewhere, or is gone; its next word is answered
+			continue // it subscribes elsewhere now or is gone; a later subscription gets a reply
 		}
-		config, list := c.contentsToSend(f)
-		if !config && !list && (f.ComingVer <= f.Version || f.ComingVer == c.pendingSent || !c.subscription.Full) && c.numbersSent == [3]uint64{f.Version, f.ListNum, f.StateNum} && (c.usageHolderSent == f.Metered || f.Metered == "") && (c.proxiesSent == f.Proxies || c.proxiesSent == 0 && !p.hasShare(c.subscription.Node)) && c.trackersSent == trackersKey(f.Trackers) {
+		config, list := c.contentsToSend(snapshot)
+		if !config && !list && (snapshot.ComingVer <= snapshot.Version || snapshot.ComingVer == c.pendingSent || !c.subscription.Full) && c.numbersSent == [3]uint64{snapshot.Version, snapshot.ListNum, snapshot.StateNum} && (c.usageHolderSent == snapshot.Metered || snapshot.Metered == "") && (c.proxiesSent == snapshot.Proxies || c.proxiesSent == 0 && !p.hasShare(c.subscription.Node)) && c.trackersSent == trackersKey(snapshot.Trackers) {
 			continue
 		}
 		p.pushes++
-		conn.Send(p.updateFor(c, f))
+		conn.Send(p.updateFor(c, snapshot))
 	}
 }
 
-// ProxyState is one proxy as the control side knows it.
+// ProxyState is the state of a connected proxy: its latest subscription and the time since.
 type ProxyState struct {
 	Subscription
 	Silent time.Duration
 }
 
-// Proxies lists the proxies heard on held connections, by address.
+// Proxies returns the states of the connected proxies, sorted by node.
 func (p *Publisher) Proxies() []ProxyState {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	by := map[string]ProxyState{}
+	byNode := map[string]ProxyState{}
 	for _, c := range p.conns {
-		s := ProxyState{c.subscription, time.Since(c.receivedAt)}
-		if o, ok := by[s.Node]; !ok || s.Silent < o.Silent {
-			by[s.Node] = s
+		state := ProxyState{c.subscription, time.Since(c.receivedAt)}
+		if other, ok := byNode[state.Node]; !ok || state.Silent < other.Silent {
+			byNode[state.Node] = state
 		}
 	}
 	var out []ProxyState
-	for _, s := range by {
-		out = append(out, s)
+	for _, state := range byNode {
+		out = append(out, state)
 	}
 	sort.Slice(out, func(i, j int) bool { return out[i].Node < out[j].Node })
 	return out
 }
 
-// PushCount counts the pushes.
+// PushCount returns the number of updates pushed by Publish.
 func (p *Publisher) PushCount() uint64 {
 	p.mu.Lock()
 	defer p.mu.Unlock()
--- a/internal/distribution/receive.go
+++ b/internal/distribution/receive.go
@@ -8,207 +8,211 @@
 	"slateridge/internal/discovery"
 )
 
-// recordReadIndex takes what an answer says of the versions committed, and tells since when this
-// proxy is sure of its own. An answer was made after its question: only from there can
-// its age be reckoned, however long it was under way.
-func (subscriber *Subscriber) recordReadIndex(update Update, asked time.Time) time.Time {
-	subscriber.mu.Lock()
-	defer subscriber.mu.Unlock()
-	if at := asked.Add(-update.SureAge); update.SureVersion > 0 && update.SureVersion <= subscriber.appliedVersion && at.After(subscriber.readIndexAt) {
-		subscriber.readIndexAt = at
-	}
-	return subscriber.readIndexAt
+// recordReadIndex records what a reply says about the committed versions, and returns
+// ReadIndexAt. The reply was made after the request was sent, so its age is counted from
+// sentAt, regardless of how long it was in transit.
+func (s *Subscriber) recordReadIndex(update Update, sentAt time.Time) time.Time {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	if at := sentAt.Add(-update.SureAge); update.SureVersion > 0 && update.SureVersion <= s.appliedVersion && at.After(s.readIndexAt) {
+		s.readIndexAt = at
+	}
+	return s.readIndexAt
 }
 
-// ReadIndexAt is the latest moment at which nothing newer than what is in force here had
-// been acknowledged to an operator.
-func (subscriber *Subscriber) ReadIndexAt() time.Time {
-	subscriber.mu.Lock()
-	defer subscriber.mu.Unlock()
-	return subscriber.readIndexAt
+// ReadIndexAt returns the latest time at which no version newer than the one in force on this
+// proxy had been acknowledged to an operator.
+func (s *Subscriber) ReadIndexAt() time.Time {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	return s.readIndexAt
 }
 
-// receive puts news in force. What a proxy says it holds is in force there, so its
-// words wait until that is so; the questions of its requests do not. made is a moment
-// before which the news cannot have been made.
-func (subscriber *Subscriber) receive(a string, update Update, made time.Time) {
-	subscriber.receiveMu.Lock()
-	defer subscriber.receiveMu.Unlock()
+// receive puts an update in force. No subscription is sent until that is done, because a
+// subscription acknowledges the versions in force; calls on behalf of requests are not held
+// up. The update was not made before notBefore.
+func (s *Subscriber) receive(addr string, update Update, notBefore time.Time) {
+	s.receiveMu.Lock()
+	defer s.receiveMu.Unlock()
 	var doc *config.Doc
 	var list *discovery.List
-	misfit := false
-	// Of a word that was long under way, as a machine that was frozen sends them, only
-	// what is numbered counts: the rest may have changed since.
-	late := time.Since(made) > constants.SubscriptionSilence
+	mismatch := false
+	// A paused node may send an update long after it was made. Only the numbered parts of such
+	// an update are used, since the rest may have changed in the meantime.
+	late := time.Since(notBefore) > constants.SubscriptionSilence
 	if late {
 		update.Current, update.Metered, update.Scaler, update.Coming = false, "", "", nil
 	}
-	// What is held changes under receiveMu only.
-	subscriber.mu.Lock()
-	if !subscriber.acceptsContentsLocked(update, subscriber.version > 0) {
+	// The contents held change only under receiveMu, so they can be read below without mu.
+	s.mu.Lock()
+	if !s.acceptsContentsLocked(update, s.version > 0) {
 		update.Config, update.Coming, update.StateNum, update.Proxies = nil, nil, 0, 0
 	}
-	if !subscriber.acceptsContentsLocked(update, subscriber.listNum > 0) {
+	if !s.acceptsContentsLocked(update, s.listNum > 0) {
 		update.List = nil
 	}
-	subscriber.mu.Unlock()
-	if c := update.Config; c != nil && c.Version > subscriber.version {
-		if d, err := c.Unpack(subscriber.doc, constants.ConfigMax); err == nil {
-			doc = d
+	s.mu.Unlock()
+	if packed := update.Config; packed != nil && packed.Version > s.version {
+		if unpacked, err := packed.Unpack(s.doc, constants.ConfigMax); err == nil {
+			doc = unpacked
 		} else {
-			misfit = true
+			mismatch = true
 		}
 	}
-	if li := update.List; li != nil && li.Num > subscriber.listNum {
-		if full, ok := li.Apply(subscriber.list); ok {
-			list = full
+	if change := update.List; change != nil && change.Num > s.listNum {
+		if applied, ok := change.Apply(s.list); ok {
+			list = applied
 		} else {
-			misfit = true
+			mismatch = true
 		}
 	}
-	f := subscriber.merge(a, update, made, late, doc, list, misfit)
-	subscriber.apply(f)
-	if f.Config != nil || f.List != nil {
-		subscriber.mu.Lock()
-		subscriber.applying, subscriber.appliedVersion = false, subscriber.version
-		subscriber.mu.Unlock()
+	changes := s.merge(addr, update, notBefore, late, doc, list, mismatch)
+	s.apply(changes)
+	if changes.Config != nil || changes.List != nil {
+		s.mu.Lock()
+		s.applying, s.appliedVersion = false, s.version
+		s.mu.Unlock()
 	}
 }
 
-// merge takes news into what is held and tells what of it is new.
-func (subscriber *Subscriber) merge(a string, update Update, made time.Time, late bool, doc *config.Doc, list *discovery.List, misfit bool) Changes {
-	subscriber.mu.Lock()
-	defer subscriber.mu.Unlock()
+// merge merges an update into the held state and returns the changes to put in force.
+func (s *Subscriber) merge(addr string, update Update, notBefore time.Time, late bool, doc *config.Doc, list *discovery.List, mismatch bool) Changes {
+	s.mu.Lock()
+	defer s.mu.Unlock()
 	now := time.Now()
-	e := subscriber.conns[a]
-	subscriber.updatePeersLocked(update.Peers, update.Current)
-	subscriber.recordUpdateLocked(e, update, late, now)
-	f := Changes{From: a}
-	subscriber.storeContentsLocked(&f, doc, list, misfit)
-	if update.ComingVer > max(subscriber.version, subscriber.pendingVersion) && update.Coming != nil {
-		subscriber.pendingVersion, f.PendingLimits = update.ComingVer, update.Coming
-	}
-	if update.StateNum > subscriber.stateNum {
-		subscriber.stateNum, subscriber.evacuated = update.StateNum, update.Evacuated
-	}
-	f.StateNum, f.Evacuated = subscriber.stateNum, subscriber.evacuated
-	subscriber.recordDutyHoldersLocked(update, now)
-	f.UsageHolder, f.ScalingHolder = subscriber.usageHolder, subscriber.scalingHolder
+	conn := s.conns[addr]
+	s.updatePeersLocked(update.Peers, update.Current)
+	s.recordUpdateLocked(conn, update, late, now)
+	changes := Changes{From: addr}
+	s.storeContentsLocked(&changes, doc, list, mismatch)
+	if update.ComingVer > max(s.version, s.pendingVersion) && update.Coming != nil {
+		s.pendingVersion, changes.PendingLimits = update.ComingVer, update.Coming
+	}
+	if update.StateNum > s.stateNum {
+		s.stateNum, s.evacuated = update.StateNum, update.Evacuated
+	}
+	changes.StateNum, changes.Evacuated = s.stateNum, s.evacuated
+	s.recordDutyHoldersLocked(update, now)
+	changes.UsageHolder, changes.ScalingHolder = s.usageHolder, s.scalingHolder
 	if update.Current {
-		f.Wall = update.Wall
-		subscriber.recordContactLocked(update, made)
+		changes.Wall = update.Wall
+		s.recordContactLocked(update, notBefore)
 	}
-	f.Proxies = subscriber.liveCountLocked(now)
-	f.Trackers = subscriber.trackersLocked(now)
-	subscriber.applying = f.Config != nil || f.List != nil
-	return f
+	changes.Proxies = s.liveCountLocked(now)
+	changes.Trackers = s.trackersLocked(now)
+	s.applying = changes.Config != nil || changes.List != nil
+	return changes
 }
 
-// recordUpdateLocked notes what a control machine said last, and that it spoke now unless
-// the news is late.
-func (subscriber *Subscriber) recordUpdateLocked(e *controlConn, update Update, late bool, now time.Time) {
+// recordUpdateLocked stores the latest update of a control node, and the time of contact with
+// it unless the update is late.
+func (s *Subscriber) recordUpdateLocked(conn *controlConn, update Update, late bool, now time.Time) {
 	if update.Trackers == nil {
-		update.Trackers = e.lastUpdate.Trackers // as told on this connection before
+		update.Trackers = conn.lastUpdate.Trackers // unchanged since an earlier update on this connection
 	}
 	if late {
-		e.lastUpdate.Trackers = update.Trackers // the next words only say what differs from it
+		conn.lastUpdate.Trackers = update.Trackers // later updates contain only changes relative to it
 	} else {
-		e.lastUpdateAt, e.hasUpdate, e.lastUpdate, subscriber.lastUpdateAt = now, true, update, now
-		e.lastUpdate.Config, e.lastUpdate.List, e.lastUpdate.Peers, e.lastUpdate.Coming = nil, nil, nil, nil
+		conn.lastUpdateAt, conn.hasUpdate, conn.lastUpdate, s.lastUpdateAt = now, true, update, now
+		conn.lastUpdate.Config, conn.lastUpdate.List, conn.lastUpdate.Peers, conn.lastUpdate.Coming = nil, nil, nil, nil
 	}
-	if subscriber.firstUpdateAt.IsZero() {
-		subscriber.firstUpdateAt = now
+	if s.firstUpdateAt.IsZero() {
+		s.firstUpdateAt = now
 	}
 }
 
-// storeContentsLocked takes new contents, which may be nil, as those held; misfit says that a
-// difference did not fit what is held, so that all is asked for.
-func (subscriber *Subscriber) storeContentsLocked(f *Changes, doc *config.Doc, list *discovery.List, misfit bool) {
+// storeContentsLocked stores new contents, either of which may be nil. mismatch means that a
+// difference did not match the contents held, so that full contents must be requested.
+func (s *Subscriber) storeContentsLocked(changes *Changes, doc *config.Doc, list *discovery.List, mismatch bool) {
 	if doc != nil {
-		subscriber.version, subscriber.doc, f.Config = doc.Version, doc, doc
+		s.version, s.doc, changes.Config = doc.Version, doc, doc
 	}
 	if list != nil {
-		subscriber.listNum, subscriber.list, f.List = list.Num, list, list
+		s.listNum, s.list, changes.List = list.Num, list, list
 	}
-	if doc != nil || list != nil || misfit {
-		subscriber.needsFull = misfit
+	if doc != nil || list != nil || mismatch {
+		s.needsFull = mismatch
 	}
 }
 
-// recordDutyHoldersLocked takes who usage and load are reported to. A machine out of contact
-// is believed only while none in contact speaks.
-func (subscriber *Subscriber) recordDutyHoldersLocked(update Update, now time.Time) {
-	if !update.Current && now.Sub(subscriber.currentAt) <= constants.SubscriptionSilence {
+// recordDutyHoldersLocked stores the control nodes to report usage and load to. An update of a
+// node out of contact with a majority is used only if no node in contact has been heard from
+// recently.
+func (s *Subscriber) recordDutyHoldersLocked(update Update, now time.Time) {
+	if !update.Current && now.Sub(s.currentAt) <= constants.SubscriptionSilence {
 		return
 	}
 	if update.Metered != "" {
-		subscriber.usageHolder = update.Metered
+		s.usageHolder = update.Metered
 	}
 	if update.Scaler != "" {
-		subscriber.scalingHolder = update.Scaler
+		s.scalingHolder = update.Scaler
 	}
 }
 
-// recordContactLocked notes since when the word of a machine in contact vouches for the
-// proxy being in contact itself, and for the list it holds.
-func (subscriber *Subscriber) recordContactLocked(update Update, made time.Time) {
-	if made.After(subscriber.currentAt) {
-		subscriber.currentAt = made
+// recordContactLocked records that at notBefore this proxy was in contact with a node that was
+// in contact with a majority, and how current the list it holds was then.
+func (s *Subscriber) recordContactLocked(update Update, notBefore time.Time) {
+	if notBefore.After(s.currentAt) {
+		s.currentAt = notBefore
 	}
-	if update.ListNum == 0 || update.ListNum != subscriber.listNum {
+	if update.ListNum == 0 || update.ListNum != s.listNum {
 		return
 	}
-	if at := made.Add(-update.ListAge); at.After(subscriber.listCurrentAt) {
-		subscriber.listCurrentAt = at
+	if at := notBefore.Add(-update.ListAge); at.After(s.listCurrentAt) {
+		s.listCurrentAt = at
 	}
 }
 
-// recentUpdatesLocked lists what the machines said last that spoke lately: first those in
-// contact or those out of it, each in the order of preference.
-func (subscriber *Subscriber) recentUpdatesLocked(now time.Time, current bool) []*Update {
+// recentUpdatesLocked returns the latest updates of the control nodes heard from recently, in
+// order of preference: either of those in contact with a majority or of those that are not.
+func (s *Subscriber) recentUpdatesLocked(now time.Time, current bool) []*Update {
 	var updates []*Update
-	for _, a := range subscriber.order {
-		e := subscriber.conns[a]
-		if e.hasUpdate && now.Sub(e.lastUpdateAt) < constants.SubscriptionSilence && e.lastUpdate.Current == current {
-			updates = append(updates, &e.lastUpdate)
+	for _, addr := range s.order {
+		conn := s.conns[addr]
+		if conn.hasUpdate && now.Sub(conn.lastUpdateAt) < constants.SubscriptionSilence && conn.lastUpdate.Current == current {
+			updates = append(updates, &conn.lastUpdate)
 		}
 	}
 	return updates
 }
 
-// liveCountLocked is the live count to hand on, 0 for no news. It is the largest that a
-// machine in contact lately told: too small a count would split the quotas too
-// generously. While none is, it may only rise.
-func (subscriber *Subscriber) liveCountLocked(now time.Time) int {
-	inContact, outOfContact := subscriber.recentUpdatesLocked(now, true), subscriber.recentUpdatesLocked(now, false)
-	told, counted := 0, false
+// liveCountLocked returns the live count to put in force, or 0 if there is no current one. It
+// is the largest count recently received from nodes in contact with a majority, since too small
+// a count would make this proxy's share of the quotas too large. While no such node sends a
+// count, the count of other nodes is used, which may raise but not lower it.
+func (s *Subscriber) liveCountLocked(now time.Time) int {
+	inContact, outOfContact := s.recentUpdatesLocked(now, true), s.recentUpdatesLocked(now, false)
+	count, received := 0, false
 	for _, update := range inContact {
-		told = max(told, update.Proxies)
-		counted = counted || update.Proxies > 0
+		count = max(count, update.Proxies)
+		received = received || update.Proxies > 0
 	}
-	toldOutside := subscriber.liveCount
+	fallback := s.liveCount
 	for _, update := range outOfContact {
-		toldOutside = max(toldOutside, update.Proxies)
-		counted = counted || update.Proxies > 0
+		fallback = max(fallback, update.Proxies)
+		received = received || update.Proxies > 0
 	}
-	if subscriber.liveCount = told; told == 0 {
-		subscriber.liveCount = toldOutside
+	if s.liveCount = count; count == 0 {
+		s.liveCount = fallback
 	}
-	// The count held is no news by itself. It goes on while control tells none, as when
-	// its roster is incomplete; a share that was given up it does not bring back.
-	heard := len(inContact)+len(outOfContact) > 0
-	if !counted && (!heard || now.Sub(subscriber.liveCountAt) > constants.SplitHold) {
+	// Without a received count, the held one stays in use while control nodes respond but send
+	// none, for example because their roster is incomplete. After SplitHold this proxy has
+	// given up its share, and the held count must not bring it back.
+	responding := len(inContact)+len(outOfContact) > 0
+	if !received && (!responding || now.Sub(s.liveCountAt) > constants.SplitHold) {
 		return 0
 	}
-	subscriber.liveCountAt = now
-	return subscriber.liveCount
+	s.liveCountAt = now
+	return s.liveCount
 }
 
-// trackersLocked is who tracks each shard of the quotas, as the machines that spoke
-// lately tell. A tracker that no machine in contact knows may be known to another.
-func (subscriber *Subscriber) trackersLocked(now time.Time) []string {
+// trackersLocked returns the tracker of each quota shard, from the control nodes heard from
+// recently. A tracker that is unknown to the nodes in contact with a majority may be known to
+// another node.
+func (s *Subscriber) trackersLocked(now time.Time) []string {
 	var trackers []string
-	updates := append(subscriber.recentUpdatesLocked(now, true), subscriber.recentUpdatesLocked(now, false)...)
+	updates := append(s.recentUpdatesLocked(now, true), s.recentUpdatesLocked(now, false)...)
 	for _, update := range updates {
 		for shard, tracker := range update.Trackers {
 			if len(trackers) <= shard {
--- a/internal/distribution/selection.go
+++ b/internal/distribution/selection.go
@@ -6,57 +6,59 @@
 	"slateridge/internal/constants"
 )
 
-// selectSubscriptionsLocked decides which control machines are subscribed to: the first few, and for
-// each of them that is silent or hears no majority one more; those that left only
-// while there is no other.
-func (subscriber *Subscriber) selectSubscriptionsLocked(now time.Time) {
-	good := 0
-	for _, a := range subscriber.order {
-		e := subscriber.conns[a]
-		e.subscribed = good < constants.SubscriptionCount && (good == 0 || !subscriber.removedLocked(a))
-		if e.hasUpdate && now.Sub(e.lastUpdateAt) <= constants.SubscriptionSilence && e.lastUpdate.Current {
-			good++
+// selectSubscriptionsLocked decides which control nodes to subscribe to: the first few in order
+// of preference, plus one for each of them that is silent or out of contact with a majority.
+// Nodes that left the control plane are used only if there is no other.
+func (s *Subscriber) selectSubscriptionsLocked(now time.Time) {
+	healthy := 0
+	for _, addr := range s.order {
+		conn := s.conns[addr]
+		conn.subscribed = healthy < constants.SubscriptionCount && (healthy == 0 || !s.removedLocked(addr))
+		if conn.hasUpdate && now.Sub(conn.lastUpdateAt) <= constants.SubscriptionSilence && conn.lastUpdate.Current {
+			healthy++
 		}
 	}
 }
 
-// selectContentSourceLocked decides whose contents are taken: the first that speaks, until
-// one in the own zone does; a silent one, or one that hears no majority, is
-// passed over.
-func (subscriber *Subscriber) selectContentSourceLocked(now time.Time) {
-	speaks := func(e *controlConn) bool {
-		return e != nil && e.subscribed && e.hasUpdate && now.Sub(e.lastUpdateAt) <= constants.SubscriptionSilence
+// selectContentSourceLocked selects the control node to take contents from. It prefers
+// responsive nodes to silent ones, nodes in contact with a majority to those that are not, and
+// then nodes in this proxy's zone. Among equals it keeps the current source.
+func (s *Subscriber) selectContentSourceLocked(now time.Time) {
+	responsive := func(conn *controlConn) bool {
+		return conn != nil && conn.subscribed && conn.hasUpdate && now.Sub(conn.lastUpdateAt) <= constants.SubscriptionSilence
 	}
-	rank := func(a string) int {
-		e := subscriber.conns[a]
+	rank := func(addr string) int {
+		conn := s.conns[addr]
 		switch {
-		case !speaks(e):
+		case !responsive(conn):
 			return 3
-		case !e.lastUpdate.Current:
+		case !conn.lastUpdate.Current:
 			return 2
-		case e.lastUpdate.Zone != subscriber.self.Zone:
+		case conn.lastUpdate.Zone != s.self.Zone:
 			return 1
 		}
 		return 0
 	}
-	if subscriber.contentSource == "" {
-		subscriber.contentSource = subscriber.order[0]
+	if s.contentSource == "" {
+		s.contentSource = s.order[0]
 	}
-	for _, a := range subscriber.order {
-		if rank(a) < rank(subscriber.contentSource) {
-			subscriber.contentSource = a
+	for _, addr := range s.order {
+		if rank(addr) < rank(s.contentSource) {
+			s.contentSource = addr
 		}
 	}
 }
 
-// acceptsContentsLocked says whether a control machine's contents are taken by a proxy that
-// may hold an earlier state of them: newer is better, but what one out of contact has
-// is no beginning while better can be had.
-func (subscriber *Subscriber) acceptsContentsLocked(update Update, holds bool) bool {
-	return update.Current || holds || subscriber.acceptStale
+// acceptsContentsLocked reports whether this proxy takes contents from an update; hasState
+// says whether it holds an earlier version of them. A newer version is always an improvement
+// on an earlier one, but the contents of a node out of contact are not used as the initial
+// state while a better source may be found.
+func (s *Subscriber) acceptsContentsLocked(update Update, hasState bool) bool {
+	return update.Current || hasState || s.acceptStale
 }
 
-func (subscriber *Subscriber) behindLocked(e *controlConn) bool {
-	return e.lastUpdate.Version > subscriber.version && subscriber.acceptsContentsLocked(e.lastUpdate, subscriber.version > 0) ||
-		e.lastUpdate.ListNum > subscriber.listNum && subscriber.acceptsContentsLocked(e.lastUpdate, subscriber.listNum > 0)
+// behindLocked reports whether a control node has newer contents that this proxy accepts.
+func (s *Subscriber) behindLocked(conn *controlConn) bool {
+	return conn.lastUpdate.Version > s.version && s.acceptsContentsLocked(conn.lastUpdate, s.version > 0) ||
+		conn.lastUpdate.ListNum > s.listNum && s.acceptsContentsLocked(conn.lastUpdate, s.listNum > 0)
 }
--- a/internal/distribution/subscriber.go
+++ b/internal/distribution/subscriber.go
@@ -12,78 +12,80 @@
 	"slateridge/internal/transport"
 )
 
-// Subscriber is a proxy's end: held connections to all control machines, contents
-// from one of them and numbers from the rest, and whichever is newest counts.
+// Subscriber is the proxy side of the distribution. It keeps persistent connections to several
+// control nodes, takes contents from one of them and only version numbers from the others, and
+// puts whichever contents are newest in force.
 type Subscriber struct {
-	receiveMu      sync.Mutex // one news after the other; held while it is put in force
-	mu             sync.Mutex // never held for long: every question of a request goes through here
-	applying       bool       // something is being put in force: no word until it is
+	receiveMu      sync.Mutex // serializes updates; held while changes are put in force
+	mu             sync.Mutex // held only briefly, because Call needs it on behalf of requests
+	applying       bool       // changes are being put in force; no subscriptions are sent meanwhile
 	self           Subscription
-	startedAt      time.Time // what Sent and Heard are reckoned from
+	startedAt      time.Time // origin of Subscription.Sent and Update.Heard
 	conns          map[string]*controlConn
-	order          []string        // of preference: own zone, own region, the rest
-	locations      map[string]Peer // as control tells
-	currentPeers   []string        // those that the latest machine in contact named
-	doc            *config.Doc     // held, to tell differences from
+	order          []string        // addresses in order of preference: own zone, own region, others
+	locations      map[string]Peer // as reported by control nodes
+	currentPeers   []string        // control nodes, according to the last node in contact with a majority
+	doc            *config.Doc     // base of configuration differences
 	list           *discovery.List
-	needsFull      bool
-	contentSource  string // whose contents we take
+	needsFull      bool   // a difference did not match: request full contents
+	contentSource  string // address of the control node to take contents from
 	dial           func(addr string, h transport.Handler) *transport.Peer
 	apply          func(Changes)
 	version        uint64
-	appliedVersion uint64 // the version, once it is in force here
-	pendingVersion uint64 // of the limits evaluated last
+	appliedVersion uint64 // like version, but set only after the configuration is in force
+	pendingVersion uint64 // version of the quotas last handed on for evaluation
 	listNum        uint64
 	listCurrentAt  time.Time // when the held list was last known to be current
 	readIndexAt    time.Time
-	currentAt      time.Time // when a control machine that hears a majority last spoke
-	lastUpdateAt   time.Time
-	firstUpdateAt  time.Time // when any spoke first
-	acceptStale    bool      // looked long enough for one that hears a majority: takes what may be old
+	currentAt      time.Time // last contact with a control node that was in contact with a majority
+	lastUpdateAt   time.Time // last contact with any control node
+	firstUpdateAt  time.Time
+	acceptStale    bool // no node in contact with a majority was found in time: accept possibly stale contents
 	liveCount      int
 	liveCountAt    time.Time // when the live count was last handed on
 	stateNum       uint64
 	evacuated      []string
 	usageHolder    string
 	scalingHolder  string
-	liveCountFunc  func() int // the live count the proxy reckons with; nil is proxies
+	liveCountFunc  func() int // see SetLiveCountFunc; nil means liveCount
 }
 
+// controlConn is the connection to a control node.
 type controlConn struct {
 	peer         *transport.Peer
 	subscribed   bool
-	lastUpdate   Update
-	lastUpdateAt time.Time // last answer or push
-	subscribedAt time.Time
-	inFlight     bool
-	pullAt       time.Time
+	lastUpdate   Update // without contents
+	lastUpdateAt time.Time
+	subscribedAt time.Time // when the last subscription was sent; zero to send one immediately
+	inFlight     bool      // a subscription awaits its reply
+	pullAt       time.Time // when to request contents that this node has and the content source has not sent
 	hasUpdate    bool
-	timedOut     bool // its last answer did not come in time
+	timedOut     bool // the last subscription got no reply in time
 }
 
-// Changes is what changed, for the proxy to put in force.
+// Changes is what an update changed, for the proxy to put in force.
 type Changes struct {
 	Config        *config.Doc
 	List          *discovery.List
-	Proxies       int // the live count, where a control machine spoke lately; 0 is no news
+	Proxies       int // live count; 0 if there is no current one
 	Trackers      []string
-	PendingLimits map[string]admission.Quota
-	// StateNum numbers the orders known here; Evacuated are the zones nothing is
-	// sent to. StateNum 0 is no news yet.
+	PendingLimits map[string]admission.Quota // quotas of a version not yet in force, to be evaluated only
+	// StateNum is the number of the latest known operator order, and Evacuated lists the zones
+	// that receive no requests as of that order. StateNum 0 means that none is known.
 	StateNum      uint64
 	Evacuated     []string
-	From          string // the control machine that spoke
-	Wall          int64  // its agreed time of day; 0 unknown
-	UsageHolder   string // who usage is told to, as last named by any
-	ScalingHolder string // likewise what runs
+	From          string // control node that sent the update
+	Wall          int64  // its agreed wall-clock time in nanoseconds; 0 if unknown
+	UsageHolder   string // last known holder of the usage duty
+	ScalingHolder string // last known holder of the scaling duty
 }
 
-// NewSubscriber makes a proxy's end, with the control machines it knows to begin
-// with; apply is called, one call at a time, with what is newer.
-func NewSubscriber(me Subscription, peers []string, dial func(addr string, h transport.Handler) *transport.Peer, apply func(Changes)) *Subscriber {
+// NewSubscriber returns a Subscriber with the given initial control nodes. apply is called with
+// the changes of each update, one call at a time.
+func NewSubscriber(self Subscription, peers []string, dial func(addr string, h transport.Handler) *transport.Peer, apply func(Changes)) *Subscriber {
 	now := time.Now()
-	subscriber := &Subscriber{
-		self:         me,
+	s := &Subscriber{
+		self:         self,
 		locations:    map[string]Peer{},
 		conns:        map[string]*controlConn{},
 		dial:         dial,
@@ -91,138 +93,139 @@
 		startedAt:    now,
 		lastUpdateAt: now,
 	}
-	subscriber.addPeersLocked(peers)
-	return subscriber
+	s.addPeersLocked(peers)
+	return s
 }
 
-// SetLiveCountFunc sets how a proxy says which live count it reckons with, where that is not
-// simply the one it was told last.
-func (subscriber *Subscriber) SetLiveCountFunc(settled func() int) {
-	subscriber.mu.Lock()
-	defer subscriber.mu.Unlock()
-	subscriber.liveCountFunc = settled
+// SetLiveCountFunc sets a function that returns the live count in use by the proxy, for proxies
+// that do not adopt each received count immediately. It is called with the Subscriber locked.
+func (s *Subscriber) SetLiveCountFunc(liveCount func() int) {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	s.liveCountFunc = liveCount
 }
 
-func (subscriber *Subscriber) liveCountInUse() int {
-	if subscriber.liveCountFunc == nil {
-		return subscriber.liveCount
+func (s *Subscriber) liveCountInUse() int {
+	if s.liveCountFunc == nil {
+		return s.liveCount
 	}
-	return min(subscriber.liveCountFunc(), subscriber.liveCount)
+	return min(s.liveCountFunc(), s.liveCount)
 }
 
-// Step drives the line; it is to be called several times a second.
-func (subscriber *Subscriber) Step(now time.Time, ready bool) {
-	subscriber.mu.Lock()
-	defer subscriber.mu.Unlock()
-	if subscriber.applying {
+// Step sends the subscriptions that are due. It must be called several times per second.
+func (s *Subscriber) Step(now time.Time, ready bool) {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	if s.applying {
 		return
 	}
-	subscriber.self.Ready = ready
-	subscriber.acceptStale = !subscriber.firstUpdateAt.IsZero() && now.Sub(subscriber.firstUpdateAt) > constants.StartSearch && now.Sub(subscriber.currentAt) > constants.SubscriptionSilence
-	subscriber.selectSubscriptionsLocked(now)
-	subscriber.selectContentSourceLocked(now)
-	for _, a := range subscriber.order {
-		e := subscriber.conns[a]
-		if !e.subscribed {
+	s.self.Ready = ready
+	s.acceptStale = !s.firstUpdateAt.IsZero() && now.Sub(s.firstUpdateAt) > constants.StartSearch && now.Sub(s.currentAt) > constants.SubscriptionSilence
+	s.selectSubscriptionsLocked(now)
+	s.selectContentSourceLocked(now)
+	for _, addr := range s.order {
+		conn := s.conns[addr]
+		if !conn.subscribed {
 			continue
 		}
-		every := constants.SubscribeEveryFar
-		if a == subscriber.contentSource || !e.hasUpdate {
-			every = constants.SubscribeEvery
+		interval := constants.SubscribeEveryFar
+		if addr == s.contentSource || !conn.hasUpdate {
+			interval = constants.SubscribeEvery
 		}
-		behind := subscriber.behindLocked(e)
-		if a != subscriber.contentSource && behind && e.pullAt.IsZero() {
-			e.pullAt = now.Add(constants.PullAfter) // the contents may be on their way
+		behind := s.behindLocked(conn)
+		if addr != s.contentSource && behind && conn.pullAt.IsZero() {
+			conn.pullAt = now.Add(constants.PullAfter) // the content source may be sending the contents already
 		}
 		if !behind {
-			e.pullAt = time.Time{}
+			conn.pullAt = time.Time{}
 		}
-		pull := behind && !e.pullAt.IsZero() && now.After(e.pullAt)
-		if e.inFlight || (now.Sub(e.subscribedAt) < every && !pull) {
+		pull := behind && !conn.pullAt.IsZero() && now.After(conn.pullAt)
+		if conn.inFlight || (now.Sub(conn.subscribedAt) < interval && !pull) {
 			continue
 		}
-		e.inFlight, e.subscribedAt, e.pullAt = true, now, time.Time{}
-		full := a == subscriber.contentSource || pull
-		go subscriber.sendSubscription(a, e, subscriber.subscriptionLocked(now, full, e.timedOut))
+		conn.inFlight, conn.subscribedAt, conn.pullAt = true, now, time.Time{}
+		full := addr == s.contentSource || pull
+		go s.sendSubscription(addr, conn, s.subscriptionLocked(now, full, conn.timedOut))
 	}
 }
 
-// subscriptionLocked is what a control machine is told now: what is held here, and
-// whether contents are wanted from it.
-func (subscriber *Subscriber) subscriptionLocked(now time.Time, full, missed bool) Subscription {
-	subscription := subscriber.self
-	subscription.Sent = now.Sub(subscriber.startedAt)
-	subscription.Version = subscriber.version
-	subscription.ListNum = subscriber.listNum
-	subscription.Proxies = subscriber.liveCountInUse()
+// subscriptionLocked returns the subscription to send now. full requests contents, and missed
+// says that the previous reply timed out.
+func (s *Subscriber) subscriptionLocked(now time.Time, full, missed bool) Subscription {
+	subscription := s.self
+	subscription.Sent = now.Sub(s.startedAt)
+	subscription.Version = s.version
+	subscription.ListNum = s.listNum
+	subscription.Proxies = s.liveCountInUse()
 	subscription.Full = full
-	subscription.Whole = full && subscriber.needsFull
-	subscription.Stale = subscriber.acceptStale
+	subscription.Whole = full && s.needsFull
+	subscription.Stale = s.acceptStale
 	subscription.Missed = missed
 	return subscription
 }
 
-func (subscriber *Subscriber) sendSubscription(a string, e *controlConn, subscription Subscription) {
-	asked := time.Now()
-	v, err := e.peer.Call(subscription, constants.CallTimeout)
-	subscriber.mu.Lock()
-	e.inFlight = false
-	e.timedOut = errors.Is(err, transport.ErrTimeout)
+// sendSubscription sends a subscription and handles the reply.
+func (s *Subscriber) sendSubscription(addr string, conn *controlConn, subscription Subscription) {
+	sentAt := time.Now()
+	reply, err := conn.peer.Call(subscription, constants.CallTimeout)
+	s.mu.Lock()
+	conn.inFlight = false
+	conn.timedOut = errors.Is(err, transport.ErrTimeout)
 	if err != nil {
-		silent := time.Since(e.lastUpdateAt) > constants.SubscriptionSilence && e.hasUpdate
+		silent := time.Since(conn.lastUpdateAt) > constants.SubscriptionSilence && conn.hasUpdate
 		if errors.Is(err, transport.ErrClosed) || errors.Is(err, transport.ErrRefused) {
-			e.subscribedAt = time.Time{} // not connected yet: again with the next step
+			conn.subscribedAt = time.Time{} // not connected yet: retry in the next Step
 		}
-		subscriber.mu.Unlock()
+		s.mu.Unlock()
 		if silent {
-			e.peer.Disconnect()
+			conn.peer.Disconnect()
 		}
 		return
 	}
-	subscriber.mu.Unlock()
-	if update, ok := v.(Update); ok {
-		subscriber.receive(a, update, asked)
-		subscriber.recordReadIndex(update, asked)
+	s.mu.Unlock()
+	if update, ok := reply.(Update); ok {
+		s.receive(addr, update, sentAt)
+		s.recordReadIndex(update, sentAt)
 	}
 }
 
-// Resubscribe has every control machine subscribed to told with the next step.
-func (subscriber *Subscriber) Resubscribe() {
-	subscriber.mu.Lock()
-	defer subscriber.mu.Unlock()
-	for _, e := range subscriber.conns {
-		e.subscribedAt = time.Time{}
+// Resubscribe makes the next Step send a subscription to every control node subscribed to.
+func (s *Subscriber) Resubscribe() {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	for _, conn := range s.conns {
+		conn.subscribedAt = time.Time{}
 	}
 }
 
-// State tells how far this proxy is in touch.
+// State is the state of a Subscriber as shown to operators.
 type State struct {
 	Version, ListNum uint64
-	Silent           time.Duration // since any control machine spoke
-	ListAge          time.Duration // since the held list was known to be current
-	Current          time.Duration // since a control machine with a majority spoke
-	From             string
-	Ends             map[string]time.Duration
+	Silent           time.Duration            // since the last contact with any control node
+	ListAge          time.Duration            // since the held list was known to be current
+	Current          time.Duration            // since the last contact with a node in contact with a majority
+	From             string                   // control node that contents are taken from
+	Ends             map[string]time.Duration // time since the last contact, by control node
 }
 
-// State is the line's state at this moment.
-func (subscriber *Subscriber) State(now time.Time) State {
-	subscriber.mu.Lock()
-	defer subscriber.mu.Unlock()
-	s := State{subscriber.version, subscriber.listNum, now.Sub(subscriber.lastUpdateAt), now.Sub(subscriber.listCurrentAt), now.Sub(subscriber.currentAt), subscriber.contentSource, map[string]time.Duration{}}
-	for a, e := range subscriber.conns {
-		s.Ends[a] = now.Sub(e.lastUpdateAt)
+// State returns the current state.
+func (s *Subscriber) State(now time.Time) State {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	state := State{s.version, s.listNum, now.Sub(s.lastUpdateAt), now.Sub(s.listCurrentAt), now.Sub(s.currentAt), s.contentSource, map[string]time.Duration{}}
+	for addr, conn := range s.conns {
+		state.Ends[addr] = now.Sub(conn.lastUpdateAt)
 	}
-	return s
+	return state
 }
 
-// Call sends a question to a control machine over its held connection.
-func (subscriber *Subscriber) Call(addr string, body any, timeout time.Duration) (any, error) {
-	subscriber.mu.Lock()
-	if subscriber.conns[addr] == nil {
-		subscriber.addPeersLocked([]string{addr})
+// Call sends a request to a control node over its persistent connection and returns the reply.
+func (s *Subscriber) Call(addr string, body any, timeout time.Duration) (any, error) {
+	s.mu.Lock()
+	if s.conns[addr] == nil {
+		s.addPeersLocked([]string{addr})
 	}
-	e := subscriber.conns[addr]
-	subscriber.mu.Unlock()
-	return e.peer.Call(body, timeout)
+	conn := s.conns[addr]
+	s.mu.Unlock()
+	return conn.peer.Call(body, timeout)
 }
