--- a/internal/distribution/publish_order_test.go
+++ b/internal/distribution/publish_order_test.go
@@ -13,9 +13,9 @@
 	"slateridge/internal/transport"
 )
 
-// Changes published at once reach a proxy in the order in which they came about, however
-// long the gathering of one of them takes.
-func TestPublishedAtOnceIsToldInOrder(t *testing.T) {
+// TestConcurrentPublishKeepsOrder checks that concurrently published changes reach a proxy in
+// the order in which they were made, even if some snapshots take longer than others.
+func TestConcurrentPublishKeepsOrder(t *testing.T) {
 	const port, changes = 39163, 20
 	var state atomic.Uint64
 	state.Store(1)
@@ -33,11 +33,11 @@
 		return publisher.HandleSubscription(conn, body.(Subscription))
 	})
 	var mu sync.Mutex
-	var told []uint64
+	var received []uint64
 	peer := transport.NewPeer(fmt.Sprintf("127.0.0.24:%d", port), "127.0.0.25", func(_ *transport.Conn, body any) any {
 		mu.Lock()
 		defer mu.Unlock()
-		told = append(told, body.(Update).StateNum)
+		received = append(received, body.(Update).StateNum)
 		return nil
 	})
 	for range 50 {
@@ -59,24 +59,25 @@
 	time.Sleep(100 * time.Millisecond)
 	mu.Lock()
 	defer mu.Unlock()
-	if !slices.IsSorted(told) || len(told) == 0 || told[len(told)-1] != state.Load() {
-		t.Fatalf("told %v, want rising numbers up to %d", told, state.Load())
+	if !slices.IsSorted(received) || len(received) == 0 || received[len(received)-1] != state.Load() {
+		t.Fatalf("received states %v, want ascending numbers up to %d", received, state.Load())
 	}
 }
 
-// Limits that a newer version has overtaken are not evaluated, whoever tells of them late.
-func TestOvertakenLimitsAreNotEvaluated(t *testing.T) {
+// TestOutdatedLimitsAreNotEvaluated checks that pending limits are not evaluated if those of a
+// newer version have been received, from whichever control node they come.
+func TestOutdatedLimitsAreNotEvaluated(t *testing.T) {
 	var evaluated []float64
-	subscriber := NewSubscriber(Subscription{Node: "p"}, []string{"a", "b"}, func(string, transport.Handler) *transport.Peer { return nil }, func(f Changes) {
-		if f.PendingLimits != nil {
-			evaluated = append(evaluated, f.PendingLimits["t"].Rate)
+	subscriber := NewSubscriber(Subscription{Node: "p"}, []string{"a", "b"}, func(string, transport.Handler) *transport.Peer { return nil }, func(changes Changes) {
+		if changes.PendingLimits != nil {
+			evaluated = append(evaluated, changes.PendingLimits["t"].Rate)
 		}
 	})
 	for _, version := range []uint64{5, 4, 7, 5, 7, 8} {
-		coming := map[string]admission.Quota{"t": {Rate: float64(version)}}
-		subscriber.receive([]string{"a", "b"}[version%2], Update{Current: true, ComingVer: version, Coming: coming}, time.Now())
+		limits := map[string]admission.Quota{"t": {Rate: float64(version)}}
+		subscriber.receive([]string{"a", "b"}[version%2], Update{Current: true, ComingVer: version, Coming: limits}, time.Now())
 	}
 	if want := []float64{5, 7, 8}; !slices.Equal(evaluated, want) {
-		t.Fatalf("evaluated the limits of %v, want %v", evaluated, want)
+		t.Fatalf("evaluated the limits of versions %v, want %v", evaluated, want)
 	}
 }
