--- a/internal/distribution/publisher_test.go
+++ b/internal/distribution/publisher_test.go
@@ -77,7 +77,7 @@
 			}
 			time.Sleep(constants.StepEvery / 4)
 		}
-		t.Fatalf("not reached: %s; state %+v", goal, subscriber.State(time.Now()))
+		t.Fatalf("%s: not reached; state %+v", goal, subscriber.State(time.Now()))
 	}
 	wait("initial contents", func(s State) bool { return s.Version == 3 && s.ListNum == 5 })
 	b.set(7, 9, true) // a node other than the content source is ahead
--- a/internal/distribution/subscriber_test.go
+++ b/internal/distribution/subscriber_test.go
@@ -64,7 +64,7 @@
 			return
 		}
 	}
-	t.Fatalf("not reached within %v: %s; state %+v", timeout, goal, subscriber.State(time.Now()))
+	t.Fatalf("%s: not reached within %v; state %+v", goal, timeout, subscriber.State(time.Now()))
 }
 
 // modify changes the snapshot and publishes it.
