--- a/internal/controlplane/daemon.go
+++ b/internal/controlplane/daemon.go
@@ -222,8 +222,8 @@
 		roster:       d.roster,
 		locations:    d.locations,
 	}
-	d.proxyPublisher.publisher = distribution.New(d.proxyPublisher.snapshot, d.roster.hasShare)
-	d.proxyPublisher.publisher.OnClosed = d.roster.handleDisconnect
+	d.proxyPublisher.publisher = distribution.NewPublisher(d.proxyPublisher.snapshot, d.roster.hasShare)
+	d.proxyPublisher.publisher.OnDisconnect = d.roster.handleDisconnect
 }
 
 // now returns the monotonic time since this process started.
@@ -300,7 +300,7 @@
 
 // addLoops adds the periodic tasks. A relay only runs the membership agent and its chain.
 func (d *Daemon) addLoops(group *rungroup.Group) {
-	group.Every(membership.TickEvery, d.members.Tick)
+	group.Every(membership.TickInterval, d.members.Tick)
 	if d.replica.relay {
 		group.Every(constants.RelayEvery, d.replica.tick)
 		return
@@ -392,7 +392,7 @@
 	}
 	d.roster.handleSubscription(m)
 	d.upstreamList.observeNumber(m.ListNum)
-	return d.proxyPublisher.publisher.Subscribed(conn, m)
+	return d.proxyPublisher.publisher.HandleSubscription(conn, m)
 }
 
 // Reload returns a function that validates the settings file again and records the result. A
--- a/internal/proxy/accounting.go
+++ b/internal/proxy/accounting.go
@@ -22,7 +22,7 @@
 
 // reportAccounts sends an accounts report to a control machine and returns its acknowledgement.
 func (d *Daemon) reportAccounts(to string, report accounts.Report) (accounts.ReportAck, error) {
-	response, err := d.subscriber.Ask(to, report, constants.CallTimeout)
+	response, err := d.subscriber.Call(to, report, constants.CallTimeout)
 	if err != nil {
 		return accounts.ReportAck{}, err
 	}
--- a/internal/proxy/daemon.go
+++ b/internal/proxy/daemon.go
@@ -90,7 +90,7 @@
 			return handler(conn, message)
 		})
 	}, d.apply)
-	d.subscriber.ReckonBy(func() int { return d.limiter.SettledProxies(d.now()) })
+	d.subscriber.SetLiveCountFunc(func() int { return d.limiter.SettledProxies(d.now()) })
 	if bounds.RevocationStrict {
 		p.keyTrustPeriod, p.readIndexAt = bounds.Revoke.D()-constants.RevokeReserve, d.subscriber.ReadIndexAt
 	}
@@ -153,7 +153,7 @@
 		d.hasUpstreamList.Store(true)
 		d.events.Count("list_applied", 1)
 	}
-	if changes.State > 0 {
+	if changes.StateNum > 0 {
 		if d.pool.SetEvacuatedZones(time.Now(), changes.Evacuated) {
 			d.events.Record("evacuations", strings.Join(changes.Evacuated, " "))
 		}
@@ -164,12 +164,12 @@
 		d.pool.SetProxies(changes.Proxies)
 	}
 	d.clock.Observe(changes.From, changes.Wall, now)
-	d.scalingHolder.Store(&changes.Scaler)
-	if old := d.usageHolder.Swap(&changes.Metered); d.meter != nil && (old == nil || *old != changes.Metered) {
+	d.scalingHolder.Store(&changes.ScalingHolder)
+	if old := d.usageHolder.Swap(&changes.UsageHolder); d.meter != nil && (old == nil || *old != changes.UsageHolder) {
 		go d.reportUsage() // a new holder starts without any usage
 	}
-	if changes.Coming != nil {
-		d.limiter.SetShadowQuotas(now, changes.Coming)
+	if changes.PendingLimits != nil {
+		d.limiter.SetShadowQuotas(now, changes.PendingLimits)
 	}
 	if old := d.trackers.Swap(&changes.Trackers); !slices.Equal(*old, changes.Trackers) {
 		go d.renewGrants() // a new tracker has to learn the grants held here
@@ -238,7 +238,7 @@
 		group.Every(accounts.RetryEvery, d.accountsAgent.Retry)
 	}
 	group.Every(constants.RetireEvery, func() { d.pool.CloseExpiredIdle(time.Now()) })
-	group.Every(membership.TickEvery, d.members.Tick)
+	group.Every(membership.TickInterval, d.members.Tick)
 	return nil
 }
 
@@ -291,7 +291,7 @@
 	began := time.Now()
 	d.shuttingDown.Store(true)
 	d.events.Record("leaving", "readiness fails from now on")
-	d.subscriber.Announce()
+	d.subscriber.Resubscribe()
 	nodeSettings := d.nodeSettings.Load()
 	grace := nodeSettings.Bounds.Grace.D() - constants.TermReserve
 	d.pool.Drain(began.Add(grace))
