--- a/internal/controlplane/daemon.go
+++ b/internal/controlplane/daemon.go
@@ -126,7 +126,7 @@
 func (d *Daemon) openStore() (store *storage.Store, isNew bool, err error) {
 	if d.settings.DataDirectory == "" || !d.settings.QuorumMember {
 		d.events.Record("relay", "no disk of its own that counts: callers are sent on, nothing is decided here")
-		return storage.Volatile(), false, nil
+		return storage.NewInMemory(), false, nil
 	}
 	if store, isNew, err = storage.Open(d.settings.DataDirectory); err != nil {
 		return nil, false, fmt.Errorf("open store in %s: %w", d.settings.DataDirectory, err)
--- a/internal/storage/growth_test.go
+++ b/internal/storage/growth_test.go
@@ -244,7 +244,7 @@
 func TestRecordIsBuntdbs(t *testing.T) {
 	r := rand.New(rand.NewPCG(5, 5))
 	for range 200 {
-		c := Volatile()
+		c := NewInMemory()
 		key, val := strings.Repeat("k", 1+r.IntN(12)), strings.Repeat("v\r\n", r.IntN(400))
 		c.set(key, val)
 		var b strings.Builder
--- a/internal/storage/store.go
+++ b/internal/storage/store.go
@@ -86,7 +86,7 @@
 	if err != nil {
 		return nil, false, err
 	}
-	c = Volatile()
+	c = NewInMemory()
 	c.fs = fs
 	if err := c.db.Load(bytes.NewReader(b[from:to])); err != nil {
 		c.Close()
@@ -112,8 +112,8 @@
 	return c, c.empty(), nil
 }
 
-// Volatile is a store for a machine without a disk.
-func Volatile() *Store {
+// NewInMemory is a store for a machine without a disk.
+func NewInMemory() *Store {
 	db, err := buntdb.Open(":memory:")
 	if err != nil {
 		panic(fmt.Sprintf("storage: no store in memory: %v", err)) // opens no file
