--- a/internal/adminhttp/adminhttp.go
+++ b/internal/adminhttp/adminhttp.go
@@ -35,8 +35,8 @@
 	return m
 }
 
-// Flag is a yes or no as a heartbeat.
-func Flag(b bool) uint64 {
+// BoolGauge is a yes or no as a heartbeat.
+func BoolGauge(b bool) uint64 {
 	if b {
 		return 1
 	}
--- a/internal/controlplane/admin.go
+++ b/internal/controlplane/admin.go
@@ -127,10 +127,10 @@
 	gauge := func(name string, v uint64) { metrics.WriteGaugeUint64(w, "slateridge_"+name, v) }
 	gauge("view_number", r.Chain.View.Num)
 	gauge("view_members", uint64(len(r.Chain.View.Members)))
-	gauge("view_member", adminhttp.Flag(r.Chain.View.HasMember(r.Chain.Me)))
-	gauge("view_sealed", adminhttp.Flag(r.Chain.Sealed))
-	gauge("disk_failed", adminhttp.Flag(r.Chain.Sick))
-	gauge("majority_heard", adminhttp.Flag(r.Current))
+	gauge("view_member", adminhttp.BoolGauge(r.Chain.View.HasMember(r.Chain.Me)))
+	gauge("view_sealed", adminhttp.BoolGauge(r.Chain.Sealed))
+	gauge("disk_failed", adminhttp.BoolGauge(r.Chain.Sick))
+	gauge("majority_heard", adminhttp.BoolGauge(r.Current))
 	metrics.WriteGaugeFloat64(w, "slateridge_majority_contact_age_seconds", r.Contact.Seconds())
 	metrics.WriteGaugeFloat64(w, "slateridge_electorate_margin", float64(r.Margin))
 	for _, v := range r.Voters {
@@ -141,7 +141,7 @@
 	gauge("state_held", r.Chain.Held.Num())
 	gauge("view_voters", uint64(len(r.Chain.View.Voters)))
 	gauge("zones_evacuated", uint64(len(r.Evacuated)))
-	gauge("relay", adminhttp.Flag(r.Chain.Relay))
+	gauge("relay", adminhttp.BoolGauge(r.Chain.Relay))
 	gauge("config_acknowledged_proxies", uint64(r.Acked))
 	gauge("connected_proxies", uint64(len(r.Proxies)))
 	gauge("live_proxies", uint64(r.Live))
@@ -149,8 +149,8 @@
 	gauge("upstreams_listed", uint64(r.Upstreams))
 	metrics.WriteGaugeFloat64(w, "slateridge_upstream_list_age_seconds", r.ListAge.Seconds())
 	for duty, holder := range r.Duties {
-		gauge(fmt.Sprintf("duty_assigned{duty=%q}", duty), adminhttp.Flag(holder != ""))
-		gauge(fmt.Sprintf("duty_held{duty=%q}", duty), adminhttp.Flag(holder == r.Chain.Me.Addr))
+		gauge(fmt.Sprintf("duty_assigned{duty=%q}", duty), adminhttp.BoolGauge(holder != ""))
+		gauge(fmt.Sprintf("duty_held{duty=%q}", duty), adminhttp.BoolGauge(holder == r.Chain.Me.Addr))
 	}
 	for _, s := range r.Scaling {
 		labels := fmt.Sprintf("{service=%q,zone=%q}", s.Service, s.Zone)
@@ -161,8 +161,8 @@
 		labels := fmt.Sprintf("{duty=%q}", name)
 		gauge("platform_duty_fence"+labels, report.Fence)
 		gauge("platform_duty_decided"+labels, report.Decided)
-		gauge("platform_duty_mine"+labels, adminhttp.Flag(report.Mine))
-		gauge("platform_duty_backlog"+labels, adminhttp.Flag(report.Backlog))
+		gauge("platform_duty_mine"+labels, adminhttp.BoolGauge(report.Mine))
+		gauge("platform_duty_backlog"+labels, adminhttp.BoolGauge(report.Backlog))
 		metrics.WriteGaugeFloat64(w, "slateridge_platform_duty_held_seconds"+labels, report.Held.Seconds())
 		metrics.WriteCounterUint64(w, "slateridge_platform_duty_accepted_total"+labels, report.Accepted)
 		metrics.WriteCounterUint64(w, "slateridge_platform_duty_refused_total"+labels, report.Refused)
--- a/internal/proxy/admin.go
+++ b/internal/proxy/admin.go
@@ -98,7 +98,7 @@
 	for _, n := range countNames {
 		metrics.WriteCounterUint64(w, fmt.Sprintf("slateridge_requests_total{outcome=%q}", n), r.Requests[n])
 	}
-	metrics.WriteGaugeUint64(w, "slateridge_ready", adminhttp.Flag(r.Ready && !r.Leaving))
+	metrics.WriteGaugeUint64(w, "slateridge_ready", adminhttp.BoolGauge(r.Ready && !r.Leaving))
 	metrics.WriteGaugeUint64(w, "slateridge_requests_in_flight", uint64(max(0, r.InFlight)))
 	metrics.WriteGaugeUint64(w, "slateridge_config_version", r.Version)
 	metrics.WriteGaugeUint64(w, "slateridge_upstream_list_number", r.Subscriber.ListNum)
