--- a/internal/controlplane/daemon.go
+++ b/internal/controlplane/daemon.go
@@ -345,7 +345,7 @@
 		}
 	}
 	switch m := body.(type) {
-	case transport.Incompatible:
+	case transport.IncompatiblePeer:
 		d.events.Record("protocol_incompatible", m.String())
 	case distribution.Subscription:
 		return d.handleSubscription(conn, m)
--- a/internal/proxy/daemon.go
+++ b/internal/proxy/daemon.go
@@ -83,7 +83,7 @@
 		Front: nodeSettings.ListenAddresses.Frontend}
 	d.subscriber = distribution.NewSubscriber(self, ips, func(ip string, handler transport.Handler) *transport.Peer {
 		return transport.NewPeer(nodeSettings.PeerInternal(ip, constants.PortControl), nodeSettings.IPAddress, func(conn *transport.Conn, message any) any {
-			if incompatible, ok := message.(transport.Incompatible); ok {
+			if incompatible, ok := message.(transport.IncompatiblePeer); ok {
 				d.events.Record("protocol_incompatible", incompatible.String())
 				return nil
 			}
--- a/internal/transport/protocol.go
+++ b/internal/transport/protocol.go
@@ -25,17 +25,17 @@
 // speaksWith says whether two ends have a version in common.
 func (p Protocol) speaksWith(o Protocol) bool { return p.Newest >= o.Oldest && o.Newest >= p.Oldest }
 
-// Incompatible is given to the Handler in place of a message when the other end's build
+// IncompatiblePeer is given to the Handler in place of a message when the other end's build
 // has no version in common with this one; the connection then ends. It is given once for
 // each machine and what it supports. Nothing is lost by it: each end works on with what it
 // knows, as with a machine that is down.
-type Incompatible struct {
+type IncompatiblePeer struct {
 	Peer   string // its address
 	Theirs Protocol
 	Ours   Protocol
 }
 
-func (i Incompatible) String() string {
+func (i IncompatiblePeer) String() string {
 	side := "that build is the older one"
 	if i.Theirs.Oldest > i.Ours.Newest {
 		side = "this build is the older one"
@@ -54,7 +54,7 @@
 func (conn *Conn) refuse(theirs Protocol) {
 	IncompatibleEnds.Add(1)
 	if before, known := reported.Swap(conn.Remote, theirs); conn.handle != nil && (!known || before != theirs) {
-		conn.handle(conn, Incompatible{Peer: conn.Remote, Theirs: theirs, Ours: ours})
+		conn.handle(conn, IncompatiblePeer{Peer: conn.Remote, Theirs: theirs, Ours: ours})
 	}
 	conn.closing.Store(true)
 	select {
--- a/internal/transport/protocol_test.go
+++ b/internal/transport/protocol_test.go
@@ -99,7 +99,7 @@
 	if len(all) != 2 || all[1] != any(word{"still here"}) {
 		t.Fatalf("taken: %+v", all)
 	}
-	report, isReport := all[0].(Incompatible)
+	report, isReport := all[0].(IncompatiblePeer)
 	if !isReport || !strings.HasSuffix(report.String(), "this build is the older one") || strings.Contains(report.String(), "\n") {
 		t.Errorf("reported: %v", all[0])
 	}
