--- a/internal/adminhttp/adminhttp.go
+++ b/internal/adminhttp/adminhttp.go
@@ -53,7 +53,7 @@
 		metrics.WriteGaugeUint64(w, fmt.Sprintf("slateridge_members{state=%q}", s), states[s])
 	}
 	metrics.WriteCounterUint64(w, "slateridge_internal_malformed_total", transport.Malformed.Load())
-	metrics.WriteCounterUint64(w, "slateridge_internal_incompatible_total", transport.IncompatibleEnds.Load())
+	metrics.WriteCounterUint64(w, "slateridge_internal_incompatible_total", transport.IncompatibleConns.Load())
 	t := &transport.Traffic
 	metrics.WriteCounterUint64(w, `slateridge_internal_messages_total{dir="in"}`, t.In.Load())
 	metrics.WriteCounterUint64(w, `slateridge_internal_messages_total{dir="out"}`, t.Out.Load())
--- a/internal/transport/protocol.go
+++ b/internal/transport/protocol.go
@@ -43,8 +43,8 @@
 	return fmt.Sprintf("%s speaks protocol %d to %d, this process %d to %d: %s", i.Peer, i.Theirs.Oldest, i.Theirs.Newest, i.Ours.Oldest, i.Ours.Newest, side)
 }
 
-// IncompatibleEnds counts connections that ended because no version is in common.
-var IncompatibleEnds atomic.Uint64
+// IncompatibleConns counts connections that ended because no version is in common.
+var IncompatibleConns atomic.Uint64
 
 // reported holds what each machine supported when it was last reported as incompatible.
 var reported sync.Map // address -> Protocol
@@ -52,7 +52,7 @@
 // refuse reports a peer that supports no version of ours, and sees to it that it learns
 // what is spoken here before the connection ends.
 func (conn *Conn) refuse(theirs Protocol) {
-	IncompatibleEnds.Add(1)
+	IncompatibleConns.Add(1)
 	if before, known := reported.Swap(conn.Remote, theirs); conn.handle != nil && (!known || before != theirs) {
 		conn.handle(conn, IncompatiblePeer{Peer: conn.Remote, Theirs: theirs, Ours: ours})
 	}
