--- a/internal/transport/protocol.go
+++ b/internal/transport/protocol.go
@@ -32,15 +32,15 @@
 type IncompatiblePeer struct {
 	Peer   string // its address
 	Remote Protocol
-	Ours   Protocol
+	Local  Protocol
 }
 
 func (i IncompatiblePeer) String() string {
 	side := "that build is the older one"
-	if i.Remote.Oldest > i.Ours.Newest {
+	if i.Remote.Oldest > i.Local.Newest {
 		side = "this build is the older one"
 	}
-	return fmt.Sprintf("%s speaks protocol %d to %d, this process %d to %d: %s", i.Peer, i.Remote.Oldest, i.Remote.Newest, i.Ours.Oldest, i.Ours.Newest, side)
+	return fmt.Sprintf("%s speaks protocol %d to %d, this process %d to %d: %s", i.Peer, i.Remote.Oldest, i.Remote.Newest, i.Local.Oldest, i.Local.Newest, side)
 }
 
 // IncompatibleConns counts connections that ended because no version is in common.
@@ -54,7 +54,7 @@
 func (conn *Conn) refuse(theirs Protocol) {
 	IncompatibleConns.Add(1)
 	if before, known := reported.Swap(conn.Remote, theirs); conn.handle != nil && (!known || before != theirs) {
-		conn.handle(conn, IncompatiblePeer{Peer: conn.Remote, Remote: theirs, Ours: ours})
+		conn.handle(conn, IncompatiblePeer{Peer: conn.Remote, Remote: theirs, Local: ours})
 	}
 	conn.closing.Store(true)
 	select {
