--- a/internal/clock/clock.go
+++ b/internal/clock/clock.go
@@ -1,7 +1,8 @@
-// Package clock keeps a time of day that the fleet agrees on. A process that has just
-// started takes the median of what others send, which is what they have agreed on; from
-// then on the steady clock carries it, and the median only draws it slowly. So clocks
-// that jump, even most of them at once, move next to nothing.
+// Package clock maintains a wall-clock time that the processes of a deployment agree on. A
+// process that has just started adopts the median of the times that others send, which are
+// the agreed time already. After that the time advances with the monotonic clock and is
+// only slewed towards the median at a bounded rate, so clocks that jump have hardly any
+// effect, even if most of them jump at once.
 package clock
 
 import (
@@ -12,55 +13,59 @@
 	"slateridge/internal/constants"
 )
 
-type reading struct {
-	offset time.Duration // its time of day less the steady time here
-	at     time.Duration
+// sample is the latest time received from one clock.
+type sample struct {
+	offset time.Duration // remote wall-clock time minus local monotonic time
+	at     time.Duration // local monotonic time of receipt
 }
 
-// Clock is one process's view of the agreed time.
+// Clock is one process's view of the agreed time. Its methods take the current monotonic
+// time of the process.
 type Clock struct {
 	mu         sync.Mutex
-	readings   map[string]reading
-	offset     time.Duration
+	samples    map[string]sample // by sender
+	offset     time.Duration     // agreed time minus local monotonic time
 	set        bool
-	adjustedAt time.Duration // when off was last drawn
-	last       int64
+	adjustedAt time.Duration // when offset was last adjusted
+	last       int64         // latest time returned by Now
 }
 
-// New makes a clock that knows no time yet.
-func New() *Clock { return &Clock{readings: map[string]reading{}} }
+// New returns a clock without any samples; its time is not set.
+func New() *Clock { return &Clock{samples: map[string]sample{}} }
 
-// Observe takes what one clock says at a steady time here.
-func (c *Clock) Observe(from string, wall int64, steady time.Duration) {
+// Observe records the wall-clock time that one process sent and adjusts the agreed time.
+// Times that are not plausible are ignored.
+func (c *Clock) Observe(from string, wall int64, monotonic time.Duration) {
 	if wall < constants.MinWallClock {
 		return
 	}
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.readings[from] = reading{time.Duration(wall) - steady, steady}
-	var offs []time.Duration
-	for n, s := range c.readings {
-		if steady-s.at > constants.ClockFresh {
-			delete(c.readings, n)
+	c.samples[from] = sample{time.Duration(wall) - monotonic, monotonic}
+	var offsets []time.Duration
+	for name, s := range c.samples {
+		if monotonic-s.at > constants.ClockFresh {
+			delete(c.samples, name)
 			continue
 		}
-		offs = append(offs, s.offset)
+		offsets = append(offsets, s.offset)
 	}
-	slices.Sort(offs)
-	median := offs[(len(offs)-1)/2]
-	if !c.set || steady < constants.ClockSettle {
+	slices.Sort(offsets)
+	median := offsets[(len(offsets)-1)/2]
+	if !c.set || monotonic < constants.ClockSettle {
 		c.offset, c.set, c.last = median, true, 0
 	} else {
-		most := time.Duration(float64(steady-c.adjustedAt) * constants.ClockSlew)
-		c.offset += min(max(median-c.offset, -most), most)
+		maxStep := time.Duration(float64(monotonic-c.adjustedAt) * constants.ClockSlew)
+		c.offset += min(max(median-c.offset, -maxStep), maxStep)
 	}
-	c.adjustedAt = steady
+	c.adjustedAt = monotonic
 }
 
-// Now is the agreed time; once settled it never goes back. False until anything was received.
-func (c *Clock) Now(steady time.Duration) (time.Time, bool) {
+// Now returns the agreed time. It never goes back after the settling period. It reports
+// false until a time has been received.
+func (c *Clock) Now(monotonic time.Duration) (time.Time, bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.last = max(c.last, int64(c.offset+steady))
+	c.last = max(c.last, int64(c.offset+monotonic))
 	return time.Unix(0, c.last), c.set
 }
