--- a/internal/eventlog/eventlog.go
+++ b/internal/eventlog/eventlog.go
@@ -1,5 +1,5 @@
-// Package eventlog keeps a process's latest events in memory, bounded, counts all of them
-// by kind, and writes those that change a state to the log.
+// Package eventlog records the events of a process: it keeps the latest ones in a bounded
+// ring buffer, counts all of them by kind, and writes changes of state to the log.
 package eventlog
 
 import (
@@ -12,29 +12,29 @@
 	"slateridge/internal/constants"
 )
 
-// Event is one thing that happened, of a kind, with what it was about.
+// Event is a change of state. About names what it concerns.
 type Event struct {
 	At    time.Time
 	Kind  string
 	About string
 }
 
-// Log keeps the latest events and counts all by kind. Events that change a
-// state are also written to the log; counts alone are not.
+// Log keeps the latest events and counts all of them by kind. Recorded events are also
+// written to the output; events that are only counted are not.
 type Log struct {
 	mu     sync.Mutex
 	output zerolog.Logger
 	ring   []Event
-	next   int
+	next   int // position in ring that is overwritten next, once it is full
 	counts map[string]uint64
 }
 
-// New makes an empty event log that writes changes of state to log.
+// New returns an empty event log that writes recorded events to log.
 func New(log zerolog.Logger) *Log {
 	return &Log{output: log, counts: map[string]uint64{}}
 }
 
-// Record appends a change of state.
+// Record counts an event, keeps it and writes it to the output.
 func (l *Log) Record(kind, about string) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -49,14 +49,14 @@
 	l.output.Info().Str("event", kind).Str("about", about).Send()
 }
 
-// Count adds to a counter without an entry.
+// Count adds n to the count of a kind without recording an event.
 func (l *Log) Count(kind string, n uint64) {
 	l.mu.Lock()
 	l.counts[kind] += n
 	l.mu.Unlock()
 }
 
-// Latest folds the last n events, oldest first.
+// Latest returns the last n events, oldest first.
 func (l *Log) Latest(n int) []Event {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -64,20 +64,20 @@
 	return all[max(0, len(all)-n):]
 }
 
-// Tally is how many events of one kind there were.
+// Tally is the number of events of one kind.
 type Tally struct {
 	Kind string
 	N    uint64
 }
 
-// Tallies folds the counts, by kind.
+// Tallies returns the counts, sorted by kind.
 func (l *Log) Tallies() []Tally {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	var out []Tally
-	for k, n := range l.counts {
-		out = append(out, Tally{k, n})
+	var tallies []Tally
+	for kind, n := range l.counts {
+		tallies = append(tallies, Tally{kind, n})
 	}
-	sort.Slice(out, func(i, j int) bool { return out[i].Kind < out[j].Kind })
-	return out
+	sort.Slice(tallies, func(i, j int) bool { return tallies[i].Kind < tallies[j].Kind })
+	return tallies
 }
