--- a/internal/rungroup/rungroup.go
+++ b/internal/rungroup/rungroup.go
@@ -1,5 +1,5 @@
-// Package rungroup adds to a run group what both roles need: loops at a steady pace and
-// HTTP servers.
+// Package rungroup adds periodic tasks and HTTP servers to a run.Group, as both roles need
+// them.
 package rungroup
 
 import (
@@ -14,55 +14,56 @@
 	"slateridge/internal/constants"
 )
 
-// Group adds actors to a group; its context ends when the group does.
+// Group adds actors to a run.Group. Its context is canceled when the group stops.
 type Group struct {
 	group *run.Group
 	ctx   context.Context
 	stop  context.CancelFunc
 }
 
-// New makes one for a group.
+// New returns a Group that adds actors to g.
 func New(g *run.Group) *Group {
 	ctx, stop := context.WithCancel(context.Background())
 	return &Group{g, ctx, stop}
 }
 
-// Context ends with the group.
+// Context returns a context that is canceled when the group stops.
 func (group *Group) Context() context.Context { return group.ctx }
 
-// Every adds a loop that does something at a steady pace.
-func (group *Group) Every(every time.Duration, f func()) { group.EveryAfter(0, every, f) }
+// Every adds a task that calls f once every interval.
+func (group *Group) Every(interval time.Duration, f func()) { group.EveryAfter(0, interval, f) }
 
-// EveryAfter is an Every that begins so much later, for processes that start together and
-// should not stay in step.
-func (group *Group) EveryAfter(after, every time.Duration, f func()) {
+// EveryAfter is like Every, but starts the first interval after a delay, so that processes
+// that are started together do not run the task at the same time.
+func (group *Group) EveryAfter(delay, interval time.Duration, f func()) {
 	group.group.Add(func() error {
 		select {
 		case <-group.ctx.Done():
 			return nil
-		case <-time.After(after):
+		case <-time.After(delay):
 		}
-		t := time.NewTicker(every)
-		defer t.Stop()
+		ticker := time.NewTicker(interval)
+		defer ticker.Stop()
 		for {
 			select {
 			case <-group.ctx.Done():
 				return nil
-			case <-t.C:
+			case <-ticker.C:
 				f()
 			}
 		}
 	}, func(error) { group.stop() })
 }
 
-// Serve adds an HTTP server with the bounds of our own interfaces.
+// Serve adds an HTTP server with the limits and timeouts for the internal interfaces.
 func (group *Group) Serve(l net.Listener, h http.Handler) {
-	group.serveWithin(l, h, constants.InterfaceTimeout)
+	group.serveWithTimeout(l, h, constants.InterfaceTimeout)
 }
 
-// serveWithin adds an HTTP server that takes a request, and has its answer taken, each
-// within a time: a caller that is gone or stands still holds neither body nor answer longer.
-func (group *Group) serveWithin(l net.Listener, h http.Handler, timeout time.Duration) {
+// serveWithTimeout adds an HTTP server that limits the time for reading a request and for
+// writing its response, so that a client that is gone or stalled does not hold resources
+// any longer.
+func (group *Group) serveWithTimeout(l net.Listener, h http.Handler, timeout time.Duration) {
 	srv := &http.Server{
 		Handler:           h,
 		ReadHeaderTimeout: min(constants.HeaderTimeout, timeout),
--- a/internal/rungroup/rungroup_test.go
+++ b/internal/rungroup/rungroup_test.go
@@ -13,22 +13,22 @@
 	"github.com/oklog/run"
 )
 
-// A turn that begins later does nothing before, then keeps its pace, and ends with the
-// group also while it waits.
-func TestTurnFrom(t *testing.T) {
+// A delayed task does not run before its delay, then runs once every interval, and stops
+// with the group even if its delay has not passed.
+func TestEveryAfter(t *testing.T) {
 	var g run.Group
 	group := New(&g)
-	began := time.Now()
+	start := time.Now()
 	var first atomic.Int64
-	beats := make(chan struct{}, 100)
+	ticks := make(chan struct{}, 100)
 	group.EveryAfter(60*time.Millisecond, 10*time.Millisecond, func() {
-		first.CompareAndSwap(0, int64(time.Since(began)))
-		beats <- struct{}{}
+		first.CompareAndSwap(0, int64(time.Since(start)))
+		ticks <- struct{}{}
 	})
-	group.EveryAfter(time.Hour, time.Millisecond, func() { t.Error("an hour is over already") })
+	group.EveryAfter(time.Hour, time.Millisecond, func() { t.Error("the task with a delay of an hour was run") })
 	g.Add(func() error {
 		for range 3 {
-			<-beats
+			<-ticks
 		}
 		return nil
 	}, func(error) {})
@@ -37,16 +37,16 @@
 	select {
 	case <-done:
 	case <-time.After(5 * time.Second):
-		t.Fatal("it does not turn, or does not end with its group")
+		t.Fatal("the task is not run, or does not stop with its group")
 	}
 	if at := time.Duration(first.Load()); at < 70*time.Millisecond {
-		t.Errorf("the first turn came after %v", at)
+		t.Errorf("the first run came after %v", at)
 	}
 }
 
-// A caller that stands still inside its request, or takes nothing of its answer, is let go
-// of after a time.
-func TestCallersThatStandStillAreLetGo(t *testing.T) {
+// A client that stalls while sending its request, or does not read the response, is
+// disconnected after the timeout.
+func TestStalledClientsAreDisconnected(t *testing.T) {
 	const timeout = 200 * time.Millisecond
 	ended := make(chan error, 1)
 	handler := http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
@@ -57,8 +57,8 @@
 		ended <- err
 	})
 	for name, request := range map[string]string{
-		"body doesn't come":     "POST / HTTP/1.1\r\nHost: h\r\nContent-Length: 100\r\n\r\nx",
-		"answer isn't taken in": "GET /endless HTTP/1.1\r\nHost: h\r\n\r\n",
+		"stalled request body": "POST / HTTP/1.1\r\nHost: h\r\nContent-Length: 100\r\n\r\nx",
+		"response is not read": "GET /endless HTTP/1.1\r\nHost: h\r\n\r\n",
 	} {
 		t.Run(name, func(t *testing.T) {
 			listener, err := net.Listen("tcp4", "127.0.0.1:0")
@@ -66,24 +66,24 @@
 				t.Fatal(err)
 			}
 			var g run.Group
-			New(&g).serveWithin(listener, handler, timeout)
+			New(&g).serveWithTimeout(listener, handler, timeout)
 			stop := make(chan struct{})
 			g.Add(func() error { <-stop; return nil }, func(error) {})
 			go g.Run()
 			defer close(stop)
-			caller, err := net.Dial("tcp4", listener.Addr().String())
+			client, err := net.Dial("tcp4", listener.Addr().String())
 			if err != nil {
 				t.Fatal(err)
 			}
-			defer caller.Close()
-			fmt.Fprint(caller, request)
+			defer client.Close()
+			fmt.Fprint(client, request)
 			select {
 			case err := <-ended:
 				if err == nil {
-					t.Error("it was served whole")
+					t.Error("the request was served completely")
 				}
 			case <-time.After(5 * time.Second):
-				t.Error("it is held for ever")
+				t.Error("the connection is still open after the timeout")
 			}
 		})
 	}
