--- a/internal/adminhttp/adminhttp.go
+++ b/internal/adminhttp/adminhttp.go
@@ -1,5 +1,5 @@
-// Package adminhttp serves the admin interface that both roles share, with the metrics they
-// have in common.
+// Package adminhttp implements the HTTP admin interface of both roles and the metrics that
+// they have in common.
 package adminhttp
 
 import (
@@ -15,27 +15,28 @@
 	"slateridge/internal/transport"
 )
 
-// Report is what a process reports of itself.
+// Report is the status report of a process. It is also encoded as JSON.
 type Report interface {
 	WriteMetrics(w io.Writer)
 }
 
-// Handler serves a role's report, as JSON under /status and as metrics in the
-// text format scrapers read under /metrics.
+// Handler returns a handler that serves a role's report: as JSON under /status, and as
+// metrics in the Prometheus text format under /metrics.
 func Handler[R Report](report func() R) http.Handler {
-	m := http.NewServeMux()
-	m.HandleFunc("GET /status", func(w http.ResponseWriter, _ *http.Request) {
+	mux := http.NewServeMux()
+	mux.HandleFunc("GET /status", func(w http.ResponseWriter, _ *http.Request) {
 		w.Header().Set("Content-Type", "application/json")
 		json.NewEncoder(w).Encode(report())
 	})
-	m.HandleFunc("GET /metrics", func(w http.ResponseWriter, _ *http.Request) {
+	mux.HandleFunc("GET /metrics", func(w http.ResponseWriter, _ *http.Request) {
 		w.Header().Set("Content-Type", "text/plain; version=0.0.4")
 		report().WriteMetrics(w)
 	})
-	return m
+	return mux
 }
 
-// BoolGauge is a yes or no as a heartbeat.
+// BoolGauge returns the value of a gauge that represents a condition: 1 if it is true, 0
+// otherwise.
 func BoolGauge(b bool) uint64 {
 	if b {
 		return 1
@@ -43,7 +44,7 @@
 	return 0
 }
 
-// WriteCommon gives the metrics that every role has.
+// WriteCommon writes the metrics that both roles have.
 func WriteCommon(w io.Writer, members []membership.Fact, tallies []eventlog.Tally) {
 	states := map[membership.State]uint64{}
 	for _, m := range members {
@@ -54,12 +55,12 @@
 	}
 	metrics.WriteCounterUint64(w, "slateridge_internal_malformed_total", transport.Malformed.Load())
 	metrics.WriteCounterUint64(w, "slateridge_internal_incompatible_total", transport.IncompatibleConns.Load())
-	t := &transport.Traffic
-	metrics.WriteCounterUint64(w, `slateridge_internal_messages_total{dir="in"}`, t.In.Load())
-	metrics.WriteCounterUint64(w, `slateridge_internal_messages_total{dir="out"}`, t.Out.Load())
-	metrics.WriteCounterUint64(w, `slateridge_internal_bytes_total{dir="in"}`, t.InBytes.Load())
-	metrics.WriteCounterUint64(w, `slateridge_internal_bytes_total{dir="out"}`, t.OutBytes.Load())
-	for _, t := range tallies {
-		metrics.WriteCounterUint64(w, fmt.Sprintf("slateridge_events_total{event=%q}", t.Kind), t.N)
+	traffic := &transport.Traffic
+	metrics.WriteCounterUint64(w, `slateridge_internal_messages_total{dir="in"}`, traffic.In.Load())
+	metrics.WriteCounterUint64(w, `slateridge_internal_messages_total{dir="out"}`, traffic.Out.Load())
+	metrics.WriteCounterUint64(w, `slateridge_internal_bytes_total{dir="in"}`, traffic.InBytes.Load())
+	metrics.WriteCounterUint64(w, `slateridge_internal_bytes_total{dir="out"}`, traffic.OutBytes.Load())
+	for _, tally := range tallies {
+		metrics.WriteCounterUint64(w, fmt.Sprintf("slateridge_events_total{event=%q}", tally.Kind), tally.N)
 	}
 }
