--- a/internal/transport/compatibility_test.go
+++ b/internal/transport/compatibility_test.go
@@ -26,9 +26,10 @@
 	"slateridge/internal/usage"
 )
 
-var write = flag.Bool("write-fixtures", false, "write the list of wire names anew")
+var writeFixtures = flag.Bool("write-fixtures", false, "rewrite the list of wire names")
 
-// messages are all messages between processes, in the order of the fixture.
+// messages returns the zero values of all messages between processes, in the order of the
+// fixture.
 func messages() []any {
 	return []any{
 		chain.Heartbeat{}, chain.Prepare{}, chain.Promise{}, chain.Nack{}, chain.Sync{}, chain.Synced{},
@@ -44,15 +45,15 @@
 	}
 }
 
-// filled are the messages with content in the fields that the list of a build's
-// messages names.
-func filled(t *testing.T, listed string) []any {
+// filledMessages returns the messages that the wire-name list of a build contains, with
+// values in the fields that the list names.
+func filledMessages(t *testing.T, list string) []any {
 	var out []any
 	for _, m := range messages() {
 		name := wireName(t, m)
-		_, fields, found := strings.Cut("\n"+listed, "\n"+name+"\n")
+		_, fields, found := strings.Cut("\n"+list, "\n"+name+"\n")
 		if !found {
-			continue // a message of later builds
+			continue // a message that was added later
 		}
 		fields, _, _ = strings.Cut(fields, "\nslateridge/")
 		v := reflect.New(reflect.TypeOf(m))
@@ -62,8 +63,8 @@
 	return out
 }
 
-// received is what a process takes from a connection that carries these bytes.
-func received(t *testing.T, carried []byte, count int) []any {
+// receive sends the given bytes to a server and returns the messages that it handles.
+func receive(t *testing.T, stream []byte, count int) []any {
 	l, err := transport.Listen("127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
@@ -79,7 +80,7 @@
 		t.Fatal(err)
 	}
 	defer c.Close()
-	if _, err := c.Write(carried); err != nil {
+	if _, err := c.Write(stream); err != nil {
 		t.Fatal(err)
 	}
 	var out []any
@@ -88,21 +89,22 @@
 		case b := <-bodies:
 			out = append(out, b)
 		case <-time.After(10 * time.Second):
-			t.Fatalf("%d messages of %d arrived", len(out), count)
+			t.Fatalf("%d of %d messages arrived", len(out), count)
 		}
 	}
 	return out
 }
 
-// What the build before the first greeting sent is understood, every message and every
-// field: the fixture holds the bytes that it wrote, and the list what they tell.
-func TestMessagesOfTheBuildBeforeAreUnderstood(t *testing.T) {
-	listed := string(readFixture(t, "protocol-0", "wire-names.txt"))
-	want := filled(t, listed)
+// Every message and field that the last build before the greeting sent is decoded. The
+// fixture holds the bytes that this build wrote, and its list the messages and fields in
+// them.
+func TestMessagesOfOlderBuildAreDecoded(t *testing.T) {
+	list := string(readFixture(t, "protocol-0", "wire-names.txt"))
+	want := filledMessages(t, list)
 	if len(want) != 38 {
-		t.Fatalf("of 38 messages %d are known", len(want))
+		t.Fatalf("%d of 38 messages are known", len(want))
 	}
-	for i, got := range received(t, readFixture(t, "protocol-0", "messages.bin"), len(want)) {
+	for i, got := range receive(t, readFixture(t, "protocol-0", "messages.bin"), len(want)) {
 		if !reflect.DeepEqual(got, want[i]) {
 			t.Errorf("%T:\ngot  %+v\nwant %+v", want[i], got, want[i])
 		}
@@ -117,14 +119,14 @@
 	return content
 }
 
-// The names of all messages on the wire and of their fields are pinned: a build before
-// knows none but these. A line may be added to the file, never changed or taken away.
-func TestWireNamesArePinned(t *testing.T) {
+// The wire names of all messages and of their fields must not change, because older builds
+// know only these. Lines may be added to the fixture, but not changed or removed.
+func TestWireNamesDoNotChange(t *testing.T) {
 	var got strings.Builder
 	for _, m := range messages() {
 		fmt.Fprintf(&got, "%s\n%s\n", wireName(t, m), gobtest.Describe(m))
 	}
-	if *write {
+	if *writeFixtures {
 		if err := os.WriteFile(filepath.Join("testdata", "wire-names.txt"), []byte(got.String()), 0o644); err != nil {
 			t.Fatal(err)
 		}
@@ -134,7 +136,7 @@
 	for i := range max(len(gotLines), len(wantLines)) {
 		g, w := lineAt(gotLines, i), lineAt(wantLines, i)
 		if g != w {
-			t.Fatalf("line %d: is %q, was %q", i+1, g, w)
+			t.Fatalf("line %d is %q, but the fixture has %q", i+1, g, w)
 		}
 	}
 }
@@ -146,11 +148,11 @@
 	return "(none)"
 }
 
-// anyBody is a value that gob encodes with its name.
+// anyBody holds a value in an interface, which gob encodes with the registered type name.
 type anyBody struct{ Body any }
 
-// wireName is the name under which gob sends a message: it stands in the encoding, its
-// length before it.
+// wireName returns the name under which gob sends a message. In the encoding it follows its
+// length.
 func wireName(t *testing.T, message any) string {
 	var out bytes.Buffer
 	if err := gob.NewEncoder(&out).Encode(anyBody{message}); err != nil {
@@ -160,7 +162,7 @@
 	encoded := out.Bytes()
 	at := bytes.Index(encoded, []byte(prefix))
 	if at < 1 {
-		t.Fatalf("%T is sent without a name of ours: %q", message, encoded)
+		t.Fatalf("%T is sent without a registered name: %q", message, encoded)
 	}
 	return string(encoded[at : at+int(encoded[at-1])])
 }
--- a/internal/transport/fuzz_test.go
+++ b/internal/transport/fuzz_test.go
@@ -11,64 +11,65 @@
 	"slateridge/internal/constants"
 )
 
-// bag is a message of all shapes.
-type bag struct {
+// compositeMessage is a message with fields of all kinds that messages use.
+type compositeMessage struct {
 	N    uint64
 	F    float64
 	Text string
 	Raw  []byte
-	List []word
-	Map  map[string]word
+	List []testMessage
+	Map  map[string]testMessage
 	Any  any
-	Ref  *word
+	Ref  *testMessage
 }
 
-func init() { Register("test.bag", bag{}) }
+func init() { Register("test.composite", compositeMessage{}) }
 
-// FuzzFrames feeds a connection's reader any bytes: it takes whole, bounded messages
-// and never more than the frames held, and what it takes can be said again the same.
+// FuzzFrames decodes arbitrary input. The decoder must accept complete frames of bounded
+// size only and return no more messages than there are frames, and each message must be the
+// same after it has been encoded and decoded again.
 func FuzzFrames(f *testing.F) {
-	e := newRawEnd(nil)
+	sender := newRawConn(nil)
 	var all []byte
-	for _, m := range []envelope{{Body: word{"hello"}}, {Seq: 7, Body: word{""}}, {Seq: 7, Reply: true, Body: word{strings.Repeat("x", 300)}}, {Seq: 1 << 40},
-		{Body: bag{N: 3, F: -1.5, Text: "t", Raw: []byte{0, 1}, List: []word{{"a"}, {"b"}}, Map: map[string]word{"k": {"v"}}, Any: word{"in"}, Ref: &word{"r"}}}} {
-		all = append(all, e.frame(m)...)
+	for _, m := range []envelope{{Body: testMessage{"hello"}}, {Seq: 7, Body: testMessage{""}}, {Seq: 7, Reply: true, Body: testMessage{strings.Repeat("x", 300)}}, {Seq: 1 << 40},
+		{Body: compositeMessage{N: 3, F: -1.5, Text: "t", Raw: []byte{0, 1}, List: []testMessage{{"a"}, {"b"}}, Map: map[string]testMessage{"k": {"v"}}, Any: testMessage{"in"}, Ref: &testMessage{"r"}}}} {
+		all = append(all, sender.frame(m)...)
 		f.Add(bytes.Clone(all))
 	}
 	f.Add(all[:len(all)-3])
 	f.Add(binary.BigEndian.AppendUint32(nil, constants.FrameMax+1))
 	f.Add(append([]byte{0, 0, 0, 9}, "not a gob"...))
-	f.Add(append([]byte{0, 0, 0, 6}, 0xfc, 0x3f, 0xff, 0xff, 0xff, 0)) // a gob that claims a gigabyte
+	f.Add(append([]byte{0, 0, 0, 6}, 0xfc, 0x3f, 0xff, 0xff, 0xff, 0)) // a gob whose length prefix is one gigabyte
 	f.Add(make([]byte, 64))
 	f.Fuzz(func(t *testing.T, data []byte) {
-		in := newDecoder(bytes.NewReader(data))
-		again := newRawEnd(nil)
-		var said []byte
-		var got []envelope
+		dec := newDecoder(bytes.NewReader(data))
+		reencoder := newRawConn(nil)
+		var reencoded []byte
+		var messages []envelope
 		for {
-			m, err := in.next()
+			m, err := dec.next()
 			if err != nil {
 				break
 			}
-			if got = append(got, m); len(got) > len(data)/4 {
-				t.Fatalf("%d messages of %d bytes", len(got), len(data))
+			if messages = append(messages, m); len(messages) > len(data)/4 {
+				t.Fatalf("%d messages decoded from %d bytes", len(messages), len(data))
 			}
-			said = append(said, again.frame(m)...)
+			reencoded = append(reencoded, reencoder.frame(m)...)
 		}
-		in = newDecoder(bytes.NewReader(said))
-		for i, m := range got {
-			back, err := in.next()
-			if err != nil || !same(back, m) {
-				t.Fatalf("message %d: %+v came back as %+v, %v", i, m, back, err)
+		dec = newDecoder(bytes.NewReader(reencoded))
+		for i, m := range messages {
+			decoded, err := dec.next()
+			if err != nil || !equal(decoded, m) {
+				t.Fatalf("message %d: %+v was decoded as %+v, %v", i, m, decoded, err)
 			}
 		}
-		if _, err := in.next(); err != io.EOF {
-			t.Fatalf("after the last: %v", err)
+		if _, err := dec.next(); err != io.EOF {
+			t.Fatalf("decoding after the last message: %v", err)
 		}
 	})
 }
 
-// same compares by what is written, which a number that is none differs from itself in.
-func same(a, b envelope) bool {
-	return reflect.DeepEqual(a, b) || bytes.Equal(newRawEnd(nil).frame(a), newRawEnd(nil).frame(b))
+// equal compares two envelopes, also by their encoding, because NaN is not equal to itself.
+func equal(a, b envelope) bool {
+	return reflect.DeepEqual(a, b) || bytes.Equal(newRawConn(nil).frame(a), newRawConn(nil).frame(b))
 }
--- a/internal/transport/model_test.go
+++ b/internal/transport/model_test.go
@@ -15,132 +15,134 @@
 	"time"
 )
 
-// rawEnd speaks frames by itself, so that it can do with them what no pipe does.
-type rawEnd struct {
-	c   net.Conn
-	in  *decoder
-	mu  sync.Mutex
-	buf bytes.Buffer
-	enc *gob.Encoder
+// rawConn is a remote end that writes frames itself, so that it can send what a Conn never
+// sends.
+type rawConn struct {
+	netConn net.Conn
+	dec     *decoder
+	mu      sync.Mutex
+	buf     bytes.Buffer
+	enc     *gob.Encoder
 }
 
-func newRawEnd(c net.Conn) *rawEnd {
-	e := &rawEnd{c: c, in: newDecoder(bufio.NewReader(c))}
-	e.enc = gob.NewEncoder(&e.buf)
-	return e
+func newRawConn(c net.Conn) *rawConn {
+	raw := &rawConn{netConn: c, dec: newDecoder(bufio.NewReader(c))}
+	raw.enc = gob.NewEncoder(&raw.buf)
+	return raw
 }
 
-// frame is the bytes of one message.
-func (e *rawEnd) frame(m envelope) []byte {
-	e.buf.Reset()
-	if err := e.enc.Encode(m); err != nil {
+// frame returns the encoded frame of a message.
+func (raw *rawConn) frame(m envelope) []byte {
+	raw.buf.Reset()
+	if err := raw.enc.Encode(m); err != nil {
 		panic(err)
 	}
-	return append(binary.BigEndian.AppendUint32(nil, uint32(e.buf.Len())), e.buf.Bytes()...)
+	return append(binary.BigEndian.AppendUint32(nil, uint32(raw.buf.Len())), raw.buf.Bytes()...)
 }
 
-func (e *rawEnd) say(m envelope) {
-	e.mu.Lock()
-	defer e.mu.Unlock()
-	e.c.Write(e.frame(m))
+func (raw *rawConn) send(m envelope) {
+	raw.mu.Lock()
+	defer raw.mu.Unlock()
+	raw.netConn.Write(raw.frame(m))
 }
 
-// sayHalf breaks off inside a message.
-func (e *rawEnd) sayHalf(m envelope, rng *rand.Rand) {
-	e.mu.Lock()
-	defer e.mu.Unlock()
-	b := e.frame(m)
-	e.c.Write(b[:rng.IntN(len(b))])
-	e.c.Close()
+// sendPartial sends a random prefix of a frame and closes the connection.
+func (raw *rawConn) sendPartial(m envelope, rng *rand.Rand) {
+	raw.mu.Lock()
+	defer raw.mu.Unlock()
+	b := raw.frame(m)
+	raw.netConn.Write(b[:rng.IntN(len(b))])
+	raw.netConn.Close()
 }
 
-// TestAnswersFindTheirWaiters is a seeded model test: callers at once ask over a held
-// connection that breaks and is opened again, at an address that changes hands. The
-// peer answers late, twice, in another order, what nobody asked, over another
-// connection, and half; it says in each answer whom it is for and which life gives it.
-// A question may go unanswered; it never gets another's answer, one of another life
-// than the one that took it, or one after its time, and it is handled once at most.
-func TestAnswersFindTheirWaiters(t *testing.T) {
-	const seeds, callers, calls, wait = 6, 8, 30, 40 * time.Millisecond
+// TestRepliesMatchRequests is a seeded model test. Concurrent callers send requests over a
+// Peer whose connection breaks and is reopened, while the server at its address is replaced
+// by new incarnations. The server sends replies late, twice, out of order, unrequested, over
+// another connection, or partially. Each reply contains its request and the incarnation that
+// sent it. A request may fail, but it must never receive the reply to another request, the
+// reply of an incarnation other than the one that handled it, or a reply after its timeout,
+// and it must be handled at most once.
+func TestRepliesMatchRequests(t *testing.T) {
+	const seeds, callers, calls, timeout = 6, 8, 30, 40 * time.Millisecond
 	var mu sync.Mutex
-	answered, struck := 0, map[string]int{}
+	answered, faults := 0, map[string]int{}
 	t.Run("seeds", func(t *testing.T) {
 		for seed := uint64(1); seed <= seeds; seed++ {
 			t.Run(fmt.Sprint(seed), func(t *testing.T) {
 				t.Parallel()
-				taken := map[string]string{} // question -> life that took it
-				var ends []*rawEnd           // of all lives, the dead ones too
-				type late struct {
-					seq uint64
-					q   string
+				handledBy := map[string]string{} // request -> incarnation that handled it
+				var conns []*rawConn             // of all incarnations, including those that have ended
+				type request struct {
+					seq  uint64
+					text string
 				}
-				var old []late // what connections before have asked
-				serve := func(l net.Listener, life string, rng *rand.Rand) {
+				var requests []request // received so far, on all connections
+				serve := func(l net.Listener, incarnation string, rng *rand.Rand) {
 					for {
 						c, err := l.Accept()
 						if err != nil {
 							return
 						}
-						e := newRawEnd(c)
+						raw := newRawConn(c)
 						mu.Lock()
-						ends = append(ends, e)
-						before := old[max(0, len(old)-20):]
+						conns = append(conns, raw)
+						earlier := requests[max(0, len(requests)-20):]
 						mu.Unlock()
 						go func() {
 							defer c.Close()
-							for _, o := range before { // another connection's, and often another life's
-								e.say(envelope{Seq: o.seq, Reply: true, Body: word{life + "|" + o.q}})
+							for _, r := range earlier { // of other connections, and often of other incarnations
+								raw.send(envelope{Seq: r.seq, Reply: true, Body: testMessage{incarnation + "|" + r.text}})
 							}
 							for n := 0; ; n++ {
-								m, err := e.in.next()
+								m, err := raw.dec.next()
 								if err != nil {
 									return
 								}
 								if m.Protocol > 0 {
-									continue // the greeting
+									continue // a greeting
 								}
-								q := m.Body.(word).S
-								a := envelope{Seq: m.Seq, Reply: true, Body: word{life + "|" + q}}
+								text := m.Body.(testMessage).S
+								reply := envelope{Seq: m.Seq, Reply: true, Body: testMessage{incarnation + "|" + text}}
 								mu.Lock()
-								if was, ok := taken[q]; ok {
-									t.Errorf("%s was taken by %s and by %s", q, was, life)
+								if previous, ok := handledBy[text]; ok {
+									t.Errorf("%s was handled by %s and by %s", text, previous, incarnation)
 								}
-								taken[q] = life
-								old = append(old, late{m.Seq, q})
-								other := ends[rng.IntN(len(ends))]
-								trouble := []string{"", "", "", "", "twice", "late", "after its time", "unasked", "elsewhere", "half", "closed before", "closed after", "never", "garbage"}[max(0, rng.IntN(24)-10)]
-								pause := time.Duration(rng.IntN(10)) * time.Millisecond
-								half := rand.New(rand.NewPCG(rng.Uint64(), 1))
-								struck[trouble]++
+								handledBy[text] = incarnation
+								requests = append(requests, request{m.Seq, text})
+								otherConn := conns[rng.IntN(len(conns))]
+								fault := []string{"", "", "", "", "duplicate", "delayed", "after timeout", "unrequested", "other connection", "partial", "closed before reply", "closed after reply", "no reply", "invalid input"}[max(0, rng.IntN(24)-10)]
+								delay := time.Duration(rng.IntN(10)) * time.Millisecond
+								partialRNG := rand.New(rand.NewPCG(rng.Uint64(), 1))
+								faults[fault]++
 								mu.Unlock()
-								switch trouble {
+								switch fault {
 								case "":
-									e.say(a)
-								case "twice":
-									e.say(a)
-									e.say(a)
-								case "late":
-									time.AfterFunc(pause, func() { e.say(a) })
-								case "after its time":
-									time.AfterFunc(wait+pause, func() { e.say(a) })
-								case "unasked":
-									e.say(envelope{Seq: m.Seq + 1<<40, Reply: true, Body: word{"nobody's"}})
-									e.say(envelope{Seq: 0, Reply: true, Body: word{"nobody's"}})
-									e.say(envelope{Seq: m.Seq, Reply: true, Body: a.Body})
-								case "elsewhere":
-									other.say(a)
-								case "half":
-									e.sayHalf(a, half)
+									raw.send(reply)
+								case "duplicate":
+									raw.send(reply)
+									raw.send(reply)
+								case "delayed":
+									time.AfterFunc(delay, func() { raw.send(reply) })
+								case "after timeout":
+									time.AfterFunc(timeout+delay, func() { raw.send(reply) })
+								case "unrequested":
+									raw.send(envelope{Seq: m.Seq + 1<<40, Reply: true, Body: testMessage{"unrequested"}})
+									raw.send(envelope{Seq: 0, Reply: true, Body: testMessage{"unrequested"}})
+									raw.send(envelope{Seq: m.Seq, Reply: true, Body: reply.Body})
+								case "other connection":
+									otherConn.send(reply)
+								case "partial":
+									raw.sendPartial(reply, partialRNG)
 									return
-								case "closed before":
+								case "closed before reply":
 									return
-								case "closed after":
-									e.say(a)
+								case "closed after reply":
+									raw.send(reply)
 									return
-								case "garbage":
-									e.mu.Lock()
+								case "invalid input":
+									raw.mu.Lock()
 									io.WriteString(c, "\x00\x00\x00\x05hello")
-									e.mu.Unlock()
+									raw.mu.Unlock()
 								}
 							}
 						}()
@@ -151,21 +153,21 @@
 					t.Fatal(err)
 				}
 				addr := l.Addr().String()
-				go serve(l, "life 1", rand.New(rand.NewPCG(seed, 1)))
-				over := make(chan bool)
-				var lives sync.WaitGroup
-				lives.Go(func() {
+				go serve(l, "incarnation 1", rand.New(rand.NewPCG(seed, 1)))
+				stop := make(chan bool)
+				var incarnations sync.WaitGroup
+				incarnations.Go(func() {
 					for n := uint64(2); ; n++ {
 						select {
-						case <-over:
+						case <-stop:
 							l.Close()
 							return
 						case <-time.After(80 * time.Millisecond):
 						}
-						l.Close() // the life ends with its connections; another has the address
+						l.Close() // the incarnation ends with its connections; the next one takes its address
 						mu.Lock()
-						for _, e := range ends {
-							e.c.Close()
+						for _, raw := range conns {
+							raw.netConn.Close()
 						}
 						mu.Unlock()
 						for {
@@ -174,7 +176,7 @@
 							}
 							time.Sleep(time.Millisecond)
 						}
-						go serve(l, fmt.Sprint("life ", n), rand.New(rand.NewPCG(seed, n)))
+						go serve(l, fmt.Sprint("incarnation ", n), rand.New(rand.NewPCG(seed, n)))
 					}
 				})
 				peer := NewPeer(addr, "127.0.0.1", nil)
@@ -182,47 +184,47 @@
 				for c := range callers {
 					wg.Go(func() {
 						for n := range calls {
-							q := fmt.Sprintf("%d-%d", c, n)
+							text := fmt.Sprintf("%d-%d", c, n)
 							conn := peer.Conn()
 							for ; conn == nil; conn = peer.Conn() {
 								time.Sleep(2 * time.Millisecond)
 							}
-							began := time.Now()
-							v, err := conn.Call(word{q}, wait)
-							took := time.Since(began)
+							start := time.Now()
+							v, err := conn.Call(testMessage{text}, timeout)
+							took := time.Since(start)
 							if err != nil {
 								continue
 							}
-							life, to, _ := strings.Cut(v.(word).S, "|")
+							incarnation, to, _ := strings.Cut(v.(testMessage).S, "|")
 							mu.Lock()
 							answered++
-							if to != q || taken[q] != life {
-								t.Errorf("seed %d: %s, taken by %q, was told %q", seed, q, taken[q], v)
+							if to != text || handledBy[text] != incarnation {
+								t.Errorf("seed %d: request %s, handled by %q, received reply %q", seed, text, handledBy[text], v)
 							}
 							mu.Unlock()
-							if took > wait+time.Second {
-								t.Errorf("seed %d: %s was answered after %v", seed, q, took)
+							if took > timeout+time.Second {
+								t.Errorf("seed %d: request %s was answered after %v", seed, text, took)
 							}
 						}
 					})
 				}
 				wg.Wait()
-				close(over)
-				lives.Wait()
+				close(stop)
+				incarnations.Wait()
 				peer.Disconnect()
 			})
 		}
 	})
-	mu.Lock() // the last life's connections may still be ending
+	mu.Lock() // connections of the last incarnation may still be closing
 	defer mu.Unlock()
 	if answered < seeds*callers*calls/5 {
-		t.Errorf("%d answers of %d questions: too few to mean anything", answered, seeds*callers*calls)
+		t.Errorf("only %d of %d requests were answered, too few for a meaningful test", answered, seeds*callers*calls)
 	}
-	t.Logf("%d answers of %d questions; %v", answered, seeds*callers*calls, struck)
+	t.Logf("%d of %d requests were answered; faults: %v", answered, seeds*callers*calls, faults)
 }
 
-// pair is a pipe and the raw end it speaks with.
-func pair(t *testing.T, h Handler) (*Conn, *rawEnd) {
+// pair returns a Conn and the raw remote end that it is connected to.
+func pair(t *testing.T, h Handler) (*Conn, *rawConn) {
 	l, err := net.Listen("tcp4", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
@@ -238,90 +240,90 @@
 		t.Fatal(err)
 	}
 	t.Cleanup(func() { c.Close() })
-	return conn, newRawEnd(c)
+	return conn, newRawConn(c)
 }
 
-// A connection that has been given up hands on no more words, though some have come
-// already: those of a later one may have been handed on before.
-func TestNothingIsHandedOnAfterTheEnd(t *testing.T) {
+// A connection that has been closed delivers no more messages, even those it has already
+// received: messages of a later connection may have been delivered before.
+func TestNoMessageIsDeliveredAfterClose(t *testing.T) {
 	var got []string
-	first, goOn, last := make(chan bool), make(chan bool), make(chan bool)
-	conn, e := pair(t, func(_ *Conn, body any) any {
-		got = append(got, body.(word).S)
+	first, resume, last := make(chan bool), make(chan bool), make(chan bool)
+	conn, raw := pair(t, func(_ *Conn, body any) any {
+		got = append(got, body.(testMessage).S)
 		if len(got) == 1 {
 			close(first)
-			<-goOn
+			<-resume
 		}
-		if body.(word).S == "last" {
+		if body.(testMessage).S == "last" {
 			close(last)
 		}
 		return nil
 	})
-	e.mu.Lock()
-	e.c.Write(append(append(e.frame(envelope{Body: word{"first"}}), e.frame(envelope{Body: word{"next"}})...), e.frame(envelope{Body: word{"last"}})...))
-	e.mu.Unlock()
+	raw.mu.Lock()
+	raw.netConn.Write(append(append(raw.frame(envelope{Body: testMessage{"first"}}), raw.frame(envelope{Body: testMessage{"next"}})...), raw.frame(envelope{Body: testMessage{"last"}})...))
+	raw.mu.Unlock()
 	<-first
 	conn.Close()
-	close(goOn)
+	close(resume)
 	select {
 	case <-last:
-		t.Errorf("after the end came %v", got[1:])
+		t.Errorf("delivered after close: %v", got[1:])
 	case <-time.After(200 * time.Millisecond):
 	}
 }
 
-// A frame holds one message and nothing else.
-func TestFrameIsOneMessage(t *testing.T) {
+// A frame with trailing data after its message is rejected, and the connection is closed.
+func TestFrameContainsOneMessage(t *testing.T) {
 	handled := make(chan string, 9)
-	conn, e := pair(t, func(_ *Conn, body any) any { handled <- body.(word).S; return nil })
-	one := e.frame(envelope{Body: word{"one"}})
-	two := e.frame(envelope{Body: word{"two"}})
+	conn, raw := pair(t, func(_ *Conn, body any) any { handled <- body.(testMessage).S; return nil })
+	one := raw.frame(envelope{Body: testMessage{"one"}})
+	two := raw.frame(envelope{Body: testMessage{"two"}})
 	both := append(binary.BigEndian.AppendUint32(nil, uint32(len(one)+len(two)-8)), one[4:]...)
-	e.c.Write(append(both, two[4:]...))
+	raw.netConn.Write(append(both, two[4:]...))
 	select {
 	case <-conn.Done():
 	case <-time.After(5 * time.Second):
-		t.Error("the connection goes on")
+		t.Error("the connection is still open")
 	}
 	if len(handled) > 0 {
-		t.Errorf("%q was handed on from a frame that goes on after it", <-handled)
+		t.Errorf("%q was delivered from a frame with trailing data", <-handled)
 	}
 }
 
-// An answer that came in time to a process that was not there to see its time end,
-// being frozen, is too old for whoever waits.
-func TestLateAnswerIsNone(t *testing.T) {
+// A reply that is read after the timeout is discarded, even if it arrived in time while the
+// process was suspended and the timer has not fired.
+func TestLateReplyIsDiscarded(t *testing.T) {
 	for range 10 {
-		lateAnswer(t)
+		testLateReply(t)
 	}
 }
 
-func lateAnswer(t *testing.T) {
-	conn, e := pair(t, nil)
-	conn.queueMu.Lock() // the caller stands still between asking and looking
+func testLateReply(t *testing.T) {
+	conn, raw := pair(t, nil)
+	conn.queueMu.Lock() // suspends the caller between registering its request and waiting for the reply
 	conn.mu.Lock()
-	next := conn.seq + 1
+	seq := conn.seq + 1
 	conn.mu.Unlock()
 	done := make(chan error, 1)
 	go func() {
-		_, err := conn.Call(word{"q"}, 20*time.Millisecond)
+		_, err := conn.Call(testMessage{"q"}, 20*time.Millisecond)
 		done <- err
 	}()
-	asked := func() bool {
+	isPending := func() bool {
 		conn.mu.Lock()
 		defer conn.mu.Unlock()
-		return conn.pending[next] != nil
+		return conn.pending[seq] != nil
 	}
-	for !asked() {
+	for !isPending() {
 		time.Sleep(time.Millisecond)
 	}
-	e.say(envelope{Seq: next, Reply: true, Body: word{"old"}})
-	for asked() {
+	raw.send(envelope{Seq: seq, Reply: true, Body: testMessage{"old"}})
+	for isPending() {
 		time.Sleep(time.Millisecond)
 	}
 	time.Sleep(30 * time.Millisecond)
 	conn.queueMu.Unlock()
 	if err := <-done; err != ErrTimeout {
-		t.Errorf("an answer after its time: %v", err)
+		t.Errorf("Call with a late reply returned %v", err)
 	}
 }
--- a/internal/transport/protocol.go
+++ b/internal/transport/protocol.go
@@ -6,29 +6,32 @@
 	"sync/atomic"
 )
 
-// Protocol is what one end supports: all versions from Oldest to Newest. A message, or a
-// field of one, may be added without a new version: gob leaves out what the receiver's
-// type does not have, and what the sender did not send stays zero. Whatever changes the
-// meaning of what is there, or takes away what an older build needs, gets a new one.
+// Protocol is the range of protocol versions that one end supports, from Oldest to Newest.
+// A message or a field of one may be added without a new version: gob skips fields that the
+// receiver's type lacks, and fields that the sender did not send stay zero. Changing the
+// meaning of a message or field, or removing one that an older build needs, requires a new
+// version.
 type Protocol struct{ Newest, Oldest uint64 }
 
-// ours: version 1 brought greetings, and has the messages of the builds before, which
-// count as 0.
-var ours = Protocol{Newest: 1, Oldest: 0}
+// localProtocol is what this build supports. Version 1 introduced the greeting. Version 0
+// stands for the builds before it, which use the same messages.
+var localProtocol = Protocol{Newest: 1, Oldest: 0}
 
-var greeting = envelope{Reply: true, Protocol: ours.Newest, Oldest: ours.Oldest}
+var greeting = envelope{Reply: true, Protocol: localProtocol.Newest, Oldest: localProtocol.Oldest}
 
-// protocolOf is what the sender of a connection's first envelope supports; one without a
-// greeting supports 0 only.
+// protocolOf returns the versions announced by the first envelope of a connection. An
+// envelope that is not a greeting announces version 0 only.
 func protocolOf(e envelope) Protocol { return Protocol{Newest: e.Protocol, Oldest: e.Oldest} }
 
-// speaksWith says whether two ends have a version in common.
-func (p Protocol) speaksWith(o Protocol) bool { return p.Newest >= o.Oldest && o.Newest >= p.Oldest }
+// compatibleWith reports whether two ends have a version in common.
+func (p Protocol) compatibleWith(o Protocol) bool {
+	return p.Newest >= o.Oldest && o.Newest >= p.Oldest
+}
 
-// IncompatiblePeer is given to the Handler in place of a message when the other end's build
-// has no version in common with this one; the connection then ends. It is given once for
-// each machine and what it supports. Nothing is lost by it: each end works on with what it
-// knows, as with a machine that is down.
+// IncompatiblePeer is passed to the Handler in place of a message when the remote build has
+// no protocol version in common with this one; the connection is then closed. It is passed
+// once for each address and version range. Both ends continue with the state they have, as
+// if the other machine were down.
 type IncompatiblePeer struct {
 	Peer   string // its address
 	Remote Protocol
@@ -36,29 +39,31 @@
 }
 
 func (i IncompatiblePeer) String() string {
-	side := "that build is the older one"
+	older := "the remote build is the older one"
 	if i.Remote.Oldest > i.Local.Newest {
-		side = "this build is the older one"
+		older = "this build is the older one"
 	}
-	return fmt.Sprintf("%s speaks protocol %d to %d, this process %d to %d: %s", i.Peer, i.Remote.Oldest, i.Remote.Newest, i.Local.Oldest, i.Local.Newest, side)
+	return fmt.Sprintf("%s supports protocol versions %d to %d, this process %d to %d: %s", i.Peer, i.Remote.Oldest, i.Remote.Newest, i.Local.Oldest, i.Local.Newest, older)
 }
 
-// IncompatibleConns counts connections that ended because no version is in common.
+// IncompatibleConns counts connections that were closed because the ends have no protocol
+// version in common.
 var IncompatibleConns atomic.Uint64
 
-// reported holds what each machine supported when it was last reported as incompatible.
-var reported sync.Map // address -> Protocol
+// reportedIncompatible holds the versions with which each peer was last reported as
+// incompatible.
+var reportedIncompatible sync.Map // address -> Protocol
 
-// refuse reports a peer that supports no version of ours, and sees to it that it learns
-// what is spoken here before the connection ends.
-func (conn *Conn) refuse(theirs Protocol) {
+// rejectPeer reports an incompatible peer and closes the connection after the greeting has
+// been written, so that the peer learns the versions supported here.
+func (conn *Conn) rejectPeer(remote Protocol) {
 	IncompatibleConns.Add(1)
-	if before, known := reported.Swap(conn.Remote, theirs); conn.handle != nil && (!known || before != theirs) {
-		conn.handle(conn, IncompatiblePeer{Peer: conn.Remote, Remote: theirs, Local: ours})
+	if previous, known := reportedIncompatible.Swap(conn.Remote, remote); conn.handler != nil && (!known || previous != remote) {
+		conn.handler(conn, IncompatiblePeer{Peer: conn.Remote, Remote: remote, Local: localProtocol})
 	}
-	conn.closing.Store(true)
+	conn.closeAfterFlush.Store(true)
 	select {
-	case conn.queued <- struct{}{}:
+	case conn.wakeWriter <- struct{}{}:
 	default:
 	}
 	<-conn.done
--- a/internal/transport/transport.go
+++ b/internal/transport/transport.go
@@ -1,5 +1,5 @@
-// Package transport carries gob messages between the system's own processes, in bounded
-// frames over held TCP connections.
+// Package transport exchanges gob messages between the processes of the system, in
+// length-prefixed frames of bounded size over persistent TCP connections.
 package transport
 
 import (
@@ -20,9 +20,10 @@
 	"slateridge/internal/constants"
 )
 
-// envelope carries one message. Seq 0 is a message that wants no answer. The first on a
-// connection is each end's greeting: a reply to nothing, which builds without greetings
-// pass over; Protocol and Oldest are the newest and the oldest it supports.
+// envelope carries one message. Seq 0 marks a message that expects no reply. The first
+// envelope that each end sends is its greeting: a reply to no request, which builds before
+// the greeting ignore. Its Protocol and Oldest are the newest and the oldest protocol
+// version that the sender supports.
 type envelope struct {
 	Seq      uint64
 	Reply    bool
@@ -31,56 +32,56 @@
 	Oldest   uint64
 }
 
-// Traffic counts the bytes and messages of all own connections of this process.
+// Traffic counts the bytes and messages on all connections of this process.
 var Traffic struct{ InBytes, OutBytes, In, Out atomic.Uint64 }
 
-// Malformed counts input that was no message; such connections are closed.
+// Malformed counts connections that were closed because of invalid input.
 var Malformed atomic.Uint64
 
 var (
-	// ErrClosed says that the connection was closed, by either end.
+	// ErrClosed is returned if the connection was closed by either end.
 	ErrClosed = errors.New("connection closed")
-	// ErrTimeout says that no answer came in time.
-	ErrTimeout = errors.New("no answer in time")
-	// ErrRefused says that nobody listens there: the process is not running.
+	// ErrTimeout is returned if no reply arrived within the timeout.
+	ErrTimeout = errors.New("request timed out")
+	// ErrRefused is returned if no process listens on the peer's address.
 	ErrRefused = errors.New("connection refused")
 )
 
-// Conn is one connection, either end.
+// Conn is either end of a connection.
 type Conn struct {
-	netConn net.Conn
-	queueMu sync.Mutex
-	queue   []envelope    // waiting to be written; bounded
-	queued  chan struct{} // says that there is something
-	done    chan struct{}
-	once    sync.Once
-	mu      sync.Mutex
-	seq     uint64
-	pending map[uint64]chan any
-	handle  Handler
-	closing atomic.Bool // what waits to be written is the last
-	Remote  string
+	netConn         net.Conn
+	queueMu         sync.Mutex
+	queue           []envelope    // waiting to be written; bounded
+	wakeWriter      chan struct{} // signals that queue is not empty
+	done            chan struct{}
+	closeOnce       sync.Once
+	mu              sync.Mutex
+	seq             uint64
+	pending         map[uint64]chan any
+	handler         Handler
+	closeAfterFlush atomic.Bool // close once the queue has been written
+	Remote          string
 }
 
-// Handler takes a message; what it returns is the answer where one is wanted.
+// Handler handles a message. Its result is sent as the reply if the sender expects one.
 type Handler func(conn *Conn, body any) any
 
 func newConn(c net.Conn, h Handler) *Conn {
 	host, _, _ := net.SplitHostPort(c.RemoteAddr().String())
-	conn := &Conn{netConn: c, queued: make(chan struct{}, 1), done: make(chan struct{}),
-		seq: uint64(rand.Uint32()), pending: map[uint64]chan any{}, handle: h, Remote: host}
-	conn.queue = []envelope{greeting} // goes with the first message
+	conn := &Conn{netConn: c, wakeWriter: make(chan struct{}, 1), done: make(chan struct{}),
+		seq: uint64(rand.Uint32()), pending: map[uint64]chan any{}, handler: h, Remote: host}
+	conn.queue = []envelope{greeting} // written together with the first message
 	go conn.writer()
 	go conn.reader()
 	return conn
 }
 
-// Close ends the connection.
+// Close closes the connection. It may be called more than once.
 func (conn *Conn) Close() {
-	conn.once.Do(func() { close(conn.done); conn.netConn.Close() })
+	conn.closeOnce.Do(func() { close(conn.done); conn.netConn.Close() })
 }
 
-// Done is closed when the connection has ended.
+// Done returns a channel that is closed when the connection is closed.
 func (conn *Conn) Done() <-chan struct{} { return conn.done }
 
 func (conn *Conn) enqueue(e envelope) error {
@@ -95,39 +96,40 @@
 		conn.queue = append(conn.queue, e)
 	}
 	conn.queueMu.Unlock()
-	if full { // the peer does not read
+	if full { // the peer is not reading
 		conn.Close()
 		return ErrClosed
 	}
 	select {
-	case conn.queued <- struct{}{}:
-	default: // the writer has been woken already
+	case conn.wakeWriter <- struct{}{}:
+	default: // the writer has already been woken
 	}
 	return nil
 }
 
-// takeQueue takes what is to be written. A queue that stands empty holds no memory:
-// a control machine has hundreds.
-func (conn *Conn) takeQueue() []envelope {
+// drainQueue returns the queued envelopes and releases the memory of the queue, as a
+// control-plane machine has hundreds of connections.
+func (conn *Conn) drainQueue() []envelope {
 	conn.queueMu.Lock()
 	defer conn.queueMu.Unlock()
-	es := conn.queue
+	batch := conn.queue
 	conn.queue = nil
-	return es
+	return batch
 }
 
-// Send passes a message on and does not wait.
+// Send queues a message that expects no reply.
 func (conn *Conn) Send(body any) error { return conn.enqueue(envelope{Body: body}) }
 
-// Call sends a message and waits for its answer. What ties the two is the connection,
-// and on it a number: counted up, and begun at random, so that numbers of other
-// connections and of other incarnations differ too. An answer that comes after its
-// time is none, also where this process was not there to see the time end.
+// Call sends a message and waits for its reply. A reply is matched to its request by a
+// sequence number within the connection. The numbers start at a random value, so that they
+// also differ from those of other connections and other incarnations of the process. A
+// reply that arrives after the timeout is discarded, even if this process was suspended
+// when the timeout expired.
 func (conn *Conn) Call(body any, timeout time.Duration) (any, error) {
 	ch := make(chan any, 1)
-	began := time.Now()
-	t := time.NewTimer(timeout)
-	defer t.Stop()
+	start := time.Now()
+	timer := time.NewTimer(timeout)
+	defer timer.Stop()
 	conn.mu.Lock()
 	conn.seq++
 	id := conn.seq
@@ -139,11 +141,11 @@
 	}
 	select {
 	case v := <-ch:
-		if time.Since(began) > timeout {
+		if time.Since(start) > timeout {
 			return nil, ErrTimeout
 		}
 		return v, nil
-	case <-t.C:
+	case <-timer.C:
 		return nil, ErrTimeout
 	case <-conn.done:
 		return nil, ErrClosed
@@ -159,58 +161,59 @@
 		select {
 		case <-conn.done:
 			return
-		case <-conn.queued:
+		case <-conn.wakeWriter:
 		}
-		for es := conn.takeQueue(); len(es) > 0; es = conn.takeQueue() {
-			for _, e := range es {
+		for batch := conn.drainQueue(); len(batch) > 0; batch = conn.drainQueue() {
+			for _, e := range batch {
 				buf.Reset()
 				if err := enc.Encode(e); err != nil || buf.Len() > constants.FrameMax {
 					return
 				}
-				var n [4]byte
-				binary.BigEndian.PutUint32(n[:], uint32(buf.Len()))
-				w.Write(n[:])
+				var size [4]byte
+				binary.BigEndian.PutUint32(size[:], uint32(buf.Len()))
+				w.Write(size[:])
 				w.Write(buf.Bytes())
 				Traffic.Out.Add(1)
 				Traffic.OutBytes.Add(uint64(buf.Len()) + 4)
 			}
 		}
-		if w.Flush() != nil || conn.closing.Load() {
+		if w.Flush() != nil || conn.closeAfterFlush.Load() {
 			return
 		}
 		if buf.Cap() > constants.EncodeBufferKept {
-			buf = bytes.Buffer{} // one long message must not be paid for for ever
+			buf = bytes.Buffer{} // do not keep the memory of one large message for the life of the connection
 		}
 	}
 }
 
-// frameReader gives gob the bytes of whole, bounded frameReader only.
+// frameReader strips the framing from a byte stream. It rejects frames that are too long
+// and messages that span more than one frame.
 type frameReader struct {
 	r         *bufio.Reader
-	remaining uint32
-	atStart   bool // a message may begin: the next frame is its whole
+	remaining uint32 // unread bytes of the current frame
+	atStart   bool   // the decoder is about to read a new message, so a new frame may start
 }
 
 func (f *frameReader) Read(b []byte) (int, error) {
 	for f.remaining == 0 {
 		if !f.atStart {
-			return 0, errors.New("frame ends inside a message")
+			return 0, errors.New("message exceeds its frame")
 		}
 		f.atStart = false
-		var n [4]byte
-		for i := range n {
+		var size [4]byte
+		for i := range size {
 			c, err := f.r.ReadByte()
 			if err != nil {
 				return 0, err
 			}
-			n[i] = c
+			size[i] = c
 		}
-		f.remaining = binary.BigEndian.Uint32(n[:])
+		f.remaining = binary.BigEndian.Uint32(size[:])
 		Traffic.In.Add(1)
 		Traffic.InBytes.Add(uint64(f.remaining) + 4)
 		if f.remaining > constants.FrameMax {
 			Malformed.Add(1)
-			return 0, errors.New("frame too long")
+			return 0, errors.New("frame exceeds the maximum size")
 		}
 	}
 	if uint32(len(b)) > f.remaining {
@@ -231,7 +234,7 @@
 	}
 }
 
-// decoder reads messages from a connection's bytes.
+// decoder decodes the messages of a connection.
 type decoder struct {
 	frames *frameReader
 	gob    *gob.Decoder
@@ -242,23 +245,23 @@
 	return &decoder{f, gob.NewDecoder(f)}
 }
 
-// next reads one message, which is one frame's whole.
-func (i *decoder) next() (e envelope, err error) {
-	i.frames.atStart = true
-	if err := i.gob.Decode(&e); err != nil {
+// next decodes one message, which must fill its frame exactly.
+func (d *decoder) next() (e envelope, err error) {
+	d.frames.atStart = true
+	if err := d.gob.Decode(&e); err != nil {
 		return envelope{}, err
 	}
-	if i.frames.remaining > 0 {
-		return envelope{}, errors.New("frame goes on after its message")
+	if d.frames.remaining > 0 {
+		return envelope{}, errors.New("trailing data after the message in a frame")
 	}
 	return e, nil
 }
 
 func (conn *Conn) reader() {
 	defer conn.Close()
-	in := newDecoder(conn.netConn)
+	dec := newDecoder(conn.netConn)
 	for first := true; ; first = false {
-		e, err := in.next()
+		e, err := dec.next()
 		if err != nil {
 			var ne net.Error
 			if !errors.As(err, &ne) && !errors.Is(err, net.ErrClosed) && err.Error() != "EOF" {
@@ -268,11 +271,11 @@
 		}
 		select {
 		case <-conn.done:
-			return // what was still under way is lost: a later connection's messages may have come before it
+			return // drop the rest: messages of a later connection may already have been handled
 		default:
 		}
-		if first && !ours.speaksWith(protocolOf(e)) {
-			conn.refuse(protocolOf(e))
+		if first && !localProtocol.compatibleWith(protocolOf(e)) {
+			conn.rejectPeer(protocolOf(e))
 			return
 		}
 		if e.Reply {
@@ -285,22 +288,23 @@
 			}
 			continue
 		}
-		if conn.handle == nil {
+		if conn.handler == nil {
 			continue
 		}
 		if e.Seq == 0 {
-			conn.handle(conn, e.Body)
+			conn.handler(conn, e.Body)
 			continue
 		}
 		go func() {
-			if v := conn.handle(conn, e.Body); v != nil {
+			if v := conn.handler(conn, e.Body); v != nil {
 				conn.enqueue(envelope{Seq: e.Seq, Reply: true, Body: v})
 			}
 		}()
 	}
 }
 
-// setUserTimeout sets what lets a held connection notice a silent peer.
+// setUserTimeout sets TCP_USER_TIMEOUT, so that writes on a connection fail if the peer has
+// stopped acknowledging data.
 func setUserTimeout(_, _ string, rc syscall.RawConn) error {
 	const tcpUserTimeout = 18
 	rc.Control(func(fd uintptr) {
@@ -311,10 +315,10 @@
 
 var keepAlive = net.KeepAliveConfig{Enable: true, Idle: constants.LinkSilence, Interval: time.Second, Count: 2}
 
-// Dial opens a connection from this machine's own address, by which the peer
-// knows it; h takes what the peer sends unasked.
-func Dial(addr, from string, h Handler) (*Conn, error) {
-	d := net.Dialer{Timeout: constants.DialTimeout, Control: setUserTimeout, KeepAliveConfig: keepAlive, LocalAddr: &net.TCPAddr{IP: net.ParseIP(from)}}
+// Dial opens a connection from the local IP address localAddr, by which the peer identifies
+// this machine. h handles the messages of the peer that are not replies.
+func Dial(addr, localAddr string, h Handler) (*Conn, error) {
+	d := net.Dialer{Timeout: constants.DialTimeout, Control: setUserTimeout, KeepAliveConfig: keepAlive, LocalAddr: &net.TCPAddr{IP: net.ParseIP(localAddr)}}
 	c, err := d.Dial("tcp4", addr)
 	if err != nil {
 		return nil, err
@@ -322,15 +326,15 @@
 	return newConn(c, h), nil
 }
 
-// Serve takes connections until the listener is closed, and ends those it took
-// with it.
+// Serve accepts connections until the listener is closed, and then closes those it has
+// accepted.
 func Serve(l net.Listener, h Handler) error {
 	var mu sync.Mutex
-	open := map[*Conn]bool{}
+	conns := map[*Conn]bool{}
 	defer func() {
 		mu.Lock()
 		defer mu.Unlock()
-		for conn := range open {
+		for conn := range conns {
 			conn.Close()
 		}
 	}()
@@ -345,41 +349,43 @@
 		}
 		conn := newConn(c, h)
 		mu.Lock()
-		open[conn] = true
+		conns[conn] = true
 		mu.Unlock()
 		go func() {
 			<-conn.Done()
 			mu.Lock()
-			delete(open, conn)
+			delete(conns, conn)
 			mu.Unlock()
 		}()
 	}
 }
 
-// Listen opens the listening socket.
+// Listen opens a listening socket.
 func Listen(addr string) (net.Listener, error) {
 	lc := net.ListenConfig{Control: setUserTimeout, KeepAliveConfig: keepAlive}
 	return lc.Listen(context.Background(), "tcp4", addr)
 }
 
-// Peer is a held connection to one peer, opened again when it ends.
+// Peer is a persistent connection to one peer. It is reopened on use after it has closed.
 type Peer struct {
-	addr      string
-	from      string
-	handler   Handler
-	mu        sync.Mutex
-	conn      *Conn
-	dialAfter time.Time
-	dialing   bool
-	refused   bool // the last attempt was refused
-	waiting   []any
+	addr        string
+	localAddr   string
+	handler     Handler
+	mu          sync.Mutex
+	conn        *Conn
+	nextDial    time.Time // no attempt before this time
+	dialing     bool
+	dialRefused bool  // the last attempt was refused
+	unsent      []any // messages to send once the current attempt succeeds
 }
 
-// NewPeer makes a held connection; it opens with the first use.
-func NewPeer(addr, from string, h Handler) *Peer { return &Peer{addr: addr, from: from, handler: h} }
+// NewPeer returns a Peer that connects on first use.
+func NewPeer(addr, localAddr string, h Handler) *Peer {
+	return &Peer{addr: addr, localAddr: localAddr, handler: h}
+}
 
-// Conn is the open connection, or nil while there is none; asking for it
-// starts the next attempt in the background.
+// Conn returns the open connection. If there is none, it returns nil and starts an attempt
+// to connect in the background.
 func (peer *Peer) Conn() *Conn {
 	peer.mu.Lock()
 	defer peer.mu.Unlock()
@@ -391,28 +397,29 @@
 			return peer.conn
 		}
 	}
-	if !peer.dialing && time.Now().After(peer.dialAfter) {
+	if !peer.dialing && time.Now().After(peer.nextDial) {
 		peer.dialing = true
 		go func() {
-			conn, err := Dial(peer.addr, peer.from, peer.handler)
+			conn, err := Dial(peer.addr, peer.localAddr, peer.handler)
 			peer.mu.Lock()
 			defer peer.mu.Unlock()
-			peer.dialing, peer.dialAfter = false, time.Now().Add(constants.RedialPause)
-			peer.refused = errors.Is(err, syscall.ECONNREFUSED)
+			peer.dialing, peer.nextDial = false, time.Now().Add(constants.RedialPause)
+			peer.dialRefused = errors.Is(err, syscall.ECONNREFUSED)
 			if err == nil {
 				peer.conn = conn
-				for _, b := range peer.waiting {
-					conn.Send(b)
+				for _, body := range peer.unsent {
+					conn.Send(body)
 				}
 			}
-			peer.waiting = nil
+			peer.unsent = nil
 		}()
 	}
 	return nil
 }
 
-// Send passes a message on; while the connection is being opened a few wait
-// with it, and if it cannot be opened they are lost, as any message may be.
+// Send queues a message that expects no reply. While the connection is being opened, a few
+// messages are kept until it is open; if the attempt fails they are lost, as any message
+// may be.
 func (peer *Peer) Send(body any) {
 	if conn := peer.Conn(); conn != nil {
 		conn.Send(body)
@@ -422,18 +429,19 @@
 	defer peer.mu.Unlock()
 	if peer.conn != nil {
 		peer.conn.Send(body)
-	} else if peer.dialing && len(peer.waiting) < 16 {
-		peer.waiting = append(peer.waiting, body)
+	} else if peer.dialing && len(peer.unsent) < 16 {
+		peer.unsent = append(peer.unsent, body)
 	}
 }
 
-// Call sends and waits; it fails at once while there is no connection.
+// Call sends a message and waits for its reply. It fails immediately if there is no
+// connection.
 func (peer *Peer) Call(body any, timeout time.Duration) (any, error) {
 	conn := peer.Conn()
 	if conn == nil {
 		peer.mu.Lock()
 		defer peer.mu.Unlock()
-		if peer.refused {
+		if peer.dialRefused {
 			return nil, ErrRefused
 		}
 		return nil, ErrClosed
@@ -441,7 +449,7 @@
 	return conn.Call(body, timeout)
 }
 
-// Disconnect ends the open connection, if any.
+// Disconnect closes the open connection, if any.
 func (peer *Peer) Disconnect() {
 	peer.mu.Lock()
 	defer peer.mu.Unlock()
--- a/internal/transport/transport_test.go
+++ b/internal/transport/transport_test.go
@@ -10,10 +10,12 @@
 	"slateridge/internal/constants"
 )
 
-type word struct{ S string }
+// testMessage is a message with a text.
+type testMessage struct{ S string }
 
-func init() { Register("test.word", word{}) }
+func init() { Register("test.message", testMessage{}) }
 
+// serve starts a server that replies to a testMessage with its text in upper case.
 func serve(t *testing.T) net.Listener {
 	l, err := Listen("127.0.0.1:0")
 	if err != nil {
@@ -21,51 +23,51 @@
 	}
 	t.Cleanup(func() { l.Close() })
 	go Serve(l, func(_ *Conn, body any) any {
-		if w, ok := body.(word); ok {
-			return word{strings.ToUpper(w.S)}
+		if m, ok := body.(testMessage); ok {
+			return testMessage{strings.ToUpper(m.S)}
 		}
 		return nil
 	})
 	return l
 }
 
-// Garbage ends its connection, is counted, and harms no other.
-func TestGarbageIsDropped(t *testing.T) {
+// Invalid input closes its connection and is counted. Other connections are not affected.
+func TestInvalidInputClosesTheConnection(t *testing.T) {
 	l := serve(t)
 	good, err := Dial(l.Addr().String(), "127.0.0.1", nil)
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer good.Close()
-	long := make([]byte, 4)
-	binary.BigEndian.PutUint32(long, constants.FrameMax+1)
-	short := append([]byte{0, 0, 0, 9}, "not a gob"...)
-	for _, junk := range [][]byte{long, short} {
+	tooLong := make([]byte, 4)
+	binary.BigEndian.PutUint32(tooLong, constants.FrameMax+1)
+	notGob := append([]byte{0, 0, 0, 9}, "not a gob"...)
+	for _, input := range [][]byte{tooLong, notGob} {
 		before := Malformed.Load()
 		c, err := net.Dial("tcp4", l.Addr().String())
 		if err != nil {
 			t.Fatal(err)
 		}
-		c.Write(junk)
+		c.Write(input)
 		c.SetReadDeadline(time.Now().Add(10 * time.Second))
 		if n, err := c.Read(make([]byte, 1)); n != 0 || err == nil {
-			t.Fatal("garbage was answered")
+			t.Fatal("invalid input was answered")
 		} else if ne, ok := err.(net.Error); ok && ne.Timeout() {
-			t.Fatal("the connection stayed open")
+			t.Fatal("the connection is still open after invalid input")
 		}
 		c.Close()
 		if Malformed.Load() == before {
-			t.Error("garbage was not counted")
+			t.Error("invalid input was not counted")
 		}
 	}
-	if v, err := good.Call(word{"still here"}, 10*time.Second); err != nil || v.(word).S != "STILL HERE" {
-		t.Fatalf("the other connection: %v %v", v, err)
+	if v, err := good.Call(testMessage{"ping"}, 10*time.Second); err != nil || v.(testMessage).S != "PING" {
+		t.Fatalf("reply on the other connection: %v, %v", v, err)
 	}
 }
 
-// A peer that does not read loses its connection; it does not hold up or fill
-// this process.
-func TestSlowReaderIsDropped(t *testing.T) {
+// The connection to a peer that does not read is closed once its send queue is full, so
+// that the peer neither blocks this process nor fills its memory.
+func TestSlowReaderIsDisconnected(t *testing.T) {
 	l, err := net.Listen("tcp4", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
@@ -75,12 +77,12 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	big := word{strings.Repeat("x", 64<<10)}
+	large := testMessage{strings.Repeat("x", 64<<10)}
 	for range 100 * constants.SendQueue {
-		if conn.Send(big) != nil {
+		if conn.Send(large) != nil {
 			<-conn.Done()
 			return
 		}
 	}
-	t.Fatal("the queue has no bound")
+	t.Fatal("the send queue is not bounded")
 }
