--- a/internal/storage/crash_test.go
+++ b/internal/storage/crash_test.go
@@ -9,247 +9,251 @@
 	"testing"
 )
 
-// truth is what the store's user knows: by key the value acknowledged last, and
-// those whose Put began after it and has no outcome.
-type truth struct {
-	acked    map[string]string
-	underWay map[string][]string
+// expectedState is what a store may contain for each key: the value that was
+// acknowledged last, or one whose Put was started later and has no known outcome.
+type expectedState struct {
+	acked   map[string]string
+	pending map[string][]string
 }
 
-func newTruth() *truth { return &truth{map[string]string{}, map[string][]string{}} }
+func newExpectedState() *expectedState {
+	return &expectedState{map[string]string{}, map[string][]string{}}
+}
 
 var keys = []string{"a", "b"}
 
-func get(c *Store, key string) string {
+func get(store *Store, key string) string {
 	var s string
-	c.Get(key, &s)
+	store.Get(key, &s)
 	return s
 }
 
-// holds says what is wrong with a store that was opened after an end.
-func (w *truth) holds(c *Store) error {
+// verify returns an error if a reopened store contains an unexpected value.
+func (e *expectedState) verify(store *Store) error {
 	for _, k := range keys {
-		if got := get(c, k); got != w.acked[k] && !slices.Contains(w.underWay[k], got) {
-			return fmt.Errorf("%s is %q; acknowledged %q, under way %q", k, got, w.acked[k], w.underWay[k])
+		if got := get(store, k); got != e.acked[k] && !slices.Contains(e.pending[k], got) {
+			return fmt.Errorf("%s is %q; acknowledged %q, pending %q", k, got, e.acked[k], e.pending[k])
 		}
 	}
 	return nil
 }
 
-// shown takes what an opened store shows for acknowledged: its user acts on it.
-func (w *truth) shown(c *Store) {
+// acknowledge marks the values of a store that was opened as acknowledged, because its
+// user acts on them.
+func (e *expectedState) acknowledge(store *Store) {
 	for _, k := range keys {
-		if s := get(c, k); s != "" {
-			w.acked[k] = s
+		if s := get(store, k); s != "" {
+			e.acked[k] = s
 		}
 	}
-	clear(w.underWay)
+	clear(e.pending)
 }
 
-// user works with a store on a model disk until its process ends.
+// user is a process that uses a store on a disk model until it is stopped.
 type user struct {
-	t    *testing.T
-	d    *disk
-	w    *truth
-	c    *Store
-	what string
+	t        *testing.T
+	disk     *disk
+	expected *expectedState
+	store    *Store
+	name     string // describes the test case in failure messages
 }
 
 func (u *user) fail(f string, a ...any) {
 	u.t.Helper()
-	u.t.Fatalf("%s, at operation %d (%s): %s", u.what, u.d.ops, u.d.lastKind, fmt.Sprintf(f, a...))
+	u.t.Fatalf("%s, at operation %d (%s): %s", u.name, u.disk.ops, u.disk.lastOp, fmt.Sprintf(f, a...))
 }
 
 func (u *user) open() bool {
-	c, _, err := open(u.d)
-	if u.d.stopped {
+	store, _, err := open(u.disk)
+	if u.disk.stopped {
 		return false
 	}
 	if err != nil {
 		u.fail("does not open: %v", err)
 	}
-	c.compactFloor = 300 // small enough that puts compact
-	u.c = c
-	u.w.shown(c)
+	store.compactMinSize = 300 // small enough that puts compact
+	u.store = store
+	u.expected.acknowledge(store)
 	return true
 }
 
 func (u *user) put(key, val string) error {
-	if u.d.stopped {
+	if u.disk.stopped {
 		return errStopped
 	}
-	u.w.underWay[key] = append(u.w.underWay[key], val)
-	err := u.c.Put(key, val)
-	if u.d.stopped {
+	u.expected.pending[key] = append(u.expected.pending[key], val)
+	err := u.store.Put(key, val)
+	if u.disk.stopped {
 		return errStopped
 	}
 	if err == nil {
-		u.w.acked[key] = val
-		delete(u.w.underWay, key)
+		u.expected.acked[key] = val
+		delete(u.expected.pending, key)
 	} else if !errors.Is(err, ErrWriteFailed) {
-		u.fail("the error is not ErrSick: %v", err)
+		u.fail("the error is not ErrWriteFailed: %v", err)
 	}
-	if got := get(u.c, key); got != u.w.acked[key] {
-		u.fail("in this life %s is %q, acknowledged %q", key, got, u.w.acked[key])
+	if got := get(u.store, key); got != u.expected.acked[key] {
+		u.fail("before a restart %s is %q, acknowledged %q", key, got, u.expected.acked[key])
 	}
 	return err
 }
 
-func (u *user) mend() error {
-	if u.d.stopped {
+func (u *user) recover() error {
+	if u.disk.stopped {
 		return errStopped
 	}
-	err := u.c.Recover()
-	if err == nil && !u.d.stopped {
-		clear(u.w.underWay)
-		if u.c.Failed() {
-			u.fail("sick after mending")
+	err := u.store.Recover()
+	if err == nil && !u.disk.stopped {
+		clear(u.expected.pending)
+		if u.store.Failed() {
+			u.fail("the store is failed after Recover succeeded")
 		}
 	}
 	return err
 }
 
-// script is "put, put, rewrite, put, mend" and what belongs to it: two puts, a
-// rewriting, puts that bring one about by themselves, one that the disk refuses
-// in the given manner, mending, a put.
-func (u *user) script(refused string, short, forgets bool) {
+// runScript performs two puts, a compaction, puts that trigger another compaction, one
+// put that fails in the given way, a recovery and a last put.
+func (u *user) runScript(failOp string, shortWrites, failedSyncDrops bool) {
 	if !u.open() {
 		return
 	}
 	u.put("a", "a1")
 	u.put("b", "b1")
-	if !u.d.stopped {
-		u.c.compact()
+	if !u.disk.stopped {
+		u.store.compact()
 	}
 	u.put("a", "a2 longer than the first")
 	u.put("b", "b2")
-	u.put("b", "b3 which has some length, so that it is soon rewritten")
-	if !u.d.stopped {
-		u.d.short, u.d.forgets = short, forgets
-		u.d.refuse = func(op string, _ int) bool { return op == refused }
+	u.put("b", "b3 which has some length, so that it is soon compacted")
+	if !u.disk.stopped {
+		u.disk.shortWrites, u.disk.failedSyncDrops = shortWrites, failedSyncDrops
+		u.disk.fail = func(op string, _ int) bool { return op == failOp }
 		if u.put("a", "a3 refused") == nil {
-			u.fail("a put that was refused by the disk was acknowledged")
+			u.fail("a put that failed on disk was acknowledged")
 		}
-		u.d.refuse = nil
+		u.disk.fail = nil
 	}
-	u.mend()
+	u.recover()
 	u.put("b", "b4")
 }
 
-var refusals = []struct {
-	op             string
-	short, forgets bool
+// failures are the kinds of disk failures that the script is run with.
+var failures = []struct {
+	op                           string
+	shortWrites, failedSyncDrops bool // see disk
 }{{"write", false, false}, {"write", true, false}, {"sync", false, false}, {"sync", false, true}}
 
-// ends remembers which ends were checked: the same folder with the same truth
-// comes up many times.
-type ends map[uint64]bool
+// checkedStates holds the hashes of the states that have been checked, because the same
+// files with the same expected state occur many times.
+type checkedStates map[uint64]bool
 
-// opens checks a folder that an end has left: it opens, holds what it must, and
-// goes on working.
-func (e ends) opens(t *testing.T, what string, files map[string][]byte, w *truth) {
+// check checks the files that a crash has left: the store opens, contains the expected
+// values, and accepts writes.
+func (c checkedStates) check(t *testing.T, name string, files map[string][]byte, expected *expectedState) {
 	t.Helper()
 	var h maphash.Hash
-	h.SetSeed(seedOfHash)
-	for _, name := range []string{fileName, newName} {
-		b, there := files[name]
-		fmt.Fprint(&h, there, len(b))
+	h.SetSeed(hashSeed)
+	for _, file := range []string{fileName, tempFileName} {
+		b, exists := files[file]
+		fmt.Fprint(&h, exists, len(b))
 		h.Write(b)
 	}
 	for _, k := range keys {
-		fmt.Fprintf(&h, "%q %q", w.acked[k], w.underWay[k])
+		fmt.Fprintf(&h, "%q %q", expected.acked[k], expected.pending[k])
 	}
 	key := h.Sum64()
-	if e[key] {
+	if c[key] {
 		return
 	}
-	e[key] = true
-	d := diskWith(files)
-	c, _, err := open(d)
+	c[key] = true
+	d := newDiskWith(files)
+	store, _, err := open(d)
 	if err != nil {
-		t.Fatalf("%s: does not open: %v (%q)", what, err, files)
+		t.Fatalf("%s: does not open: %v (%q)", name, err, files)
 	}
-	defer c.Close()
-	if err := w.holds(c); err != nil {
-		t.Fatalf("%s: %v (%q)", what, err, files)
+	defer store.Close()
+	if err := expected.verify(store); err != nil {
+		t.Fatalf("%s: %v (%q)", name, err, files)
 	}
-	was := get(c, "b")
-	if err := c.Put("a", "next"); err != nil {
-		t.Fatalf("%s: takes no more: %v", what, err)
+	before := get(store, "b")
+	if err := store.Put("a", "next"); err != nil {
+		t.Fatalf("%s: the store accepts no writes: %v", name, err)
 	}
-	again, _, err := open(d)
-	if err != nil || get(again, "a") != "next" || get(again, "b") != was {
-		t.Fatalf("%s: writing on was lost: %v", what, err)
+	reopened, _, err := open(d)
+	if err != nil || get(reopened, "a") != "next" || get(reopened, "b") != before {
+		t.Fatalf("%s: a later write was lost: %v", name, err)
 	}
-	again.Close()
+	reopened.Close()
 }
 
-// Each sequence is stopped after each single operation on the disk, by a kill
-// and by a loss of power with every outcome of the model. Nothing is drawn.
-func TestStopAfterEveryOperation(t *testing.T) {
+// The script is stopped after each single disk operation, by a kill and by a power loss
+// with every outcome that the disk model allows. The enumeration is exhaustive and uses
+// no random numbers.
+func TestCrashAfterEveryOperation(t *testing.T) {
 	t.Parallel()
-	stops, all, seen := 0, 0, ends{}
-	for _, r := range refusals {
-		for _, cut := range []bool{false, true} {
+	stops, outcomes, checked := 0, 0, checkedStates{}
+	for _, f := range failures {
+		for _, torn := range []bool{false, true} {
 			for at := 1; ; at++ {
-				u := &user{t: t, d: newDisk(), w: newTruth(), what: fmt.Sprintf("refused %+v, cut %v, stop after %d", r, cut, at)}
-				u.d.stopAt, u.d.cut = at, cut
-				u.script(r.op, r.short, r.forgets)
-				if u.c != nil {
-					u.c.Close()
+				u := &user{t: t, disk: newDisk(), expected: newExpectedState(), name: fmt.Sprintf("failure %+v, torn write %v, stop after %d", f, torn, at)}
+				u.disk.stopAfter, u.disk.tearLastWrite = at, torn
+				u.runScript(f.op, f.shortWrites, f.failedSyncDrops)
+				if u.store != nil {
+					u.store.Close()
 				}
-				if !u.d.stopped {
+				if !u.disk.stopped {
 					break
 				}
 				stops++
-				seen.opens(t, u.what+", killed", u.d.killed(), u.w)
-				u.d.powerLost(func(files map[string][]byte) {
-					all++
-					seen.opens(t, u.what+", power lost", files, u.w)
+				checked.check(t, u.name+", killed", u.disk.afterKill(), u.expected)
+				u.disk.afterPowerLoss(func(files map[string][]byte) {
+					outcomes++
+					checked.check(t, u.name+", power lost", files, u.expected)
 				})
 			}
 		}
 	}
-	t.Logf("%d stops, %d ends of a loss of power, %d different", stops, all, len(seen))
-	if stops < 200 || all < 10000 {
-		t.Fatal("the enumeration has shrunk")
+	t.Logf("%d stops, %d outcomes of a power loss, %d distinct states", stops, outcomes, len(checked))
+	if stops < 200 || outcomes < 10000 {
+		t.Fatal("the enumeration covers fewer cases than expected")
 	}
 }
 
-// A process is killed after each operation, and the one after it stopped by a
-// loss of power after each of its own: what the second has shown to its user
-// must stay, though the first never acknowledged it.
-func TestSecondLifeStoppedAfterEveryOperation(t *testing.T) {
+// A process is killed after each operation, and the next one is stopped by a power loss
+// after each of its operations. The values that the second process read must survive,
+// even if the first one never acknowledged them.
+func TestPowerLossAfterRestart(t *testing.T) {
 	t.Parallel()
-	stops, all, seen := 0, 0, ends{}
-	for _, r := range refusals {
+	stops, outcomes, checked := 0, 0, checkedStates{}
+	for _, f := range failures {
 		for first := 1; ; first++ {
 			ended := false
 			for second := 1; ; second++ {
-				u := &user{t: t, d: newDisk(), w: newTruth(), what: fmt.Sprintf("refused %+v, killed after %d, power lost after %d", r, first, second)}
-				u.d.stopAt = first
-				u.script(r.op, r.short, r.forgets)
-				if u.c != nil {
-					u.c.Close()
+				u := &user{t: t, disk: newDisk(), expected: newExpectedState(), name: fmt.Sprintf("failure %+v, killed after %d, power lost after %d", f, first, second)}
+				u.disk.stopAfter = first
+				u.runScript(f.op, f.shortWrites, f.failedSyncDrops)
+				if u.store != nil {
+					u.store.Close()
 				}
-				if ended = !u.d.stopped; ended {
+				if ended = !u.disk.stopped; ended {
 					break
 				}
-				u.d.revive()
-				u.d.stopAt = second
-				u.c = nil
+				u.disk.restart()
+				u.disk.stopAfter = second
+				u.store = nil
 				if u.open() {
 					u.put("a", "a9")
 				}
-				if u.c != nil {
-					u.c.Close()
+				if u.store != nil {
+					u.store.Close()
 				}
 				stops++
-				u.d.powerLost(func(files map[string][]byte) {
-					all++
-					seen.opens(t, u.what, files, u.w)
+				u.disk.afterPowerLoss(func(files map[string][]byte) {
+					outcomes++
+					checked.check(t, u.name, files, u.expected)
 				})
-				if !u.d.stopped {
+				if !u.disk.stopped {
 					break
 				}
 			}
@@ -258,41 +262,41 @@
 			}
 		}
 	}
-	t.Logf("%d stops, %d ends, %d different", stops, all, len(seen))
-	if stops < 1000 || all < 10000 {
-		t.Fatal("the enumeration has shrunk")
+	t.Logf("%d stops, %d outcomes of a power loss, %d distinct states", stops, outcomes, len(checked))
+	if stops < 1000 || outcomes < 10000 {
+		t.Fatal("the enumeration covers fewer cases than expected")
 	}
 }
 
-// From each operation on the disk refuses, for one operation or until space is
-// back: what Put acknowledged stays through any end at any moment, nothing else
-// shows once Recover has succeeded, and Recover succeeds when space is back.
-func TestDiskRefusesFromEveryOperationOn(t *testing.T) {
+// The disk fails starting with each operation, for one or two operations or until it has
+// space again. Acknowledged values must survive a crash at any time, no other values may
+// be returned once Recover has succeeded, and Recover must succeed once there is space.
+func TestDiskFailureFromEveryOperation(t *testing.T) {
 	t.Parallel()
-	runs, all, seen := 0, 0, ends{}
+	runs, outcomes, checked := 0, 0, checkedStates{}
 	for _, span := range []int{1, 2, 1 << 30} {
-		for _, short := range []bool{false, true} {
+		for _, shortWrites := range []bool{false, true} {
 			for from := 1; ; from++ {
-				u := &user{t: t, d: newDisk(), w: newTruth(), what: fmt.Sprintf("refusing %d from operation %d, short %v", span, from, short)}
-				u.d.short, u.d.forgets = short, true
-				refuse := func(_ string, n int) bool { return n >= from && n-from < span }
-				u.d.refuse = refuse
+				u := &user{t: t, disk: newDisk(), expected: newExpectedState(), name: fmt.Sprintf("%d failures from operation %d, short writes %v", span, from, shortWrites)}
+				u.disk.shortWrites, u.disk.failedSyncDrops = shortWrites, true
+				fail := func(_ string, n int) bool { return n >= from && n-from < span }
+				u.disk.fail = fail
 				check := func() {
-					seen.opens(t, u.what+", killed", u.d.killed(), u.w)
-					u.d.powerLost(func(files map[string][]byte) {
-						all++
-						seen.opens(t, u.what+", power lost", files, u.w)
+					checked.check(t, u.name+", killed", u.disk.afterKill(), u.expected)
+					u.disk.afterPowerLoss(func(files map[string][]byte) {
+						outcomes++
+						checked.check(t, u.name+", power lost", files, u.expected)
 					})
 				}
-				c, _, err := open(u.d)
+				store, _, err := open(u.disk)
 				if err != nil {
-					u.d.refuse = nil // a new store that cannot be made; once there is space it can
-					if c, _, err = open(u.d); err != nil {
-						u.fail("does not open after space is back: %v", err)
+					u.disk.fail = nil // a new store cannot be created until there is space
+					if store, _, err = open(u.disk); err != nil {
+						u.fail("does not open once there is space: %v", err)
 					}
 				}
-				c.compactFloor = 300
-				u.c = c
+				store.compactMinSize = 300
+				u.store = store
 				for i := range 12 {
 					key := keys[i%2]
 					err := u.put(key, fmt.Sprintf("%s %d, long enough that some of these make the store compact itself", key, i))
@@ -300,155 +304,155 @@
 					if err == nil {
 						continue
 					}
-					if !c.Failed() {
-						u.fail("a failed put and no sickness")
+					if !store.Failed() {
+						u.fail("a put failed, but Failed reports false")
 					}
 					for range 2 {
-						if u.mend() != nil && !c.Failed() {
-							u.fail("mending failed and the store says it is well")
+						if u.recover() != nil && !store.Failed() {
+							u.fail("Recover failed, but Failed reports false")
 						}
 						check()
 					}
-					u.d.refuse = nil
-					if err := u.mend(); err != nil {
-						u.fail("space is back, and mending fails: %v", err)
+					u.disk.fail = nil
+					if err := u.recover(); err != nil {
+						u.fail("Recover fails although there is space: %v", err)
 					}
 					check()
 				}
-				c.Close()
+				store.Close()
 				runs++
-				if u.d.ops < from {
+				if u.disk.ops < from {
 					break
 				}
 			}
 		}
 	}
-	t.Logf("%d runs, %d ends, %d different", runs, all, len(seen))
-	if runs < 200 || all < 10000 {
-		t.Fatal("the enumeration has shrunk")
+	t.Logf("%d runs, %d outcomes of a power loss, %d distinct states", runs, outcomes, len(checked))
+	if runs < 200 || outcomes < 10000 {
+		t.Fatal("the enumeration covers fewer cases than expected")
 	}
 }
 
-// A store that exists opens on a disk that refuses all writes, with all that was
-// acknowledged, takes nothing, and mends when there is space.
-func TestOpensFailedOnAFullDisk(t *testing.T) {
+// On a disk without space an existing store opens in the failed state, returns all
+// acknowledged values, accepts no writes, and recovers once there is space.
+func TestOpenOnFullDisk(t *testing.T) {
 	d := newDisk()
-	c, _, _ := open(d)
-	c.Put("a", "kept")
-	c.Close()
-	whole := maps.Clone(d.killed())
+	store, _, _ := open(d)
+	store.Put("a", "kept")
+	store.Close()
+	files := maps.Clone(d.afterKill())
 	for _, torn := range []string{"", "*3\r\n$3\r\nset\r\n$1"} {
-		d = diskWith(map[string][]byte{fileName: append(whole[fileName][:len(whole[fileName]):len(whole[fileName])], torn...)})
-		d.refuse = func(op string, _ int) bool { return op == "create" || op == "write" }
-		c, fresh, err := open(d)
-		if err != nil || fresh || get(c, "a") != "kept" {
-			t.Fatalf("full disk: %v, new %v", err, fresh)
+		d = newDiskWith(map[string][]byte{fileName: append(files[fileName][:len(files[fileName]):len(files[fileName])], torn...)})
+		d.fail = func(op string, _ int) bool { return op == "create" || op == "write" }
+		store, isNew, err := open(d)
+		if err != nil || isNew || get(store, "a") != "kept" {
+			t.Fatalf("opening on a full disk: %v, new %v", err, isNew)
 		}
-		if !c.Failed() || !errors.Is(c.Put("a", "more"), ErrWriteFailed) || c.Recover() == nil {
-			t.Fatal("a full disk went unnoticed")
+		if !store.Failed() || !errors.Is(store.Put("a", "more"), ErrWriteFailed) || store.Recover() == nil {
+			t.Fatal("the full disk was not detected")
 		}
-		d.refuse = nil
-		if err := c.Recover(); err != nil {
+		d.fail = nil
+		if err := store.Recover(); err != nil {
 			t.Fatal(err)
 		}
-		if err := c.Put("a", "more"); err != nil {
+		if err := store.Put("a", "more"); err != nil {
 			t.Fatal(err)
 		}
-		c.Close()
+		store.Close()
 	}
-	// If not even a sync passes, nobody knows what is durable, and nothing is shown.
-	d = diskWith(whole)
-	d.refuse = func(string, int) bool { return true }
+	// If the sync fails too, it is unknown which values are durable, so Open must fail.
+	d = newDiskWith(files)
+	d.fail = func(string, int) bool { return true }
 	if _, _, err := open(d); err == nil {
-		t.Fatal("opened without a sync")
+		t.Fatal("the store opened although no sync succeeded")
 	}
 }
 
-// The chain writes a configuration apart, under the one of two keys that the
-// state in force does not name, and then the state that names it. Whatever state
-// is found after an end, the configuration it names must be there.
-func TestNamedConfigurationIsThereAfterEveryStop(t *testing.T) {
+// The chain stores a configuration under one of two keys, the one that the current state
+// does not refer to, and then the state that refers to it. Whichever state is found after
+// a crash, the configuration that it refers to must exist.
+func TestReferencedConfigurationSurvivesEveryCrash(t *testing.T) {
 	t.Parallel()
-	type raw struct {
+	type config struct {
 		Version int
 		Raw     string
 	}
-	raws := []string{"raw0", "raw1"}
-	life := func(u *user, fail string, failAt int) {
-		c, _, err := open(u.d)
-		if err != nil || u.d.stopped {
+	configKeys := []string{"raw0", "raw1"}
+	run := func(u *user, failOp string, failAt int) {
+		store, _, err := open(u.disk)
+		if err != nil || u.disk.stopped {
 			return
 		}
-		defer c.Close()
-		c.compactFloor = 500
-		held, known := 0, [2]int{}
+		defer store.Close()
+		store.compactMinSize = 500
+		held, stored := 0, [2]int{} // version of the current state, and versions under the two keys
 		for v := 1; v <= 5; v++ {
 			if v == failAt {
-				u.d.refuse = func(op string, _ int) bool { return op == fail }
+				u.disk.fail = func(op string, _ int) bool { return op == failOp }
 			}
 			i := 0
-			if held > 0 && known[0] == held {
+			if held > 0 && stored[0] == held {
 				i = 1
 			}
 			switch {
-			case c.Put(raws[i], raw{v, fmt.Sprint("configuration ", v)}) != nil:
-				known[i] = 0
+			case store.Put(configKeys[i], config{v, fmt.Sprint("configuration ", v)}) != nil:
+				stored[i] = 0
 			default:
-				known[i] = v
-				if c.Put("held", v) == nil {
+				stored[i] = v
+				if store.Put("held", v) == nil {
 					held = v
 				}
 			}
-			if u.d.stopped {
+			if u.disk.stopped {
 				return
 			}
-			u.d.refuse = nil
-			c.Recover()
-			if !u.d.stopped {
-				u.w.acked["held"] = fmt.Sprint(held)
+			u.disk.fail = nil
+			store.Recover()
+			if !u.disk.stopped {
+				u.expected.acked["held"] = fmt.Sprint(held)
 			}
 		}
 	}
 	seen := map[string]bool{}
-	check := func(what string, files map[string][]byte, w *truth) {
+	check := func(name string, files map[string][]byte, expected *expectedState) {
 		t.Helper()
-		key := w.acked["held"] + string(files[fileName])
+		key := expected.acked["held"] + string(files[fileName])
 		if seen[key] {
 			return
 		}
 		seen[key] = true
-		c, _, err := open(diskWith(files))
+		store, _, err := open(newDiskWith(files))
 		if err != nil {
-			t.Fatalf("%s: %v", what, err)
+			t.Fatalf("%s: %v", name, err)
 		}
-		defer c.Close()
+		defer store.Close()
 		held := 0
-		if !c.Get("held", &held) {
-			if w.acked["held"] != "" && w.acked["held"] != "0" {
-				t.Fatalf("%s: the state is gone", what)
+		if !store.Get("held", &held) {
+			if expected.acked["held"] != "" && expected.acked["held"] != "0" {
+				t.Fatalf("%s: the state is missing", name)
 			}
 			return
 		}
-		for _, k := range raws {
-			var r raw
-			if c.Get(k, &r) && r.Version == held && r.Raw == fmt.Sprint("configuration ", held) {
+		for _, k := range configKeys {
+			var r config
+			if store.Get(k, &r) && r.Version == held && r.Raw == fmt.Sprint("configuration ", held) {
 				return
 			}
 		}
-		t.Fatalf("%s: state %d names a configuration that is not there", what, held)
+		t.Fatalf("%s: state %d refers to a configuration that does not exist", name, held)
 	}
-	for _, fail := range []string{"write", "sync"} {
+	for _, failOp := range []string{"write", "sync"} {
 		for failAt := 0; failAt <= 5; failAt++ {
 			for at := 1; ; at++ {
-				u := &user{t: t, d: newDisk(), w: newTruth()}
-				u.d.stopAt = at
-				life(u, fail, failAt)
-				if !u.d.stopped {
+				u := &user{t: t, disk: newDisk(), expected: newExpectedState()}
+				u.disk.stopAfter = at
+				run(u, failOp, failAt)
+				if !u.disk.stopped {
 					break
 				}
-				what := fmt.Sprintf("%s refused at %d, stopped after %d", fail, failAt, at)
-				check(what, u.d.killed(), u.w)
-				u.d.powerLost(func(files map[string][]byte) { check(what, files, u.w) })
+				name := fmt.Sprintf("%s failed at version %d, stopped after operation %d", failOp, failAt, at)
+				check(name, u.disk.afterKill(), u.expected)
+				u.disk.afterPowerLoss(func(files map[string][]byte) { check(name, files, u.expected) })
 			}
 		}
 	}
--- a/internal/storage/disk_test.go
+++ b/internal/storage/disk_test.go
@@ -9,43 +9,43 @@
 	"syscall"
 )
 
-// disk is a model of one folder on a disk, by the rules of the pages: a process
-// that dies leaves files as they were; after a loss of power a file has what its
-// last sync covered, of later writes each is there, missing or torn, and each
-// name may be kept or lost by itself until its folder is synced.
+// disk is a model of a directory on a disk. The files stay as they are when the
+// process is killed. After a power loss a file has the contents of its last sync;
+// each later write is independently present, missing or torn. Each directory entry
+// may independently be kept or lost until the directory is synced.
 type disk struct {
-	names map[string]*inode
-	past  map[string][]*inode // what a name stood for since the folder's last sync; nil is nothing
+	entries  map[string]*inode
+	unsynced map[string][]*inode // inodes of an entry since the last sync of the directory; nil if there was no file
 
-	ops      int
-	stopAt   int  // the process ends right after this operation, 0 never
-	cut      bool // and if that is a write, in its middle
-	stopped  bool
-	refuse   func(op string, n int) bool // a disk that refuses
-	short    bool                        // a refused write leaves half of itself
-	forgets  bool                        // a sync that failed is not made up for by the next one
-	lastKind string
+	ops             int
+	stopAfter       int  // the process is stopped after this operation; 0 for never
+	tearLastWrite   bool // if that operation is a write, only its first half takes effect
+	stopped         bool
+	fail            func(op string, n int) bool // reports whether operation n fails
+	shortWrites     bool                        // the first half of a failed write takes effect
+	failedSyncDrops bool                        // writes whose sync failed are not covered by a later sync
+	lastOp          string
 }
 
 type inode struct{ changes []change }
 
-// change is a write at a place, or with no bytes a shortening to nothing.
+// change is a write at an offset, or a truncation to size 0.
 type change struct {
-	at     int
-	b      []byte
-	clear  bool
-	synced bool
-	doubt  bool // its sync failed, and no later one covers it
+	offset   int
+	b        []byte
+	truncate bool
+	synced   bool
+	dropped  bool // a sync failed, and no later sync covers the change
 }
 
 func (c change) apply(data []byte) []byte {
-	if c.clear {
+	if c.truncate {
 		return nil
 	}
-	if n := c.at + len(c.b); n > len(data) {
+	if n := c.offset + len(c.b); n > len(data) {
 		data = append(data, make([]byte, n-len(data))...)
 	}
-	copy(data[c.at:], c.b)
+	copy(data[c.offset:], c.b)
 	return data
 }
 
@@ -56,8 +56,9 @@
 	return b
 }
 
-// contents is every content a file may have after a loss of power.
-func (n *inode) contents() [][]byte {
+// contentsAfterPowerLoss returns every content that the file may have after a power
+// loss, each once.
+func (n *inode) contentsAfterPowerLoss() [][]byte {
 	all := [][]byte{nil}
 	for _, c := range n.changes {
 		var next [][]byte
@@ -67,7 +68,7 @@
 		if !c.synced {
 			for _, b := range all {
 				next = append(next, bytes.Clone(b)) // missing
-				if c.clear {
+				if c.truncate {
 					continue
 				}
 				for p := 1; p < len(c.b); p += 1 + len(c.b)/24 {
@@ -76,7 +77,7 @@
 					clear(tail[:p])
 					clear(hole[p : p+1])
 					for _, torn := range [][]byte{c.b[:p], head, tail, hole} {
-						next = append(next, change{at: c.at, b: torn}.apply(bytes.Clone(b)))
+						next = append(next, change{offset: c.offset, b: torn}.apply(bytes.Clone(b)))
 					}
 				}
 			}
@@ -93,198 +94,202 @@
 	return all
 }
 
-func newDisk() *disk { return &disk{names: map[string]*inode{}, past: map[string][]*inode{}} }
+func newDisk() *disk { return &disk{entries: map[string]*inode{}, unsynced: map[string][]*inode{}} }
 
-// diskWith is one at rest with these files.
-func diskWith(files map[string][]byte) *disk {
+// newDiskWith returns a disk that contains the given files, all synced.
+func newDiskWith(files map[string][]byte) *disk {
 	d := newDisk()
 	for name, b := range files {
-		d.names[name] = &inode{changes: []change{{b: b, synced: true}}}
+		d.entries[name] = &inode{changes: []change{{b: b, synced: true}}}
 	}
 	return d
 }
 
 var (
-	errStopped = errors.New("the process has ended")
-	seedOfHash = maphash.MakeSeed()
+	errStopped = errors.New("the process has been stopped")
+	hashSeed   = maphash.MakeSeed()
 )
 
-// step begins an operation: do says whether it has its effect.
-func (d *disk) step(op string) (do bool, err error) {
+// beginOp counts an operation and returns its error. apply reports whether it takes
+// effect.
+func (d *disk) beginOp(op string) (apply bool, err error) {
 	if d.stopped {
 		return false, errStopped
 	}
 	d.ops++
-	d.lastKind = op
-	if d.refuse != nil && d.refuse(op, d.ops) {
+	d.lastOp = op
+	if d.fail != nil && d.fail(op, d.ops) {
 		err = fmt.Errorf("%s: %w", op, syscall.ENOSPC)
 	}
-	if d.ops == d.stopAt {
+	if d.ops == d.stopAfter {
 		d.stopped = true
 		return err == nil, errStopped
 	}
 	return err == nil, err
 }
 
-// revive is the same disk for the next process.
-func (d *disk) revive() { d.stopped, d.ops, d.stopAt, d.cut, d.refuse = false, 0, 0, false, nil }
+// restart resets the operation count and the faults of the disk for the next process.
+func (d *disk) restart() {
+	d.stopped, d.ops, d.stopAfter, d.tearLastWrite, d.fail = false, 0, 0, false, nil
+}
 
-func (d *disk) bind(name string, n *inode) {
-	if d.past[name] == nil {
-		d.past[name] = []*inode{d.names[name]}
+// link makes a directory entry refer to an inode, or removes it if n is nil.
+func (d *disk) link(name string, n *inode) {
+	if d.unsynced[name] == nil {
+		d.unsynced[name] = []*inode{d.entries[name]}
 	}
-	d.past[name] = append(d.past[name], n)
+	d.unsynced[name] = append(d.unsynced[name], n)
 	if n == nil {
-		delete(d.names, name)
+		delete(d.entries, name)
 	} else {
-		d.names[name] = n
+		d.entries[name] = n
 	}
 }
 
-func (d *disk) ReadFile(name string) ([]byte, error) { // changes nothing, so no step
+func (d *disk) ReadFile(name string) ([]byte, error) { // not counted as an operation, because it changes nothing
 	if d.stopped {
 		return nil, errStopped
 	}
 	if name != fileName {
-		panic("the store reads " + name + ", of which powerLost gives not every content")
+		panic("the store reads " + name + ", but afterPowerLoss does not enumerate all of its contents")
 	}
-	if n := d.names[name]; n != nil {
+	if n := d.entries[name]; n != nil {
 		return n.data(), nil
 	}
 	return nil, os.ErrNotExist
 }
 
 func (d *disk) Open(name string) (file, error) {
-	if d.names[name] == nil {
+	if d.entries[name] == nil {
 		return nil, os.ErrNotExist
 	}
-	return &handle{d, d.names[name]}, nil
+	return &openFile{d, d.entries[name]}, nil
 }
 
 func (d *disk) Create(name string) (file, error) {
-	do, err := d.step("create")
-	if do {
-		if n := d.names[name]; n != nil {
-			n.changes = append(n.changes, change{clear: true})
+	apply, err := d.beginOp("create")
+	if apply {
+		if n := d.entries[name]; n != nil {
+			n.changes = append(n.changes, change{truncate: true})
 		} else {
-			d.bind(name, &inode{})
+			d.link(name, &inode{})
 		}
 	}
-	return &handle{d, d.names[name]}, err
+	return &openFile{d, d.entries[name]}, err
 }
 
 func (d *disk) Rename(from, to string) error {
-	do, err := d.step("rename")
-	if do {
-		d.bind(to, d.names[from])
-		d.bind(from, nil)
+	apply, err := d.beginOp("rename")
+	if apply {
+		d.link(to, d.entries[from])
+		d.link(from, nil)
 	}
 	return err
 }
 
 func (d *disk) Remove(name string) error {
-	do, err := d.step("remove")
-	if do && d.names[name] != nil {
-		d.bind(name, nil)
+	apply, err := d.beginOp("remove")
+	if apply && d.entries[name] != nil {
+		d.link(name, nil)
 	}
 	return err
 }
 
-func (d *disk) SyncFolder() error {
-	do, err := d.step("sync folder")
-	if do {
-		d.past = map[string][]*inode{}
+func (d *disk) SyncDir() error {
+	apply, err := d.beginOp("sync directory")
+	if apply {
+		d.unsynced = map[string][]*inode{}
 	}
 	return err
 }
 
-type handle struct {
+type openFile struct {
 	d *disk
 	n *inode
 }
 
-func (h *handle) Write(b []byte) (int, error) {
-	do, err := h.d.step("write")
-	if !do && errors.Is(err, syscall.ENOSPC) && h.d.short || do && h.d.stopped && h.d.cut {
+func (f *openFile) Write(b []byte) (int, error) {
+	apply, err := f.d.beginOp("write")
+	if !apply && errors.Is(err, syscall.ENOSPC) && f.d.shortWrites || apply && f.d.stopped && f.d.tearLastWrite {
 		b = b[:len(b)/2]
-	} else if !do {
+	} else if !apply {
 		return 0, err
 	}
-	h.n.changes = append(h.n.changes, change{at: len(h.n.data()), b: bytes.Clone(b)})
+	f.n.changes = append(f.n.changes, change{offset: len(f.n.data()), b: bytes.Clone(b)})
 	return len(b), err
 }
 
-func (h *handle) Sync() error {
-	do, err := h.d.step("sync")
-	for i := range h.n.changes {
-		c := &h.n.changes[i]
-		c.synced = c.synced || do && !c.doubt
-		c.doubt = c.doubt || !do && !c.synced && h.d.forgets && !h.d.stopped
+func (f *openFile) Sync() error {
+	apply, err := f.d.beginOp("sync")
+	for i := range f.n.changes {
+		c := &f.n.changes[i]
+		c.synced = c.synced || apply && !c.dropped
+		c.dropped = c.dropped || !apply && !c.synced && f.d.failedSyncDrops && !f.d.stopped
 	}
 	return err
 }
 
-func (h *handle) Close() error { return nil }
+func (f *openFile) Close() error { return nil }
 
-// killed is the disk as a kill leaves it, at rest.
-func (d *disk) killed() map[string][]byte {
+// afterKill returns the files as they are after the process has been killed.
+func (d *disk) afterKill() map[string][]byte {
 	out := map[string][]byte{}
-	for name, n := range d.names {
+	for name, n := range d.entries {
 		out[name] = n.data()
 	}
 	return out
 }
 
-// contents of an inode, each once; of a name that stands for nothing, nothing.
-func contents(n *inode) [][]byte {
+// possibleContents is contentsAfterPowerLoss, with one empty content for a missing file.
+func possibleContents(n *inode) [][]byte {
 	if n == nil {
 		return [][]byte{nil}
 	}
-	return n.contents()
+	return n.contentsAfterPowerLoss()
 }
 
-// powerLost yields every state of the folder that a loss of power may leave,
-// each once.
-func (d *disk) powerLost(yield func(map[string][]byte)) {
+// afterPowerLoss yields every state of the directory that a power loss may leave, each
+// once.
+func (d *disk) afterPowerLoss(yield func(map[string][]byte)) {
 	seen := map[uint64]bool{}
-	names := []string{fileName, newName}
-	var choose func(i int, bound map[string]*inode)
-	choose = func(i int, bound map[string]*inode) {
+	names := []string{fileName, tempFileName}
+	var choose func(i int, chosen map[string]*inode)
+	choose = func(i int, chosen map[string]*inode) {
 		if i < len(names) {
-			may := d.past[names[i]]
-			if may == nil {
-				may = []*inode{d.names[names[i]]} // nothing where there is none
+			candidates := d.unsynced[names[i]]
+			if candidates == nil {
+				candidates = []*inode{d.entries[names[i]]} // nil if there is no file
 			}
-			for _, n := range may {
-				bound[names[i]] = n
-				choose(i+1, bound)
+			for _, n := range candidates {
+				chosen[names[i]] = n
+				choose(i+1, chosen)
 			}
 			return
 		}
-		// What stands under the other name is never read (ReadFile sees to it), so
-		// of it two contents do.
-		inUse, other := bound[fileName], bound[newName]
-		rest := [][]byte{nil}
-		if other != nil && other != inUse {
-			rest = append(rest, other.data())
+		// The store never reads the temporary file (ReadFile panics if it does), so two
+		// contents of that file are sufficient.
+		current, temp := chosen[fileName], chosen[tempFileName]
+		tempContents := [][]byte{nil}
+		if temp != nil && temp != current {
+			tempContents = append(tempContents, temp.data())
 		}
-		for _, b := range contents(inUse) {
-			for _, o := range rest {
+		for _, b := range possibleContents(current) {
+			for _, tb := range tempContents {
 				out := map[string][]byte{}
 				var h maphash.Hash
-				h.SetSeed(seedOfHash)
-				if inUse != nil {
+				h.SetSeed(hashSeed)
+				if current != nil {
 					out[fileName] = b
 					h.WriteByte(1)
 					h.Write(b)
 				}
-				if other != nil {
-					if other == inUse {
-						o = b
+				if temp != nil {
+					if temp == current {
+						tb = b
 					}
-					out[newName] = o
+					out[tempFileName] = tb
 					h.WriteByte(2)
-					h.Write(o)
+					h.Write(tb)
 				}
 				if s := h.Sum64(); !seen[s] {
 					seen[s] = true
--- a/internal/storage/filesystem.go
+++ b/internal/storage/filesystem.go
@@ -5,41 +5,41 @@
 	"path/filepath"
 )
 
-// fileSystem is what the store asks of the folder it lives in. Names are those
-// in the folder. Tests put a model of a disk in its place that stops, refuses
-// and forgets.
+// fileSystem is the directory that holds the files of a Store. File names are
+// relative to it. Tests replace it with a model of a disk that can stop, fail or
+// lose writes at any operation.
 type fileSystem interface {
 	ReadFile(name string) ([]byte, error)
 	Open(name string) (file, error)
-	Create(name string) (file, error) // empty, whatever stood there
+	Create(name string) (file, error) // truncates an existing file
 	Rename(from, to string) error
 	Remove(name string) error
-	SyncFolder() error // makes the names in it last
+	SyncDir() error // makes creations, renames and removals durable
 }
 
-// file is an open file of one; a write goes to its end.
+// file is an open file of a fileSystem. Write appends.
 type file interface {
 	Write(b []byte) (int, error)
 	Sync() error
 	Close() error
 }
 
-// folder is a real one.
-type folder string
+// directory implements fileSystem with a directory of the operating system.
+type directory string
 
-func (d folder) path(name string) string { return filepath.Join(string(d), name) }
+func (d directory) path(name string) string { return filepath.Join(string(d), name) }
 
-func (d folder) ReadFile(name string) ([]byte, error) { return os.ReadFile(d.path(name)) }
+func (d directory) ReadFile(name string) ([]byte, error) { return os.ReadFile(d.path(name)) }
 
-func (d folder) Open(name string) (file, error) { return os.OpenFile(d.path(name), os.O_RDWR, 0) }
+func (d directory) Open(name string) (file, error) { return os.OpenFile(d.path(name), os.O_RDWR, 0) }
 
-func (d folder) Create(name string) (file, error) { return os.Create(d.path(name)) }
+func (d directory) Create(name string) (file, error) { return os.Create(d.path(name)) }
 
-func (d folder) Rename(from, to string) error { return os.Rename(d.path(from), d.path(to)) }
+func (d directory) Rename(from, to string) error { return os.Rename(d.path(from), d.path(to)) }
 
-func (d folder) Remove(name string) error { return os.Remove(d.path(name)) }
+func (d directory) Remove(name string) error { return os.Remove(d.path(name)) }
 
-func (d folder) SyncFolder() error {
+func (d directory) SyncDir() error {
 	f, err := os.Open(string(d))
 	if err != nil {
 		return err
--- a/internal/storage/format_test.go
+++ b/internal/storage/format_test.go
@@ -13,13 +13,15 @@
 	"github.com/tidwall/buntdb"
 )
 
-// oldRecord is one of before the format had a number.
+// oldRecord returns a record as it was written before the format had a version.
 func oldRecord(key, val string) []byte {
 	var b bytes.Buffer
 	gob.NewEncoder(&b).Encode(val)
 	return appendRecord(nil, key, fmt.Sprintf("%x %s", crc32.ChecksumIEEE(b.Bytes()), b.Bytes()))
 }
 
+// oldStore returns a file as it was written before the format had a version, from pairs
+// of a key and a value.
 func oldStore(pairs ...string) (b []byte) {
 	for i := 0; i < len(pairs); i += 2 {
 		b = append(b, oldRecord(pairs[i], pairs[i+1])...)
@@ -27,7 +29,8 @@
 	return b
 }
 
-func put(t *testing.T, b []byte) string {
+// writeStoreFile writes a store file into a new directory and returns the directory.
+func writeStoreFile(t *testing.T, b []byte) string {
 	t.Helper()
 	dir := t.TempDir()
 	if err := os.WriteFile(filepath.Join(dir, fileName), b, 0o644); err != nil {
@@ -36,53 +39,53 @@
 	return dir
 }
 
-// refused checks that a file is not opened, with one line that names it, and is
-// left as it is.
-func refused(t *testing.T, b []byte, why string) {
+// checkRejected checks that Open fails with a one-line message that contains the path of
+// the file and why, and that it does not change the file.
+func checkRejected(t *testing.T, b []byte, why string) {
 	t.Helper()
-	dir := put(t, b)
+	dir := writeStoreFile(t, b)
 	_, _, err := Open(dir)
 	if err == nil {
-		t.Fatalf("opened: %.100q", b)
+		t.Fatalf("opened an invalid file: %.100q", b)
 	}
 	if s := err.Error(); !strings.Contains(s, filepath.Join(dir, fileName)) || !strings.Contains(s, why) || strings.Contains(s, "\n") {
-		t.Fatalf("the line does not say %q: %s", why, s)
+		t.Fatalf("the error does not contain %q: %s", why, s)
 	}
 	if after, _ := os.ReadFile(filepath.Join(dir, fileName)); !bytes.Equal(after, b) {
-		t.Fatal("a file that was refused was changed")
+		t.Fatal("a rejected file was changed")
 	}
 }
 
-func TestOldStoreOpens(t *testing.T) {
+func TestOpenUpgradesOldStore(t *testing.T) {
 	old := oldStore("agreement", "one", "held", "first", "held", "second")
 	for _, tail := range []string{"", "*3\r\n$3\r\nset\r\n$4\r\nheld\r\n$40\r\nabc", "\x00\x00\x00"} {
-		dir := put(t, append(bytes.Clone(old), tail...))
-		for life := range 2 { // the second finds it in the present format
-			c, fresh, err := Open(dir)
-			if err != nil || fresh || get(c, "agreement") != "one" || get(c, "held") != "second" {
-				t.Fatalf("life %d: %v, new %v, held %q", life, err, fresh, get(c, "held"))
+		dir := writeStoreFile(t, append(bytes.Clone(old), tail...))
+		for run := range 2 { // the second run finds the current format
+			store, isNew, err := Open(dir)
+			if err != nil || isNew || get(store, "agreement") != "one" || get(store, "held") != "second" {
+				t.Fatalf("run %d: %v, new %v, held %q", run, err, isNew, get(store, "held"))
 			}
-			c.Close()
+			store.Close()
 			if b, _ := os.ReadFile(filepath.Join(dir, fileName)); !bytes.HasPrefix(b, header()) {
-				t.Fatal("not brought into the present format")
+				t.Fatal("the file was not converted to the current format")
 			}
 		}
 	}
-	// Older programs made the file empty, under its name.
-	c, fresh, err := Open(put(t, nil))
-	if err != nil || !fresh {
-		t.Fatalf("an empty file: %v, new %v", err, fresh)
+	// Older programs created the file empty, under its final name.
+	store, isNew, err := Open(writeStoreFile(t, nil))
+	if err != nil || !isNew {
+		t.Fatalf("opening an empty file: %v, new %v", err, isNew)
 	}
-	c.Close()
+	store.Close()
 }
 
-// An older program that is started again on the file finds its values: buntdb
-// reads it, and the checksum is where it was.
+// An older program can read the file after a downgrade: buntdb can load it, and the
+// position of the checksum has not changed.
 func TestOlderProgramReadsTheFile(t *testing.T) {
 	dir := t.TempDir()
-	c := mustOpen(t, dir)
-	c.Put("held", "first")
-	c.Put("held", "second")
+	store := mustOpen(t, dir)
+	store.Put("held", "first")
+	store.Put("held", "second")
 	db, err := buntdb.Open(filepath.Join(dir, fileName))
 	if err != nil {
 		t.Fatal(err)
@@ -90,7 +93,7 @@
 	defer db.Close()
 	db.View(func(tx *buntdb.Tx) error {
 		val, err := tx.Get("held")
-		body, ok := checked(val)
+		body, ok := verifyChecksum(val)
 		var s string
 		if err != nil || !ok || gob.NewDecoder(strings.NewReader(body)).Decode(&s) != nil || s != "second" {
 			t.Fatalf("%q %v", val, err)
@@ -99,98 +102,98 @@
 	})
 }
 
-func TestNewerFormatIsRefused(t *testing.T) {
-	for _, rest := range []string{"", "what only that format knows", string(appendRecord(nil, "held", seal("held", "x")))} {
-		refused(t, append(appendRecord(nil, headerKey, seal(headerKey, fmt.Sprint(formatVersion+1))), rest...), "newer")
+func TestNewerFormatIsRejected(t *testing.T) {
+	for _, rest := range []string{"", "data of the newer format", string(appendRecord(nil, "held", encodeValue("held", "x")))} {
+		checkRejected(t, append(appendRecord(nil, headerKey, encodeValue(headerKey, fmt.Sprint(formatVersion+1))), rest...), "newer")
 	}
 	for _, v := range []string{"0", "-1", "x", ""} {
-		refused(t, appendRecord(nil, headerKey, seal(headerKey, v)), "not a store")
+		checkRejected(t, appendRecord(nil, headerKey, encodeValue(headerKey, v)), "not a store")
 	}
 }
 
-func TestForeignFileIsRefused(t *testing.T) {
-	good := append(header(), appendRecord(nil, "held", seal("held", "x"))...)
+func TestInvalidFileIsRejected(t *testing.T) {
+	valid := append(header(), appendRecord(nil, "held", encodeValue("held", "x"))...)
 	for _, b := range []string{
-		"something else altogether",
+		"an unrelated file",
 		"SQLite format 3\x00" + strings.Repeat("\x00", 4000),
-		"*3\r\n$3\r\nset\r\n$3\r\nkey\r\n$5\r\nvalue\r\n", // another program's buntdb
+		"*3\r\n$3\r\nset\r\n$3\r\nkey\r\n$5\r\nvalue\r\n", // a buntdb file of another program
 		"*2\r\n$3\r\ndel\r\n$3\r\nkey\r\n",
-		"*3\r\n$0\r\n\r\n$1\r\nk\r\n$10\r\n8cdc1683 x\r\n", // buntdb panics at this
-		string(good[1:]),
-		string(good[:len(header())-1]), // a header is synced before the file has its name
+		"*3\r\n$0\r\n\r\n$1\r\nk\r\n$10\r\n8cdc1683 x\r\n", // buntdb panics on this record
+		string(valid[1:]),
+		string(valid[:len(header())-1]), // a header is synced before the file is renamed
 		strings.Repeat("\x00", 1<<20),
 		string(oldStore("agreement", "one", "held", "x")[1:]),
 		string(bytes.Replace(oldStore("agreement", "one", "held", "x"), []byte("one"), []byte("ONE"), 1)),
 	} {
-		refused(t, []byte(b), "not a store")
+		checkRejected(t, []byte(b), "not a store")
 	}
 }
 
-// A record that is damaged is not a torn end if whole ones follow: what was
-// replaced must not come back.
-func TestDamageInTheMiddleIsRefused(t *testing.T) {
+// A damaged record that is followed by valid ones is not a torn write: opening the file
+// would bring back values that had been replaced.
+func TestDamageInTheMiddleIsRejected(t *testing.T) {
 	b := header()
 	for _, v := range []string{"one", "two", "three"} {
-		b = append(b, appendRecord(nil, "held", seal("held", v))...)
+		b = append(b, appendRecord(nil, "held", encodeValue("held", v))...)
 	}
-	last := bytes.LastIndex(b, []byte(setFrame))
+	last := bytes.LastIndex(b, []byte(recordPrefix))
 	for i := len(header()); i < last; i++ {
-		bad := bytes.Clone(b)
-		bad[i] ^= 4
-		if _, _, _, err := inspect(bad); err == nil || !strings.Contains(err.Error(), "damaged") {
-			t.Fatalf("a flip at %d of %d: %v", i, len(b), err)
+		damaged := bytes.Clone(b)
+		damaged[i] ^= 4
+		if _, _, _, err := inspect(damaged); err == nil || !strings.Contains(err.Error(), "damaged") {
+			t.Fatalf("bit flip at byte %d of %d: %v", i, len(b), err)
 		}
 	}
-	bad := bytes.Clone(b)
-	bad[bytes.Index(bad, []byte("two"))] ^= 1
-	refused(t, bad, "damaged at byte")
-	// The last one looks like a torn write, whatever its damage.
+	damaged := bytes.Clone(b)
+	damaged[bytes.Index(damaged, []byte("two"))] ^= 1
+	checkRejected(t, damaged, "damaged at byte")
+	// Any damage to the last record looks like a torn write.
 	for i := last; i < len(b); i++ {
-		bad := bytes.Clone(b)
-		bad[i] ^= 4
-		if _, to, _, err := inspect(bad); err != nil || to != last {
-			t.Fatalf("a flip at %d of %d: whole up to %d, %v", i, len(b), to, err)
+		damaged := bytes.Clone(b)
+		damaged[i] ^= 4
+		if _, end, _, err := inspect(damaged); err != nil || end != last {
+			t.Fatalf("bit flip at byte %d of %d: valid up to %d, %v", i, len(b), end, err)
 		}
 	}
 }
 
-// The first record an older program wrote into its new file was never
-// acknowledged if it is torn: the store is new. The present one gives a file its
-// name when its header is synced; see TestStopAfterEveryOperation.
+// If the first record that an older program wrote into a new file is torn, it was never
+// acknowledged, so the store is new. The current program renames a file only after its
+// header has been synced; see TestCrashAfterEveryOperation.
 func TestTornFirstRecordOpensAsNew(t *testing.T) {
-	first := oldRecord("agreement", "what a machine of the first view agrees to")
-	ends := 0
-	open := func(b []byte) {
-		ends++
-		c, fresh, err := open(diskWith(map[string][]byte{fileName: b}))
-		if err != nil || !fresh {
-			t.Fatalf("%q: %v, new %v", b, err, fresh)
+	first := oldRecord("agreement", "the initial agreement of a machine, view 1")
+	count := 0
+	openNew := func(b []byte) {
+		count++
+		store, isNew, err := open(newDiskWith(map[string][]byte{fileName: b}))
+		if err != nil || !isNew {
+			t.Fatalf("%q: %v, new %v", b, err, isNew)
 		}
-		if c.Put("held", "x") != nil {
-			t.Fatal("takes nothing")
+		if store.Put("held", "x") != nil {
+			t.Fatal("the store accepts no writes")
 		}
-		c.Close()
+		store.Close()
 	}
 	for p := range len(first) {
-		open(first[:p])
+		openNew(first[:p])
 		head, tail := bytes.Clone(first), bytes.Clone(first)
 		clear(head[p:])
 		clear(tail[:p+1])
-		open(head)
-		open(tail)
+		openNew(head)
+		openNew(tail)
 	}
-	// With a record behind it, it had been acknowledged. (Keys were under no
-	// checksum then, so damage to one goes unseen.)
+	// If another record follows it, it had been acknowledged. Damage to a key is not
+	// detected, because the checksum did not cover keys.
 	for _, p := range []int{0, 1, 14, 26, 29, len(first) / 2, len(first) - 3} {
 		b := append(bytes.Clone(first), oldRecord("incarnation", "1")...)
 		b[p] ^= 8
 		if _, _, err := openBytes(b); err == nil {
-			t.Fatalf("a store damaged at %d was taken for new", p)
+			t.Fatalf("a store damaged at byte %d was opened", p)
 		}
 	}
-	t.Logf("%d ends", ends)
+	t.Logf("%d files", count)
 }
 
 func openBytes(b []byte) (*Store, bool, error) {
-	return open(diskWith(map[string][]byte{fileName: b}))
+	return open(newDiskWith(map[string][]byte{fileName: b}))
 }
--- a/internal/storage/growth_test.go
+++ b/internal/storage/growth_test.go
@@ -13,8 +13,8 @@
 	"slateridge/internal/constants"
 )
 
-// document is a configuration of some routes, as operators write them; about
-// 300 KB at 1,000.
+// document returns a configuration document with the given number of routes; 1,000 routes
+// are about 300 KB.
 func document(routes, version int) string {
 	var b strings.Builder
 	fmt.Fprintf(&b, `{"configVersion":"r%d","resourceList":[`, version)
@@ -28,7 +28,8 @@
 	return b.String() + "{}]}"
 }
 
-func heap() int64 {
+// heapSize returns the size of the live heap in bytes.
+func heapSize() int64 {
 	runtime.GC()
 	runtime.GC()
 	var m runtime.MemStats
@@ -36,222 +37,223 @@
 	return int64(m.HeapAlloc)
 }
 
-// sometimes is a real folder that syncs only while it is told to: how fast a
-// disk is has no part in how much is on it.
-type sometimes struct {
-	folder
+// syncSwitch is a real directory whose file syncs can be turned off, because the growth of
+// a file does not depend on the speed of the disk.
+type syncSwitch struct {
+	directory
 	sync bool
 }
 
-type sometimesFile struct {
+type syncSwitchFile struct {
 	file
-	d *sometimes
+	d *syncSwitch
 }
 
-func (d *sometimes) Create(name string) (file, error) {
-	f, err := d.folder.Create(name)
-	return sometimesFile{f, d}, err
+func (d *syncSwitch) Create(name string) (file, error) {
+	f, err := d.directory.Create(name)
+	return syncSwitchFile{f, d}, err
 }
 
-func (f sometimesFile) Sync() error {
+func (f syncSwitchFile) Sync() error {
 	if f.d.sync {
 		return f.file.Sync()
 	}
 	return nil
 }
 
-// 1,000 changes of a configuration of 1,000 routes: the files stay within the
-// bound that the package states at every moment, and the heap within the live
-// state and a constant.
-func TestGrowthIsBoundedOverAThousandChanges(t *testing.T) {
+// During 1,000 changes of a configuration with 1,000 routes the file never exceeds the
+// bound that the package documents, and the heap stays within the live state plus a
+// quarter of it and a constant.
+func TestGrowthIsBoundedOver1000Changes(t *testing.T) {
 	dir := t.TempDir()
 	docs := [2]string{document(1000, 1), document(1000, 2)}
-	type rawRef struct {
+	type config struct {
 		Version int
 		Raw     string
 	}
-	base := heap()
-	fs := &sometimes{folder: folder(dir), sync: true}
-	c, _, err := open(fs)
+	base := heapSize()
+	fs := &syncSwitch{directory: directory(dir), sync: true}
+	store, _, err := open(fs)
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer c.Close()
-	var most, mostHeap, written int64
-	var longest, took time.Duration
-	const synced = 30 // changes timed with the disk's own syncs
+	defer store.Close()
+	var maxSize, maxHeap, written int64
+	var longest, total time.Duration
+	const synced = 30 // changes that are timed with real syncs
 	for v := range 1000 {
 		fs.sync = v < synced
-		was := c.size
-		at := time.Now()
-		if err := c.Put(fmt.Sprintf("raw%d", v%2), rawRef{v, docs[v%2]}); err != nil {
+		sizeBefore := store.size
+		start := time.Now()
+		if err := store.Put(fmt.Sprintf("raw%d", v%2), config{v, docs[v%2]}); err != nil {
 			t.Fatal(err)
 		}
-		if err := c.Put("held", v); err != nil {
+		if err := store.Put("held", v); err != nil {
 			t.Fatal(err)
 		}
 		if fs.sync {
-			longest = max(longest, time.Since(at))
-			took += time.Since(at)
+			longest = max(longest, time.Since(start))
+			total += time.Since(start)
 		}
-		if c.size < was {
-			written += c.liveSize
+		if store.size < sizeBefore {
+			written += store.liveSize
 		}
 		fi, err := os.Stat(filepath.Join(dir, fileName))
-		if err != nil || fi.Size() != c.size {
-			t.Fatalf("the file has %v bytes, counted %d: %v", fi.Size(), c.size, err)
+		if err != nil || fi.Size() != store.size {
+			t.Fatalf("the file has %v bytes, but the store counted %d: %v", fi.Size(), store.size, err)
 		}
-		most = max(most, c.size)
+		maxSize = max(maxSize, store.size)
 		if v%100 == 99 {
-			mostHeap = max(mostHeap, heap()-base)
+			maxHeap = max(maxHeap, heapSize()-base)
 		}
 	}
 	rec := int64(len(docs[0])) + 100
-	if bound := max(constants.StoreCompactAt, constants.StoreCompactTimes*c.liveSize) + rec; most > bound {
-		t.Errorf("the file grew to %d bytes, the bound is %d", most, bound)
+	if bound := max(constants.StoreCompactAt, constants.StoreCompactTimes*store.liveSize) + rec; maxSize > bound {
+		t.Errorf("the file grew to %d bytes; the bound is %d", maxSize, bound)
 	}
-	if bound := c.liveSize + c.liveSize/4 + 256<<10; mostHeap > bound {
-		t.Errorf("the store holds %d bytes of heap for %d of live state", mostHeap, c.liveSize)
+	if bound := store.liveSize + store.liveSize/4 + 256<<10; maxHeap > bound {
+		t.Errorf("the store uses %d bytes of heap for a live state of %d bytes", maxHeap, store.liveSize)
 	}
-	t.Logf("document %d bytes, live state %d, file at most %d, heap at most %d, %d bytes written for compaction, %v for each synced change, the longest %v",
-		len(docs[0]), c.liveSize, most, mostHeap, written, took/synced, longest)
+	t.Logf("document size %d bytes, live state %d, maximum file size %d, maximum heap size %d, %d bytes written by compactions, %v per synced change, at most %v",
+		len(docs[0]), store.liveSize, maxSize, maxHeap, written, total/synced, longest)
 }
 
-// sizes is a disk that keeps only how large files are and how much was written.
-type sizes struct {
-	names          map[string]*sized
+// sizeDisk is a disk that records only how large files are and the number of bytes written.
+type sizeDisk struct {
+	files          map[string]*sizeFile
 	written, peak  int64
 	creates, syncs int
 }
 
-type sized struct {
-	d *sizes
+type sizeFile struct {
+	d *sizeDisk
 	n int64
 }
 
-func (d *sizes) all() (sum int64) {
-	for _, f := range d.names {
+// total returns the size of all files.
+func (d *sizeDisk) total() (sum int64) {
+	for _, f := range d.files {
 		sum += f.n
 	}
 	return sum
 }
 
-func (d *sizes) ReadFile(string) ([]byte, error) { return nil, os.ErrNotExist }
-func (d *sizes) Open(name string) (file, error)  { return d.names[name], nil }
-func (d *sizes) Remove(name string) error        { delete(d.names, name); return nil }
-func (d *sizes) SyncFolder() error               { return nil }
-func (f *sized) Sync() error                     { f.d.syncs++; return nil }
-func (f *sized) Close() error                    { return nil }
-func (d *sizes) Create(name string) (file, error) {
+func (d *sizeDisk) ReadFile(string) ([]byte, error) { return nil, os.ErrNotExist }
+func (d *sizeDisk) Open(name string) (file, error)  { return d.files[name], nil }
+func (d *sizeDisk) Remove(name string) error        { delete(d.files, name); return nil }
+func (d *sizeDisk) SyncDir() error                  { return nil }
+func (f *sizeFile) Sync() error                     { f.d.syncs++; return nil }
+func (f *sizeFile) Close() error                    { return nil }
+func (d *sizeDisk) Create(name string) (file, error) {
 	d.creates++
-	d.names[name] = &sized{d: d}
-	return d.names[name], nil
+	d.files[name] = &sizeFile{d: d}
+	return d.files[name], nil
 }
-func (d *sizes) Rename(from, to string) error {
-	d.names[to] = d.names[from]
-	delete(d.names, from)
+func (d *sizeDisk) Rename(from, to string) error {
+	d.files[to] = d.files[from]
+	delete(d.files, from)
 	return nil
 }
 
-func (f *sized) Write(b []byte) (int, error) {
+func (f *sizeFile) Write(b []byte) (int, error) {
 	f.n += int64(len(b))
 	f.d.written += int64(len(b))
-	f.d.peak = max(f.d.peak, f.d.all())
+	f.d.peak = max(f.d.peak, f.d.total())
 	return len(b), nil
 }
 
-// The live state nears and passes the size at which a small store is compacted:
-// compactions stay rare, what they write stays under half of what is put, and
-// both files together fit a disk of 64 MB up to a live state of 12 MiB.
-func TestCompactionFollowsTheLiveState(t *testing.T) {
+// For live states below and above the minimum size for a compaction, compactions write at
+// most half as many bytes as the puts do, and up to a live state of 12 MiB both files
+// together fit on a disk of 64 MiB.
+func TestCompactionCostIsBounded(t *testing.T) {
 	t.Parallel()
 	for _, live := range []int{100 << 10, 1 << 20, 3900 << 10, 5 << 20, 12 << 20} {
-		d := &sizes{names: map[string]*sized{}}
-		c, _, err := open(d)
+		d := &sizeDisk{files: map[string]*sizeFile{}}
+		store, _, err := open(d)
 		if err != nil {
 			t.Fatal(err)
 		}
 		half := strings.Repeat("x", live/2)
 		for i := range 30 {
-			c.Put(fmt.Sprintf("raw%d", i%2), half)
+			store.Put(fmt.Sprintf("raw%d", i%2), half)
 			for j := range 10 {
-				c.Put("held", i*10+j)
+				store.Put("held", i*10+j)
 			}
-			if bound := max(constants.StoreCompactAt, constants.StoreCompactTimes*c.liveSize) + c.liveSize/2 + 1<<10; d.names[fileName].n > bound {
-				t.Fatalf("live state of %d: the file has %d bytes, the bound is %d", c.liveSize, d.names[fileName].n, bound)
+			if bound := max(constants.StoreCompactAt, constants.StoreCompactTimes*store.liveSize) + store.liveSize/2 + 1<<10; d.files[fileName].n > bound {
+				t.Fatalf("live state of %d bytes: the file has %d bytes; the bound is %d", store.liveSize, d.files[fileName].n, bound)
 			}
 		}
 		put := 30 * int64(live/2)
 		if d.written > put+put/2+int64(live) {
-			t.Errorf("live state of %d: %d bytes were put, %d written", live, put, d.written)
+			t.Errorf("live state of %d bytes: %d bytes were put, %d written", live, put, d.written)
 		}
 		if d.peak > 64<<20 {
-			t.Errorf("live state of %d: files of %d bytes together", live, d.peak)
+			t.Errorf("live state of %d bytes: both files together took %d bytes", live, d.peak)
 		}
-		t.Logf("live state %d: %d compactions in 330 puts, %.2f bytes written for each put, files together at most %d", c.liveSize, d.creates-1, float64(d.written)/float64(put), d.peak)
-		c.Close()
+		t.Logf("live state %d: %d compactions in 330 puts, %.2f bytes written per byte put, at most %d bytes in both files", store.liveSize, d.creates-1, float64(d.written)/float64(put), d.peak)
+		store.Close()
 	}
 }
 
-// A state that shrinks takes its file along.
+// The file shrinks when the live state does.
 func TestFileShrinksWithTheLiveState(t *testing.T) {
-	c := mustOpen(t, t.TempDir())
-	c.Put("raw0", strings.Repeat("x", 6<<20))
-	c.Put("raw0", "small")
+	store := mustOpen(t, t.TempDir())
+	store.Put("raw0", strings.Repeat("x", 6<<20))
+	store.Put("raw0", "small")
 	for i := range 100 {
-		c.Put("held", i)
+		store.Put("held", i)
 	}
-	if c.size > constants.StoreCompactAt || c.liveSize > 1<<10 {
-		t.Fatalf("a live state of %d bytes in a file of %d", c.liveSize, c.size)
+	if store.size > constants.StoreCompactAt || store.liveSize > 1<<10 {
+		t.Fatalf("live state of %d bytes in a file of %d bytes", store.liveSize, store.size)
 	}
 }
 
-// A compaction that cannot be made does not fail the Put that was synced; it is
-// tried again now and then, not at every put, and made when there is space.
-func TestCompactionThatFailsIsPutOff(t *testing.T) {
+// A failed compaction does not fail the Put that triggered it. It is retried, but not at
+// every Put, and succeeds once there is space.
+func TestFailedCompactionIsRetriedLater(t *testing.T) {
 	d := newDisk()
-	c, _, err := open(d)
+	store, _, err := open(d)
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer c.Close()
-	c.compactFloor = 1000
-	tries := 0
-	d.refuse = func(op string, _ int) bool {
+	defer store.Close()
+	store.compactMinSize = 1000
+	attempts := 0
+	d.fail = func(op string, _ int) bool {
 		if op == "create" {
-			tries++
+			attempts++
 		}
 		return op == "create"
 	}
 	for i := range 100 {
-		if err := c.Put("a", fmt.Sprintf("a %d, forty bytes of a value or so, in all", i)); err != nil {
+		if err := store.Put("a", fmt.Sprintf("a %d, forty bytes of a value or so, in all", i)); err != nil {
 			t.Fatal(err)
 		}
 	}
-	if tries == 0 || tries > 40 || c.Failed() {
-		t.Fatalf("%d tries, sick %v", tries, c.Failed())
+	if attempts == 0 || attempts > 40 || store.Failed() {
+		t.Fatalf("%d attempts, failed %v", attempts, store.Failed())
 	}
-	d.refuse = nil
+	d.fail = nil
 	for i := range 10 {
-		c.Put("a", fmt.Sprint("b ", i))
+		store.Put("a", fmt.Sprint("b ", i))
 	}
-	if c.size > 1000 {
-		t.Fatalf("the file has %d bytes after space was back", c.size)
+	if store.size > 1000 {
+		t.Fatalf("the file has %d bytes although there is space again", store.size)
 	}
 }
 
-// What is appended by hand is what buntdb writes.
-func TestRecordIsBuntdbs(t *testing.T) {
+// appendRecord produces the same encoding as buntdb, and recordSize its length.
+func TestRecordEncodingMatchesBuntDB(t *testing.T) {
 	r := rand.New(rand.NewPCG(5, 5))
 	for range 200 {
-		c := NewInMemory()
+		store := NewInMemory()
 		key, val := strings.Repeat("k", 1+r.IntN(12)), strings.Repeat("v\r\n", r.IntN(400))
-		c.set(key, val)
+		store.set(key, val)
 		var b strings.Builder
-		c.db.Save(&b)
+		store.db.Save(&b)
 		if want := string(appendRecord(nil, key, val)); b.String() != want || recordSize(key, val) != int64(len(want)) {
-			t.Fatalf("%q is not %q, or not of %d bytes", b.String(), want, recordSize(key, val))
+			t.Fatalf("buntdb wrote %q, appendRecord %q, recordSize is %d", b.String(), want, recordSize(key, val))
 		}
-		c.Close()
+		store.Close()
 	}
 }
--- a/internal/storage/store.go
+++ b/internal/storage/store.go
@@ -1,34 +1,36 @@
-// Package storage is a small durable key-value store over buntdb: a log that is compacted.
-// It keeps what must outlast the process.
+// Package storage implements a small durable key-value store on top of buntdb: an
+// append-only log that is compacted. It keeps the state that must survive a restart
+// of the process.
 //
-// buntdb holds the values, reads the file and writes its compaction. What it
-// would do with the file by itself it does not do here: it drops the error of its
-// sync, panics when a write fails and its undoing too, cannot open a file whose
-// last, unsynced write was torn in its middle, and does not sync the folder after
-// it has rewritten its file. So a commit is one record with a checksum, appended
-// and synced by us through a port that tests can stop and fail.
+// buntdb holds the values in memory, parses the file and writes the records of a
+// compaction. The rest of its file handling is not used: it ignores the error of
+// its sync, panics when a write fails and cannot be undone either, cannot open a
+// file whose last, unsynced write was torn in the middle, and does not sync the
+// directory after it has rewritten its file. Instead, Put appends one checksummed
+// record and syncs it through an interface that tests can stop and fail.
 //
-// What holds:
+// Guarantees:
 //
-//   - Put returns nil only once the value is synced under a name that is synced.
-//     From then on every opening shows it or a later one, whatever kills and
-//     losses of power came between.
-//   - After a Put that failed the old value stands in this life, and the store is
-//     sick: it takes nothing until Recover has written the acknowledged values, and
-//     only those, into a new file. Until then a restart may show the value whose
-//     Put failed; it is then as good as one whose Put was under way at a kill.
-//     Once Recover has returned nil it never shows.
-//   - What Open shows is durable before it returns: nobody learns from this
-//     machine what a loss of power would take back.
-//   - Open refuses a file that no kill or loss of power could have left, instead
-//     of making an empty store of it: a machine would forget its promises.
-//   - The file is at most constants.StoreCompactAt or StoreCompactTimes the live
-//     state, whichever is more, and one record; beside it stands, while it is
-//     compacted, one of the size of the live state. Values are in memory once.
+//   - Put returns nil only once the value is synced in a file whose name is synced.
+//     From then on every Open returns this value or a later one, whatever crashes
+//     and power losses happen in between.
+//   - After a failed Put, Get returns the old value until the process ends, and the
+//     store has failed: it accepts no writes until Recover has written the
+//     acknowledged values, and only those, into a new file. Until then a restart may
+//     return the value whose Put failed, like one whose Put was in progress when the
+//     process was killed. Once Recover has returned nil it is never returned.
+//   - The values that Open finds are durable before it returns, so that no peer
+//     learns anything from this machine that a power loss would undo.
+//   - Open rejects a file that no crash or power loss could have left, instead of
+//     starting with an empty store: the machine would forget its promises.
+//   - The size of the file is at most constants.StoreCompactAt or StoreCompactTimes
+//     the size of the live state, whichever is larger, plus one record. During a
+//     compaction there is a second file of the size of the live state. Values are
+//     held in memory once.
 //
-// Not promised: anything after a disk lost or changed what it had synced, but
-// that a record that fails its checksum is never shown. Damage to the very last
-// record looks like a torn write, and the value before it is shown.
+// Nothing is guaranteed after a disk has lost or changed synced data, except that a
+// record with a wrong checksum is never returned. Damage to the last record looks
+// like a torn write, and the previous value is returned.
 package storage
 
 import (
@@ -45,244 +47,249 @@
 	"slateridge/internal/constants"
 )
 
-// ErrWriteFailed is returned once the disk has failed a write; the store takes no
-// more until Recover has succeeded.
-var ErrWriteFailed = errors.New("disk refused a write")
+// ErrWriteFailed is returned once the disk has failed a write. The store accepts no
+// writes until Recover has succeeded.
+var ErrWriteFailed = errors.New("write to disk failed")
 
-// Store is the store: one value per key, replaced whole.
+// Store is a key-value store. A Put replaces the whole value of a key.
 type Store struct {
-	fs             fileSystem // nil: nothing outlasts the process
-	db             *buntdb.DB // the acknowledged values, sealed; in memory
-	file           file       // the log; nil if there never was a good one in this life
-	size           int64      // of the log
-	liveSize       int64      // of it what is not replaced
-	compactFloor   int64      // size up to which it is not compacted; tests make it small
-	compactRetryAt int64      // size at which a compaction that failed is tried again
-	failed         bool
+	fs               fileSystem // nil for a store in memory only
+	db               *buntdb.DB // the acknowledged values with their checksums, in memory
+	file             file       // the log; nil if this process has not written a complete one yet
+	size             int64      // of the log in bytes
+	liveSize         int64      // bytes of the log that have not been superseded
+	compactMinSize   int64      // the log is not compacted up to this size; tests lower it
+	compactRetrySize int64      // log size at which a failed compaction is retried
+	failed           bool
 }
 
 const (
-	fileName = "slateridge.db"
-	newName  = fileName + ".new" // a compacted file before it has its name
+	fileName     = "slateridge.db"
+	tempFileName = fileName + ".new" // a compacted file before it is renamed
 )
 
-// Open reads the store in a folder, or makes it. New says it held nothing. On a
-// disk that takes no new file an existing store opens as failed.
-func Open(dir string) (c *Store, isNew bool, err error) {
-	c, isNew, err = open(folder(dir))
+// Open opens the store in a directory, or creates it. isNew reports whether it
+// holds no values. If no new file can be written, an existing store opens in the
+// failed state.
+func Open(dir string) (s *Store, isNew bool, err error) {
+	s, isNew, err = open(directory(dir))
 	if err != nil {
-		return nil, false, fmt.Errorf("%s: %w", folder(dir).path(fileName), err)
+		return nil, false, fmt.Errorf("%s: %w", directory(dir).path(fileName), err)
 	}
-	return c, isNew, nil
+	return s, isNew, nil
 }
 
-func open(fs fileSystem) (c *Store, isNew bool, err error) {
+func open(fs fileSystem) (s *Store, isNew bool, err error) {
 	b, err := fs.ReadFile(fileName)
 	exists := err == nil
 	if err != nil && !errors.Is(err, os.ErrNotExist) {
 		return nil, false, err
 	}
-	from, to, headed, err := inspect(b)
+	start, end, hasHeader, err := inspect(b)
 	if err != nil {
 		return nil, false, err
 	}
-	c = NewInMemory()
-	c.fs = fs
-	if err := c.db.Load(bytes.NewReader(b[from:to])); err != nil {
-		c.Close()
+	s = NewInMemory()
+	s.fs = fs
+	if err := s.db.Load(bytes.NewReader(b[start:end])); err != nil {
+		s.Close()
 		return nil, false, err
 	}
-	if !headed {
-		c.reseal()
+	if !hasHeader {
+		s.upgradeValues()
 	}
-	// Every opening writes the file anew. So what was read is durable also if the
-	// life before was killed ahead of its sync, or its sync failed and the next
-	// would pass without having written anything; and a torn end is gone.
-	if err := c.compact(); err != nil {
-		c.failed = true
+	// Rewrite the file on every start. This makes the values durable even if the
+	// previous process was killed before its sync, or if its sync failed and a later
+	// one would succeed without having written anything. It also removes a torn end.
+	if err := s.compact(); err != nil {
+		s.failed = true
 		if !exists {
-			c.Close()
+			s.Close()
 			return nil, false, err
 		}
-		if err := c.syncInPlace(); err != nil {
-			c.Close()
+		if err := s.syncInPlace(); err != nil {
+			s.Close()
 			return nil, false, err
 		}
 	}
-	return c, c.empty(), nil
+	return s, s.empty(), nil
 }
 
-// NewInMemory is a store for a machine without a disk.
+// NewInMemory returns a store for a machine without a disk. Nothing in it survives
+// the process.
 func NewInMemory() *Store {
 	db, err := buntdb.Open(":memory:")
 	if err != nil {
-		panic(fmt.Sprintf("storage: no store in memory: %v", err)) // opens no file
+		panic(fmt.Sprintf("storage: opening the in-memory database: %v", err)) // cannot happen: it opens no file
 	}
-	return &Store{db: db, compactFloor: constants.StoreCompactAt}
+	return &Store{db: db, compactMinSize: constants.StoreCompactAt}
 }
 
-// reseal brings values of a file without a header into the present form.
-func (c *Store) reseal() {
+// upgradeValues converts the values of a file without a header to the current
+// format.
+func (s *Store) upgradeValues() {
 	vals := map[string]string{}
-	c.db.View(func(tx *buntdb.Tx) error {
+	s.db.View(func(tx *buntdb.Tx) error {
 		return tx.Ascend("", func(key, val string) bool {
-			if body, ok := checked(val); ok {
+			if body, ok := verifyChecksum(val); ok {
 				vals[key] = body
 			}
 			return true
 		})
 	})
 	for key, body := range vals {
-		c.set(key, seal(key, body))
+		s.set(key, encodeValue(key, body))
 	}
 }
 
-// set takes a sealed value into memory, and says what it replaced.
-func (c *Store) set(key, val string) (old string, replaced bool) {
-	err := c.db.Update(func(tx *buntdb.Tx) (err error) {
+// set stores an encoded value in memory and returns the one it replaced.
+func (s *Store) set(key, val string) (old string, replaced bool) {
+	err := s.db.Update(func(tx *buntdb.Tx) (err error) {
 		old, replaced, err = tx.Set(key, val, nil)
 		return err
 	})
 	if err != nil {
-		panic(fmt.Sprintf("storage: the store in memory refused a value: %v", err)) // no file, no index
+		panic(fmt.Sprintf("storage: setting a value in the in-memory database: %v", err)) // cannot happen: it has no file and no index
 	}
 	return old, replaced
 }
 
-func (c *Store) empty() bool {
+func (s *Store) empty() bool {
 	n := 0
-	c.db.View(func(tx *buntdb.Tx) (err error) {
+	s.db.View(func(tx *buntdb.Tx) (err error) {
 		n, err = tx.Len()
 		return err
 	})
 	return n == 0
 }
 
-// syncInPlace makes what stands under the file's name durable without writing.
-func (c *Store) syncInPlace() error {
-	f, err := c.fs.Open(fileName)
+// syncInPlace makes the existing file durable without writing to it.
+func (s *Store) syncInPlace() error {
+	f, err := s.fs.Open(fileName)
 	if err != nil {
 		return err
 	}
-	return errors.Join(f.Sync(), f.Close(), c.fs.SyncFolder())
+	return errors.Join(f.Sync(), f.Close(), s.fs.SyncDir())
 }
 
-// Get reads a value into v; false where there is none.
-func (c *Store) Get(key string, v any) bool {
+// Get decodes the value of key into v. It reports false if there is none.
+func (s *Store) Get(key string, v any) bool {
 	body, ok := "", false
-	c.db.View(func(tx *buntdb.Tx) error {
+	s.db.View(func(tx *buntdb.Tx) error {
 		val, err := tx.Get(key)
 		if err == nil {
-			body, ok = unseal(key, val)
+			body, ok = decodeValue(key, val)
 		}
 		return err
 	})
 	return ok && gob.NewDecoder(strings.NewReader(body)).Decode(v) == nil
 }
 
-// Put replaces a value and returns nil once it is synced. After an error the
-// value may or may not be on disk, Get gives the old one, and the store is sick
-// until Recover.
-func (c *Store) Put(key string, v any) error {
-	if c.failed {
+// Put sets the value of key and returns nil once it is synced. After an error the
+// value may or may not be on disk, Get returns the old one, and the store has failed
+// until Recover succeeds.
+func (s *Store) Put(key string, v any) error {
+	if s.failed {
 		return ErrWriteFailed
 	}
 	var b bytes.Buffer
 	if err := gob.NewEncoder(&b).Encode(v); err != nil {
-		panic(fmt.Sprintf("storage: %s cannot be encoded: %v", key, err)) // a broken invariant: our own type
+		panic(fmt.Sprintf("storage: encoding the value of %s: %v", key, err)) // a programming error: all stored types are our own
 	}
 	b.WriteString(key)
-	val := withSum(b.Bytes()) // sealed, without copying a long body more than once
-	if c.fs == nil {
-		c.set(key, val)
+	val := prependChecksum(b.Bytes()) // like encodeValue, but copies a long body only once
+	if s.fs == nil {
+		s.set(key, val)
 		return nil
 	}
 	rec := appendRecord(nil, key, val)
-	_, err := c.file.Write(rec)
+	_, err := s.file.Write(rec)
 	if err == nil {
-		err = c.file.Sync()
+		err = s.file.Sync()
 	}
 	if err != nil {
-		c.failed = true
+		s.failed = true
 		return fmt.Errorf("%w: %v", ErrWriteFailed, err)
 	}
-	old, replaced := c.set(key, val)
-	c.size += int64(len(rec))
-	c.liveSize += int64(len(rec))
+	old, replaced := s.set(key, val)
+	s.size += int64(len(rec))
+	s.liveSize += int64(len(rec))
 	if replaced {
-		c.liveSize -= recordSize(key, old)
+		s.liveSize -= recordSize(key, old)
 	}
-	// The value is safe, so a compaction that fails is not this Put's failure. One
-	// that has not touched the names is put off; otherwise the store is sick.
-	if c.size > max(c.compactFloor, constants.StoreCompactTimes*c.liveSize) && c.size >= c.compactRetryAt {
-		if c.compact() != nil {
-			c.compactRetryAt = c.size + max(c.liveSize, c.compactFloor/4)
+	// The value is durable, so a failed compaction does not fail this Put. One that
+	// failed before the rename is retried later; after that point the store has failed.
+	if s.size > max(s.compactMinSize, constants.StoreCompactTimes*s.liveSize) && s.size >= s.compactRetrySize {
+		if s.compact() != nil {
+			s.compactRetrySize = s.size + max(s.liveSize, s.compactMinSize/4)
 		}
 	}
 	return nil
 }
 
-// Failed says whether the disk has failed.
-func (c *Store) Failed() bool { return c.failed }
+// Failed reports whether a write to disk has failed and Recover has not succeeded
+// since.
+func (s *Store) Failed() bool { return s.failed }
 
-// Recover tries the disk again, by writing what was acknowledged into a new file.
-func (c *Store) Recover() error {
-	if !c.failed {
+// Recover retries the disk after a failure by writing the acknowledged values into
+// a new file.
+func (s *Store) Recover() error {
+	if !s.failed {
 		return nil
 	}
-	return c.compact()
+	return s.compact()
 }
 
-// compact puts the current values, and only those, into a new file, which takes
-// the old one's place. Until it is given the name the old one stands untouched.
-func (c *Store) compact() error {
-	f, err := c.fs.Create(newName)
+// compact writes the current values, and only those, into a new file that replaces
+// the old one. The old file is not touched before the rename.
+func (s *Store) compact() error {
+	f, err := s.fs.Create(tempFileName)
 	if err != nil {
 		return fmt.Errorf("%w: %v", ErrWriteFailed, err)
 	}
-	w := &counter{to: f}
+	w := &countingWriter{w: f}
 	if _, err = w.Write(header()); err == nil {
-		err = c.db.Save(w)
+		err = s.db.Save(w)
 	}
 	if err == nil {
 		err = f.Sync()
 	}
 	if err != nil {
 		f.Close()
-		c.fs.Remove(newName) // gives its space back, if it can; the next one is written over it
+		s.fs.Remove(tempFileName) // frees the space if possible; the next compaction truncates the file anyway
 		return fmt.Errorf("%w: %v", ErrWriteFailed, err)
 	}
-	c.failed = true // from here on either file may be the one that the next life finds
-	if err = c.fs.Rename(newName, fileName); err == nil {
-		err = c.fs.SyncFolder()
+	s.failed = true // until the rename is durable, a restart may find either file
+	if err = s.fs.Rename(tempFileName, fileName); err == nil {
+		err = s.fs.SyncDir()
 	}
 	if err != nil {
 		f.Close()
 		return fmt.Errorf("%w: %v", ErrWriteFailed, err)
 	}
-	if c.file != nil {
-		c.file.Close()
+	if s.file != nil {
+		s.file.Close()
 	}
-	c.file, c.size, c.liveSize, c.compactRetryAt, c.failed = f, w.n, w.n, 0, false
+	s.file, s.size, s.liveSize, s.compactRetrySize, s.failed = f, w.n, w.n, 0, false
 	return nil
 }
 
-// counter counts what goes through.
-type counter struct {
-	to io.Writer
-	n  int64
+// countingWriter counts the bytes written to w.
+type countingWriter struct {
+	w io.Writer
+	n int64
 }
 
-func (c *counter) Write(b []byte) (int, error) {
-	n, err := c.to.Write(b)
+func (c *countingWriter) Write(b []byte) (int, error) {
+	n, err := c.w.Write(b)
 	c.n += int64(n)
 	return n, err
 }
 
-// Close releases the files.
-func (c *Store) Close() {
-	if c.file != nil {
-		c.file.Close()
+// Close closes the log file and the in-memory database.
+func (s *Store) Close() {
+	if s.file != nil {
+		s.file.Close()
 	}
-	c.db.Close()
+	s.db.Close()
 }
--- a/internal/storage/store_test.go
+++ b/internal/storage/store_test.go
@@ -14,160 +14,160 @@
 
 func mustOpen(t *testing.T, dir string) *Store {
 	t.Helper()
-	c, _, err := Open(dir)
+	store, _, err := Open(dir)
 	if err != nil {
 		t.Fatal(err)
 	}
-	t.Cleanup(c.Close)
-	return c
+	t.Cleanup(store.Close)
+	return store
 }
 
-// After a loss of power a file has what its last sync covered; of a later
-// write each part is there, missing or torn. Every such end must open with all
-// that was acknowledged.
-func TestTornTailKeepsWhatWasSynced(t *testing.T) {
+// After a power loss a file has the contents of its last sync, and any part of a later write
+// may be present, missing or torn. Every such file must open with all acknowledged values.
+func TestTornTailKeepsSyncedValues(t *testing.T) {
 	t.Parallel()
 	dir := t.TempDir()
-	c := mustOpen(t, dir)
+	store := mustOpen(t, dir)
 	for i, v := range []string{"first", "second", strings.Repeat("long ", 300)} {
-		if err := c.Put("held", v); err != nil {
+		if err := store.Put("held", v); err != nil {
 			t.Fatal(i, err)
 		}
 	}
 	path := filepath.Join(dir, fileName)
 	synced, _ := os.ReadFile(path)
-	c.Put("held", strings.Repeat("never acknowledged ", 100))
-	whole, _ := os.ReadFile(path)
-	later := whole[len(synced):]
+	store.Put("held", strings.Repeat("never acknowledged ", 100))
+	written, _ := os.ReadFile(path)
+	unsynced := written[len(synced):]
 	r := rand.New(rand.NewPCG(3, 3))
 	for i := range 300 {
-		tail := bytes.Clone(later[:r.IntN(len(later)+1)])
+		tail := bytes.Clone(unsynced[:r.IntN(len(unsynced)+1)])
 		switch i % 3 {
-		case 1: // a hole of zeroes
+		case 1: // some bytes are zero
 			if len(tail) > 0 {
 				from := r.IntN(len(tail))
 				clear(tail[from:min(len(tail), from+1+r.IntN(512))])
 			}
-		case 2: // the end is there, the beginning is not
+		case 2: // the start is zero
 			clear(tail[:r.IntN(len(tail)+1)])
 		}
-		end := append(bytes.Clone(synced), tail...)
-		d := fileSystem(diskWith(map[string][]byte{fileName: end}))
-		if i%10 < 3 { // three ends of each ten in a real folder too: one of each kind
+		b := append(bytes.Clone(synced), tail...)
+		fs := fileSystem(newDiskWith(map[string][]byte{fileName: b}))
+		if i%10 < 3 { // three of every ten files in a real directory too, one of each kind
 			dir := t.TempDir()
-			os.WriteFile(filepath.Join(dir, fileName), end, 0o644)
-			writeOn(t, i, folder(dir))
+			os.WriteFile(filepath.Join(dir, fileName), b, 0o644)
+			checkWritable(t, i, directory(dir))
 		}
-		writeOn(t, i, d)
+		checkWritable(t, i, fs)
 	}
 }
 
-// writeOn opens an end, which must hold what was acknowledged, and goes on.
-func writeOn(t *testing.T, i int, d fileSystem) {
+// checkWritable opens a store, which must contain the acknowledged values and accept a
+// write.
+func checkWritable(t *testing.T, i int, fs fileSystem) {
 	t.Helper()
-	c, fresh, err := open(d)
+	store, isNew, err := open(fs)
 	if err != nil {
-		t.Fatalf("end %d does not open: %v", i, err)
+		t.Fatalf("file %d does not open: %v", i, err)
 	}
 	var got string
-	if fresh || !c.Get("held", &got) || !strings.HasPrefix(got, "long ") && !strings.HasPrefix(got, "never") {
-		t.Fatalf("end %d: what was acknowledged is gone: %q", i, got)
+	if isNew || !store.Get("held", &got) || !strings.HasPrefix(got, "long ") && !strings.HasPrefix(got, "never") {
+		t.Fatalf("file %d: the acknowledged value is missing: %q", i, got)
 	}
-	if err := c.Put("held", "after"); err != nil {
+	if err := store.Put("held", "after"); err != nil {
 		t.Fatal(err)
 	}
-	c.Close()
-	c2, _, err := open(d)
-	if err != nil || !c2.Get("held", &got) || got != "after" {
-		t.Fatalf("end %d: writing on after it failed: %v %q", i, err, got)
+	store.Close()
+	reopened, _, err := open(fs)
+	if err != nil || !reopened.Get("held", &got) || got != "after" {
+		t.Fatalf("file %d: a later write was lost: %v, %q", i, err, got)
 	}
-	c2.Close()
+	reopened.Close()
 }
 
-func TestRewriteKeepsAllAndStaysSmall(t *testing.T) {
+func TestCompactionKeepsAllValues(t *testing.T) {
 	dir := t.TempDir()
-	c := mustOpen(t, dir)
-	c.Put("other", "kept")
-	big := strings.Repeat("x", 200<<10)
+	store := mustOpen(t, dir)
+	store.Put("other", "kept")
+	large := strings.Repeat("x", 200<<10)
 	for i := range 100 {
-		if err := c.Put("held", big+string(rune('a'+i%26))); err != nil {
+		if err := store.Put("held", large+string(rune('a'+i%26))); err != nil {
 			t.Fatal(err)
 		}
 		if fi, _ := os.Stat(filepath.Join(dir, fileName)); fi.Size() > constants.StoreCompactAt+1<<20 {
 			t.Fatalf("the file has grown to %d bytes", fi.Size())
 		}
 	}
-	c.Close()
+	store.Close()
 	var held, other string
-	if c := mustOpen(t, dir); !c.Get("held", &held) || !c.Get("other", &other) || held != big+string(rune('a'+99%26)) || other != "kept" {
-		t.Fatal("values are gone after the file was rewritten")
+	if store := mustOpen(t, dir); !store.Get("held", &held) || !store.Get("other", &other) || held != large+string(rune('a'+99%26)) || other != "kept" {
+		t.Fatal("values are missing after compactions")
 	}
 }
 
-// A failed sync must count, and nothing is taken until the disk works again.
-func TestFailedSyncIsSeen(t *testing.T) {
-	c := mustOpen(t, t.TempDir())
-	c.Put("held", "good")
-	c.file.Close() // the next sync fails
-	if err := c.Put("held", "lost"); !errors.Is(err, ErrWriteFailed) {
-		t.Fatalf("a failed sync was taken for a good one: %v", err)
-	}
-	if err := c.Put("other", "x"); !errors.Is(err, ErrWriteFailed) {
-		t.Fatalf("a sick store took a write: %v", err)
-	}
-	if err := c.Recover(); err != nil {
+// A failed sync fails the Put, and later writes fail until Recover succeeds.
+func TestFailedSyncFailsTheStore(t *testing.T) {
+	store := mustOpen(t, t.TempDir())
+	store.Put("held", "good")
+	store.file.Close() // the next sync fails
+	if err := store.Put("held", "lost"); !errors.Is(err, ErrWriteFailed) {
+		t.Fatalf("Put with a failed sync returned %v", err)
+	}
+	if err := store.Put("other", "x"); !errors.Is(err, ErrWriteFailed) {
+		t.Fatalf("Put on a failed store returned %v", err)
+	}
+	if err := store.Recover(); err != nil {
 		t.Fatal(err)
 	}
 	var got string
-	if !c.Get("held", &got) || got != "good" {
-		t.Fatalf("after mending: %q", got)
+	if !store.Get("held", &got) || got != "good" {
+		t.Fatalf("after Recover the value is %q", got)
 	}
-	if err := c.Put("held", "better"); err != nil {
+	if err := store.Put("held", "better"); err != nil {
 		t.Fatal(err)
 	}
 }
 
-// folderSyncs is a real folder whose own syncs are counted and can fail.
-type folderSyncs struct {
-	folder
+// dirSyncRecorder is a real directory whose syncs are counted and can fail.
+type dirSyncRecorder struct {
+	directory
 	err   error
 	calls int
 }
 
-func (d *folderSyncs) SyncFolder() error {
+func (d *dirSyncRecorder) SyncDir() error {
 	d.calls++
 	if d.err != nil {
 		return d.err
 	}
-	return d.folder.SyncFolder()
+	return d.directory.SyncDir()
 }
 
-// A process killed between the renaming of its rewritten file and the sync of
-// the folder leaves a name that a loss of power would undo. The next life must
-// sync the folder before it acknowledges anything.
-func TestFolderIsSyncedAfterAKillDuringRewrite(t *testing.T) {
-	fs := &folderSyncs{folder: folder(t.TempDir())}
-	c, _, err := open(fs)
+// A process that is killed between the rename of a compacted file and the sync of the
+// directory leaves a rename that a power loss would undo. The next process must sync the
+// directory before it acknowledges anything.
+func TestOpenSyncsDirectoryAfterInterruptedCompaction(t *testing.T) {
+	fs := &dirSyncRecorder{directory: directory(t.TempDir())}
+	store, _, err := open(fs)
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer c.Close()
-	c.Put("held", "old")
+	defer store.Close()
+	store.Put("held", "old")
 	fs.err = errors.New("killed here")
-	if c.compact() == nil {
-		t.Fatal("a rewrite whose folder could not be synced passed")
+	if store.compact() == nil {
+		t.Fatal("a compaction succeeded although the directory sync failed")
 	}
 	fs.err, fs.calls = nil, 0
-	c, _, err = open(fs)
+	store, _, err = open(fs)
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer c.Close()
+	defer store.Close()
 	if fs.calls == 0 {
-		t.Fatal("the folder was not synced before the first promise")
+		t.Fatal("Open did not sync the directory")
 	}
 	var got string
-	if !c.Get("held", &got) || got != "old" {
-		t.Fatalf("lost: %q", got)
+	if !store.Get("held", &got) || got != "old" {
+		t.Fatalf("the value is %q", got)
 	}
 }
