--- a/internal/transport/transport.go
+++ b/internal/transport/transport.go
@@ -35,7 +35,7 @@
 // Traffic counts the bytes and messages on all connections of this process.
 var Traffic struct{ InBytes, OutBytes, In, Out atomic.Uint64 }
 
-// Malformed counts connections that were closed because of invalid input.
+// Malformed counts invalid input. A connection on which it arrives is closed.
 var Malformed atomic.Uint64
 
 var (
@@ -60,7 +60,7 @@
 	pending         map[uint64]chan any
 	handler         Handler
 	closeAfterFlush atomic.Bool // close once the queue has been written
-	Remote          string
+	Remote          string      // IP address of the other end
 }
 
 // Handler handles a message. Its result is sent as the reply if the sender expects one.
