--- a/internal/config/config.go
+++ b/internal/config/config.go
@@ -34,9 +34,9 @@
 	Homes                  []string // regions it may be served in; none named means all
 }
 
-// Homes are the regions in which a request may be served, where both its route
+// AllowedRegions are the regions in which a request may be served, where both its route
 // and its tenant have a say; all says that neither has.
-func Homes(r *Route, t *Tenant) (homes []string, all bool) {
+func AllowedRegions(r *Route, t *Tenant) (homes []string, all bool) {
 	if t == nil || len(t.Homes) == 0 {
 		return r.Homes, len(r.Homes) == 0
 	}
--- a/internal/proxy/attempt.go
+++ b/internal/proxy/attempt.go
@@ -26,7 +26,7 @@
 		route.Idempotent != p.route.Idempotent {
 		return false
 	}
-	regions := regionsKey(config.Homes(route, tenant))
+	regions := regionsKey(config.AllowedRegions(route, tenant))
 	if !regionAllowed(regions, u.region) {
 		return false
 	}
--- a/internal/proxy/exchange.go
+++ b/internal/proxy/exchange.go
@@ -55,7 +55,7 @@
 		tenant:         tenant,
 		priority:       route.Priority,
 		service:        route.Pick(rand.Float64()),
-		allowedRegions: regionsKey(config.Homes(route, tenant)),
+		allowedRegions: regionsKey(config.AllowedRegions(route, tenant)),
 		usageRun:       &usage.Run{},
 	}
 	if tenant != nil && tenant.HasPriority {
@@ -152,7 +152,7 @@
 			return code
 		}
 		p.config, p.route, p.tenant = cfg, route, tenant
-		p.allowedRegions = regionsKey(config.Homes(route, tenant))
+		p.allowedRegions = regionsKey(config.AllowedRegions(route, tenant))
 		if !route.RoutesTo(p.service) {
 			p.service = route.Pick(rand.Float64())
 		}
