--- a/internal/config/config.go
+++ b/internal/config/config.go
@@ -31,19 +31,19 @@
 	MaxAttempts            int
 	Public                 bool
 	Targets                []Target
-	Homes                  []string // regions it may be served in; none named means all
+	AllowedRegions         []string // regions it may be served in; none named means all
 }
 
 // AllowedRegions are the regions in which a request may be served, where both its route
 // and its tenant have a say; all says that neither has.
 func AllowedRegions(r *Route, t *Tenant) (homes []string, all bool) {
 	if t == nil || len(t.Homes) == 0 {
-		return r.Homes, len(r.Homes) == 0
+		return r.AllowedRegions, len(r.AllowedRegions) == 0
 	}
-	if len(r.Homes) == 0 {
+	if len(r.AllowedRegions) == 0 {
 		return t.Homes, false
 	}
-	for _, h := range r.Homes {
+	for _, h := range r.AllowedRegions {
 		if slices.Contains(t.Homes, h) {
 			homes = append(homes, h)
 		}
