--- a/internal/config/config.go
+++ b/internal/config/config.go
@@ -37,14 +37,14 @@
 // AllowedRegions are the regions in which a request may be served, where both its route
 // and its tenant have a say; all says that neither has.
 func AllowedRegions(r *Route, t *Tenant) (homes []string, all bool) {
-	if t == nil || len(t.Homes) == 0 {
+	if t == nil || len(t.AllowedRegions) == 0 {
 		return r.AllowedRegions, len(r.AllowedRegions) == 0
 	}
 	if len(r.AllowedRegions) == 0 {
-		return t.Homes, false
+		return t.AllowedRegions, false
 	}
 	for _, h := range r.AllowedRegions {
-		if slices.Contains(t.Homes, h) {
+		if slices.Contains(t.AllowedRegions, h) {
 			homes = append(homes, h)
 		}
 	}
@@ -89,11 +89,11 @@
 
 // Tenant is a holder of keys, with its quota; Rate 0 is no limit.
 type Tenant struct {
-	Name        string
-	Priority    int
-	HasPriority bool
-	Rate, Burst float64
-	Homes       []string
+	Name           string
+	Priority       int
+	HasPriority    bool
+	Rate, Burst    float64
+	AllowedRegions []string
 }
 
 // Limits bound what clients may send.
--- a/internal/config/document.go
+++ b/internal/config/document.go
@@ -169,7 +169,7 @@
 		if err := decode(r.Spec, &sp); err != nil {
 			return nil, fault(err)
 		}
-		it.tenant = &Tenant{Name: it.name, Rate: sp.RatePerS, Burst: sp.BurstSize, Homes: sp.AllowedRegions}
+		it.tenant = &Tenant{Name: it.name, Rate: sp.RatePerS, Burst: sp.BurstSize, AllowedRegions: sp.AllowedRegions}
 		if sp.Priority != nil {
 			it.tenant.Priority, it.tenant.HasPriority = *sp.Priority, true
 		}
