--- a/internal/config/build.go
+++ b/internal/config/build.go
@@ -74,7 +74,7 @@
 		Host:           strings.ToLower(spec.Host),
 		Prefix:         spec.PathPrefix,
 		Idempotent:     spec.RouteType == Idempotent,
-		Stream:         spec.RouteType == Streaming,
+		Streaming:      spec.RouteType == Streaming,
 		Affinity:       spec.SessionAffinity,
 		Timeout:        spec.Timeout.D(),
 		TargetLatency:  spec.TargetLatency.D(),
--- a/internal/config/config.go
+++ b/internal/config/config.go
@@ -25,7 +25,7 @@
 type Route struct {
 	Name, Host, Prefix     string
 	Idempotent             bool
-	Stream, Affinity       bool
+	Streaming, Affinity    bool
 	Timeout, TargetLatency time.Duration
 	Priority               int
 	MaxAttempts            int
--- a/internal/proxy/attempt.go
+++ b/internal/proxy/attempt.go
@@ -102,7 +102,7 @@
 		unsent = false
 	}
 	sentAt := time.Now()
-	if p.proxy.meter != nil && p.tenant != nil && !p.route.Stream {
+	if p.proxy.meter != nil && p.tenant != nil && !p.route.Streaming {
 		p.proxy.meter.StartRun(p.usageRun, p.proxy.window(sentAt), p.tenant.Name)
 	}
 	return p.readResponse(pl, conn, attemptID, sentAt)
@@ -131,7 +131,7 @@
 	if unverified {
 		resp.Close = true // the connection is not reused
 	}
-	if p.route.Stream && !unverified && !unframed(resp) && resp.StatusCode/100 == 2 && resp.Header.Get(headerSeal) != "" {
+	if p.route.Streaming && !unverified && !unframed(resp) && resp.StatusCode/100 == 2 && resp.Header.Get(headerSeal) != "" {
 		return p.awaitFirstChunk(pl, conn, resp, sentAt)
 	}
 	if resp.StatusCode/100 == 2 && unframed(resp) {
--- a/internal/proxy/cancellation.go
+++ b/internal/proxy/cancellation.go
@@ -93,7 +93,7 @@
 func (p *exchange) cancelOnDisconnect(conn *upstreamConn) {
 	ctx := p.request.Context()
 	switch {
-	case p.route.Stream:
+	case p.route.Streaming:
 		conn.cancellation = newCancellation(ctx, conn.netConn, 0)
 	case p.route.Idempotent:
 		conn.cancellation = newCancellation(ctx, conn.netConn, constants.CancelGrace)
--- a/internal/proxy/exchange.go
+++ b/internal/proxy/exchange.go
@@ -199,7 +199,7 @@
 // target returns what the request requires of an upstream.
 func (p *exchange) target() target {
 	t := target{service: p.service, regions: p.allowedRegions}
-	if p.route.Stream {
+	if p.route.Streaming {
 		t.stream = true
 		if p.route.Affinity {
 			t.prefix = p.request.Header.Get(headerPrefix)
--- a/internal/proxy/proxy.go
+++ b/internal/proxy/proxy.go
@@ -155,7 +155,7 @@
 		return
 	}
 	meter.EndRun(p.usageRun)
-	if p.executions > 0 && !p.route.Stream { // streams are counted at their first chunk
+	if p.executions > 0 && !p.route.Streaming { // streams are counted at their first chunk
 		meter.Count(p.proxy.window(p.executedAt), p.tenant.Name)
 	}
 }
--- a/internal/proxy/timing.go
+++ b/internal/proxy/timing.go
@@ -24,7 +24,7 @@
 // responseDeadline returns until when the caller waits for the response or for a stream's first
 // chunk: clients give up a stream that stays silent.
 func (p *exchange) responseDeadline() time.Time {
-	if !p.route.Stream {
+	if !p.route.Streaming {
 		return p.deadline
 	}
 	patience := max(constants.StreamPatience, constants.StreamPatienceTargets*p.route.TargetLatency)
