--- a/internal/config/build.go
+++ b/internal/config/build.go
@@ -70,18 +70,18 @@
 func (c *Config) addRoute(it *item, places map[string]string) error {
 	spec := it.route
 	r := &Route{
-		Name:           it.name,
-		Host:           strings.ToLower(spec.Host),
-		Prefix:         spec.PathPrefix,
-		Idempotent:     spec.RouteType == Idempotent,
-		Streaming:      spec.RouteType == Streaming,
-		Affinity:       spec.SessionAffinity,
-		Timeout:        spec.Timeout.D(),
-		TargetLatency:  spec.TargetLatency.D(),
-		Priority:       spec.Priority,
-		MaxAttempts:    spec.MaxAttempts,
-		Public:         spec.Public,
-		AllowedRegions: spec.AllowedRegions,
+		Name:            it.name,
+		Host:            strings.ToLower(spec.Host),
+		Prefix:          spec.PathPrefix,
+		Idempotent:      spec.RouteType == Idempotent,
+		Streaming:       spec.RouteType == Streaming,
+		SessionAffinity: spec.SessionAffinity,
+		Timeout:         spec.Timeout.D(),
+		TargetLatency:   spec.TargetLatency.D(),
+		Priority:        spec.Priority,
+		MaxAttempts:     spec.MaxAttempts,
+		Public:          spec.Public,
+		AllowedRegions:  spec.AllowedRegions,
 	}
 	place := r.Host + r.Prefix
 	if other, ok := places[place]; ok {
--- a/internal/config/config.go
+++ b/internal/config/config.go
@@ -23,15 +23,15 @@
 
 // Route is one route, ready for use.
 type Route struct {
-	Name, Host, Prefix     string
-	Idempotent             bool
-	Streaming, Affinity    bool
-	Timeout, TargetLatency time.Duration
-	Priority               int
-	MaxAttempts            int
-	Public                 bool
-	Targets                []Target
-	AllowedRegions         []string // regions it may be served in; none named means all
+	Name, Host, Prefix         string
+	Idempotent                 bool
+	Streaming, SessionAffinity bool
+	Timeout, TargetLatency     time.Duration
+	Priority                   int
+	MaxAttempts                int
+	Public                     bool
+	Targets                    []Target
+	AllowedRegions             []string // regions it may be served in; none named means all
 }
 
 // AllowedRegions are the regions in which a request may be served, where both its route
--- a/internal/proxy/exchange.go
+++ b/internal/proxy/exchange.go
@@ -201,7 +201,7 @@
 	t := target{service: p.service, regions: p.allowedRegions}
 	if p.route.Streaming {
 		t.stream = true
-		if p.route.Affinity {
+		if p.route.SessionAffinity {
 			t.prefix = p.request.Header.Get(headerPrefix)
 		}
 	}
