--- a/internal/config/config.go
+++ b/internal/config/config.go
@@ -77,7 +77,7 @@
 	Name, HealthPath string
 	MaxConnections   int
 	Warmup           time.Duration // how long an upstream stays cold
-	WarmupPerS       float64       // requests a second a cold one bears; 0 is no bound
+	WarmupRate       float64       // requests a second a cold one bears; 0 is no bound
 	Scaling          *Scaling      // nil: its upstreams are not ours to order
 }
 
--- a/internal/config/document.go
+++ b/internal/config/document.go
@@ -160,7 +160,7 @@
 			return nil, fault(err)
 		}
 		it.service = &Service{Name: it.name, HealthPath: sp.HealthCheckPath, MaxConnections: sp.MaxConnections,
-			Warmup: sp.Warmup.D(), WarmupPerS: sp.WarmupPerS}
+			Warmup: sp.Warmup.D(), WarmupRate: sp.WarmupPerS}
 		if sc := sp.Scaling; sc != nil {
 			it.service.Scaling = &Scaling{sc.MinCount, sc.MaxCount, sc.BootTime.D()}
 		}
--- a/internal/proxy/daemon.go
+++ b/internal/proxy/daemon.go
@@ -121,9 +121,9 @@
 	coldBounds := map[string]ColdBound{}
 	bounds := d.nodeSettings.Load().Bounds
 	for name, service := range cfg.Services {
-		if service.WarmupPerS > 0 {
-			limit := service.WarmupPerS*max(1, bounds.WarmupOverage) + bounds.WarmupSlack
-			coldBounds[name] = NewColdBound(service.Warmup, service.WarmupPerS, limit)
+		if service.WarmupRate > 0 {
+			limit := service.WarmupRate*max(1, bounds.WarmupOverage) + bounds.WarmupSlack
+			coldBounds[name] = NewColdBound(service.Warmup, service.WarmupRate, limit)
 		}
 	}
 	return coldBounds
