--- a/internal/config/config.go
+++ b/internal/config/config.go
@@ -74,11 +74,11 @@
 
 // Service is one service's settings.
 type Service struct {
-	Name, HealthPath string
-	MaxConnections   int
-	Warmup           time.Duration // how long an upstream stays cold
-	WarmupRate       float64       // requests a second a cold one bears; 0 is no bound
-	Scaling          *Scaling      // nil: its upstreams are not ours to order
+	Name, HealthCheckPath string
+	MaxConnections        int
+	Warmup                time.Duration // how long an upstream stays cold
+	WarmupRate            float64       // requests a second a cold one bears; 0 is no bound
+	Scaling               *Scaling      // nil: its upstreams are not ours to order
 }
 
 // Scaling bounds how many upstreams of a service are ordered in each zone.
--- a/internal/config/document.go
+++ b/internal/config/document.go
@@ -159,7 +159,7 @@
 		if err := decode(r.Spec, &sp); err != nil {
 			return nil, fault(err)
 		}
-		it.service = &Service{Name: it.name, HealthPath: sp.HealthCheckPath, MaxConnections: sp.MaxConnections,
+		it.service = &Service{Name: it.name, HealthCheckPath: sp.HealthCheckPath, MaxConnections: sp.MaxConnections,
 			Warmup: sp.Warmup.D(), WarmupRate: sp.WarmupPerS}
 		if sc := sp.Scaling; sc != nil {
 			it.service.Scaling = &Scaling{sc.MinCount, sc.MaxCount, sc.BootTime.D()}
