--- a/internal/config/config.go
+++ b/internal/config/config.go
@@ -84,7 +84,7 @@
 // Scaling bounds how many upstreams of a service are ordered in each zone.
 type Scaling struct {
 	Min, Max int
-	Boot     time.Duration
+	BootTime time.Duration
 }
 
 // Tenant is a holder of keys, with its quota; Rate 0 is no limit.
--- a/internal/controlplane/duties.go
+++ b/internal/controlplane/duties.go
@@ -272,7 +272,7 @@
 			continue
 		}
 		bound := out[subject]
-		bound.Min, bound.Max, bound.BootTime, bound.Slots = service.Scaling.Min, service.Scaling.Max, service.Scaling.Boot, slots
+		bound.Min, bound.Max, bound.BootTime, bound.Slots = service.Scaling.Min, service.Scaling.Max, service.Scaling.BootTime, slots
 		out[subject] = bound
 	}
 	return out
