--- a/internal/config/config.go
+++ b/internal/config/config.go
@@ -98,7 +98,7 @@
 
 // Limits bound what clients may send.
 type Limits struct {
-	HeaderBytes             int
+	MaxHeaderBytes          int
 	BodyBytes               int64
 	HeaderTimeout, IdleTime time.Duration
 }
--- a/internal/proxy/clientheader_test.go
+++ b/internal/proxy/clientheader_test.go
@@ -77,20 +77,20 @@
 // headers that exceed it get a complete 431 response however large they are.
 func TestHeaderLimitAppliesToOpenConnections(t *testing.T) {
 	limits, connect := newLimitedFrontend(t)
-	limits.Store(&config.Limits{HeaderBytes: 8 << 10})
+	limits.Store(&config.Limits{MaxHeaderBytes: 8 << 10})
 	raised, slightlyOver, farOver := connect(), connect(), connect()
 	for _, c := range []*persistentClient{raised, slightlyOver, farOver} {
 		if code := c.request(4 << 10); code != http.StatusOK {
 			t.Fatalf("within the first limit: %d", code)
 		}
 	}
-	limits.Store(&config.Limits{HeaderBytes: 128 << 10})
+	limits.Store(&config.Limits{MaxHeaderBytes: 128 << 10})
 	for _, size := range []int{24 << 10, 100 << 10, 24 << 10} {
 		if code := raised.request(size); code != http.StatusOK {
 			t.Fatalf("%d bytes within the raised limit on an open connection: %d", size, code)
 		}
 	}
-	limits.Store(&config.Limits{HeaderBytes: 8 << 10})
+	limits.Store(&config.Limits{MaxHeaderBytes: 8 << 10})
 	if code := raised.request(4 << 10); code != http.StatusOK {
 		t.Errorf("within the lowered limit: %d", code)
 	}
@@ -108,7 +108,7 @@
 func TestHeaderLimitChangesUnderSteadyTraffic(t *testing.T) {
 	const clients, requests = 8, 60
 	limits, connect := newLimitedFrontend(t)
-	limits.Store(&config.Limits{HeaderBytes: 8 << 10, HeaderTimeout: time.Second})
+	limits.Store(&config.Limits{MaxHeaderBytes: 8 << 10, HeaderTimeout: time.Second})
 	var group sync.WaitGroup
 	done := make(chan struct{})
 	for range clients {
@@ -128,7 +128,7 @@
 		case <-done:
 			return
 		case <-time.After(time.Millisecond):
-			limits.Store(&config.Limits{HeaderBytes: (4 + 4*(n%3)) << 10, HeaderTimeout: time.Duration(1+n%3) * time.Second})
+			limits.Store(&config.Limits{MaxHeaderBytes: (4 + 4*(n%3)) << 10, HeaderTimeout: time.Duration(1+n%3) * time.Second})
 		}
 	}
 }
@@ -137,12 +137,12 @@
 func TestHeaderLimitOfPipelinedRequests(t *testing.T) {
 	const pipelined = 12
 	limits, connect := newLimitedFrontend(t)
-	limits.Store(&config.Limits{HeaderBytes: 8 << 10})
+	limits.Store(&config.Limits{MaxHeaderBytes: 8 << 10})
 	c := connect()
 	go io.WriteString(c.conn, strings.Repeat(requestWithFiller(3<<10), pipelined)+requestWithFiller(64<<10))
 	for n := range pipelined {
 		if n == pipelined/2 {
-			limits.Store(&config.Limits{HeaderBytes: 4 << 10})
+			limits.Store(&config.Limits{MaxHeaderBytes: 4 << 10})
 		}
 		if code := c.status(); code != http.StatusOK {
 			t.Fatalf("request %d of %d within the limit: %d", n+1, pipelined, code)
--- a/internal/proxy/proxy.go
+++ b/internal/proxy/proxy.go
@@ -165,7 +165,7 @@
 	if cfg.Limits.BodyBytes > 0 && r.ContentLength > cfg.Limits.BodyBytes {
 		return http.StatusRequestEntityTooLarge
 	}
-	if cfg.Limits.HeaderBytes > 0 && requestHeaderSize(r) > cfg.Limits.HeaderBytes {
+	if cfg.Limits.MaxHeaderBytes > 0 && requestHeaderSize(r) > cfg.Limits.MaxHeaderBytes {
 		return http.StatusRequestHeaderFieldsTooLarge
 	}
 	return 0
