--- a/internal/config/config.go
+++ b/internal/config/config.go
@@ -99,7 +99,7 @@
 // Limits bound what clients may send.
 type Limits struct {
 	MaxHeaderBytes          int
-	BodyBytes               int64
+	MaxBodyBytes            int64
 	HeaderTimeout, IdleTime time.Duration
 }
 
--- a/internal/proxy/proxy.go
+++ b/internal/proxy/proxy.go
@@ -162,7 +162,7 @@
 
 // tooLarge returns the status that refuses a request that exceeds the client limits, or 0.
 func tooLarge(cfg *config.Config, r *http.Request) int {
-	if cfg.Limits.BodyBytes > 0 && r.ContentLength > cfg.Limits.BodyBytes {
+	if cfg.Limits.MaxBodyBytes > 0 && r.ContentLength > cfg.Limits.MaxBodyBytes {
 		return http.StatusRequestEntityTooLarge
 	}
 	if cfg.Limits.MaxHeaderBytes > 0 && requestHeaderSize(r) > cfg.Limits.MaxHeaderBytes {
@@ -235,7 +235,7 @@
 		return 0
 	}
 	body := io.Reader(r.Body)
-	if limit := p.config.Limits.BodyBytes; limit > 0 {
+	if limit := p.config.Limits.MaxBodyBytes; limit > 0 {
 		body = http.MaxBytesReader(w, r.Body, limit)
 	}
 	body = newTimedBody(w, body, p.deadline)
