--- a/internal/config/config.go
+++ b/internal/config/config.go
@@ -98,9 +98,9 @@
 
 // Limits bound what clients may send.
 type Limits struct {
-	MaxHeaderBytes          int
-	MaxBodyBytes            int64
-	HeaderTimeout, IdleTime time.Duration
+	MaxHeaderBytes             int
+	MaxBodyBytes               int64
+	HeaderTimeout, IdleTimeout time.Duration
 }
 
 // Config is a whole configuration, ready for use.
--- a/internal/proxy/frontend.go
+++ b/internal/proxy/frontend.go
@@ -120,7 +120,7 @@
 // longer value stays in force while clients may not know of the change.
 func (f *frontend) idleTimeoutLocked(now time.Time) time.Duration {
 	overlaps := now.Sub(f.previousIdle.replacedAt) < f.overlap
-	current := orDefault(f.limits().IdleTime, constants.IdleTimeout)
+	current := orDefault(f.limits().IdleTimeout, constants.IdleTimeout)
 	if current < f.idleTimeout {
 		if !overlaps || f.idleTimeout > f.previousIdle.timeout {
 			f.previousIdle.timeout = f.idleTimeout
--- a/internal/proxy/frontend_test.go
+++ b/internal/proxy/frontend_test.go
@@ -23,7 +23,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	f := newFrontend(listener, p, func() config.Limits { return config.Limits{IdleTime: time.Duration(idle.Load())} }, time.Second)
+	f := newFrontend(listener, p, func() config.Limits { return config.Limits{IdleTimeout: time.Duration(idle.Load())} }, time.Second)
 	go f.serve()
 	t.Cleanup(f.close)
 	conn, err := net.Dial("tcp4", listener.Addr().String())
@@ -73,7 +73,7 @@
 func TestIdleConnectionsAreClosed(t *testing.T) {
 	const s, spare, configApply = time.Second, constants.IdleSpare, 3 * time.Second
 	var idleTimeout atomic.Int64
-	f := newFrontend(nil, nil, func() config.Limits { return config.Limits{IdleTime: time.Duration(idleTimeout.Load())} }, configApply)
+	f := newFrontend(nil, nil, func() config.Limits { return config.Limits{IdleTimeout: time.Duration(idleTimeout.Load())} }, configApply)
 	began := time.Now()
 	open := func(after time.Duration) net.Conn {
 		conn, peer := net.Pipe()
