--- a/internal/config/config.go
+++ b/internal/config/config.go
@@ -130,8 +130,8 @@
 	return nil
 }
 
-// Holder finds the tenant of a key.
-func (s *Config) Holder(key string) *Tenant { return s.keys[key] }
+// TenantByKey finds the tenant of a key.
+func (s *Config) TenantByKey(key string) *Tenant { return s.keys[key] }
 
 // Keyed says whether routes that are not public need a key.
 func (s *Config) Keyed() bool { return len(s.Tenants) > 0 }
--- a/internal/config/config_test.go
+++ b/internal/config/config_test.go
@@ -31,7 +31,7 @@
 			t.Errorf("%s goes by %q, want %q", path, got, want)
 		}
 	}
-	if s.Match("other.example", "/a/") != nil || s.Holder("k2").Name != "t" || s.Holder("k4") != nil || s.Version != 7 {
+	if s.Match("other.example", "/a/") != nil || s.TenantByKey("k2").Name != "t" || s.TenantByKey("k4") != nil || s.Version != 7 {
 		t.Error("host, key or version is read wrongly")
 	}
 	a := s.Match("h.example", "/a/")
--- a/internal/proxy/match.go
+++ b/internal/proxy/match.go
@@ -25,7 +25,7 @@
 	if len(keys) != 1 {
 		return nil, nil, http.StatusUnauthorized
 	}
-	tenant := cfg.Holder(keys[0])
+	tenant := cfg.TenantByKey(keys[0])
 	if tenant == nil {
 		return nil, nil, http.StatusUnauthorized
 	}
