--- a/internal/config/config.go
+++ b/internal/config/config.go
@@ -133,8 +133,8 @@
 // TenantByKey finds the tenant of a key.
 func (s *Config) TenantByKey(key string) *Tenant { return s.keys[key] }
 
-// Keyed says whether routes that are not public need a key.
-func (s *Config) Keyed() bool { return len(s.Tenants) > 0 }
+// RequiresKeys says whether routes that are not public need a key.
+func (s *Config) RequiresKeys() bool { return len(s.Tenants) > 0 }
 
 // Routes lists all routes.
 func (s *Config) Routes() []*Route {
--- a/internal/proxy/match.go
+++ b/internal/proxy/match.go
@@ -18,7 +18,7 @@
 	if route == nil {
 		return nil, nil, http.StatusNotFound
 	}
-	if route.Public || !cfg.Keyed() {
+	if route.Public || !cfg.RequiresKeys() {
 		return route, nil, 0
 	}
 	keys := r.Header[headerAPIKey]
