--- a/internal/config/config.go
+++ b/internal/config/config.go
@@ -51,8 +51,8 @@
 	return homes, false
 }
 
-// Pick chooses a target; u is drawn evenly from 0 to 1.
-func (r *Route) Pick(u float64) string {
+// PickTarget chooses a target; u is drawn evenly from 0 to 1.
+func (r *Route) PickTarget(u float64) string {
 	u *= r.Targets[len(r.Targets)-1].upTo
 	for _, t := range r.Targets {
 		if u < t.upTo {
--- a/internal/config/config_test.go
+++ b/internal/config/config_test.go
@@ -35,7 +35,7 @@
 		t.Error("host, key or version is read wrongly")
 	}
 	a := s.Match("h.example", "/a/")
-	if a.Pick(0.5) != "x" || a.Pick(0.95) != "y" {
+	if a.PickTarget(0.5) != "x" || a.PickTarget(0.95) != "y" {
 		t.Error("weights are read wrongly")
 	}
 	for name, c := range map[string]struct{ old, new, says string }{
@@ -74,7 +74,7 @@
 	share := map[string]int{}
 	const draws = 10000
 	for n := range draws {
-		share[route.Pick((float64(n)+0.5)/draws)]++
+		share[route.PickTarget((float64(n)+0.5)/draws)]++
 	}
 	if share["a"] != 7000 || share["b"] != 2000 || share["c"] != 1000 {
 		t.Errorf("of %d draws: %v", draws, share)
--- a/internal/config/fuzz_test.go
+++ b/internal/config/fuzz_test.go
@@ -64,8 +64,8 @@
 				t.Fatalf("route %s is not found by its own host and prefix", r.Name)
 			}
 			for _, u := range []float64{0, 0.5, 1} {
-				if s.Services[r.Pick(u)] == nil || !r.RoutesTo(r.Pick(u)) {
-					t.Fatalf("route %s goes to %q", r.Name, r.Pick(u))
+				if s.Services[r.PickTarget(u)] == nil || !r.RoutesTo(r.PickTarget(u)) {
+					t.Fatalf("route %s goes to %q", r.Name, r.PickTarget(u))
 				}
 			}
 			if r.MaxAttempts < 1 || r.Timeout <= 0 {
--- a/internal/proxy/exchange.go
+++ b/internal/proxy/exchange.go
@@ -54,7 +54,7 @@
 		route:          route,
 		tenant:         tenant,
 		priority:       route.Priority,
-		service:        route.Pick(rand.Float64()),
+		service:        route.PickTarget(rand.Float64()),
 		allowedRegions: regionsKey(config.AllowedRegions(route, tenant)),
 		usageRun:       &usage.Run{},
 	}
@@ -154,7 +154,7 @@
 		p.config, p.route, p.tenant = cfg, route, tenant
 		p.allowedRegions = regionsKey(config.AllowedRegions(route, tenant))
 		if !route.RoutesTo(p.service) {
-			p.service = route.Pick(rand.Float64())
+			p.service = route.PickTarget(rand.Float64())
 		}
 	}
 	if !time.Now().Before(p.deadline) || p.clientDisconnected() {
