--- a/cmd/slateridge/main.go
+++ b/cmd/slateridge/main.go
@@ -166,7 +166,7 @@
 	if err != nil {
 		return usageError{err}
 	}
-	s, err := config.Read(raw)
+	s, err := config.Parse(raw)
 	if err != nil {
 		return fmt.Errorf("%s: %w", c.File, err)
 	}
--- a/internal/config/config_test.go
+++ b/internal/config/config_test.go
@@ -18,7 +18,7 @@
 // TestConfigurations takes a valid one, and refuses each of its spoilt copies
 // with the item and field that are wrong.
 func TestConfigurations(t *testing.T) {
-	s, err := Read([]byte(good))
+	s, err := Parse([]byte(good))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -60,7 +60,7 @@
 		if bad == good {
 			t.Fatalf("%s: nothing was spoilt", name)
 		}
-		_, err := Read([]byte(bad))
+		_, err := Parse([]byte(bad))
 		var f *Fault
 		if !errors.As(err, &f) || !strings.Contains(err.Error(), c.says) {
 			t.Errorf("%s: got %v, want it to say %q", name, err, c.says)
--- a/internal/config/fuzz_test.go
+++ b/internal/config/fuzz_test.go
@@ -39,12 +39,12 @@
 		}
 	}
 	f.Fuzz(func(t *testing.T, raw, other []byte) {
-		s, err := Read(raw)
+		s, err := Parse(raw)
 		var fault *Fault
 		if err != nil && !errors.As(err, &fault) {
 			t.Fatalf("refused with %T %v", err, err)
 		}
-		again, err2 := Read(raw)
+		again, err2 := Parse(raw)
 		if !reflect.DeepEqual(s, again) || fmt.Sprint(err) != fmt.Sprint(err2) {
 			t.Fatalf("read otherwise the second time: %v, %v", err, err2)
 		}
--- a/internal/config/read.go
+++ b/internal/config/read.go
@@ -38,9 +38,9 @@
 	}
 }
 
-// Read checks a whole configuration and makes it ready for use. Its error is
+// Parse checks a whole configuration and makes it ready for use. Its error is
 // always a *Fault.
-func Read(raw []byte) (*Config, error) {
+func Parse(raw []byte) (*Config, error) {
 	var d document
 	dec := json.NewDecoder(bytes.NewReader(raw))
 	if err := dec.Decode(&d); err != nil {
@@ -91,7 +91,7 @@
 		return s, nil
 	}
 	rd.items, rd.New = nil, 0
-	return Read(raw)
+	return Parse(raw)
 }
 
 // itemsFollow is the beginning of a document that has nothing before its items but its
--- a/internal/config/reader_test.go
+++ b/internal/config/reader_test.go
@@ -42,7 +42,7 @@
 		if v%7 == 0 { // written otherwise
 			raw = []byte(strings.ReplaceAll(string(raw), `{"resourceKind"`, `{ "resourceKind"`))
 		}
-		whole, err := Read(raw)
+		whole, err := Parse(raw)
 		got, err2 := rd.Read(raw)
 		if err != nil || err2 != nil || !reflect.DeepEqual(got, whole) {
 			t.Fatalf("r%d is read otherwise by its differences: %v, %v", v, err, err2)
@@ -59,7 +59,7 @@
 	}
 	for _, tail := range []string{` `, `}`, `,"more":1}`, ` x`} {
 		raw := append(documentOf(99, routes, tenants), tail...)
-		_, whole := Read(raw)
+		_, whole := Parse(raw)
 		if _, got := rd.Read(raw); (whole == nil) != (got == nil) {
 			t.Errorf("ending %q: by differences %v, whole %v", tail, got, whole)
 		}
--- a/internal/controlplane/activestate.go
+++ b/internal/controlplane/activestate.go
@@ -99,7 +99,7 @@
 // parseCommitted parses a committed configuration. It panics on errors, because
 // configurations are validated before they are committed.
 func parseCommitted(raw []byte) *config.Config {
-	cfg, err := config.Read(raw)
+	cfg, err := config.Parse(raw)
 	if err != nil {
 		panic("controlplane: committed configuration is invalid: " + err.Error())
 	}
--- a/internal/controlplane/api.go
+++ b/internal/controlplane/api.go
@@ -92,7 +92,7 @@
 		writeError(w, http.StatusBadRequest, errorBody("the body did not come whole: "+err.Error()))
 		return
 	}
-	cfg, err := config.Read(raw)
+	cfg, err := config.Parse(raw)
 	if err != nil {
 		d.events.Record("config_refused", err.Error())
 		writeError(w, http.StatusBadRequest, err)
--- a/internal/proxy/attempts_test.go
+++ b/internal/proxy/attempts_test.go
@@ -13,7 +13,7 @@
 // If maxAttempts of a route is lowered while a request is in flight, the request is sent to no
 // more upstreams than the newest configuration allows.
 func TestLoweredMaxAttemptsAppliesToRequestsInFlight(t *testing.T) {
-	lowered, err := config.Read([]byte(strings.NewReplacer(`"maxAttempts":2`, `"maxAttempts":1`, `"maxAttempts":3`, `"maxAttempts":1`).
+	lowered, err := config.Parse([]byte(strings.NewReplacer(`"maxAttempts":2`, `"maxAttempts":1`, `"maxAttempts":3`, `"maxAttempts":1`).
 		Replace(fmt.Sprintf(testConfig, 2))))
 	if err != nil {
 		t.Fatal(err)
--- a/internal/proxy/placement_test.go
+++ b/internal/proxy/placement_test.go
@@ -29,7 +29,7 @@
 // not reach an evacuated zone or a cold upstream. If no upstream is allowed, the response is
 // 503.
 func TestPlacementRestrictions(t *testing.T) {
-	cfg, err := config.Read([]byte(placesConfig))
+	cfg, err := config.Parse([]byte(placesConfig))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -192,7 +192,7 @@
 	for name, change := range map[string]func(*Proxy){
 		"evacuated": func(s *Proxy) { s.pool.SetEvacuatedZones(time.Now(), []string{"z"}) },
 		"forbidden": func(s *Proxy) {
-			cfg, err := config.Read([]byte(strings.Replace(strings.Replace(placesConfig, `"r2"`, `"r3"`, 1), `"allowedRegions":[]`, `"allowedRegions":["r2"]`, 1)))
+			cfg, err := config.Parse([]byte(strings.Replace(strings.Replace(placesConfig, `"r2"`, `"r3"`, 1), `"allowedRegions":[]`, `"allowedRegions":["r2"]`, 1)))
 			if err != nil {
 				t.Fatal(err)
 			}
@@ -200,7 +200,7 @@
 		},
 	} {
 		s := newProxy(t, u.instance("i-1"))
-		cfg, _ := config.Read([]byte(placesConfig))
+		cfg, _ := config.Parse([]byte(placesConfig))
 		s.config.Store(cfg)
 		r, _ := http.NewRequest("POST", "/any/", nil)
 		r.RequestURI, r.Host = "/any/", "h.example"
--- a/internal/proxy/proxy_test.go
+++ b/internal/proxy/proxy_test.go
@@ -114,7 +114,7 @@
 {"resourceKind":"limits","metadata":{},"spec":{"maxHeaderBytes":16384,"maxBodyBytes":1000000,"headerTimeout":"3000ms","idleTimeout":"15000ms"}}]}`
 
 func newProxy(t *testing.T, instances ...discovery.Instance) *Proxy {
-	cfg, err := config.Read([]byte(fmt.Sprintf(testConfig, 1)))
+	cfg, err := config.Parse([]byte(fmt.Sprintf(testConfig, 1)))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -400,7 +400,7 @@
 	cfg := s.config.Load()
 	route, tenant, _ := matchRequest(cfg, r)
 	p := s.newExchange(r, time.Now(), cfg, route, tenant)
-	withoutRoute, err := config.Read([]byte(strings.Replace(fmt.Sprintf(testConfig, 2), `"/once/"`, `"/elsewhere/"`, 1)))
+	withoutRoute, err := config.Parse([]byte(strings.Replace(fmt.Sprintf(testConfig, 2), `"/once/"`, `"/elsewhere/"`, 1)))
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/proxy/timing_test.go
+++ b/internal/proxy/timing_test.go
@@ -41,7 +41,7 @@
 // latency.
 func newProxyWithLatency(t *testing.T, usual time.Duration, instances ...discovery.Instance) *Proxy {
 	s := newProxy(t, instances...)
-	cfg, err := config.Read([]byte(sameTimeConfig))
+	cfg, err := config.Parse([]byte(sameTimeConfig))
 	if err != nil {
 		t.Fatal(err)
 	}
