--- a/cmd/scalerun/slopes.go
+++ b/cmd/scalerun/slopes.go
@@ -65,7 +65,7 @@
 		cli.Routes, cli.Services, cli.Tenants, cli.Proxies, cli.PerProxy = n, max(1, n/44), 100, 100, 10
 		raw, next := configuration(1), configuration(2)
 		base := heap()
-		var rd config.Reader
+		var rd config.Parser
 		var a, b *config.Config
 		took := timed(1, func() { a = must(rd.Read(raw)) })
 		one := heap() - base
--- a/internal/config/fuzz_test.go
+++ b/internal/config/fuzz_test.go
@@ -49,7 +49,7 @@
 			t.Fatalf("read otherwise the second time: %v, %v", err, err2)
 		}
 		for _, before := range [][]byte{nil, other, raw} {
-			var rd Reader
+			var rd Parser
 			rd.Read(before)
 			got, err2 := rd.Read(raw)
 			if fmt.Sprint(err) != fmt.Sprint(err2) || !reflect.DeepEqual(s, got) {
--- a/internal/config/read.go
+++ b/internal/config/read.go
@@ -77,16 +77,16 @@
 	return l
 }
 
-// Reader reads one configuration after another, and of each only the items that
+// Parser reads one configuration after another, and of each only the items that
 // the one before did not have, letter for letter.
-type Reader struct {
+type Parser struct {
 	items map[textHash]*item
 	New   int // items the last document did not share with the one before
 }
 
 // Read is like the function of that name; a document in which items cannot be
 // separated as written is read whole.
-func (rd *Reader) Read(raw []byte) (*Config, error) {
+func (rd *Parser) Read(raw []byte) (*Config, error) {
 	if s, err := rd.changes(raw); err == nil {
 		return s, nil
 	}
@@ -100,7 +100,7 @@
 
 var errWritten = errors.New("items cannot be told apart")
 
-func (rd *Reader) changes(raw []byte) (*Config, error) {
+func (rd *Parser) changes(raw []byte) (*Config, error) {
 	parts := items(raw)
 	var d document
 	if len(parts) < 2 || !itemsFollow.Match(parts[0]) || json.Unmarshal(append(slices.Clone(parts[0]), "]}"...), &d) != nil {
--- a/internal/config/reader_test.go
+++ b/internal/config/reader_test.go
@@ -27,7 +27,7 @@
 // and reads only the items that are new; a document that cannot be taken apart,
 // or is not valid, fares as it does read whole.
 func TestReadsOnlyWhatIsNew(t *testing.T) {
-	rng, rd := rand.New(rand.NewPCG(2, 2)), Reader{}
+	rng, rd := rand.New(rand.NewPCG(2, 2)), Parser{}
 	routes, tenants := make([]int, 60), make([]int, 40)
 	for v := 1; v <= 40; v++ {
 		changed := 1 + rng.IntN(3)
--- a/internal/proxy/daemon.go
+++ b/internal/proxy/daemon.go
@@ -37,7 +37,7 @@
 	nodeSettings        atomic.Pointer[settings.Settings]
 	settingsPath        string
 	subscriber          *distribution.Subscriber
-	reader              config.Reader // used only by apply, whose calls are serialized
+	reader              config.Parser // used only by apply, whose calls are serialized
 	trackers            atomic.Pointer[[]string]
 	coldBounds          atomic.Pointer[map[string]ColdBound] // by service, from the configuration in force
 	ready               atomic.Bool
