--- a/internal/config/read.go
+++ b/internal/config/read.go
@@ -80,8 +80,8 @@
 // Parser reads one configuration after another, and of each only the items that
 // the one before did not have, letter for letter.
 type Parser struct {
-	items map[textHash]*item
-	New   int // items the last document did not share with the one before
+	items       map[textHash]*item
+	ParsedItems int // items the last document did not share with the one before
 }
 
 // Read is like the function of that name; a document in which items cannot be
@@ -90,7 +90,7 @@
 	if s, err := rd.changes(raw); err == nil {
 		return s, nil
 	}
-	rd.items, rd.New = nil, 0
+	rd.items, rd.ParsedItems = nil, 0
 	return Parse(raw)
 }
 
@@ -112,7 +112,7 @@
 	}
 	have := make(map[textHash]*item, len(parts))
 	var its []*item
-	rd.New = 0
+	rd.ParsedItems = 0
 	for i, p := range parts[1:] {
 		text, ok := strings.TrimSpace(string(p)), true
 		if i == len(parts)-2 {
@@ -136,8 +136,8 @@
 			if it, err = readItem(i, &r); err != nil {
 				return nil, err
 			}
-			rd.New++
-			yieldProcessor(rd.New)
+			rd.ParsedItems++
+			yieldProcessor(rd.ParsedItems)
 		}
 		have[key] = it
 		its = append(its, it)
--- a/internal/config/reader_test.go
+++ b/internal/config/reader_test.go
@@ -47,8 +47,8 @@
 		if err != nil || err2 != nil || !reflect.DeepEqual(got, whole) {
 			t.Fatalf("r%d is read otherwise by its differences: %v, %v", v, err, err2)
 		}
-		if v > 1 && v%7 > 1 && (rd.New == 0 || rd.New > 2*changed+1) {
-			t.Errorf("r%d: %d items were read, at most %d were new", v, rd.New, 2*changed+1)
+		if v > 1 && v%7 > 1 && (rd.ParsedItems == 0 || rd.ParsedItems > 2*changed+1) {
+			t.Errorf("r%d: %d items were read, at most %d were new", v, rd.ParsedItems, 2*changed+1)
 		}
 		if _, err := rd.Read([]byte(strings.Replace(string(raw), `"maxAttempts":2`, `"maxAttempts":0`, 1))); err == nil || !strings.Contains(err.Error(), "routes r0: maxAttempts") {
 			t.Fatalf("r%d spoilt: %v", v, err)
