--- a/cmd/scalerun/slopes.go
+++ b/cmd/scalerun/slopes.go
@@ -67,9 +67,9 @@
 		base := heap()
 		var rd config.Parser
 		var a, b *config.Config
-		took := timed(1, func() { a = must(rd.Read(raw)) })
+		took := timed(1, func() { a = must(rd.Parse(raw)) })
 		one := heap() - base
-		again := timed(1, func() { b = must(rd.Read(next)) })
+		again := timed(1, func() { b = must(rd.Parse(next)) })
 		two := heap() - base
 		da, db := &config.Doc{Version: 1, Raw: raw}, &config.Doc{Version: 2, Raw: next}
 		whole, diff := config.Pack(nil, da), config.Pack(da, db)
--- a/internal/config/fuzz_test.go
+++ b/internal/config/fuzz_test.go
@@ -50,8 +50,8 @@
 		}
 		for _, before := range [][]byte{nil, other, raw} {
 			var rd Parser
-			rd.Read(before)
-			got, err2 := rd.Read(raw)
+			rd.Parse(before)
+			got, err2 := rd.Parse(raw)
 			if fmt.Sprint(err) != fmt.Sprint(err2) || !reflect.DeepEqual(s, got) {
 				t.Fatalf("read after %q it is another: %v, whole: %v", before, err2, err)
 			}
--- a/internal/config/read.go
+++ b/internal/config/read.go
@@ -84,9 +84,9 @@
 	ParsedItems int // items the last document did not share with the one before
 }
 
-// Read is like the function of that name; a document in which items cannot be
+// Parse is like the function of that name; a document in which items cannot be
 // separated as written is read whole.
-func (rd *Parser) Read(raw []byte) (*Config, error) {
+func (rd *Parser) Parse(raw []byte) (*Config, error) {
 	if s, err := rd.changes(raw); err == nil {
 		return s, nil
 	}
--- a/internal/config/reader_test.go
+++ b/internal/config/reader_test.go
@@ -43,24 +43,24 @@
 			raw = []byte(strings.ReplaceAll(string(raw), `{"resourceKind"`, `{ "resourceKind"`))
 		}
 		whole, err := Parse(raw)
-		got, err2 := rd.Read(raw)
+		got, err2 := rd.Parse(raw)
 		if err != nil || err2 != nil || !reflect.DeepEqual(got, whole) {
 			t.Fatalf("r%d is read otherwise by its differences: %v, %v", v, err, err2)
 		}
 		if v > 1 && v%7 > 1 && (rd.ParsedItems == 0 || rd.ParsedItems > 2*changed+1) {
 			t.Errorf("r%d: %d items were read, at most %d were new", v, rd.ParsedItems, 2*changed+1)
 		}
-		if _, err := rd.Read([]byte(strings.Replace(string(raw), `"maxAttempts":2`, `"maxAttempts":0`, 1))); err == nil || !strings.Contains(err.Error(), "routes r0: maxAttempts") {
+		if _, err := rd.Parse([]byte(strings.Replace(string(raw), `"maxAttempts":2`, `"maxAttempts":0`, 1))); err == nil || !strings.Contains(err.Error(), "routes r0: maxAttempts") {
 			t.Fatalf("r%d spoilt: %v", v, err)
 		}
 		if v%7 > 0 {
-			rd.Read(raw) // what is held after an invalid one is not used
+			rd.Parse(raw) // what is held after an invalid one is not used
 		}
 	}
 	for _, tail := range []string{` `, `}`, `,"more":1}`, ` x`} {
 		raw := append(documentOf(99, routes, tenants), tail...)
 		_, whole := Parse(raw)
-		if _, got := rd.Read(raw); (whole == nil) != (got == nil) {
+		if _, got := rd.Parse(raw); (whole == nil) != (got == nil) {
 			t.Errorf("ending %q: by differences %v, whole %v", tail, got, whole)
 		}
 	}
--- a/internal/proxy/daemon.go
+++ b/internal/proxy/daemon.go
@@ -133,7 +133,7 @@
 func (d *Daemon) apply(changes distribution.Changes) {
 	now := d.now()
 	if changes.Config != nil {
-		cfg, err := d.reader.Read(changes.Config.Raw)
+		cfg, err := d.reader.Parse(changes.Config.Raw)
 		if err != nil {
 			d.events.Record("config_unreadable", err.Error()) // unexpected: the control plane validates configurations
 		} else {
