--- a/internal/config/config_test.go
+++ b/internal/config/config_test.go
@@ -61,7 +61,7 @@
 			t.Fatalf("%s: nothing was spoilt", name)
 		}
 		_, err := Parse([]byte(bad))
-		var f *Fault
+		var f *ValidationError
 		if !errors.As(err, &f) || !strings.Contains(err.Error(), c.says) {
 			t.Errorf("%s: got %v, want it to say %q", name, err, c.says)
 		}
--- a/internal/config/document.go
+++ b/internal/config/document.go
@@ -12,14 +12,14 @@
 	"slateridge/internal/settings"
 )
 
-// Fault says which item and field of a configuration is wrong.
-type Fault struct {
+// ValidationError says which item and field of a configuration is wrong.
+type ValidationError struct {
 	Item  string `json:"item,omitempty"`
 	Field string `json:"field,omitempty"`
 	Why   string `json:"error"`
 }
 
-func (f *Fault) Error() string {
+func (f *ValidationError) Error() string {
 	s := f.Why
 	if f.Field != "" {
 		s = f.Field + ": " + s
@@ -103,18 +103,18 @@
 
 func decode(raw json.RawMessage, into any) error {
 	if len(raw) == 0 {
-		return &Fault{Field: "spec", Why: "missing"}
+		return &ValidationError{Field: "spec", Why: "missing"}
 	}
 	if err := json.Unmarshal(raw, into); err != nil {
 		var te *json.UnmarshalTypeError
 		if errors.As(err, &te) {
-			return &Fault{Field: te.Field, Why: "a " + te.Value + " cannot stand here"}
+			return &ValidationError{Field: te.Field, Why: "a " + te.Value + " cannot stand here"}
 		}
-		return &Fault{Field: "spec", Why: err.Error()}
+		return &ValidationError{Field: "spec", Why: err.Error()}
 	}
 	if err := checker.Struct(into); err != nil {
 		f, why, _ := strings.Cut(settings.FirstFault(err), ": ")
-		return &Fault{Field: f, Why: why}
+		return &ValidationError{Field: f, Why: why}
 	}
 	return nil
 }
@@ -137,16 +137,16 @@
 func readItem(i int, r *resource) (*item, error) {
 	it := &item{kind: r.ResourceKind, name: r.Metadata.Name}
 	fault := func(err error) error {
-		var f *Fault
+		var f *ValidationError
 		if errors.As(err, &f) {
 			f.Item = it.label()
 			return f
 		}
-		return &Fault{Item: it.label(), Why: err.Error()}
+		return &ValidationError{Item: it.label(), Why: err.Error()}
 	}
 	at := func() string { return fmt.Sprintf("resourceList[%d]", i) } // of one that has no name to go by
 	if it.name == "" && it.kind != "limits" && slices.Contains([]string{"routes", "services", "tenants"}, it.kind) {
-		return nil, &Fault{Item: at(), Field: "metadata.name", Why: "missing"}
+		return nil, &ValidationError{Item: at(), Field: "metadata.name", Why: "missing"}
 	}
 	switch it.kind {
 	case "routes":
@@ -181,7 +181,7 @@
 		}
 		it.limits = Limits{sp.MaxHeaderBytes, sp.MaxBodyBytes, sp.HeaderTimeout.D(), sp.IdleTimeout.D()}
 	default:
-		return nil, &Fault{Item: at(), Field: "resourceKind", Why: fmt.Sprintf("%q is not known", it.kind)}
+		return nil, &ValidationError{Item: at(), Field: "resourceKind", Why: fmt.Sprintf("%q is not known", it.kind)}
 	}
 	return it, nil
 }
--- a/internal/config/fuzz_test.go
+++ b/internal/config/fuzz_test.go
@@ -40,7 +40,7 @@
 	}
 	f.Fuzz(func(t *testing.T, raw, other []byte) {
 		s, err := Parse(raw)
-		var fault *Fault
+		var fault *ValidationError
 		if err != nil && !errors.As(err, &fault) {
 			t.Fatalf("refused with %T %v", err, err)
 		}
--- a/internal/config/read.go
+++ b/internal/config/read.go
@@ -44,17 +44,17 @@
 	var d document
 	dec := json.NewDecoder(bytes.NewReader(raw))
 	if err := dec.Decode(&d); err != nil {
-		return nil, &Fault{Why: "cannot be read: " + err.Error()}
+		return nil, &ValidationError{Why: "cannot be read: " + err.Error()}
 	}
 	if _, err := dec.Token(); err != io.EOF {
-		return nil, &Fault{Why: "cannot be read: more follows the document"}
+		return nil, &ValidationError{Why: "cannot be read: more follows the document"}
 	}
 	ver, err := ParseVersion(d.ConfigVersion)
 	if err != nil {
-		return nil, &Fault{Field: "configVersion", Why: err.Error()}
+		return nil, &ValidationError{Field: "configVersion", Why: err.Error()}
 	}
 	if d.ResourceList == nil {
-		return nil, &Fault{Field: "resourceList", Why: "missing"}
+		return nil, &ValidationError{Field: "resourceList", Why: "missing"}
 	}
 	var its []*item
 	for i := range d.ResourceList {
