--- a/internal/config/build.go
+++ b/internal/config/build.go
@@ -19,14 +19,14 @@
 	for _, it := range items {
 		if it.kind == "limits" {
 			if limits {
-				return nil, &ValidationError{Item: "limits", Why: "stated twice"}
+				return nil, &ValidationError{Item: "limits", Reason: "stated twice"}
 			}
 			limits, c.Limits = true, it.limits
 			continue
 		}
 		label := it.label()
 		if names[label] {
-			return nil, &ValidationError{Item: label, Field: "metadata.name", Why: "named twice"}
+			return nil, &ValidationError{Item: label, Field: "metadata.name", Reason: "named twice"}
 		}
 		names[label] = true
 		switch {
@@ -59,7 +59,7 @@
 	c.Tenants[it.name] = it.tenant
 	for _, key := range it.keys {
 		if holder := c.keys[key]; holder != nil && holder != it.tenant {
-			return &ValidationError{Item: it.label(), Field: "apiKeys", Why: "a key is held by tenant " + holder.Name + " too"}
+			return &ValidationError{Item: it.label(), Field: "apiKeys", Reason: "a key is held by tenant " + holder.Name + " too"}
 		}
 		c.keys[key] = it.tenant
 	}
@@ -85,7 +85,7 @@
 	}
 	place := r.Host + r.Prefix
 	if other, ok := places[place]; ok {
-		return &ValidationError{Item: it.label(), Field: "pathPrefix", Why: "route " + other + " has the same host and prefix"}
+		return &ValidationError{Item: it.label(), Field: "pathPrefix", Reason: "route " + other + " has the same host and prefix"}
 	}
 	places[place] = r.Name
 	targets, err := c.targets(it)
@@ -94,7 +94,7 @@
 	}
 	r.Targets = targets
 	if c.Services[r.Targets[0].Service] == nil {
-		return &ValidationError{Item: it.label(), Field: "targetService", Why: "service " + r.Targets[0].Service + " is not known"}
+		return &ValidationError{Item: it.label(), Field: "targetService", Reason: "service " + r.Targets[0].Service + " is not known"}
 	}
 	c.hosts[r.Host] = append(c.hosts[r.Host], r)
 	return nil
@@ -104,7 +104,7 @@
 func (c *Config) targets(it *item) ([]Target, error) {
 	spec := it.route
 	if spec.TargetService != "" && len(spec.WeightedTargets) > 0 {
-		return nil, &ValidationError{Item: it.label(), Field: "targetService", Why: "stands beside weightedTargets"}
+		return nil, &ValidationError{Item: it.label(), Field: "targetService", Reason: "stands beside weightedTargets"}
 	}
 	if spec.TargetService != "" {
 		return []Target{{spec.TargetService, 1}}, nil
@@ -113,7 +113,7 @@
 	sum := 0.0
 	for _, t := range spec.WeightedTargets {
 		if c.Services[t.TargetService] == nil {
-			return nil, &ValidationError{Item: it.label(), Field: "weightedTargets", Why: "service " + t.TargetService + " is not known"}
+			return nil, &ValidationError{Item: it.label(), Field: "weightedTargets", Reason: "service " + t.TargetService + " is not known"}
 		}
 		if t.Weight > 0 {
 			sum += t.Weight
@@ -121,7 +121,7 @@
 		}
 	}
 	if sum == 0 {
-		return nil, &ValidationError{Item: it.label(), Field: "targetService", Why: "no target has any weight"}
+		return nil, &ValidationError{Item: it.label(), Field: "targetService", Reason: "no target has any weight"}
 	}
 	return targets, nil
 }
--- a/internal/config/document.go
+++ b/internal/config/document.go
@@ -14,13 +14,13 @@
 
 // ValidationError says which item and field of a configuration is wrong.
 type ValidationError struct {
-	Item  string `json:"item,omitempty"`
-	Field string `json:"field,omitempty"`
-	Why   string `json:"error"`
+	Item   string `json:"item,omitempty"`
+	Field  string `json:"field,omitempty"`
+	Reason string `json:"error"`
 }
 
 func (f *ValidationError) Error() string {
-	s := f.Why
+	s := f.Reason
 	if f.Field != "" {
 		s = f.Field + ": " + s
 	}
@@ -103,18 +103,18 @@
 
 func decode(raw json.RawMessage, into any) error {
 	if len(raw) == 0 {
-		return &ValidationError{Field: "spec", Why: "missing"}
+		return &ValidationError{Field: "spec", Reason: "missing"}
 	}
 	if err := json.Unmarshal(raw, into); err != nil {
 		var te *json.UnmarshalTypeError
 		if errors.As(err, &te) {
-			return &ValidationError{Field: te.Field, Why: "a " + te.Value + " cannot stand here"}
+			return &ValidationError{Field: te.Field, Reason: "a " + te.Value + " cannot stand here"}
 		}
-		return &ValidationError{Field: "spec", Why: err.Error()}
+		return &ValidationError{Field: "spec", Reason: err.Error()}
 	}
 	if err := checker.Struct(into); err != nil {
 		f, why, _ := strings.Cut(settings.FirstFault(err), ": ")
-		return &ValidationError{Field: f, Why: why}
+		return &ValidationError{Field: f, Reason: why}
 	}
 	return nil
 }
@@ -142,11 +142,11 @@
 			f.Item = it.label()
 			return f
 		}
-		return &ValidationError{Item: it.label(), Why: err.Error()}
+		return &ValidationError{Item: it.label(), Reason: err.Error()}
 	}
 	at := func() string { return fmt.Sprintf("resourceList[%d]", i) } // of one that has no name to go by
 	if it.name == "" && it.kind != "limits" && slices.Contains([]string{"routes", "services", "tenants"}, it.kind) {
-		return nil, &ValidationError{Item: at(), Field: "metadata.name", Why: "missing"}
+		return nil, &ValidationError{Item: at(), Field: "metadata.name", Reason: "missing"}
 	}
 	switch it.kind {
 	case "routes":
@@ -181,7 +181,7 @@
 		}
 		it.limits = Limits{sp.MaxHeaderBytes, sp.MaxBodyBytes, sp.HeaderTimeout.D(), sp.IdleTimeout.D()}
 	default:
-		return nil, &ValidationError{Item: at(), Field: "resourceKind", Why: fmt.Sprintf("%q is not known", it.kind)}
+		return nil, &ValidationError{Item: at(), Field: "resourceKind", Reason: fmt.Sprintf("%q is not known", it.kind)}
 	}
 	return it, nil
 }
--- a/internal/config/read.go
+++ b/internal/config/read.go
@@ -44,17 +44,17 @@
 	var d document
 	dec := json.NewDecoder(bytes.NewReader(raw))
 	if err := dec.Decode(&d); err != nil {
-		return nil, &ValidationError{Why: "cannot be read: " + err.Error()}
+		return nil, &ValidationError{Reason: "cannot be read: " + err.Error()}
 	}
 	if _, err := dec.Token(); err != io.EOF {
-		return nil, &ValidationError{Why: "cannot be read: more follows the document"}
+		return nil, &ValidationError{Reason: "cannot be read: more follows the document"}
 	}
 	ver, err := ParseVersion(d.ConfigVersion)
 	if err != nil {
-		return nil, &ValidationError{Field: "configVersion", Why: err.Error()}
+		return nil, &ValidationError{Field: "configVersion", Reason: err.Error()}
 	}
 	if d.ResourceList == nil {
-		return nil, &ValidationError{Field: "resourceList", Why: "missing"}
+		return nil, &ValidationError{Field: "resourceList", Reason: "missing"}
 	}
 	var its []*item
 	for i := range d.ResourceList {
