--- a/internal/config/delta.go
+++ b/internal/config/delta.go
@@ -10,9 +10,9 @@
 	"io"
 )
 
-// Packed is a configuration sent as its difference from an earlier one, which
+// Delta is a configuration sent as its difference from an earlier one, which
 // Base names; Base 0 needs none. Most changes touch a few of many items.
-type Packed struct {
+type Delta struct {
 	Base, Version uint64
 	Sum           uint32 // of the whole document
 	Z             []byte // deflated steps
@@ -40,8 +40,8 @@
 }
 
 // Pack makes d its difference from base, which may be nil.
-func Pack(base *Doc, d *Doc) Packed {
-	p := Packed{Version: d.Version, Sum: crc32.ChecksumIEEE(d.Raw)}
+func Pack(base *Doc, d *Doc) Delta {
+	p := Delta{Version: d.Version, Sum: crc32.ChecksumIEEE(d.Raw)}
 	at := map[string]int{}
 	var old [][]byte
 	if base != nil && base.Version > 0 {
@@ -81,7 +81,7 @@
 }
 
 // Unpack gives the whole document, checked against its sum.
-func (p *Packed) Unpack(base *Doc, max int) (*Doc, error) {
+func (p *Delta) Unpack(base *Doc, max int) (*Doc, error) {
 	var old [][]byte
 	if p.Base > 0 {
 		if base == nil || base.Version != p.Base {
--- a/internal/config/delta_test.go
+++ b/internal/config/delta_test.go
@@ -55,7 +55,7 @@
 				its = append(its, item())
 			}
 		}
-		if _, err := (&Packed{Version: 1, Z: Pack(nil, docs[3]).Z}).Unpack(nil, 10); err == nil {
+		if _, err := (&Delta{Version: 1, Z: Pack(nil, docs[3]).Z}).Unpack(nil, 10); err == nil {
 			t.Fatal("longer than allowed, and no error")
 		}
 	}
@@ -67,7 +67,7 @@
 	w, _ := flate.NewWriter(&z, flate.BestCompression)
 	w.Write(make([]byte, 1<<20))
 	w.Close()
-	if _, err := (&Packed{Version: 1, Z: z.Bytes()}).Unpack(nil, 1<<20); err == nil {
+	if _, err := (&Delta{Version: 1, Z: z.Bytes()}).Unpack(nil, 1<<20); err == nil {
 		t.Errorf("%d bytes made half a million steps of nothing", z.Len())
 	}
 }
--- a/internal/config/fuzz_test.go
+++ b/internal/config/fuzz_test.go
@@ -96,7 +96,7 @@
 	}
 	f.Fuzz(func(t *testing.T, from uint64, sum uint32, z, old []byte) {
 		const most = 1 << 16
-		p := &Packed{Base: from, Version: 9, Sum: sum, Z: z}
+		p := &Delta{Base: from, Version: 9, Sum: sum, Z: z}
 		for _, b := range []*Doc{nil, {Version: from, Raw: old}, {Version: from + 1, Raw: old}} {
 			d, err := p.Unpack(b, most)
 			if err == nil && (len(d.Raw) > most || d.Version != 9) {
--- a/internal/distribution/publisher.go
+++ b/internal/distribution/publisher.go
@@ -57,7 +57,7 @@
 		SureAge     time.Duration
 		Trackers    []string // these two only when they differ from what was told last
 		Peers       []Peer
-		Config      *config.Packed
+		Config      *config.Delta
 		List        *discovery.Change
 		// Coming are the limits of a version that has arrived but is not in
 		// force; they are only evaluated.
@@ -111,7 +111,7 @@
 	sharing  func(node string) bool
 	OnClosed func(node string) // told when a proxy's last held connection ends
 	pushes   uint64
-	configs  history[config.Doc, config.Packed]
+	configs  history[config.Doc, config.Delta]
 	lists    history[discovery.List, discovery.Change]
 }
 
@@ -150,8 +150,8 @@
 // New makes the control side; face tells what is in force.
 func New(face func() Snapshot, sharing func(node string) bool) *Publisher {
 	return &Publisher{conns: map[*transport.Conn]*subscriberConn{}, snapshot: face, sharing: sharing,
-		configs: history[config.Doc, config.Packed]{num: func(d *config.Doc) uint64 { return d.Version },
-			diff: func(base, d *config.Doc) *config.Packed { p := config.Pack(base, d); return &p }},
+		configs: history[config.Doc, config.Delta]{num: func(d *config.Doc) uint64 { return d.Version },
+			diff: func(base, d *config.Doc) *config.Delta { p := config.Pack(base, d); return &p }},
 		lists: history[discovery.List, discovery.Change]{num: func(l *discovery.List) uint64 { return l.Num }, diff: discovery.Diff}}
 }
 
