--- a/internal/config/delta.go
+++ b/internal/config/delta.go
@@ -18,9 +18,9 @@
 	Z             []byte // deflated steps
 }
 
-// ErrBase says that a packed configuration does not fit what is held here: it
+// ErrBaseMismatch says that a packed configuration does not fit what is held here: it
 // has to be sent whole.
-var ErrBase = errors.New("packed against another configuration")
+var ErrBaseMismatch = errors.New("packed against another configuration")
 
 var itemMark = []byte(`{"resourceKind"`)
 
@@ -85,7 +85,7 @@
 	var old [][]byte
 	if p.Base > 0 {
 		if base == nil || base.Version != p.Base {
-			return nil, ErrBase
+			return nil, ErrBaseMismatch
 		}
 		old = items(base.Raw)
 	}
@@ -116,7 +116,7 @@
 			continue
 		}
 		if a > uint64(len(old)) || n > uint64(len(old))-a {
-			return nil, ErrBase
+			return nil, ErrBaseMismatch
 		}
 		for _, x := range old[a : a+n] {
 			if out.Len()+len(x) > max {
@@ -126,7 +126,7 @@
 		}
 	}
 	if crc32.ChecksumIEEE(out.Bytes()) != p.Sum {
-		return nil, ErrBase
+		return nil, ErrBaseMismatch
 	}
 	return &Doc{Version: p.Version, Raw: out.Bytes()}, nil
 }
--- a/internal/config/delta_test.go
+++ b/internal/config/delta_test.go
@@ -32,7 +32,7 @@
 					t.Fatalf("seed %d: r%d against %v: %v", seed, v, base, err)
 				}
 				if base != nil {
-					if _, err := p.Unpack(nil, 1<<20); !errors.Is(err, ErrBase) {
+					if _, err := p.Unpack(nil, 1<<20); !errors.Is(err, ErrBaseMismatch) {
 						t.Fatalf("seed %d: unpacked without its base: %v", seed, err)
 					}
 					if len(its) > 100 && len(p.Z) > len(d.Raw)/8 {
