--- a/cmd/scalerun/slopes.go
+++ b/cmd/scalerun/slopes.go
@@ -72,7 +72,7 @@
 		again := timed(1, func() { b = must(rd.Parse(next)) })
 		two := heap() - base
 		da, db := &config.Doc{Version: 1, Raw: raw}, &config.Doc{Version: 2, Raw: next}
-		whole, diff := config.Pack(nil, da), config.Pack(da, db)
+		whole, diff := config.NewDelta(nil, da), config.NewDelta(da, db)
 		fmt.Fprintf(w, "  %d, %.2f, %.0f, %.3f, %.1f, %d, %.3f, %.1f\n", n, float64(len(raw))/1e6, float64(gobSize(whole))/1e3, took.Seconds(), one/1e6, gobSize(diff), again.Seconds(), two/1e6)
 		runtime.KeepAlive(a)
 		runtime.KeepAlive(b)
--- a/internal/config/delta.go
+++ b/internal/config/delta.go
@@ -39,8 +39,8 @@
 	return out
 }
 
-// Pack makes d its difference from base, which may be nil.
-func Pack(base *Doc, d *Doc) Delta {
+// NewDelta makes d its difference from base, which may be nil.
+func NewDelta(base *Doc, d *Doc) Delta {
 	p := Delta{Version: d.Version, Sum: crc32.ChecksumIEEE(d.Raw)}
 	at := map[string]int{}
 	var old [][]byte
--- a/internal/config/delta_test.go
+++ b/internal/config/delta_test.go
@@ -26,7 +26,7 @@
 		for v := uint64(1); v < 6; v++ {
 			d := &Doc{Version: v, Raw: []byte(fmt.Sprintf(`{"configVersion":"r%d","resourceList":[%s]}`, v, strings.Join(its, ",")))}
 			for _, base := range docs {
-				p := Pack(base, d)
+				p := NewDelta(base, d)
 				got, err := p.Unpack(base, 1<<20)
 				if err != nil || string(got.Raw) != string(d.Raw) || got.Version != v {
 					t.Fatalf("seed %d: r%d against %v: %v", seed, v, base, err)
@@ -55,7 +55,7 @@
 				its = append(its, item())
 			}
 		}
-		if _, err := (&Delta{Version: 1, Z: Pack(nil, docs[3]).Z}).Unpack(nil, 10); err == nil {
+		if _, err := (&Delta{Version: 1, Z: NewDelta(nil, docs[3]).Z}).Unpack(nil, 10); err == nil {
 			t.Fatal("longer than allowed, and no error")
 		}
 	}
--- a/internal/config/fuzz_test.go
+++ b/internal/config/fuzz_test.go
@@ -74,7 +74,7 @@
 		}
 		a, b := &Doc{Version: s.Version, Raw: raw}, &Doc{Version: 7, Raw: other}
 		for _, base := range []*Doc{nil, b} {
-			p := Pack(base, a)
+			p := NewDelta(base, a)
 			if got, err := p.Unpack(base, len(raw)); err != nil || !bytes.Equal(got.Raw, raw) || got.Version != a.Version {
 				t.Fatalf("packed against %v it came back as %v, %v", base, got, err)
 			}
@@ -89,7 +89,7 @@
 	base := &Doc{Version: 4, Raw: docs[0]}
 	for i, d := range docs {
 		for _, b := range []*Doc{nil, base} {
-			p := Pack(b, &Doc{Version: uint64(i), Raw: d})
+			p := NewDelta(b, &Doc{Version: uint64(i), Raw: d})
 			f.Add(p.Base, p.Sum, p.Z, docs[0])
 			f.Add(p.Base, p.Sum, p.Z[:len(p.Z)/2], docs[1])
 		}
--- a/internal/distribution/contact_test.go
+++ b/internal/distribution/contact_test.go
@@ -204,7 +204,7 @@
 func TestStartTrustsContactOnly(t *testing.T) {
 	subscriber, s := alone(t, "127.0.0.41")
 	old := func(current bool) Update {
-		c := config.Pack(nil, &config.Doc{Version: 3, Raw: []byte("3")})
+		c := config.NewDelta(nil, &config.Doc{Version: 3, Raw: []byte("3")})
 		return Update{Current: current, Version: 3, ListNum: 5, Proxies: 3, StateNum: 4, Evacuated: []string{"y"},
 			Config: &c, List: discovery.Diff(nil, &discovery.List{Num: 5}), ComingVer: 6, Coming: map[string]admission.Quota{"k": {}}}
 	}
@@ -232,7 +232,7 @@
 	subscriber.listNum = 8
 	before := subscriber.State(now)
 	late := now.Add(-20 * time.Second)
-	c := config.Pack(nil, &config.Doc{Version: 3, Raw: []byte("3")})
+	c := config.NewDelta(nil, &config.Doc{Version: 3, Raw: []byte("3")})
 	subscriber.version = 6
 	subscriber.receive("127.0.0.41", Update{Current: true, Version: 3, Config: &c, ListNum: 8, StateNum: 5, Evacuated: []string{"y"}, Proxies: 40,
 		Wall: 6e18, Trackers: []string{"a"}, Metered: "a", Scaler: "a"}, late)
--- a/internal/distribution/publisher.go
+++ b/internal/distribution/publisher.go
@@ -151,7 +151,7 @@
 func New(face func() Snapshot, sharing func(node string) bool) *Publisher {
 	return &Publisher{conns: map[*transport.Conn]*subscriberConn{}, snapshot: face, sharing: sharing,
 		configs: history[config.Doc, config.Delta]{num: func(d *config.Doc) uint64 { return d.Version },
-			diff: func(base, d *config.Doc) *config.Delta { p := config.Pack(base, d); return &p }},
+			diff: func(base, d *config.Doc) *config.Delta { p := config.NewDelta(base, d); return &p }},
 		lists: history[discovery.List, discovery.Change]{num: func(l *discovery.List) uint64 { return l.Num }, diff: discovery.Diff}}
 }
 
