--- a/internal/config/delta.go
+++ b/internal/config/delta.go
@@ -80,8 +80,8 @@
 	return p
 }
 
-// Unpack gives the whole document, checked against its sum.
-func (p *Delta) Unpack(base *Doc, max int) (*Doc, error) {
+// Apply gives the whole document, checked against its sum.
+func (p *Delta) Apply(base *Doc, max int) (*Doc, error) {
 	var old [][]byte
 	if p.Base > 0 {
 		if base == nil || base.Version != p.Base {
--- a/internal/config/delta_test.go
+++ b/internal/config/delta_test.go
@@ -27,12 +27,12 @@
 			d := &Doc{Version: v, Raw: []byte(fmt.Sprintf(`{"configVersion":"r%d","resourceList":[%s]}`, v, strings.Join(its, ",")))}
 			for _, base := range docs {
 				p := NewDelta(base, d)
-				got, err := p.Unpack(base, 1<<20)
+				got, err := p.Apply(base, 1<<20)
 				if err != nil || string(got.Raw) != string(d.Raw) || got.Version != v {
 					t.Fatalf("seed %d: r%d against %v: %v", seed, v, base, err)
 				}
 				if base != nil {
-					if _, err := p.Unpack(nil, 1<<20); !errors.Is(err, ErrBaseMismatch) {
+					if _, err := p.Apply(nil, 1<<20); !errors.Is(err, ErrBaseMismatch) {
 						t.Fatalf("seed %d: unpacked without its base: %v", seed, err)
 					}
 					if len(its) > 100 && len(p.Z) > len(d.Raw)/8 {
@@ -42,7 +42,7 @@
 				if len(p.Z) > 8 {
 					p.Z = append([]byte(nil), p.Z...)
 					p.Z[r.IntN(len(p.Z))] ^= 1 << r.IntN(8)
-					if got, err := p.Unpack(base, 1<<20); err == nil && string(got.Raw) != string(d.Raw) {
+					if got, err := p.Apply(base, 1<<20); err == nil && string(got.Raw) != string(d.Raw) {
 						t.Fatalf("seed %d: spoilt bytes pass", seed)
 					}
 				}
@@ -55,7 +55,7 @@
 				its = append(its, item())
 			}
 		}
-		if _, err := (&Delta{Version: 1, Z: NewDelta(nil, docs[3]).Z}).Unpack(nil, 10); err == nil {
+		if _, err := (&Delta{Version: 1, Z: NewDelta(nil, docs[3]).Z}).Apply(nil, 10); err == nil {
 			t.Fatal("longer than allowed, and no error")
 		}
 	}
@@ -67,7 +67,7 @@
 	w, _ := flate.NewWriter(&z, flate.BestCompression)
 	w.Write(make([]byte, 1<<20))
 	w.Close()
-	if _, err := (&Delta{Version: 1, Z: z.Bytes()}).Unpack(nil, 1<<20); err == nil {
+	if _, err := (&Delta{Version: 1, Z: z.Bytes()}).Apply(nil, 1<<20); err == nil {
 		t.Errorf("%d bytes made half a million steps of nothing", z.Len())
 	}
 }
--- a/internal/config/fuzz_test.go
+++ b/internal/config/fuzz_test.go
@@ -75,7 +75,7 @@
 		a, b := &Doc{Version: s.Version, Raw: raw}, &Doc{Version: 7, Raw: other}
 		for _, base := range []*Doc{nil, b} {
 			p := NewDelta(base, a)
-			if got, err := p.Unpack(base, len(raw)); err != nil || !bytes.Equal(got.Raw, raw) || got.Version != a.Version {
+			if got, err := p.Apply(base, len(raw)); err != nil || !bytes.Equal(got.Raw, raw) || got.Version != a.Version {
 				t.Fatalf("packed against %v it came back as %v, %v", base, got, err)
 			}
 		}
@@ -98,7 +98,7 @@
 		const most = 1 << 16
 		p := &Delta{Base: from, Version: 9, Sum: sum, Z: z}
 		for _, b := range []*Doc{nil, {Version: from, Raw: old}, {Version: from + 1, Raw: old}} {
-			d, err := p.Unpack(b, most)
+			d, err := p.Apply(b, most)
 			if err == nil && (len(d.Raw) > most || d.Version != 9) {
 				t.Fatalf("%d bytes of version %d", len(d.Raw), d.Version)
 			}
--- a/internal/distribution/receive.go
+++ b/internal/distribution/receive.go
@@ -53,7 +53,7 @@
 	}
 	subscriber.mu.Unlock()
 	if c := update.Config; c != nil && c.Version > subscriber.version {
-		if d, err := c.Unpack(subscriber.doc, constants.ConfigMax); err == nil {
+		if d, err := c.Apply(subscriber.doc, constants.ConfigMax); err == nil {
 			doc = d
 		} else {
 			misfit = true
