--- a/internal/config/ledger.go
+++ b/internal/config/ledger.go
@@ -8,8 +8,8 @@
 	"slateridge/internal/constants"
 )
 
-// Taken is a configuration that was taken: its number and the sum of its content.
-type Taken struct{ Version, Sum uint64 }
+// LedgerEntry is a configuration that was taken: its number and the sum of its content.
+type LedgerEntry struct{ Version, Sum uint64 }
 
 // Ledger remembers which content was taken under which number, those overtaken by a
 // higher number before they came included: an order that is sent again is known by it,
@@ -18,12 +18,12 @@
 // distinguishes two ledgers where the list itself is left out.
 type Ledger struct {
 	Floor uint64
-	Taken []Taken // by version
+	Taken []LedgerEntry // by version
 	Sum   uint64
 }
 
 func (l Ledger) place(version uint64) (int, bool) {
-	return slices.BinarySearchFunc(l.Taken, version, func(t Taken, v uint64) int {
+	return slices.BinarySearchFunc(l.Taken, version, func(t LedgerEntry, v uint64) int {
 		switch {
 		case t.Version < v:
 			return -1
@@ -57,7 +57,7 @@
 	if ok || version <= l.Floor {
 		return l
 	}
-	out := Ledger{Floor: l.Floor, Taken: slices.Insert(slices.Clone(l.Taken), i, Taken{version, sum})}
+	out := Ledger{Floor: l.Floor, Taken: slices.Insert(slices.Clone(l.Taken), i, LedgerEntry{version, sum})}
 	if n := len(out.Taken) - constants.LedgerKept; n > 0 {
 		out.Floor = out.Taken[n-1].Version
 		out.Taken = out.Taken[n:]
--- a/internal/controlplane/chain/chain.go
+++ b/internal/controlplane/chain/chain.go
@@ -191,8 +191,8 @@
 	nextRoundAt            time.Duration // when this machine may start a round; 0 while no view change is needed
 	lastRound              uint64        // highest round number used or seen
 	round                  *round
-	pendingConfigs         map[config.Taken]config.Doc // configurations submitted here and not yet committed, by version and checksum
-	pendingConfigSince     map[config.Taken]time.Duration
+	pendingConfigs         map[config.LedgerEntry]config.Doc // configurations submitted here and not yet committed, by version and checksum
+	pendingConfigSince     map[config.LedgerEntry]time.Duration
 	pendingEvacuations     map[uint64]EvacuationOrder // evacuation orders submitted here and not yet committed, by ID
 	pendingEvacuationSince map[uint64]time.Duration
 	receipts               receiptLog // evacuation orders received as head
--- a/internal/controlplane/chain/chain_test.go
+++ b/internal/controlplane/chain/chain_test.go
@@ -41,20 +41,20 @@
 	faultsStopped     bool              // no new faults
 	maxFaultGap       time.Duration     // longest pause between faults
 	lastVersion       uint64
-	sentConfigs       []sentConfig           // everything submitted so far, for resubmission
-	sentKeys          map[config.Taken]bool  // the same as a set, to detect contents that were never submitted
-	settledSums       map[uint64]uint64      // by version: the checksum in the committed ledgers
-	ackedVersion      uint64                 // highest version acknowledged to an operator
-	ackHistory        []acknowledgement      // each increase of ackedVersion
-	ackedConfigs      []config.Taken         // everything acknowledged, in order
-	committedStates   map[string]*config.Doc // the newest committed state in a machine's current run
+	sentConfigs       []sentConfig                // everything submitted so far, for resubmission
+	sentKeys          map[config.LedgerEntry]bool // the same as a set, to detect contents that were never submitted
+	settledSums       map[uint64]uint64           // by version: the checksum in the committed ledgers
+	ackedVersion      uint64                      // highest version acknowledged to an operator
+	ackHistory        []acknowledgement           // each increase of ackedVersion
+	ackedConfigs      []config.LedgerEntry        // everything acknowledged, in order
+	committedStates   map[string]*config.Doc      // the newest committed state in a machine's current run
 	views             map[uint64]string
 	replacements      int // machines added at new addresses
 	acks              int
 	refusals          int // configurations refused because their version has another content
 	readsAnswered     int
-	pendingConfigs    map[string]map[config.Taken]bool // submitted at a machine in its current run and not answered
-	pendingReads      map[string]map[uint64]readStart  // by read ID
+	pendingConfigs    map[string]map[config.LedgerEntry]bool // submitted at a machine in its current run and not answered
+	pendingReads      map[string]map[uint64]readStart        // by read ID
 }
 
 // sentConfig is a submitted configuration; several contents may be submitted under one
@@ -64,8 +64,8 @@
 	content string
 }
 
-func (o sentConfig) key() config.Taken {
-	return config.Taken{Version: o.version, Sum: config.SumOf([]byte(o.content))}
+func (o sentConfig) key() config.LedgerEntry {
+	return config.LedgerEntry{Version: o.version, Sum: config.SumOf([]byte(o.content))}
 }
 
 // readStart records what had been acknowledged when a read started.
@@ -98,8 +98,8 @@
 func newCluster(t *testing.T, seed uint64, names []string, maxFailures int) *cluster {
 	c := &cluster{t: t, seed: seed, network: simnet.New(seed), names: names, seeds: names[:3], disks: map[string]*simnet.Disk{}, chains: map[string]*Chain{},
 		generation: map[string]int{}, frozen: map[string]bool{}, pending: map[string][]func(){}, activeFaults: map[string]int{}, recoveredAt: map[string]time.Duration{},
-		sentKeys: map[config.Taken]bool{}, settledSums: map[uint64]uint64{}, committedStates: map[string]*config.Doc{}, views: map[uint64]string{}, maxFailures: maxFailures, pendingEvacuations: map[string]map[uint64]evacuationOrder{}, ackedEvacuationsAtRead: map[uint64]map[string]uint64{}, ackedEvacuations: map[string]uint64{}, committedEvacuations: map[string]map[string]config.Evacuation{},
-		pendingConfigs: map[string]map[config.Taken]bool{}, pendingReads: map[string]map[uint64]readStart{}}
+		sentKeys: map[config.LedgerEntry]bool{}, settledSums: map[uint64]uint64{}, committedStates: map[string]*config.Doc{}, views: map[uint64]string{}, maxFailures: maxFailures, pendingEvacuations: map[string]map[uint64]evacuationOrder{}, ackedEvacuationsAtRead: map[uint64]map[string]uint64{}, ackedEvacuations: map[string]uint64{}, committedEvacuations: map[string]map[string]config.Evacuation{},
+		pendingConfigs: map[string]map[config.LedgerEntry]bool{}, pendingReads: map[string]map[uint64]readStart{}}
 	for _, n := range c.names {
 		c.disks[n] = simnet.NewDisk()
 		c.start(n, true)
@@ -128,7 +128,7 @@
 	c.chains[n] = ch
 	c.committedStates[n] = nil
 	c.pendingEvacuations[n], c.committedEvacuations[n] = map[uint64]evacuationOrder{}, nil
-	c.pendingConfigs[n], c.pendingReads[n] = map[config.Taken]bool{}, map[uint64]readStart{}
+	c.pendingConfigs[n], c.pendingReads[n] = map[config.LedgerEntry]bool{}, map[uint64]readStart{}
 	c.tick(n, c.generation[n])
 }
 
@@ -258,7 +258,7 @@
 // checkCommitted checks a committed state: its contents were submitted, each version has one
 // content only, and the version does not decrease.
 func (c *cluster) checkCommitted(n string, d config.Doc) {
-	if d.Version > 0 && !c.sentKeys[config.Taken{Version: d.Version, Sum: config.SumOf(d.Raw)}] {
+	if d.Version > 0 && !c.sentKeys[config.LedgerEntry{Version: d.Version, Sum: config.SumOf(d.Raw)}] {
 		c.fail("%s commits r%d with %q, which was never sent", n, d.Version, d.Raw)
 	}
 	if old := c.committedStates[n]; old != nil && d.Version < old.Version {
--- a/internal/controlplane/chain/orders.go
+++ b/internal/controlplane/chain/orders.go
@@ -21,7 +21,7 @@
 	c.now = now
 	d.Sum = config.SumOf(d.Raw)
 	if !Settled(c.committed, d.Version) {
-		k := config.Taken{Version: d.Version, Sum: d.Sum}
+		k := config.LedgerEntry{Version: d.Version, Sum: d.Sum}
 		c.pendingConfigs[k], c.pendingConfigSince[k] = d, now
 		c.forward(d, 0)
 	}
@@ -287,7 +287,7 @@
 			c.send(head.Addr, NewerState{c.agreement.View.Num, *c.held})
 		}
 	}
-	keys := slices.SortedFunc(maps.Keys(c.pendingConfigs), func(a, b config.Taken) int {
+	keys := slices.SortedFunc(maps.Keys(c.pendingConfigs), func(a, b config.LedgerEntry) int {
 		return cmp.Or(cmp.Compare(a.Version, b.Version), cmp.Compare(a.Sum, b.Sum))
 	})
 	for _, k := range keys {
