--- a/internal/config/ledger.go
+++ b/internal/config/ledger.go
@@ -68,9 +68,9 @@
 	return out
 }
 
-// Complete gives a state written before there were ledgers the one that follows from
+// EnsureLedger gives a state written before there were ledgers the one that follows from
 // it: what is in force was taken, of lower numbers nothing is known.
-func (d *Doc) Complete() {
+func (d *Doc) EnsureLedger() {
 	if d.Version > 0 && d.Ledger.Sum == 0 {
 		d.Ledger = Ledger{Floor: d.Version - 1}.With(d.Version, d.Sum)
 	}
--- a/internal/controlplane/chain/catchup.go
+++ b/internal/controlplane/chain/catchup.go
@@ -187,7 +187,7 @@
 	if !revisionOf(c.held).Less(d.Stamp) {
 		return true
 	}
-	d.Complete()
+	d.EnsureLedger()
 	if d.Version > 0 && !c.bulks[0].matches(&d) && !c.bulks[1].matches(&d) {
 		if d.Raw == nil {
 			return false // the body is missing; the sender retransmits the state
@@ -214,7 +214,7 @@
 	if !revisionOf(c.committed).Less(d.Stamp) {
 		return
 	}
-	d.Complete()
+	d.EnsureLedger()
 	c.committed = &d
 	c.persistState(d)
 	c.expirePending()
--- a/internal/controlplane/chain/load.go
+++ b/internal/controlplane/chain/load.go
@@ -149,7 +149,7 @@
 	if d.Raw == nil && d.Version > 0 {
 		return errBulkMissing
 	}
-	d.Complete()
+	d.EnsureLedger()
 	c.held = &d
 	return nil
 }
