--- a/internal/config/ledger.go
+++ b/internal/config/ledger.go
@@ -76,9 +76,9 @@
 	}
 }
 
-// Bare is the state without what every holder of the same bulk has: the configuration
+// WithoutBulk is the state without what every holder of the same bulk has: the configuration
 // and the ledger's list.
-func (d Doc) Bare() Doc {
+func (d Doc) WithoutBulk() Doc {
 	d.Raw, d.Ledger.Taken = nil, nil
 	return d
 }
--- a/internal/controlplane/chain/catchup.go
+++ b/internal/controlplane/chain/catchup.go
@@ -202,7 +202,7 @@
 		}
 		c.bulks[i] = bulk{Version: d.Version, Sum: d.Sum, Ledger: config.Ledger{Sum: d.Ledger.Sum}}
 	}
-	if c.store.Put(heldKey, d.Bare()) != nil {
+	if c.store.Put(heldKey, d.WithoutBulk()) != nil {
 		return false
 	}
 	c.held = &d
--- a/internal/controlplane/chain/orders.go
+++ b/internal/controlplane/chain/orders.go
@@ -333,7 +333,7 @@
 	if i+1 < len(v.Members) {
 		p := Replicate{View: v.Num, Doc: d, Bare: d.SameBulk(c.committed)}
 		if p.Bare {
-			p.Doc = d.Bare()
+			p.Doc = d.WithoutBulk()
 		}
 		c.send(v.Members[i+1].Addr, p)
 		return
--- a/internal/controlplane/chain/store_compatibility_test.go
+++ b/internal/controlplane/chain/store_compatibility_test.go
@@ -38,7 +38,7 @@
 		gobtest.Fill(key, pointer, fields)
 	}
 	bulks[0].Version, bulks[0].Sum, bulks[0].Ledger.Sum = held.Version, held.Sum, held.Ledger.Sum
-	held = held.Bare()
+	held = held.WithoutBulk()
 	return records
 }
 
