--- a/internal/config/ledger.go
+++ b/internal/config/ledger.go
@@ -89,5 +89,5 @@
 	return d != nil && o != nil && d.Version == o.Version && d.Sum == o.Sum && d.Ledger.Sum == o.Ledger.Sum
 }
 
-// Fill takes the bulk from a state that has it.
-func (d *Doc) Fill(o *Doc) { d.Raw, d.Ledger = o.Raw, o.Ledger }
+// SetBulkFrom takes the bulk from a state that has it.
+func (d *Doc) SetBulkFrom(o *Doc) { d.Raw, d.Ledger = o.Raw, o.Ledger }
--- a/internal/controlplane/chain/orders.go
+++ b/internal/controlplane/chain/orders.go
@@ -353,7 +353,7 @@
 	}
 	if m.Bare && m.Doc.Version > 0 {
 		if m.Doc.SameBulk(c.held) {
-			m.Doc.Fill(c.held)
+			m.Doc.SetBulkFrom(c.held)
 		} else if revisionOf(c.held).Less(m.Doc.Stamp) {
 			c.send(from, ResendRequest{m.View, m.Doc.Stamp})
 			return
