--- a/internal/config/state.go
+++ b/internal/config/state.go
@@ -40,8 +40,8 @@
 	Duties  duty.Records
 }
 
-// SumOf is what Sum holds of a configuration.
-func SumOf(raw []byte) uint64 {
+// Checksum is what Sum holds of a configuration.
+func Checksum(raw []byte) uint64 {
 	h := fnv.New64a()
 	h.Write(raw)
 	return h.Sum64()
--- a/internal/controlplane/api.go
+++ b/internal/controlplane/api.go
@@ -118,7 +118,7 @@
 	case !known:
 		d.events.Count("order_forgotten", 1)
 		writeUnavailable(w, fmt.Sprintf("r%d lies below r%d, and what was taken up to there is not remembered", cfg.Version, current.Ledger.Floor+1))
-	case sum != config.SumOf(raw):
+	case sum != config.Checksum(raw):
 		d.events.Record("number_taken", fmt.Sprintf("r%d is already committed with different content", cfg.Version))
 		d.writeVersionConflict(w, cfg.Version)
 	default:
--- a/internal/controlplane/chain/chain_test.go
+++ b/internal/controlplane/chain/chain_test.go
@@ -65,7 +65,7 @@
 }
 
 func (o sentConfig) key() config.LedgerEntry {
-	return config.LedgerEntry{Version: o.version, Sum: config.SumOf([]byte(o.content))}
+	return config.LedgerEntry{Version: o.version, Sum: config.Checksum([]byte(o.content))}
 }
 
 // readStart records what had been acknowledged when a read started.
@@ -258,7 +258,7 @@
 // checkCommitted checks a committed state: its contents were submitted, each version has one
 // content only, and the version does not decrease.
 func (c *cluster) checkCommitted(n string, d config.Doc) {
-	if d.Version > 0 && !c.sentKeys[config.LedgerEntry{Version: d.Version, Sum: config.SumOf(d.Raw)}] {
+	if d.Version > 0 && !c.sentKeys[config.LedgerEntry{Version: d.Version, Sum: config.Checksum(d.Raw)}] {
 		c.fail("%s commits r%d with %q, which was never sent", n, d.Version, d.Raw)
 	}
 	if old := c.committedStates[n]; old != nil && d.Version < old.Version {
--- a/internal/controlplane/chain/load.go
+++ b/internal/controlplane/chain/load.go
@@ -134,7 +134,7 @@
 		d.Stamp.Seq = d.Version // written by a build that ordered states by version
 	}
 	if d.Raw != nil && d.Sum == 0 {
-		d.Sum = config.SumOf(d.Raw)
+		d.Sum = config.Checksum(d.Raw)
 	}
 	for i, k := range bulkKeys {
 		var b bulk
--- a/internal/controlplane/chain/orders.go
+++ b/internal/controlplane/chain/orders.go
@@ -19,7 +19,7 @@
 // different one.
 func (c *Chain) Submit(now time.Duration, d config.Doc) []Effect {
 	c.now = now
-	d.Sum = config.SumOf(d.Raw)
+	d.Sum = config.Checksum(d.Raw)
 	if !Settled(c.committed, d.Version) {
 		k := config.LedgerEntry{Version: d.Version, Sum: d.Sum}
 		c.pendingConfigs[k], c.pendingConfigSince[k] = d, now
@@ -40,7 +40,7 @@
 		return
 	}
 	d := c.nextState()
-	sum := config.SumOf(m.Raw)
+	sum := config.Checksum(m.Raw)
 	d.Ledger = d.Ledger.With(m.Version, sum)
 	if m.Version > d.Version {
 		d.Version, d.Raw, d.Sum, d.Ordered = m.Version, m.Raw, sum, d.Stamp
--- a/internal/controlplane/chain/stale_head_test.go
+++ b/internal/controlplane/chain/stale_head_test.go
@@ -18,7 +18,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	c.Recv(1, "b", Fetched{config.Doc{Stamp: config.Revision{View: 2, Seq: 8}, Version: 3, Raw: []byte("3"), Sum: config.SumOf([]byte("3"))}})
+	c.Recv(1, "b", Fetched{config.Doc{Stamp: config.Revision{View: 2, Seq: 8}, Version: 3, Raw: []byte("3"), Sum: config.Checksum([]byte("3"))}})
 	c.Submit(2, config.Doc{Version: 4, Raw: []byte("4")})
 	c.Evacuate(3, 7, "z", true)
 	if h := c.Status().Held; h != (config.Revision{View: 2, Seq: 8}) {
--- a/internal/modelcheck/chainmodel/operators.go
+++ b/internal/modelcheck/chainmodel/operators.go
@@ -21,7 +21,7 @@
 		return false
 	}
 	sum, ok := in.Ledger.Find(o.Version)
-	return ok && sum == config.SumOf([]byte(o.Content))
+	return ok && sum == config.Checksum([]byte(o.Content))
 }
 
 // submit hands an order to a machine.
