--- a/internal/config/state.go
+++ b/internal/config/state.go
@@ -47,9 +47,9 @@
 	return h.Sum64()
 }
 
-// OrderNum orders what the operator has ordered; a state written before it was
+// OperatorRevision orders what the operator has ordered; a state written before it was
 // recorded counts by its own revision.
-func (d *Doc) OrderNum() uint64 {
+func (d *Doc) OperatorRevision() uint64 {
 	if d.Ordered == (Revision{}) {
 		return d.Stamp.Num()
 	}
