--- a/internal/config/state.go
+++ b/internal/config/state.go
@@ -56,8 +56,8 @@
 	return d.Ordered.Num()
 }
 
-// Evacuated lists the zones under evacuation, sorted.
-func (d *Doc) Evacuated() []string {
+// EvacuatedZones lists the zones under evacuation, sorted.
+func (d *Doc) EvacuatedZones() []string {
 	var out []string
 	if d != nil {
 		for z, e := range d.Evac {
--- a/internal/controlplane/activestate.go
+++ b/internal/controlplane/activestate.go
@@ -64,7 +64,7 @@
 		return false
 	}
 	s.updateQuotas()
-	if evacuatedBefore, evacuatedNow := fmt.Sprint(previous.Evacuated()), fmt.Sprint(doc.Evacuated()); evacuatedBefore != evacuatedNow {
+	if evacuatedBefore, evacuatedNow := fmt.Sprint(previous.EvacuatedZones()), fmt.Sprint(doc.EvacuatedZones()); evacuatedBefore != evacuatedNow {
 		s.events.Record("evacuations", evacuatedNow)
 	}
 	s.publish()
--- a/internal/controlplane/api_test.go
+++ b/internal/controlplane/api_test.go
@@ -123,10 +123,10 @@
 	if w.Code != http.StatusServiceUnavailable {
 		t.Errorf("after the caller disconnected: status %d, want 503", w.Code)
 	}
-	if zones := d.activeState.Load().Evacuated(); len(zones) != 1 {
+	if zones := d.activeState.Load().EvacuatedZones(); len(zones) != 1 {
 		t.Fatalf("evacuated zones %v, want one", zones)
 	}
-	if w, _ := callAPI(d, "evacuations.stop&of=there", ""); w.Code != 200 || len(d.activeState.Load().Evacuated()) != 0 {
+	if w, _ := callAPI(d, "evacuations.stop&of=there", ""); w.Code != 200 || len(d.activeState.Load().EvacuatedZones()) != 0 {
 		t.Fatalf("evacuations.stop after the stall: status %d %s", w.Code, w.Body)
 	}
 }
--- a/internal/controlplane/chain/chain_test.go
+++ b/internal/controlplane/chain/chain_test.go
@@ -799,7 +799,7 @@
 		t.Fatalf("after start, stop and two old orders: %+v", e)
 	}
 	c.Evacuate(5, 4, "z", true)
-	if z := c.Committed().Evacuated(); len(z) != 1 || z[0] != "z" {
+	if z := c.Committed().EvacuatedZones(); len(z) != 1 || z[0] != "z" {
 		t.Fatalf("a new order was not applied: %v", z)
 	}
 }
--- a/internal/controlplane/proxypublisher.go
+++ b/internal/controlplane/proxypublisher.go
@@ -35,7 +35,7 @@
 	}
 	if doc := s.ConfigDoc; doc != nil {
 		s.Version = doc.Version
-		s.StateNum, s.Evacuated = doc.OperatorRevision(), doc.Evacuated()
+		s.StateNum, s.Evacuated = doc.OperatorRevision(), doc.EvacuatedZones()
 	}
 	if pending := p.activeState.pending.Load(); pending != nil && pending.version > s.Version {
 		s.ComingVer, s.Coming = pending.version, pending.quotas
