--- a/internal/config/document.go
+++ b/internal/config/document.go
@@ -113,7 +113,7 @@
 		return &ValidationError{Field: "spec", Reason: err.Error()}
 	}
 	if err := checker.Struct(into); err != nil {
-		f, why, _ := strings.Cut(settings.FirstFault(err), ": ")
+		f, why, _ := strings.Cut(settings.FirstViolation(err), ": ")
 		return &ValidationError{Field: f, Reason: why}
 	}
 	return nil
--- a/internal/settings/fault.go
+++ b/internal/settings/fault.go
@@ -18,8 +18,8 @@
 	return n
 }
 
-// FirstFault describes the first failed check: the field's path and what it wants.
-func FirstFault(err error) string {
+// FirstViolation describes the first failed check: the field's path and what it wants.
+func FirstViolation(err error) string {
 	var ve validator.ValidationErrors
 	if !errors.As(err, &ve) || len(ve) == 0 {
 		return err.Error()
--- a/internal/settings/settings.go
+++ b/internal/settings/settings.go
@@ -172,7 +172,7 @@
 		return nil, fmt.Errorf("settings file %s: %w", path, err)
 	}
 	if err := checker.Struct(s); err != nil {
-		return nil, fmt.Errorf("settings file %s: %s", path, FirstFault(err))
+		return nil, fmt.Errorf("settings file %s: %s", path, FirstViolation(err))
 	}
 	if s.Has("quota") && s.Bounds.QuotaWindow <= 0 {
 		return nil, fmt.Errorf("settings file %s: bounds.quotaWindow: missing, contract quota needs it", path)
