--- a/internal/settings/settings.go
+++ b/internal/settings/settings.go
@@ -174,7 +174,7 @@
 	if err := checker.Struct(s); err != nil {
 		return nil, fmt.Errorf("settings file %s: %s", path, FirstViolation(err))
 	}
-	if s.Has("quota") && s.Bounds.QuotaWindow <= 0 {
+	if s.HasContract("quota") && s.Bounds.QuotaWindow <= 0 {
 		return nil, fmt.Errorf("settings file %s: bounds.quotaWindow: missing, contract quota needs it", path)
 	}
 	if s.Bounds.RevocationStrict && s.Bounds.Revoke.D() <= 2*constants.RevokeReserve {
@@ -221,9 +221,9 @@
 	return nil
 }
 
-// Has says whether a part of the rules is in force; a file that names none
+// HasContract says whether a part of the rules is in force; a file that names none
 // means the gateway's own.
-func (s *Settings) Has(contract string) bool {
+func (s *Settings) HasContract(contract string) bool {
 	if s.Contracts == nil {
 		return slices.Contains([]string{"quota", "tenants"}, contract)
 	}
@@ -233,7 +233,7 @@
 // Trackers is how many shards the throttle keys are spread over: none where
 // there are no quotas, and more where more machines may be lost at once.
 func (s *Settings) Trackers() int {
-	if !s.Has("quota") {
+	if !s.HasContract("quota") {
 		return 0
 	}
 	return constants.TrackerDuty * max(1, s.FaultTolerance.MachineFailures)
