--- a/internal/controlplane/daemon.go
+++ b/internal/controlplane/daemon.go
@@ -82,7 +82,7 @@
 		proxyDirectory: directory.New(0, nodeSettings.Zones),
 	}
 	d.connections = newConnections(nodeSettings, d.onMessage)
-	d.quotaTracker = admission.NewTracker(rand.Uint64(), nodeSettings.Trackers(), d.quotaIsTiny)
+	d.quotaTracker = admission.NewTracker(rand.Uint64(), nodeSettings.TrackerShards(), d.quotaIsTiny)
 	d.activeState = &activeState{
 		events:    events,
 		publish:   d.publish,
@@ -193,7 +193,7 @@
 // except those of the accounts.
 func (d *Daemon) buildDuties() []string {
 	duties := []string{dutyPoll}
-	for shard := range d.settings.Trackers() {
+	for shard := range d.settings.TrackerShards() {
 		duties = append(duties, dutyTrack(shard))
 	}
 	if d.settings.HasDuty(settings.DutyUsage) {
--- a/internal/controlplane/proxypublisher.go
+++ b/internal/controlplane/proxypublisher.go
@@ -55,7 +55,7 @@
 // addDutyHolders adds the holders of the duties that proxies send messages to.
 func (p *proxyPublisher) addDutyHolders(s *distribution.Snapshot) {
 	holders, _ := p.leases.holders()
-	for shard := range p.settings.Trackers() {
+	for shard := range p.settings.TrackerShards() {
 		s.Trackers = append(s.Trackers, holders[dutyTrack(shard)])
 	}
 	if p.settings.HasDuty(settings.DutyUsage) {
--- a/internal/proxy/daemon.go
+++ b/internal/proxy/daemon.go
@@ -64,7 +64,7 @@
 	d.nodeSettings.Store(nodeSettings)
 	d.settingsFingerprint.Store(d.readSettingsFingerprint()) // only later changes cause a reload
 	bounds := nodeSettings.Bounds
-	p := &Proxy{events: events, histograms: newHistograms(), startedAt: time.Now(), limiter: admission.New(bounds.QuotaSlack, nodeSettings.Trackers(), rand.Uint64())}
+	p := &Proxy{events: events, histograms: newHistograms(), startedAt: time.Now(), limiter: admission.New(bounds.QuotaSlack, nodeSettings.TrackerShards(), rand.Uint64())}
 	p.lag.startedAt = p.startedAt
 	d.Proxy = p
 	p.retryBudget = NewRetryBudget(0, bounds.RetryWindow.D(), bounds.RetryBudgetRatio, bounds.RetryBudgetSlack)
--- a/internal/proxy/grants.go
+++ b/internal/proxy/grants.go
@@ -30,7 +30,7 @@
 }
 
 func (d *Daemon) shardOf(key string) int {
-	return admission.Shard(key, d.nodeSettings.Load().Trackers())
+	return admission.Shard(key, d.nodeSettings.Load().TrackerShards())
 }
 
 // requestTokens requests tokens from a key's tracker. It waits as long as a reply is useful to
--- a/internal/proxy/grants_test.go
+++ b/internal/proxy/grants_test.go
@@ -21,7 +21,7 @@
 	}
 	t.Cleanup(func() { listener.Close() })
 	go transport.Serve(listener, func(*transport.Conn, any) any { return nil })
-	all := slices.Repeat([]string{tracker}, d.nodeSettings.Load().Trackers())
+	all := slices.Repeat([]string{tracker}, d.nodeSettings.Load().TrackerShards())
 	d.trackers.Store(&all)
 	for n := 0; timeTokenRequest(d, "k", time.Second) < constants.TrackerBusy/2; n++ { // until the connection is established
 		if n > 100 {
--- a/internal/settings/settings.go
+++ b/internal/settings/settings.go
@@ -230,9 +230,9 @@
 	return slices.Contains(s.Contracts, contract)
 }
 
-// Trackers is how many shards the throttle keys are spread over: none where
+// TrackerShards is how many shards the throttle keys are spread over: none where
 // there are no quotas, and more where more machines may be lost at once.
-func (s *Settings) Trackers() int {
+func (s *Settings) TrackerShards() int {
 	if !s.HasContract("quota") {
 		return 0
 	}
