--- a/cmd/slateridge/retire.go
+++ b/cmd/slateridge/retire.go
@@ -32,7 +32,7 @@
 		if err != nil {
 			return usageError{fmt.Errorf("no --at given, and %w", err)}
 		}
-		at = set.Internal(constants.PortControlAdmin)
+		at = set.InternalAddress(constants.PortControlAdmin)
 	}
 	if _, _, err := net.SplitHostPort(at); err != nil {
 		return usageError{fmt.Errorf("%q is not HOST:PORT", at)}
--- a/cmd/slateridge/status.go
+++ b/cmd/slateridge/status.go
@@ -43,7 +43,7 @@
 		if err != nil {
 			return usageError{fmt.Errorf("no address given, and %w", err)}
 		}
-		addrs = []string{set.Internal(constants.PortControlAdmin), set.Internal(constants.PortProxyAdmin)}
+		addrs = []string{set.InternalAddress(constants.PortControlAdmin), set.InternalAddress(constants.PortProxyAdmin)}
 	}
 	for _, a := range c.Address {
 		if _, _, err := net.SplitHostPort(a); err != nil {
--- a/internal/controlplane/daemon.go
+++ b/internal/controlplane/daemon.go
@@ -254,7 +254,7 @@
 
 // Add opens the listeners and adds the daemon's servers and loops to the run group.
 func (d *Daemon) Add(g *run.Group) error {
-	internal, err := transport.Listen(d.settings.Internal(constants.PortControl))
+	internal, err := transport.Listen(d.settings.InternalAddress(constants.PortControl))
 	if err != nil {
 		return err
 	}
@@ -262,7 +262,7 @@
 	if err != nil {
 		return err
 	}
-	admin, err := net.Listen("tcp4", d.settings.Internal(constants.PortControlAdmin))
+	admin, err := net.Listen("tcp4", d.settings.InternalAddress(constants.PortControlAdmin))
 	if err != nil {
 		return err
 	}
@@ -291,7 +291,7 @@
 	for _, seed := range d.replica.seeds {
 		seeds = append(seeds, d.settings.PeerInternal(seed, constants.PortControlMembership))
 	}
-	address := d.settings.Internal(constants.PortControlMembership)
+	address := d.settings.InternalAddress(constants.PortControlMembership)
 	d.members, err = membership.Listen(address, d.settings.NodeName+"/control", seeds, func(f membership.Fact) {
 		d.events.Record("member", f.Name+" "+f.State.String())
 	})
--- a/internal/proxy/daemon.go
+++ b/internal/proxy/daemon.go
@@ -187,7 +187,7 @@
 	if err != nil {
 		return err
 	}
-	adminListener, err := net.Listen("tcp4", nodeSettings.Internal(constants.PortProxyAdmin))
+	adminListener, err := net.Listen("tcp4", nodeSettings.InternalAddress(constants.PortProxyAdmin))
 	if err != nil {
 		return err
 	}
@@ -216,7 +216,7 @@
 	for _, ip := range nodeSettings.SeedIPs() {
 		seeds = append(seeds, nodeSettings.PeerInternal(ip, constants.PortControlMembership))
 	}
-	d.members, err = membership.Listen(nodeSettings.Internal(constants.PortProxyMembership), nodeSettings.NodeName+"/proxy", seeds, func(fact membership.Fact) {
+	d.members, err = membership.Listen(nodeSettings.InternalAddress(constants.PortProxyMembership), nodeSettings.NodeName+"/proxy", seeds, func(fact membership.Fact) {
 		d.events.Count("member_"+fact.State.String(), 1)
 	})
 	if err != nil {
--- a/internal/settings/settings.go
+++ b/internal/settings/settings.go
@@ -239,8 +239,8 @@
 	return constants.TrackerDuty * max(1, s.FaultTolerance.MachineFailures)
 }
 
-// Internal is this machine's address for one of the internal ports.
-func (s *Settings) Internal(offset int) string { return s.PeerInternal(s.IPAddress, offset) }
+// InternalAddress is this machine's address for one of the internal ports.
+func (s *Settings) InternalAddress(offset int) string { return s.PeerInternal(s.IPAddress, offset) }
 
 // PeerInternal is another machine's; ports are alike on all.
 func (s *Settings) PeerInternal(ip string, offset int) string {
--- a/internal/settings/settings_test.go
+++ b/internal/settings/settings_test.go
@@ -27,7 +27,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if s.Bounds.Grace.D() != 6*time.Second || s.Internal(2) != "10.1.0.13:7562" || strings.Join(s.SeedIPs(), " ") != "10.1.0.13 10.2.0.13" {
+	if s.Bounds.Grace.D() != 6*time.Second || s.InternalAddress(2) != "10.1.0.13:7562" || strings.Join(s.SeedIPs(), " ") != "10.1.0.13 10.2.0.13" {
 		t.Errorf("read wrongly: %+v", s)
 	}
 	for says, c := range map[string][2]string{
