--- a/internal/controlplane/connections.go
+++ b/internal/controlplane/connections.go
@@ -31,7 +31,7 @@
 	c.mu.Lock()
 	peer := c.peers[to]
 	if peer == nil {
-		address := c.settings.PeerInternal(to, constants.PortControl)
+		address := c.settings.PeerInternalAddress(to, constants.PortControl)
 		peer = transport.NewPeer(address, c.settings.IPAddress, c.receive)
 		c.peers[to] = peer
 	}
--- a/internal/controlplane/daemon.go
+++ b/internal/controlplane/daemon.go
@@ -289,7 +289,7 @@
 func (d *Daemon) startMembership() (err error) {
 	var seeds []string
 	for _, seed := range d.replica.seeds {
-		seeds = append(seeds, d.settings.PeerInternal(seed, constants.PortControlMembership))
+		seeds = append(seeds, d.settings.PeerInternalAddress(seed, constants.PortControlMembership))
 	}
 	address := d.settings.InternalAddress(constants.PortControlMembership)
 	d.members, err = membership.Listen(address, d.settings.NodeName+"/control", seeds, func(f membership.Fact) {
--- a/internal/controlplane/roster.go
+++ b/internal/controlplane/roster.go
@@ -254,7 +254,7 @@
 	for _, f := range facts {
 		host, _, _ := net.SplitHostPort(f.Addr)
 		e := r.entries[host]
-		if e != nil && f.State == membership.Alive && f.Addr == r.settings.PeerInternal(host, constants.PortProxyMembership) {
+		if e != nil && f.State == membership.Alive && f.Addr == r.settings.PeerInternalAddress(host, constants.PortProxyMembership) {
 			e.seenAt = time.Now()
 		}
 	}
--- a/internal/proxy/daemon.go
+++ b/internal/proxy/daemon.go
@@ -82,7 +82,7 @@
 	self := distribution.Subscription{Node: nodeSettings.IPAddress, Name: nodeSettings.NodeName, Zone: nodeSettings.Zone, Region: nodeSettings.Region,
 		Front: nodeSettings.ListenAddresses.Frontend}
 	d.subscriber = distribution.NewSubscriber(self, ips, func(ip string, handler transport.Handler) *transport.Peer {
-		return transport.NewPeer(nodeSettings.PeerInternal(ip, constants.PortControl), nodeSettings.IPAddress, func(conn *transport.Conn, message any) any {
+		return transport.NewPeer(nodeSettings.PeerInternalAddress(ip, constants.PortControl), nodeSettings.IPAddress, func(conn *transport.Conn, message any) any {
 			if incompatible, ok := message.(transport.Incompatible); ok {
 				d.events.Record("protocol_incompatible", incompatible.String())
 				return nil
@@ -214,7 +214,7 @@
 	var err error
 	var seeds []string
 	for _, ip := range nodeSettings.SeedIPs() {
-		seeds = append(seeds, nodeSettings.PeerInternal(ip, constants.PortControlMembership))
+		seeds = append(seeds, nodeSettings.PeerInternalAddress(ip, constants.PortControlMembership))
 	}
 	d.members, err = membership.Listen(nodeSettings.InternalAddress(constants.PortProxyMembership), nodeSettings.NodeName+"/proxy", seeds, func(fact membership.Fact) {
 		d.events.Count("member_"+fact.State.String(), 1)
--- a/internal/proxy/grants_test.go
+++ b/internal/proxy/grants_test.go
@@ -15,7 +15,7 @@
 // but never replies.
 func daemonWithSilentTracker(t *testing.T, tracker string) *Daemon {
 	d, _ := newTestDaemon(t)
-	listener, err := transport.Listen(d.nodeSettings.Load().PeerInternal(tracker, constants.PortControl))
+	listener, err := transport.Listen(d.nodeSettings.Load().PeerInternalAddress(tracker, constants.PortControl))
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/settings/settings.go
+++ b/internal/settings/settings.go
@@ -240,10 +240,12 @@
 }
 
 // InternalAddress is this machine's address for one of the internal ports.
-func (s *Settings) InternalAddress(offset int) string { return s.PeerInternal(s.IPAddress, offset) }
+func (s *Settings) InternalAddress(offset int) string {
+	return s.PeerInternalAddress(s.IPAddress, offset)
+}
 
-// PeerInternal is another machine's; ports are alike on all.
-func (s *Settings) PeerInternal(ip string, offset int) string {
+// PeerInternalAddress is another machine's; ports are alike on all.
+func (s *Settings) PeerInternalAddress(ip string, offset int) string {
 	return net.JoinHostPort(ip, strconv.Itoa(s.InternalPorts[0]+offset))
 }
 
