--- a/internal/config/build.go
+++ b/internal/config/build.go
@@ -5,28 +5,29 @@
 	"strings"
 )
 
-// build puts checked items together, and checks what concerns several.
+// build assembles a configuration from items that are valid on their own and makes the
+// checks that involve more than one item.
 func build(version uint64, items []*item) (*Config, error) {
 	c := &Config{
-		Version:  version,
-		Services: map[string]*Service{},
-		Tenants:  map[string]*Tenant{},
-		keys:     map[string]*Tenant{},
-		hosts:    map[string][]*Route{},
+		Version:      version,
+		Services:     map[string]*Service{},
+		Tenants:      map[string]*Tenant{},
+		tenantsByKey: map[string]*Tenant{},
+		routesByHost: map[string][]*Route{},
 	}
 	names := make(map[string]bool, len(items))
-	limits := false
+	hasLimits := false
 	for _, it := range items {
 		if it.kind == "limits" {
-			if limits {
-				return nil, &ValidationError{Item: "limits", Reason: "stated twice"}
+			if hasLimits {
+				return nil, &ValidationError{Item: "limits", Reason: "defined more than once"}
 			}
-			limits, c.Limits = true, it.limits
+			hasLimits, c.Limits = true, it.limits
 			continue
 		}
 		label := it.label()
 		if names[label] {
-			return nil, &ValidationError{Item: label, Field: "metadata.name", Reason: "named twice"}
+			return nil, &ValidationError{Item: label, Field: "metadata.name", Reason: "duplicate name"}
 		}
 		names[label] = true
 		switch {
@@ -38,36 +39,37 @@
 			}
 		}
 	}
-	places := map[string]string{} // host and prefix to the route's name
+	routeNames := map[string]string{} // by host and prefix
 	for i, it := range items {
 		if it.route == nil {
 			continue
 		}
 		yieldProcessor(i)
-		if err := c.addRoute(it, places); err != nil {
+		if err := c.addRoute(it, routeNames); err != nil {
 			return nil, err
 		}
 	}
-	for _, routes := range c.hosts {
+	for _, routes := range c.routesByHost {
 		sort.Slice(routes, func(a, b int) bool { return len(routes[a].Prefix) > len(routes[b].Prefix) })
 	}
 	return c, nil
 }
 
-// addTenant adds a tenant with its keys, which no other may hold.
+// addTenant adds a tenant with its API keys, none of which may belong to another tenant.
 func (c *Config) addTenant(it *item) error {
 	c.Tenants[it.name] = it.tenant
 	for _, key := range it.keys {
-		if holder := c.keys[key]; holder != nil && holder != it.tenant {
-			return &ValidationError{Item: it.label(), Field: "apiKeys", Reason: "a key is held by tenant " + holder.Name + " too"}
+		if owner := c.tenantsByKey[key]; owner != nil && owner != it.tenant {
+			return &ValidationError{Item: it.label(), Field: "apiKeys", Reason: "an API key also belongs to tenant " + owner.Name}
 		}
-		c.keys[key] = it.tenant
+		c.tenantsByKey[key] = it.tenant
 	}
 	return nil
 }
 
-// addRoute adds a route, after all services; places has the routes added so far.
-func (c *Config) addRoute(it *item, places map[string]string) error {
+// addRoute adds a route; all services must have been added before. routeNames maps the host
+// and prefix of each route added so far to its name.
+func (c *Config) addRoute(it *item, routeNames map[string]string) error {
 	spec := it.route
 	r := &Route{
 		Name:            it.name,
@@ -83,28 +85,29 @@
 		Public:          spec.Public,
 		AllowedRegions:  spec.AllowedRegions,
 	}
-	place := r.Host + r.Prefix
-	if other, ok := places[place]; ok {
+	hostPrefix := r.Host + r.Prefix
+	if other, ok := routeNames[hostPrefix]; ok {
 		return &ValidationError{Item: it.label(), Field: "pathPrefix", Reason: "route " + other + " has the same host and prefix"}
 	}
-	places[place] = r.Name
-	targets, err := c.targets(it)
+	routeNames[hostPrefix] = r.Name
+	targets, err := c.routeTargets(it)
 	if err != nil {
 		return err
 	}
 	r.Targets = targets
 	if c.Services[r.Targets[0].Service] == nil {
-		return &ValidationError{Item: it.label(), Field: "targetService", Reason: "service " + r.Targets[0].Service + " is not known"}
+		return &ValidationError{Item: it.label(), Field: "targetService", Reason: "unknown service " + r.Targets[0].Service}
 	}
-	c.hosts[r.Host] = append(c.hosts[r.Host], r)
+	c.routesByHost[r.Host] = append(c.routesByHost[r.Host], r)
 	return nil
 }
 
-// targets are the services that a route may go to: one, or several by weight.
-func (c *Config) targets(it *item) ([]Target, error) {
+// routeTargets returns the targets of a route: its targetService, or its weightedTargets
+// that have a positive weight.
+func (c *Config) routeTargets(it *item) ([]Target, error) {
 	spec := it.route
 	if spec.TargetService != "" && len(spec.WeightedTargets) > 0 {
-		return nil, &ValidationError{Item: it.label(), Field: "targetService", Reason: "stands beside weightedTargets"}
+		return nil, &ValidationError{Item: it.label(), Field: "targetService", Reason: "cannot be combined with weightedTargets"}
 	}
 	if spec.TargetService != "" {
 		return []Target{{spec.TargetService, 1}}, nil
@@ -113,7 +116,7 @@
 	sum := 0.0
 	for _, t := range spec.WeightedTargets {
 		if c.Services[t.TargetService] == nil {
-			return nil, &ValidationError{Item: it.label(), Field: "weightedTargets", Reason: "service " + t.TargetService + " is not known"}
+			return nil, &ValidationError{Item: it.label(), Field: "weightedTargets", Reason: "unknown service " + t.TargetService}
 		}
 		if t.Weight > 0 {
 			sum += t.Weight
@@ -121,7 +124,7 @@
 		}
 	}
 	if sum == 0 {
-		return nil, &ValidationError{Item: it.label(), Field: "targetService", Reason: "no target has any weight"}
+		return nil, &ValidationError{Item: it.label(), Field: "targetService", Reason: "no target has a positive weight"}
 	}
 	return targets, nil
 }
--- a/internal/config/delta.go
+++ b/internal/config/delta.go
@@ -10,26 +10,26 @@
 	"io"
 )
 
-// Delta is a configuration sent as its difference from an earlier one, which
-// Base names; Base 0 needs none. Most changes touch a few of many items.
+// Delta encodes a configuration document as its difference from the document of version Base,
+// or as a whole if Base is 0. Most changes touch only a few of many items.
 type Delta struct {
 	Base, Version uint64
-	Sum           uint32 // of the whole document
-	Z             []byte // deflated steps
+	Sum           uint32 // CRC-32 of the whole document
+	Z             []byte // steps, compressed with DEFLATE
 }
 
-// ErrBaseMismatch says that a packed configuration does not fit what is held here: it
-// has to be sent whole.
-var ErrBaseMismatch = errors.New("packed against another configuration")
+// ErrBaseMismatch is returned if a delta was not made from the base that it is applied to, or if
+// the result has the wrong checksum. The configuration then has to be sent whole.
+var ErrBaseMismatch = errors.New("delta does not match the base configuration")
 
-var itemMark = []byte(`{"resourceKind"`)
+var itemPrefix = []byte(`{"resourceKind"`)
 
-// items cuts a document where its items begin. Where it is written otherwise it
-// is one piece, which costs bytes and nothing else.
-func items(raw []byte) [][]byte {
+// splitItems splits a document at the beginning of each item. A document that is formatted
+// differently yields a single piece, which makes deltas larger but not wrong.
+func splitItems(raw []byte) [][]byte {
 	var out [][]byte
 	for len(raw) > 0 {
-		n := bytes.Index(raw[1:], itemMark)
+		n := bytes.Index(raw[1:], itemPrefix)
 		if n < 0 {
 			return append(out, raw)
 		}
@@ -39,94 +39,94 @@
 	return out
 }
 
-// NewDelta makes d its difference from base, which may be nil.
+// NewDelta returns the difference of d from base, which may be nil.
 func NewDelta(base *Doc, d *Doc) Delta {
-	p := Delta{Version: d.Version, Sum: crc32.ChecksumIEEE(d.Raw)}
-	at := map[string]int{}
+	delta := Delta{Version: d.Version, Sum: crc32.ChecksumIEEE(d.Raw)}
+	baseIndex := map[string]int{} // by text
 	var old [][]byte
 	if base != nil && base.Version > 0 {
-		p.Base = base.Version
-		old = items(base.Raw)
-		for i, x := range old {
-			at[string(x)] = i
+		delta.Base = base.Version
+		old = splitItems(base.Raw)
+		for i, item := range old {
+			baseIndex[string(item)] = i
 		}
 	}
-	var z bytes.Buffer
-	w, _ := flate.NewWriter(&z, flate.DefaultCompression)
+	var compressed bytes.Buffer
+	w, _ := flate.NewWriter(&compressed, flate.DefaultCompression)
 	var num [2 * binary.MaxVarintLen64]byte
-	step := func(a, b uint64, lit []byte) {
-		n := binary.PutUvarint(num[:], a)
-		n += binary.PutUvarint(num[n:], b)
+	step := func(count, arg uint64, literal []byte) {
+		n := binary.PutUvarint(num[:], count)
+		n += binary.PutUvarint(num[n:], arg)
 		w.Write(num[:n])
-		w.Write(lit)
+		w.Write(literal)
 	}
-	its := items(d.Raw)
-	for i := 0; i < len(its); {
-		from, ok := at[string(its[i])]
+	current := splitItems(d.Raw)
+	for i := 0; i < len(current); {
+		from, ok := baseIndex[string(current[i])]
 		if !ok {
-			step(0, uint64(len(its[i])), its[i]) // 0, length: bytes follow
+			step(0, uint64(len(current[i])), current[i]) // literal: 0, length, bytes
 			i++
 			continue
 		}
 		n := 1
-		for i+n < len(its) && from+n < len(old) && bytes.Equal(its[i+n], old[from+n]) {
+		for i+n < len(current) && from+n < len(old) && bytes.Equal(current[i+n], old[from+n]) {
 			n++
 		}
-		step(uint64(n), uint64(from), nil) // count, from: items of the base
+		step(uint64(n), uint64(from), nil) // copy: count of items, index in the base
 		i += n
 	}
 	w.Close()
-	p.Z = z.Bytes()
-	return p
+	delta.Z = compressed.Bytes()
+	return delta
 }
 
-// Apply gives the whole document, checked against its sum.
-func (p *Delta) Apply(base *Doc, max int) (*Doc, error) {
+// Apply returns the whole document after verifying its checksum. max limits its size in bytes.
+func (d *Delta) Apply(base *Doc, max int) (*Doc, error) {
 	var old [][]byte
-	if p.Base > 0 {
-		if base == nil || base.Version != p.Base {
+	if d.Base > 0 {
+		if base == nil || base.Version != d.Base {
 			return nil, ErrBaseMismatch
 		}
-		old = items(base.Raw)
+		old = splitItems(base.Raw)
 	}
-	r := bufio.NewReader(flate.NewReader(bytes.NewReader(p.Z)))
+	r := bufio.NewReader(flate.NewReader(bytes.NewReader(d.Z)))
 	var out bytes.Buffer
 	for {
-		n, err := binary.ReadUvarint(r)
+		count, err := binary.ReadUvarint(r)
 		if err == io.EOF {
 			break
 		}
 		if err != nil {
 			return nil, err
 		}
-		a, err := binary.ReadUvarint(r)
+		arg, err := binary.ReadUvarint(r)
 		if err != nil {
 			return nil, err
 		}
-		if n == 0 {
-			if a == 0 {
-				return nil, errors.New("a step that says nothing") // few bytes may deflate to very many
+		if count == 0 {
+			if arg == 0 {
+				return nil, errors.New("delta contains an empty step") // a few compressed bytes can hold very many of these
 			}
-			if a > uint64(max-out.Len()) {
-				return nil, errors.New("longer than a configuration may be")
+			if arg > uint64(max-out.Len()) {
+				return nil, errors.New("document exceeds the size limit")
 			}
-			if _, err := io.CopyN(&out, r, int64(a)); err != nil {
+			if _, err := io.CopyN(&out, r, int64(arg)); err != nil {
 				return nil, err
 			}
 			continue
 		}
-		if a > uint64(len(old)) || n > uint64(len(old))-a {
+		if arg > uint64(len(old)) || count > uint64(len(old))-arg {
 			return nil, ErrBaseMismatch
 		}
-		for _, x := range old[a : a+n] {
-			if out.Len()+len(x) > max {
-				return nil, errors.New("longer than a configuration may be")
+		for _, item := range old[arg : arg+count] {
+			if out.Len()+len(item) > max {
+				return nil, errors.New("document exceeds the size limit")
 			}
-			out.Write(x)
+			out.Write(item)
 		}
 	}
-	if crc32.ChecksumIEEE(out.Bytes()) != p.Sum {
+	if crc32.ChecksumIEEE(out.Bytes()) != d.Sum {
 		return nil, ErrBaseMismatch
 	}
-	return &Doc{Version: p.Version, Raw: out.Bytes()}, nil
+	return &Doc{Version: d.Version, Raw: out.Bytes()}, nil
 }
--- a/internal/config/document.go
+++ b/internal/config/document.go
@@ -12,20 +12,20 @@
 	"slateridge/internal/settings"
 )
 
-// ValidationError says which item and field of a configuration is wrong.
+// ValidationError reports why a configuration is invalid, and the item and field at fault.
 type ValidationError struct {
 	Item   string `json:"item,omitempty"`
 	Field  string `json:"field,omitempty"`
 	Reason string `json:"error"`
 }
 
-func (f *ValidationError) Error() string {
-	s := f.Reason
-	if f.Field != "" {
-		s = f.Field + ": " + s
+func (e *ValidationError) Error() string {
+	s := e.Reason
+	if e.Field != "" {
+		s = e.Field + ": " + s
 	}
-	if f.Item != "" {
-		s = f.Item + ": " + s
+	if e.Item != "" {
+		s = e.Item + ": " + s
 	}
 	return s
 }
@@ -95,32 +95,34 @@
 	ResourceList  []resource `json:"resourceList"`
 }
 
-var checker = func() *validator.Validate {
+var validate = func() *validator.Validate {
 	v := validator.New(validator.WithRequiredStructEnabled())
 	v.RegisterTagNameFunc(settings.JSONName)
 	return v
 }()
 
-func decode(raw json.RawMessage, into any) error {
+// decodeSpec decodes and validates the spec of an item. Its error is a *ValidationError that
+// lacks the item.
+func decodeSpec(raw json.RawMessage, into any) error {
 	if len(raw) == 0 {
 		return &ValidationError{Field: "spec", Reason: "missing"}
 	}
 	if err := json.Unmarshal(raw, into); err != nil {
 		var te *json.UnmarshalTypeError
 		if errors.As(err, &te) {
-			return &ValidationError{Field: te.Field, Reason: "a " + te.Value + " cannot stand here"}
+			return &ValidationError{Field: te.Field, Reason: "unexpected " + te.Value}
 		}
 		return &ValidationError{Field: "spec", Reason: err.Error()}
 	}
-	if err := checker.Struct(into); err != nil {
-		f, why, _ := strings.Cut(settings.FirstViolation(err), ": ")
-		return &ValidationError{Field: f, Reason: why}
+	if err := validate.Struct(into); err != nil {
+		field, reason, _ := strings.Cut(settings.FirstViolation(err), ": ")
+		return &ValidationError{Field: field, Reason: reason}
 	}
 	return nil
 }
 
-// item is one entry of a configuration, read and checked by itself. It is never
-// changed, so configurations of several versions may share it.
+// item is one entry of a configuration, parsed and validated on its own. It is immutable, so
+// that configurations of several versions can share it.
 type item struct {
 	kind, name string
 	route      *routeSpec
@@ -130,58 +132,58 @@
 	limits     Limits
 }
 
-// label names an item in faults and among the names taken.
+// label identifies an item in errors and in the check for duplicate names.
 func (it *item) label() string { return it.kind + " " + it.name }
 
-// readItem reads the entry at a place in the list.
-func readItem(i int, r *resource) (*item, error) {
+// parseItem parses and validates the entry at index i of the resource list.
+func parseItem(i int, r *resource) (*item, error) {
 	it := &item{kind: r.ResourceKind, name: r.Metadata.Name}
-	fault := func(err error) error {
-		var f *ValidationError
-		if errors.As(err, &f) {
-			f.Item = it.label()
-			return f
+	withItem := func(err error) error {
+		var invalid *ValidationError
+		if errors.As(err, &invalid) {
+			invalid.Item = it.label()
+			return invalid
 		}
 		return &ValidationError{Item: it.label(), Reason: err.Error()}
 	}
-	at := func() string { return fmt.Sprintf("resourceList[%d]", i) } // of one that has no name to go by
+	position := func() string { return fmt.Sprintf("resourceList[%d]", i) } // identifies an item without a usable kind or name
 	if it.name == "" && it.kind != "limits" && slices.Contains([]string{"routes", "services", "tenants"}, it.kind) {
-		return nil, &ValidationError{Item: at(), Field: "metadata.name", Reason: "missing"}
+		return nil, &ValidationError{Item: position(), Field: "metadata.name", Reason: "missing"}
 	}
 	switch it.kind {
 	case "routes":
 		it.route = &routeSpec{}
-		if err := decode(r.Spec, it.route); err != nil {
-			return nil, fault(err)
+		if err := decodeSpec(r.Spec, it.route); err != nil {
+			return nil, withItem(err)
 		}
 	case "services":
-		var sp serviceSpec
-		if err := decode(r.Spec, &sp); err != nil {
-			return nil, fault(err)
+		var spec serviceSpec
+		if err := decodeSpec(r.Spec, &spec); err != nil {
+			return nil, withItem(err)
 		}
-		it.service = &Service{Name: it.name, HealthCheckPath: sp.HealthCheckPath, MaxConnections: sp.MaxConnections,
-			Warmup: sp.Warmup.D(), WarmupRate: sp.WarmupPerS}
-		if sc := sp.Scaling; sc != nil {
-			it.service.Scaling = &Scaling{sc.MinCount, sc.MaxCount, sc.BootTime.D()}
+		it.service = &Service{Name: it.name, HealthCheckPath: spec.HealthCheckPath, MaxConnections: spec.MaxConnections,
+			Warmup: spec.Warmup.D(), WarmupRate: spec.WarmupPerS}
+		if scaling := spec.Scaling; scaling != nil {
+			it.service.Scaling = &Scaling{scaling.MinCount, scaling.MaxCount, scaling.BootTime.D()}
 		}
 	case "tenants":
-		var sp tenantSpec
-		if err := decode(r.Spec, &sp); err != nil {
-			return nil, fault(err)
+		var spec tenantSpec
+		if err := decodeSpec(r.Spec, &spec); err != nil {
+			return nil, withItem(err)
 		}
-		it.tenant = &Tenant{Name: it.name, Rate: sp.RatePerS, Burst: sp.BurstSize, AllowedRegions: sp.AllowedRegions}
-		if sp.Priority != nil {
-			it.tenant.Priority, it.tenant.HasPriority = *sp.Priority, true
+		it.tenant = &Tenant{Name: it.name, Rate: spec.RatePerS, Burst: spec.BurstSize, AllowedRegions: spec.AllowedRegions}
+		if spec.Priority != nil {
+			it.tenant.Priority, it.tenant.HasPriority = *spec.Priority, true
 		}
-		it.keys = sp.APIKeys
+		it.keys = spec.APIKeys
 	case "limits":
-		var sp limitsSpec
-		if err := decode(r.Spec, &sp); err != nil {
-			return nil, fault(err)
+		var spec limitsSpec
+		if err := decodeSpec(r.Spec, &spec); err != nil {
+			return nil, withItem(err)
 		}
-		it.limits = Limits{sp.MaxHeaderBytes, sp.MaxBodyBytes, sp.HeaderTimeout.D(), sp.IdleTimeout.D()}
+		it.limits = Limits{spec.MaxHeaderBytes, spec.MaxBodyBytes, spec.HeaderTimeout.D(), spec.IdleTimeout.D()}
 	default:
-		return nil, &ValidationError{Item: at(), Field: "resourceKind", Reason: fmt.Sprintf("%q is not known", it.kind)}
+		return nil, &ValidationError{Item: position(), Field: "resourceKind", Reason: fmt.Sprintf("unknown kind %q", it.kind)}
 	}
 	return it, nil
 }
--- a/internal/config/ledger.go
+++ b/internal/config/ledger.go
@@ -8,52 +8,53 @@
 	"slateridge/internal/constants"
 )
 
-// LedgerEntry is a configuration that was taken: its number and the sum of its content.
+// LedgerEntry records an accepted configuration by its version and the checksum of its content.
 type LedgerEntry struct{ Version, Sum uint64 }
 
-// Ledger remembers which content was taken under which number, those overtaken by a
-// higher number before they came included: an order that is sent again is known by it,
-// and another content under a number that is taken is never confirmed. It is bounded;
-// of numbers at or below Floor that it does not list nothing is known any more. Sum
-// distinguishes two ledgers where the list itself is left out.
+// Ledger records which content was accepted under each version, including versions that were
+// superseded by a higher one before they arrived. By it a repeated submission is recognized,
+// and different content under a version in use is never acknowledged. Its size is bounded: for
+// versions at or below Floor that are not listed, the content is no longer known. Sum
+// distinguishes ledgers whose list is omitted.
 type Ledger struct {
 	Floor uint64
-	Taken []LedgerEntry // by version
+	Taken []LedgerEntry // in ascending order of version
 	Sum   uint64
 }
 
-func (l Ledger) place(version uint64) (int, bool) {
-	return slices.BinarySearchFunc(l.Taken, version, func(t LedgerEntry, v uint64) int {
+// search returns the index of a version in Taken, or the index at which to insert it.
+func (l Ledger) search(version uint64) (int, bool) {
+	return slices.BinarySearchFunc(l.Taken, version, func(e LedgerEntry, v uint64) int {
 		switch {
-		case t.Version < v:
+		case e.Version < v:
 			return -1
-		case t.Version > v:
+		case e.Version > v:
 			return 1
 		}
 		return 0
 	})
 }
 
-// Find gives the sum of the content taken under a number.
+// Find returns the checksum of the content that was accepted under a version.
 func (l Ledger) Find(version uint64) (sum uint64, ok bool) {
-	i, ok := l.place(version)
+	i, ok := l.search(version)
 	if !ok {
 		return 0, false
 	}
 	return l.Taken[i].Sum, true
 }
 
-// Settled says whether nothing more can be taken under a number: something was, or it
-// lies below what is remembered.
+// Settled reports whether no further content can be accepted under a version, because a
+// content was already accepted or the version is at or below Floor.
 func (l Ledger) Settled(version uint64) bool {
-	_, ok := l.place(version)
+	_, ok := l.search(version)
 	return ok || version <= l.Floor
 }
 
-// With is the ledger after a content was taken under a number that is not settled. The
-// lowest numbers are forgotten beyond what is kept.
+// With returns the ledger with a content added under a version that is not settled; otherwise
+// it returns l unchanged. It drops the lowest versions beyond constants.LedgerKept entries.
 func (l Ledger) With(version, sum uint64) Ledger {
-	i, ok := l.place(version)
+	i, ok := l.search(version)
 	if ok || version <= l.Floor {
 		return l
 	}
@@ -64,30 +65,30 @@
 	}
 	h := fnv.New64a()
 	binary.Write(h, binary.BigEndian, []uint64{l.Sum, version, sum})
-	out.Sum = h.Sum64() | 1 // never 0, which is the empty ledger's
+	out.Sum = h.Sum64() | 1 // never 0, which denotes an empty ledger
 	return out
 }
 
-// EnsureLedger gives a state written before there were ledgers the one that follows from
-// it: what is in force was taken, of lower numbers nothing is known.
+// EnsureLedger derives the ledger of a state that was stored by a release without ledgers: its
+// configuration was accepted, and nothing is known of lower versions.
 func (d *Doc) EnsureLedger() {
 	if d.Version > 0 && d.Ledger.Sum == 0 {
 		d.Ledger = Ledger{Floor: d.Version - 1}.With(d.Version, d.Sum)
 	}
 }
 
-// WithoutBulk is the state without what every holder of the same bulk has: the configuration
-// and the ledger's list.
+// WithoutBulk returns the state without its bulk, which is the configuration document and the
+// list of the ledger. It is meant for receivers that have the same bulk.
 func (d Doc) WithoutBulk() Doc {
 	d.Raw, d.Ledger.Taken = nil, nil
 	return d
 }
 
-// SameBulk says whether two states hold the same configuration, letter for letter, and
-// the same ledger.
+// SameBulk reports whether two states have the same configuration document, byte for byte, and
+// the same ledger. It compares their checksums.
 func (d *Doc) SameBulk(o *Doc) bool {
 	return d != nil && o != nil && d.Version == o.Version && d.Sum == o.Sum && d.Ledger.Sum == o.Ledger.Sum
 }
 
-// SetBulkFrom takes the bulk from a state that has it.
+// SetBulkFrom sets the bulk of d to that of o.
 func (d *Doc) SetBulkFrom(o *Doc) { d.Raw, d.Ledger = o.Raw, o.Ledger }
--- a/internal/config/parse.go
+++ b/internal/config/parse.go
@@ -17,104 +17,106 @@
 	"slateridge/internal/constants"
 )
 
-// ParseVersion reads "r12".
+// ParseVersion returns the number of a configuration version such as "r12".
 func ParseVersion(s string) (uint64, error) {
 	if len(s) < 2 || s[0] != 'r' {
-		return 0, fmt.Errorf("%q is not r followed by a number", s)
+		return 0, fmt.Errorf("invalid version %q: must be r followed by a number", s)
 	}
 	n, err := strconv.ParseUint(s[1:], 10, 64)
 	if err != nil || n == math.MaxUint64 {
-		return 0, fmt.Errorf("%q is not r followed by a number", s)
+		return 0, fmt.Errorf("invalid version %q: must be r followed by a number", s)
 	}
 	return n, nil
 }
 
-// yieldProcessor lets other work of the process go on between the items of a long
-// configuration: on a small part of a core, reading hundreds of them at one go
-// is a stall that every request at this process would feel.
-func yieldProcessor(n int) {
-	if n%constants.ReadBatch == 0 {
+// yieldProcessor yields to other goroutines after every constants.ReadBatch items of a
+// configuration. On a fraction of a core, parsing hundreds of items without a pause would delay
+// every request in the process.
+func yieldProcessor(parsed int) {
+	if parsed%constants.ReadBatch == 0 {
 		runtime.Gosched()
 	}
 }
 
-// Parse checks a whole configuration and makes it ready for use. Its error is
-// always a *Fault.
+// Parse parses and validates a configuration document. Its error is always a
+// *ValidationError.
 func Parse(raw []byte) (*Config, error) {
 	var d document
 	dec := json.NewDecoder(bytes.NewReader(raw))
 	if err := dec.Decode(&d); err != nil {
-		return nil, &ValidationError{Reason: "cannot be read: " + err.Error()}
+		return nil, &ValidationError{Reason: "invalid JSON: " + err.Error()}
 	}
 	if _, err := dec.Token(); err != io.EOF {
-		return nil, &ValidationError{Reason: "cannot be read: more follows the document"}
+		return nil, &ValidationError{Reason: "invalid JSON: data after the end of the document"}
 	}
-	ver, err := ParseVersion(d.ConfigVersion)
+	version, err := ParseVersion(d.ConfigVersion)
 	if err != nil {
 		return nil, &ValidationError{Field: "configVersion", Reason: err.Error()}
 	}
 	if d.ResourceList == nil {
 		return nil, &ValidationError{Field: "resourceList", Reason: "missing"}
 	}
-	var its []*item
+	var parsed []*item
 	for i := range d.ResourceList {
-		it, err := readItem(i, &d.ResourceList[i])
+		it, err := parseItem(i, &d.ResourceList[i])
 		if err != nil {
 			return nil, err
 		}
-		its = append(its, it)
+		parsed = append(parsed, it)
 		yieldProcessor(i)
 	}
-	return build(ver, its)
+	return build(version, parsed)
 }
 
-// textHash stand for an item's text, which need not be kept to know it again.
-type textHash [16]byte
+// itemHash identifies the text of an item, so that the text itself need not be kept.
+type itemHash [16]byte
 
-func hashText(text string) (l textHash) {
+func hashItem(text string) (h itemHash) {
 	sum := sha256.Sum256([]byte(text))
-	copy(l[:], sum[:])
-	return l
+	copy(h[:], sum[:])
+	return h
 }
 
-// Parser reads one configuration after another, and of each only the items that
-// the one before did not have, letter for letter.
+// Parser parses successive configurations. It reuses the items whose text is identical in the
+// previous valid one.
 type Parser struct {
-	items       map[textHash]*item
-	ParsedItems int // items the last document did not share with the one before
+	items       map[itemHash]*item
+	ParsedItems int // items of the last document that were not reused; 0 if it was parsed whole
 }
 
-// Parse is like the function of that name; a document in which items cannot be
-// separated as written is read whole.
-func (rd *Parser) Parse(raw []byte) (*Config, error) {
-	if s, err := rd.changes(raw); err == nil {
-		return s, nil
+// Parse returns the same result as the function Parse. A document whose text cannot be split
+// into items is parsed whole.
+func (p *Parser) Parse(raw []byte) (*Config, error) {
+	if cfg, err := p.parseIncremental(raw); err == nil {
+		return cfg, nil
 	}
-	rd.items, rd.ParsedItems = nil, 0
+	p.items, p.ParsedItems = nil, 0
 	return Parse(raw)
 }
 
-// itemsFollow is the beginning of a document that has nothing before its items but its
-// version: whatever else stands there might be a list of something else.
-var itemsFollow = regexp.MustCompile(`^\s*\{\s*"configVersion"\s*:\s*"[^"\\]*"\s*,\s*"resourceList"\s*:\s*\[\s*$`)
+// documentStart matches the text before the first item if it holds only the version. With any
+// other field before them, the items could belong to a different list.
+var documentStart = regexp.MustCompile(`^\s*\{\s*"configVersion"\s*:\s*"[^"\\]*"\s*,\s*"resourceList"\s*:\s*\[\s*$`)
 
-var errWritten = errors.New("items cannot be told apart")
+var errNotSeparable = errors.New("document text cannot be split into items")
 
-func (rd *Parser) changes(raw []byte) (*Config, error) {
-	parts := items(raw)
+// parseIncremental parses a document item by item and reuses the items of the previous one. On
+// any error the caller parses the document whole, which yields the error to report.
+func (p *Parser) parseIncremental(raw []byte) (*Config, error) {
+	parts := splitItems(raw)
 	var d document
-	if len(parts) < 2 || !itemsFollow.Match(parts[0]) || json.Unmarshal(append(slices.Clone(parts[0]), "]}"...), &d) != nil {
-		return nil, errWritten
+	if len(parts) < 2 || !documentStart.Match(parts[0]) || json.Unmarshal(append(slices.Clone(parts[0]), "]}"...), &d) != nil {
+		return nil, errNotSeparable
 	}
-	ver, err := ParseVersion(d.ConfigVersion)
+	version, err := ParseVersion(d.ConfigVersion)
 	if err != nil {
 		return nil, err
 	}
-	have := make(map[textHash]*item, len(parts))
-	var its []*item
-	rd.ParsedItems = 0
-	for i, p := range parts[1:] {
-		text, ok := strings.TrimSpace(string(p)), true
+	items := make(map[itemHash]*item, len(parts))
+	var parsed []*item
+	p.ParsedItems = 0
+	for i, part := range parts[1:] {
+		text, ok := strings.TrimSpace(string(part)), true
 		if i == len(parts)-2 {
 			if text, ok = strings.CutSuffix(text, "}"); ok {
 				text, ok = strings.CutSuffix(strings.TrimSpace(text), "]")
@@ -123,28 +125,28 @@
 			text, ok = strings.CutSuffix(text, ",")
 		}
 		if !ok {
-			return nil, errWritten
+			return nil, errNotSeparable
 		}
 		text = strings.TrimSpace(text)
-		key := hashText(text)
-		it := rd.items[key]
+		key := hashItem(text)
+		it := p.items[key]
 		if it == nil {
 			var r resource
 			if json.Unmarshal([]byte(text), &r) != nil {
-				return nil, errWritten
+				return nil, errNotSeparable
 			}
-			if it, err = readItem(i, &r); err != nil {
+			if it, err = parseItem(i, &r); err != nil {
 				return nil, err
 			}
-			rd.ParsedItems++
-			yieldProcessor(rd.ParsedItems)
+			p.ParsedItems++
+			yieldProcessor(p.ParsedItems)
 		}
-		have[key] = it
-		its = append(its, it)
+		items[key] = it
+		parsed = append(parsed, it)
 	}
-	s, err := build(ver, its)
+	cfg, err := build(version, parsed)
 	if err == nil {
-		rd.items = have
+		p.items = items
 	}
-	return s, err
+	return cfg, err
 }
--- a/internal/config/parser_test.go
+++ b/internal/config/parser_test.go
@@ -8,9 +8,9 @@
 	"testing"
 )
 
-// documentOf writes a configuration of so many routes and tenants, each with a
-// number that a change moves.
-func documentOf(version int, routes, tenants []int) []byte {
+// generateDocument returns a configuration with one route and one tenant for each element of
+// routes and tenants. Changing an element changes the item.
+func generateDocument(version int, routes, tenants []int) []byte {
 	var b strings.Builder
 	fmt.Fprintf(&b, `{"configVersion":"r%d","resourceList":[`, version)
 	for i, n := range routes {
@@ -23,11 +23,10 @@
 	return []byte(b.String())
 }
 
-// Reading one configuration after another gives what reading each whole gives,
-// and reads only the items that are new; a document that cannot be taken apart,
-// or is not valid, fares as it does read whole.
-func TestReadsOnlyWhatIsNew(t *testing.T) {
-	rng, rd := rand.New(rand.NewPCG(2, 2)), Parser{}
+// A Parser yields the same configurations as Parse but parses only the new items. A document that
+// cannot be split into items, or is invalid, gives the same result as with Parse.
+func TestParserReusesItems(t *testing.T) {
+	rng, parser := rand.New(rand.NewPCG(2, 2)), Parser{}
 	routes, tenants := make([]int, 60), make([]int, 40)
 	for v := 1; v <= 40; v++ {
 		changed := 1 + rng.IntN(3)
@@ -38,30 +37,30 @@
 		if v%9 == 0 {
 			routes = append(routes, v)
 		}
-		raw := documentOf(v, routes, tenants)
-		if v%7 == 0 { // written otherwise
+		raw := generateDocument(v, routes, tenants)
+		if v%7 == 0 { // formatted so that it cannot be split into items
 			raw = []byte(strings.ReplaceAll(string(raw), `{"resourceKind"`, `{ "resourceKind"`))
 		}
 		whole, err := Parse(raw)
-		got, err2 := rd.Parse(raw)
+		got, err2 := parser.Parse(raw)
 		if err != nil || err2 != nil || !reflect.DeepEqual(got, whole) {
-			t.Fatalf("r%d is read otherwise by its differences: %v, %v", v, err, err2)
+			t.Fatalf("r%d: Parser and Parse differ: %v, %v", v, err, err2)
 		}
-		if v > 1 && v%7 > 1 && (rd.ParsedItems == 0 || rd.ParsedItems > 2*changed+1) {
-			t.Errorf("r%d: %d items were read, at most %d were new", v, rd.ParsedItems, 2*changed+1)
+		if v > 1 && v%7 > 1 && (parser.ParsedItems == 0 || parser.ParsedItems > 2*changed+1) {
+			t.Errorf("r%d: %d items were parsed, want at least 1 and at most %d", v, parser.ParsedItems, 2*changed+1)
 		}
-		if _, err := rd.Parse([]byte(strings.Replace(string(raw), `"maxAttempts":2`, `"maxAttempts":0`, 1))); err == nil || !strings.Contains(err.Error(), "routes r0: maxAttempts") {
-			t.Fatalf("r%d spoilt: %v", v, err)
+		if _, err := parser.Parse([]byte(strings.Replace(string(raw), `"maxAttempts":2`, `"maxAttempts":0`, 1))); err == nil || !strings.Contains(err.Error(), "routes r0: maxAttempts") {
+			t.Fatalf("r%d made invalid: got error %v", v, err)
 		}
 		if v%7 > 0 {
-			rd.Parse(raw) // what is held after an invalid one is not used
+			parser.Parse(raw) // restores the items dropped on the invalid document
 		}
 	}
 	for _, tail := range []string{` `, `}`, `,"more":1}`, ` x`} {
-		raw := append(documentOf(99, routes, tenants), tail...)
+		raw := append(generateDocument(99, routes, tenants), tail...)
 		_, whole := Parse(raw)
-		if _, got := rd.Parse(raw); (whole == nil) != (got == nil) {
-			t.Errorf("ending %q: by differences %v, whole %v", tail, got, whole)
+		if _, got := parser.Parse(raw); (whole == nil) != (got == nil) {
+			t.Errorf("document ending in %q: Parser returned %v, Parse %v", tail, got, whole)
 		}
 	}
 }
--- a/internal/config/state.go
+++ b/internal/config/state.go
@@ -7,48 +7,48 @@
 	"slateridge/internal/duty"
 )
 
-// Revision orders the states of the control plane: the number of the view whose
-// head made it, and a count within.
+// Revision orders the states of the control plane. It consists of the number of the view whose
+// head created the state and a sequence number within the view.
 type Revision struct{ View, Seq uint64 }
 
-// Less says whether s is older than o.
-func (s Revision) Less(o Revision) bool { return s.View < o.View || s.View == o.View && s.Seq < o.Seq }
+// Less reports whether r is older than o.
+func (r Revision) Less(o Revision) bool { return r.View < o.View || r.View == o.View && r.Seq < o.Seq }
 
-// Num is the revision as one number that orders alike; views and orders within one
+// Num encodes the revision as one number with the same order. View numbers and sequence numbers
 // stay far below 2^32.
-func (s Revision) Num() uint64 { return s.View<<32 | s.Seq&(1<<32-1) }
+func (r Revision) Num() uint64 { return r.View<<32 | r.Seq&(1<<32-1) }
 
-// Evacuation is the latest order on a zone's evacuation. Num counts the orders on the
-// zone; IDs are the latest ones, by which whoever sent one knows it has been
-// taken.
+// Evacuation is the latest evacuation order for a zone. Num counts the orders for the zone. IDs
+// holds the IDs of the most recent orders, so that their senders can tell that they were
+// accepted.
 type Evacuation struct {
 	On  bool
 	Num uint64
 	IDs []uint64
 }
 
-// Doc is one state of the control plane: the configuration as it was sent, with
-// its version's number, the evacuations by zone, and the duties at the platform.
+// Doc is one state of the control plane: the configuration document as submitted and its
+// version, the evacuations by zone, and the records of the duties at the platform.
 type Doc struct {
 	Stamp   Revision
-	Ordered Revision // of the state in which the operator's part last changed
+	Ordered Revision // Stamp of the state in which the configuration or an evacuation last changed
 	Version uint64
-	Sum     uint64 // of Raw, which is left out where the receiver has it
+	Sum     uint64 // checksum of Raw, which is omitted if the receiver has it
 	Raw     []byte
-	Ledger  Ledger // what was taken, this one and those before it; its list is left out with Raw
+	Ledger  Ledger // accepted configurations, including this one; its list is omitted together with Raw
 	Evac    map[string]Evacuation
 	Duties  duty.Records
 }
 
-// Checksum is what Sum holds of a configuration.
+// Checksum returns the checksum of a configuration document, as held in Doc.Sum.
 func Checksum(raw []byte) uint64 {
 	h := fnv.New64a()
 	h.Write(raw)
 	return h.Sum64()
 }
 
-// OperatorRevision orders what the operator has ordered; a state written before it was
-// recorded counts by its own revision.
+// OperatorRevision returns the number of the revision in which operator orders last changed the
+// state. A state stored by a release that did not record it yields its own revision.
 func (d *Doc) OperatorRevision() uint64 {
 	if d.Ordered == (Revision{}) {
 		return d.Stamp.Num()
@@ -56,13 +56,13 @@
 	return d.Ordered.Num()
 }
 
-// EvacuatedZones lists the zones under evacuation, sorted.
+// EvacuatedZones returns the zones under evacuation, sorted. d may be nil.
 func (d *Doc) EvacuatedZones() []string {
 	var out []string
 	if d != nil {
-		for z, e := range d.Evac {
-			if e.On {
-				out = append(out, z)
+		for zone, evacuation := range d.Evac {
+			if evacuation.On {
+				out = append(out, zone)
 			}
 		}
 	}
