--- a/internal/settings/settings.go
+++ b/internal/settings/settings.go
@@ -1,4 +1,4 @@
-// Package settings reads and checks the settings file that a process is started with.
+// Package settings loads and validates the settings file that a process is started with.
 package settings
 
 import (
@@ -18,13 +18,14 @@
 	"slateridge/internal/constants"
 )
 
-// EnvFile names the variable that holds the settings file's path.
+// EnvFile is the environment variable that holds the path of the settings file.
 const EnvFile = "SLATERIDGE_NODE_FILE"
 
-// Duration is a time written as a number followed by its unit, ms or s.
+// Duration is a time.Duration that is written as a number followed by a unit, ms or s.
 type Duration time.Duration
 
-// ParseDuration reads "1500ms" or "2.5s".
+// ParseDuration parses a duration such as "1500ms" or "2.5s". It accepts no negative duration and
+// at most 1e9 units.
 func ParseDuration(s string) (time.Duration, error) {
 	num, unit := s, time.Duration(0)
 	switch {
@@ -35,35 +36,36 @@
 	}
 	f, err := strconv.ParseFloat(num, 64)
 	if unit == 0 || err != nil || f < 0 || f > 1e9 {
-		return 0, fmt.Errorf("%q is not a time such as 1500ms or 2.5s", s)
+		return 0, fmt.Errorf("invalid duration %q: must be a number and a unit, such as 1500ms or 2.5s", s)
 	}
 	return time.Duration(f * float64(unit)), nil
 }
 
-// UnmarshalJSON reads a duration written as a string, such as "1500ms".
-func (s *Duration) UnmarshalJSON(b []byte) error {
-	var t string
-	if err := json.Unmarshal(b, &t); err != nil {
-		return fmt.Errorf("%s is not a time such as \"1500ms\"", b)
+// UnmarshalJSON parses a duration written as a string, such as "1500ms".
+func (d *Duration) UnmarshalJSON(b []byte) error {
+	var text string
+	if err := json.Unmarshal(b, &text); err != nil {
+		return fmt.Errorf("invalid duration %s: must be a string such as \"1500ms\"", b)
 	}
-	d, err := ParseDuration(t)
-	*s = Duration(d)
+	parsed, err := ParseDuration(text)
+	*d = Duration(parsed)
 	return err
 }
 
-// MarshalJSON writes the duration as UnmarshalJSON reads it.
-func (s Duration) MarshalJSON() ([]byte, error) {
-	return json.Marshal(s.String())
+// MarshalJSON formats the duration as a string that UnmarshalJSON accepts.
+func (d Duration) MarshalJSON() ([]byte, error) {
+	return json.Marshal(d.String())
 }
 
-func (s Duration) String() string {
-	return strconv.FormatFloat(float64(time.Duration(s))/float64(time.Millisecond), 'f', -1, 64) + "ms"
+// String formats the duration in milliseconds, such as "1500ms".
+func (d Duration) String() string {
+	return strconv.FormatFloat(float64(time.Duration(d))/float64(time.Millisecond), 'f', -1, 64) + "ms"
 }
 
-// D is the span as a duration.
-func (s Duration) D() time.Duration { return time.Duration(s) }
+// D converts d to a time.Duration.
+func (d Duration) D() time.Duration { return time.Duration(d) }
 
-// ListenAddresses holds the addresses for what the role serves.
+// ListenAddresses holds the listen address of each endpoint that a role may serve.
 type ListenAddresses struct {
 	Frontend     string `json:"frontend" validate:"omitempty,hostname_port"`
 	Readiness    string `json:"readiness" validate:"omitempty,hostname_port"`
@@ -71,21 +73,21 @@
 	Directory    string `json:"directory" validate:"omitempty,hostname_port"`
 }
 
-// Limits are the machine's.
+// Limits are the resource limits of the machine.
 type Limits struct {
 	MemoryMb     int `json:"memoryMb" validate:"gte=0"`
 	MaxOpenFiles int `json:"maxOpenFiles" validate:"gte=0"`
 	DiskMb       int `json:"diskMb" validate:"gte=0"`
 }
 
-// Tolerance is what may be lost at once while every rule still holds.
+// Tolerance is the number of simultaneous failures under which all guarantees hold.
 type Tolerance struct {
 	MachineFailures int `json:"machineFailures" validate:"gte=0"`
 	Zones           int `json:"zones" validate:"gte=0"`
 	RegionFailures  int `json:"regionFailures" validate:"gte=0"`
 }
 
-// Bounds are the figures of the rules in force.
+// Bounds holds the parameters of the guarantees in force.
 type Bounds struct {
 	Drain            Duration `json:"drain" validate:"gt=0"`
 	Grace            Duration `json:"grace" validate:"gt=0"`
@@ -109,23 +111,23 @@
 	TTLMax           Duration `json:"ttl_max"`
 }
 
-// CloudAPI is where the platform keeps its list.
+// CloudAPI configures access to the platform, which lists the instances and accepts duty calls.
 type CloudAPI struct {
 	Address  string   `json:"address" validate:"omitempty,hostname_port"`
 	RatePerS float64  `json:"ratePerS" validate:"gte=0"`
 	MaxLag   Duration `json:"maxLag"`
-	// Duties are calls that one daemon at a time makes.
+	// Duties are the kinds of calls that only one daemon at a time may make.
 	Duties     []string `json:"duties" validate:"dive,required"`
 	DutiesPerS float64  `json:"dutiesPerS" validate:"gte=0"`
 }
 
-// Duties at the platform that are known here.
+// Duties that this version implements.
 const (
 	DutyUsage   = "usage_report"
 	DutyScaling = "scaling"
 )
 
-// Settings are what a process reads when it starts.
+// Settings is the content of the settings file.
 type Settings struct {
 	NodeName        string            `json:"nodeName" validate:"required"`
 	IPAddress       string            `json:"ipAddress" validate:"required,ip4_addr"`
@@ -147,15 +149,15 @@
 	CloudAPI        CloudAPI          `json:"cloudApi"`
 }
 
-var checker = func() *validator.Validate {
+var validate = func() *validator.Validate {
 	v := validator.New(validator.WithRequiredStructEnabled())
 	v.RegisterTagNameFunc(JSONName)
 	return v
 }()
 
-// Load reads and checks the settings file; its error is one line that names
-// the field.
-func Load(path string, needs ...string) (*Settings, error) {
+// Load reads and validates the settings file. Its error is a single line that names the field at
+// fault. listeners names the listen addresses that must be set.
+func Load(path string, listeners ...string) (*Settings, error) {
 	if path == "" {
 		return nil, errors.New("no settings file: " + EnvFile + " is not set")
 	}
@@ -167,62 +169,63 @@
 	if err := json.Unmarshal(b, s); err != nil {
 		var te *json.UnmarshalTypeError
 		if errors.As(err, &te) {
-			return nil, fmt.Errorf("settings file %s: %s: a %s cannot stand here", path, te.Field, te.Value)
+			return nil, fmt.Errorf("settings file %s: %s: unexpected %s", path, te.Field, te.Value)
 		}
 		return nil, fmt.Errorf("settings file %s: %w", path, err)
 	}
-	if err := checker.Struct(s); err != nil {
+	if err := validate.Struct(s); err != nil {
 		return nil, fmt.Errorf("settings file %s: %s", path, FirstViolation(err))
 	}
 	if s.HasContract("quota") && s.Bounds.QuotaWindow <= 0 {
-		return nil, fmt.Errorf("settings file %s: bounds.quotaWindow: missing, contract quota needs it", path)
+		return nil, fmt.Errorf("settings file %s: bounds.quotaWindow: missing, required by contract quota", path)
 	}
 	if s.Bounds.RevocationStrict && s.Bounds.Revoke.D() <= 2*constants.RevokeReserve {
-		return nil, fmt.Errorf("settings file %s: bounds.revoke: must be gt %v where revocationStrict is true, is %s", path, 2*constants.RevokeReserve, s.Bounds.Revoke)
+		return nil, fmt.Errorf("settings file %s: bounds.revoke: must be greater than %v if revocationStrict is true, got %s", path, 2*constants.RevokeReserve, s.Bounds.Revoke)
 	}
 	if err := s.checkDuties(); err != nil {
 		return nil, fmt.Errorf("settings file %s: %w", path, err)
 	}
 	if s.InternalPorts[1]-s.InternalPorts[0] < 4 {
-		return nil, fmt.Errorf("settings file %s: internalPorts: five ports are needed", path)
+		return nil, fmt.Errorf("settings file %s: internalPorts: at least five ports are required", path)
 	}
-	for _, n := range needs {
+	for _, listener := range listeners {
 		if map[string]string{"frontend": s.ListenAddresses.Frontend, "readiness": s.ListenAddresses.Readiness,
-			"controlPlane": s.ListenAddresses.ControlPlane, "directory": s.ListenAddresses.Directory}[n] == "" {
-			return nil, fmt.Errorf("settings file %s: %s: missing, this role needs it", path, n)
+			"controlPlane": s.ListenAddresses.ControlPlane, "directory": s.ListenAddresses.Directory}[listener] == "" {
+			return nil, fmt.Errorf("settings file %s: %s: missing, required by this role", path, listener)
 		}
 	}
 	return s, nil
 }
 
-// HasDuty says whether a duty at the platform is the system's.
+// HasDuty reports whether the system performs a duty at the platform.
 func (s *Settings) HasDuty(duty string) bool { return slices.Contains(s.CloudAPI.Duties, duty) }
 
+// checkDuties checks that the bounds and addresses that the configured duties require are set.
 func (s *Settings) checkDuties() error {
-	b := s.Bounds
+	bounds := s.Bounds
 	if s.HasDuty(DutyUsage) || s.HasDuty(DutyScaling) {
 		switch {
-		case b.Lease <= 0:
-			return errors.New("bounds.lease: missing, cloudApi.duties needs it")
-		case b.Lease <= b.ThawSlack:
-			return fmt.Errorf("bounds.lease: must be gt thawSlack, is %s and thawSlack %s", b.Lease, b.ThawSlack)
+		case bounds.Lease <= 0:
+			return errors.New("bounds.lease: missing, required by cloudApi.duties")
+		case bounds.Lease <= bounds.ThawSlack:
+			return fmt.Errorf("bounds.lease: must be greater than thawSlack, got %s with thawSlack %s", bounds.Lease, bounds.ThawSlack)
 		case s.CloudAPI.Address == "":
-			return errors.New("cloudApi.address: missing, cloudApi.duties needs it")
+			return errors.New("cloudApi.address: missing, required by cloudApi.duties")
 		}
 	}
 	if s.HasDuty(DutyUsage) {
 		switch {
-		case b.UsageWindow <= 0:
-			return errors.New("bounds.usageWindow: must be gt 0, duty usage_report needs it")
-		case b.UsageDelay <= 0:
-			return errors.New("bounds.usageDelay: must be gt 0, duty usage_report needs it")
+		case bounds.UsageWindow <= 0:
+			return errors.New("bounds.usageWindow: must be greater than 0, required by duty usage_report")
+		case bounds.UsageDelay <= 0:
+			return errors.New("bounds.usageDelay: must be greater than 0, required by duty usage_report")
 		}
 	}
 	return nil
 }
 
-// HasContract says whether a part of the rules is in force; a file that names none
-// means the gateway's own.
+// HasContract reports whether a contract is in force. Without a list of contracts in the settings
+// file, "quota" and "tenants" are.
 func (s *Settings) HasContract(contract string) bool {
 	if s.Contracts == nil {
 		return slices.Contains([]string{"quota", "tenants"}, contract)
@@ -230,8 +233,8 @@
 	return slices.Contains(s.Contracts, contract)
 }
 
-// TrackerShards is how many shards the throttle keys are spread over: none where
-// there are no quotas, and more where more machines may be lost at once.
+// TrackerShards returns the number of shards that the quota keys are distributed over: 0 without
+// quotas, otherwise in proportion to the number of tolerated machine failures.
 func (s *Settings) TrackerShards() int {
 	if !s.HasContract("quota") {
 		return 0
@@ -239,24 +242,25 @@
 	return constants.TrackerDuty * max(1, s.FaultTolerance.MachineFailures)
 }
 
-// InternalAddress is this machine's address for one of the internal ports.
+// InternalAddress returns the address of an internal port of this machine.
 func (s *Settings) InternalAddress(offset int) string {
 	return s.PeerInternalAddress(s.IPAddress, offset)
 }
 
-// PeerInternalAddress is another machine's; ports are alike on all.
+// PeerInternalAddress returns the address of an internal port of another machine. All machines use
+// the same port numbers.
 func (s *Settings) PeerInternalAddress(ip string, offset int) string {
 	return net.JoinHostPort(ip, strconv.Itoa(s.InternalPorts[0]+offset))
 }
 
-// SeedIPs are the control machines named, sorted.
+// SeedIPs returns the distinct hosts of the seed nodes, sorted.
 func (s *Settings) SeedIPs() []string {
 	var out []string
 	seen := map[string]bool{}
-	for _, a := range s.SeedNodes {
-		if h, _, err := net.SplitHostPort(a); err == nil && !seen[h] {
-			seen[h] = true
-			out = append(out, h)
+	for _, address := range s.SeedNodes {
+		if host, _, err := net.SplitHostPort(address); err == nil && !seen[host] {
+			seen[host] = true
+			out = append(out, host)
 		}
 	}
 	sort.Strings(out)
--- a/internal/settings/validation.go
+++ b/internal/settings/validation.go
@@ -9,31 +9,33 @@
 	"github.com/go-playground/validator/v10"
 )
 
-// JSONName names a struct field as its JSON does, for messages.
+// JSONName returns the JSON name of a struct field, so that error messages use the names of the
+// file.
 func JSONName(f reflect.StructField) string {
-	n, _, _ := strings.Cut(f.Tag.Get("json"), ",")
-	if n == "-" || n == "" {
+	name, _, _ := strings.Cut(f.Tag.Get("json"), ",")
+	if name == "-" || name == "" {
 		return f.Name
 	}
-	return n
+	return name
 }
 
-// FirstViolation describes the first failed check: the field's path and what it wants.
+// FirstViolation describes the first failed check in an error of the validator, as the path of the
+// field followed by the requirement. It returns the text of any other error unchanged.
 func FirstViolation(err error) string {
-	var ve validator.ValidationErrors
-	if !errors.As(err, &ve) || len(ve) == 0 {
+	var violations validator.ValidationErrors
+	if !errors.As(err, &violations) || len(violations) == 0 {
 		return err.Error()
 	}
-	f := ve[0]
-	_, path, ok := strings.Cut(f.Namespace(), ".")
+	first := violations[0]
+	_, path, ok := strings.Cut(first.Namespace(), ".")
 	if !ok {
-		path = f.Field()
+		path = first.Field()
 	}
-	switch f.Tag() {
+	switch first.Tag() {
 	case "required":
 		return path + ": missing"
 	case "len", "gt", "gte", "lt", "lte", "min", "max", "oneof", "gtefield":
-		return fmt.Sprintf("%s: must be %s %s, is %v", path, f.Tag(), f.Param(), f.Value())
+		return fmt.Sprintf("%s: must be %s %s, got %v", path, first.Tag(), first.Param(), first.Value())
 	}
-	return fmt.Sprintf("%s: %v is not a valid %s", path, f.Value(), f.Tag())
+	return fmt.Sprintf("%s: %v is not a valid %s", path, first.Value(), first.Tag())
 }
