--- a/internal/controlplane/activestate.go
+++ b/internal/controlplane/activestate.go
@@ -64,7 +64,7 @@
 		return false
 	}
 	s.updateQuotas()
-	if evacuatedBefore, evacuatedNow := fmt.Sprint(previous.Evacuated()), fmt.Sprint(doc.Evacuated()); evacuatedBefore != evacuatedNow {
+	if evacuatedBefore, evacuatedNow := fmt.Sprint(previous.EvacuatedZones()), fmt.Sprint(doc.EvacuatedZones()); evacuatedBefore != evacuatedNow {
 		s.events.Record("evacuations", evacuatedNow)
 	}
 	s.publish()
@@ -99,7 +99,7 @@
 // parseCommitted parses a committed configuration. It panics on errors, because
 // configurations are validated before they are committed.
 func parseCommitted(raw []byte) *config.Config {
-	cfg, err := config.Read(raw)
+	cfg, err := config.Parse(raw)
 	if err != nil {
 		panic("controlplane: committed configuration is invalid: " + err.Error())
 	}
--- a/internal/controlplane/chain/load.go
+++ b/internal/controlplane/chain/load.go
@@ -37,8 +37,8 @@
 		startedAt:              now,
 		lastTick:               now,
 		peerStates:             map[string]*peerState{},
-		pendingConfigs:         map[config.Taken]config.Doc{},
-		pendingConfigSince:     map[config.Taken]time.Duration{},
+		pendingConfigs:         map[config.LedgerEntry]config.Doc{},
+		pendingConfigSince:     map[config.LedgerEntry]time.Duration{},
 		pendingEvacuations:     map[uint64]EvacuationOrder{},
 		pendingEvacuationSince: map[uint64]time.Duration{},
 		departures:             map[string]time.Duration{},
@@ -134,7 +134,7 @@
 		d.Stamp.Seq = d.Version // written by a build that ordered states by version
 	}
 	if d.Raw != nil && d.Sum == 0 {
-		d.Sum = config.SumOf(d.Raw)
+		d.Sum = config.Checksum(d.Raw)
 	}
 	for i, k := range bulkKeys {
 		var b bulk
@@ -149,7 +149,7 @@
 	if d.Raw == nil && d.Version > 0 {
 		return errBulkMissing
 	}
-	d.Complete()
+	d.EnsureLedger()
 	c.held = &d
 	return nil
 }
--- a/internal/controlplane/chain/orders.go
+++ b/internal/controlplane/chain/orders.go
@@ -19,9 +19,9 @@
 // different one.
 func (c *Chain) Submit(now time.Duration, d config.Doc) []Effect {
 	c.now = now
-	d.Sum = config.SumOf(d.Raw)
+	d.Sum = config.Checksum(d.Raw)
 	if !Settled(c.committed, d.Version) {
-		k := config.Taken{Version: d.Version, Sum: d.Sum}
+		k := config.LedgerEntry{Version: d.Version, Sum: d.Sum}
 		c.pendingConfigs[k], c.pendingConfigSince[k] = d, now
 		c.forward(d, 0)
 	}
@@ -40,7 +40,7 @@
 		return
 	}
 	d := c.nextState()
-	sum := config.SumOf(m.Raw)
+	sum := config.Checksum(m.Raw)
 	d.Ledger = d.Ledger.With(m.Version, sum)
 	if m.Version > d.Version {
 		d.Version, d.Raw, d.Sum, d.Ordered = m.Version, m.Raw, sum, d.Stamp
@@ -287,7 +287,7 @@
 			c.send(head.Addr, NewerState{c.agreement.View.Num, *c.held})
 		}
 	}
-	keys := slices.SortedFunc(maps.Keys(c.pendingConfigs), func(a, b config.Taken) int {
+	keys := slices.SortedFunc(maps.Keys(c.pendingConfigs), func(a, b config.LedgerEntry) int {
 		return cmp.Or(cmp.Compare(a.Version, b.Version), cmp.Compare(a.Sum, b.Sum))
 	})
 	for _, k := range keys {
@@ -333,7 +333,7 @@
 	if i+1 < len(v.Members) {
 		p := Replicate{View: v.Num, Doc: d, Bare: d.SameBulk(c.committed)}
 		if p.Bare {
-			p.Doc = d.Bare()
+			p.Doc = d.WithoutBulk()
 		}
 		c.send(v.Members[i+1].Addr, p)
 		return
@@ -353,7 +353,7 @@
 	}
 	if m.Bare && m.Doc.Version > 0 {
 		if m.Doc.SameBulk(c.held) {
-			m.Doc.Fill(c.held)
+			m.Doc.SetBulkFrom(c.held)
 		} else if revisionOf(c.held).Less(m.Doc.Stamp) {
 			c.send(from, ResendRequest{m.View, m.Doc.Stamp})
 			return
--- a/internal/controlplane/daemon.go
+++ b/internal/controlplane/daemon.go
@@ -82,7 +82,7 @@
 		proxyDirectory: directory.New(0, nodeSettings.Zones),
 	}
 	d.connections = newConnections(nodeSettings, d.onMessage)
-	d.quotaTracker = admission.NewTracker(rand.Uint64(), nodeSettings.Trackers(), d.quotaIsTiny)
+	d.quotaTracker = admission.NewTracker(rand.Uint64(), nodeSettings.TrackerShards(), d.quotaIsTiny)
 	d.activeState = &activeState{
 		events:    events,
 		publish:   d.publish,
@@ -193,7 +193,7 @@
 // except those of the accounts.
 func (d *Daemon) buildDuties() []string {
 	duties := []string{dutyPoll}
-	for shard := range d.settings.Trackers() {
+	for shard := range d.settings.TrackerShards() {
 		duties = append(duties, dutyTrack(shard))
 	}
 	if d.settings.HasDuty(settings.DutyUsage) {
@@ -254,7 +254,7 @@
 
 // Add opens the listeners and adds the daemon's servers and loops to the run group.
 func (d *Daemon) Add(g *run.Group) error {
-	internal, err := transport.Listen(d.settings.Internal(constants.PortControl))
+	internal, err := transport.Listen(d.settings.InternalAddress(constants.PortControl))
 	if err != nil {
 		return err
 	}
@@ -262,7 +262,7 @@
 	if err != nil {
 		return err
 	}
-	admin, err := net.Listen("tcp4", d.settings.Internal(constants.PortControlAdmin))
+	admin, err := net.Listen("tcp4", d.settings.InternalAddress(constants.PortControlAdmin))
 	if err != nil {
 		return err
 	}
@@ -289,9 +289,9 @@
 func (d *Daemon) startMembership() (err error) {
 	var seeds []string
 	for _, seed := range d.replica.seeds {
-		seeds = append(seeds, d.settings.PeerInternal(seed, constants.PortControlMembership))
+		seeds = append(seeds, d.settings.PeerInternalAddress(seed, constants.PortControlMembership))
 	}
-	address := d.settings.Internal(constants.PortControlMembership)
+	address := d.settings.InternalAddress(constants.PortControlMembership)
 	d.members, err = membership.Listen(address, d.settings.NodeName+"/control", seeds, func(f membership.Fact) {
 		d.events.Record("member", f.Name+" "+f.State.String())
 	})
--- a/internal/distribution/publisher.go
+++ b/internal/distribution/publisher.go
@@ -59,7 +59,7 @@
 		SureAge     time.Duration
 		Trackers    []string // quota trackers by shard; like Peers, sent only when changed
 		Peers       []Peer
-		Config      *config.Packed
+		Config      *config.Delta
 		List        *discovery.Change
 		// Coming holds the quotas of version ComingVer, which has arrived but is not in force.
 		// Proxies only evaluate them.
@@ -115,7 +115,7 @@
 	hasShare     func(node string) bool
 	OnDisconnect func(node string) // called when the last connection of a proxy ends
 	pushes       uint64
-	configs      history[config.Doc, config.Packed]
+	configs      history[config.Doc, config.Delta]
 	lists        history[discovery.List, discovery.Change]
 }
 
@@ -155,8 +155,8 @@
 // whether a proxy may be sent the live count.
 func NewPublisher(snapshot func() Snapshot, hasShare func(node string) bool) *Publisher {
 	return &Publisher{conns: map[*transport.Conn]*subscriberConn{}, snapshot: snapshot, hasShare: hasShare,
-		configs: history[config.Doc, config.Packed]{number: func(doc *config.Doc) uint64 { return doc.Version },
-			diff: func(base, doc *config.Doc) *config.Packed { packed := config.Pack(base, doc); return &packed }},
+		configs: history[config.Doc, config.Delta]{number: func(doc *config.Doc) uint64 { return doc.Version },
+			diff: func(base, doc *config.Doc) *config.Delta { packed := config.NewDelta(base, doc); return &packed }},
 		lists: history[discovery.List, discovery.Change]{number: func(list *discovery.List) uint64 { return list.Num }, diff: discovery.Diff}}
 }
 
--- a/internal/distribution/subscriber_test.go
+++ b/internal/distribution/subscriber_test.go
@@ -222,7 +222,7 @@
 func TestStartIgnoresContentsOutOfContact(t *testing.T) {
 	subscriber, recorder := newOfflineSubscriber(t, "127.0.0.41")
 	update := func(current bool) Update {
-		packed := config.Pack(nil, &config.Doc{Version: 3, Raw: []byte("3")})
+		packed := config.NewDelta(nil, &config.Doc{Version: 3, Raw: []byte("3")})
 		return Update{Current: current, Version: 3, ListNum: 5, Proxies: 3, StateNum: 4, Evacuated: []string{"y"},
 			Config: &packed, List: discovery.Diff(nil, &discovery.List{Num: 5}), ComingVer: 6, Coming: map[string]admission.Quota{"k": {}}}
 	}
@@ -250,7 +250,7 @@
 	subscriber.listNum = 8
 	before := subscriber.State(now)
 	late := now.Add(-20 * time.Second)
-	packed := config.Pack(nil, &config.Doc{Version: 3, Raw: []byte("3")})
+	packed := config.NewDelta(nil, &config.Doc{Version: 3, Raw: []byte("3")})
 	subscriber.version = 6
 	subscriber.receive("127.0.0.41", Update{Current: true, Version: 3, Config: &packed, ListNum: 8, StateNum: 5, Evacuated: []string{"y"}, Proxies: 40,
 		Wall: 6e18, Trackers: []string{"a"}, Metered: "a", Scaler: "a"}, late)
--- a/internal/proxy/daemon.go
+++ b/internal/proxy/daemon.go
@@ -37,7 +37,7 @@
 	nodeSettings        atomic.Pointer[settings.Settings]
 	settingsPath        string
 	subscriber          *distribution.Subscriber
-	reader              config.Reader // used only by apply, whose calls are serialized
+	reader              config.Parser // used only by apply, whose calls are serialized
 	trackers            atomic.Pointer[[]string]
 	coldBounds          atomic.Pointer[map[string]ColdBound] // by service, from the configuration in force
 	ready               atomic.Bool
@@ -64,7 +64,7 @@
 	d.nodeSettings.Store(nodeSettings)
 	d.settingsFingerprint.Store(d.readSettingsFingerprint()) // only later changes cause a reload
 	bounds := nodeSettings.Bounds
-	p := &Proxy{events: events, histograms: newHistograms(), startedAt: time.Now(), limiter: admission.New(bounds.QuotaSlack, nodeSettings.Trackers(), rand.Uint64())}
+	p := &Proxy{events: events, histograms: newHistograms(), startedAt: time.Now(), limiter: admission.New(bounds.QuotaSlack, nodeSettings.TrackerShards(), rand.Uint64())}
 	p.lag.startedAt = p.startedAt
 	d.Proxy = p
 	p.retryBudget = NewRetryBudget(0, bounds.RetryWindow.D(), bounds.RetryBudgetRatio, bounds.RetryBudgetSlack)
@@ -82,7 +82,7 @@
 	self := distribution.Subscription{Node: nodeSettings.IPAddress, Name: nodeSettings.NodeName, Zone: nodeSettings.Zone, Region: nodeSettings.Region,
 		Front: nodeSettings.ListenAddresses.Frontend}
 	d.subscriber = distribution.NewSubscriber(self, ips, func(ip string, handler transport.Handler) *transport.Peer {
-		return transport.NewPeer(nodeSettings.PeerInternal(ip, constants.PortControl), nodeSettings.IPAddress, func(conn *transport.Conn, message any) any {
+		return transport.NewPeer(nodeSettings.PeerInternalAddress(ip, constants.PortControl), nodeSettings.IPAddress, func(conn *transport.Conn, message any) any {
 			if incompatible, ok := message.(transport.IncompatiblePeer); ok {
 				d.events.Record("protocol_incompatible", incompatible.String())
 				return nil
@@ -121,9 +121,9 @@
 	coldBounds := map[string]ColdBound{}
 	bounds := d.nodeSettings.Load().Bounds
 	for name, service := range cfg.Services {
-		if service.WarmupPerS > 0 {
-			limit := service.WarmupPerS*max(1, bounds.WarmupOverage) + bounds.WarmupSlack
-			coldBounds[name] = NewColdBound(service.Warmup, service.WarmupPerS, limit)
+		if service.WarmupRate > 0 {
+			limit := service.WarmupRate*max(1, bounds.WarmupOverage) + bounds.WarmupSlack
+			coldBounds[name] = NewColdBound(service.Warmup, service.WarmupRate, limit)
 		}
 	}
 	return coldBounds
@@ -133,7 +133,7 @@
 func (d *Daemon) apply(changes distribution.Changes) {
 	now := d.now()
 	if changes.Config != nil {
-		cfg, err := d.reader.Read(changes.Config.Raw)
+		cfg, err := d.reader.Parse(changes.Config.Raw)
 		if err != nil {
 			d.events.Record("config_unreadable", err.Error()) // unexpected: the control plane validates configurations
 		} else {
@@ -187,7 +187,7 @@
 	if err != nil {
 		return err
 	}
-	adminListener, err := net.Listen("tcp4", nodeSettings.Internal(constants.PortProxyAdmin))
+	adminListener, err := net.Listen("tcp4", nodeSettings.InternalAddress(constants.PortProxyAdmin))
 	if err != nil {
 		return err
 	}
@@ -214,9 +214,9 @@
 	var err error
 	var seeds []string
 	for _, ip := range nodeSettings.SeedIPs() {
-		seeds = append(seeds, nodeSettings.PeerInternal(ip, constants.PortControlMembership))
+		seeds = append(seeds, nodeSettings.PeerInternalAddress(ip, constants.PortControlMembership))
 	}
-	d.members, err = membership.Listen(nodeSettings.Internal(constants.PortProxyMembership), nodeSettings.NodeName+"/proxy", seeds, func(fact membership.Fact) {
+	d.members, err = membership.Listen(nodeSettings.InternalAddress(constants.PortProxyMembership), nodeSettings.NodeName+"/proxy", seeds, func(fact membership.Fact) {
 		d.events.Count("member_"+fact.State.String(), 1)
 	})
 	if err != nil {
--- a/internal/proxy/exchange.go
+++ b/internal/proxy/exchange.go
@@ -54,8 +54,8 @@
 		route:          route,
 		tenant:         tenant,
 		priority:       route.Priority,
-		service:        route.Pick(rand.Float64()),
-		allowedRegions: regionsKey(config.Homes(route, tenant)),
+		service:        route.PickTarget(rand.Float64()),
+		allowedRegions: regionsKey(config.AllowedRegions(route, tenant)),
 		usageRun:       &usage.Run{},
 	}
 	if tenant != nil && tenant.HasPriority {
@@ -152,9 +152,9 @@
 			return code
 		}
 		p.config, p.route, p.tenant = cfg, route, tenant
-		p.allowedRegions = regionsKey(config.Homes(route, tenant))
+		p.allowedRegions = regionsKey(config.AllowedRegions(route, tenant))
 		if !route.RoutesTo(p.service) {
-			p.service = route.Pick(rand.Float64())
+			p.service = route.PickTarget(rand.Float64())
 		}
 	}
 	if !time.Now().Before(p.deadline) || p.clientDisconnected() {
@@ -199,9 +199,9 @@
 // target returns what the request requires of an upstream.
 func (p *exchange) target() target {
 	t := target{service: p.service, regions: p.allowedRegions}
-	if p.route.Stream {
+	if p.route.Streaming {
 		t.stream = true
-		if p.route.Affinity {
+		if p.route.SessionAffinity {
 			t.prefix = p.request.Header.Get(headerPrefix)
 		}
 	}
--- a/internal/proxy/grants_test.go
+++ b/internal/proxy/grants_test.go
@@ -15,13 +15,13 @@
 // but never replies.
 func daemonWithSilentTracker(t *testing.T, tracker string) *Daemon {
 	d, _ := newTestDaemon(t)
-	listener, err := transport.Listen(d.nodeSettings.Load().PeerInternal(tracker, constants.PortControl))
+	listener, err := transport.Listen(d.nodeSettings.Load().PeerInternalAddress(tracker, constants.PortControl))
 	if err != nil {
 		t.Fatal(err)
 	}
 	t.Cleanup(func() { listener.Close() })
 	go transport.Serve(listener, func(*transport.Conn, any) any { return nil })
-	all := slices.Repeat([]string{tracker}, d.nodeSettings.Load().Trackers())
+	all := slices.Repeat([]string{tracker}, d.nodeSettings.Load().TrackerShards())
 	d.trackers.Store(&all)
 	for n := 0; timeTokenRequest(d, "k", time.Second) < constants.TrackerBusy/2; n++ { // until the connection is established
 		if n > 100 {
--- a/internal/proxy/match.go
+++ b/internal/proxy/match.go
@@ -18,14 +18,14 @@
 	if route == nil {
 		return nil, nil, http.StatusNotFound
 	}
-	if route.Public || !cfg.Keyed() {
+	if route.Public || !cfg.RequiresKeys() {
 		return route, nil, 0
 	}
 	keys := r.Header[headerAPIKey]
 	if len(keys) != 1 {
 		return nil, nil, http.StatusUnauthorized
 	}
-	tenant := cfg.Holder(keys[0])
+	tenant := cfg.TenantByKey(keys[0])
 	if tenant == nil {
 		return nil, nil, http.StatusUnauthorized
 	}
--- a/internal/proxy/proxy.go
+++ b/internal/proxy/proxy.go
@@ -155,17 +155,17 @@
 		return
 	}
 	meter.EndRun(p.usageRun)
-	if p.executions > 0 && !p.route.Stream { // streams are counted at their first chunk
+	if p.executions > 0 && !p.route.Streaming { // streams are counted at their first chunk
 		meter.Count(p.proxy.window(p.executedAt), p.tenant.Name)
 	}
 }
 
 // tooLarge returns the status that refuses a request that exceeds the client limits, or 0.
 func tooLarge(cfg *config.Config, r *http.Request) int {
-	if cfg.Limits.BodyBytes > 0 && r.ContentLength > cfg.Limits.BodyBytes {
+	if cfg.Limits.MaxBodyBytes > 0 && r.ContentLength > cfg.Limits.MaxBodyBytes {
 		return http.StatusRequestEntityTooLarge
 	}
-	if cfg.Limits.HeaderBytes > 0 && requestHeaderSize(r) > cfg.Limits.HeaderBytes {
+	if cfg.Limits.MaxHeaderBytes > 0 && requestHeaderSize(r) > cfg.Limits.MaxHeaderBytes {
 		return http.StatusRequestHeaderFieldsTooLarge
 	}
 	return 0
@@ -235,7 +235,7 @@
 		return 0
 	}
 	body := io.Reader(r.Body)
-	if limit := p.config.Limits.BodyBytes; limit > 0 {
+	if limit := p.config.Limits.MaxBodyBytes; limit > 0 {
 		body = http.MaxBytesReader(w, r.Body, limit)
 	}
 	body = newTimedBody(w, body, p.deadline)
