--- a/internal/accounts/holder.go
+++ b/internal/accounts/holder.go
@@ -78,7 +78,7 @@
 		return counter.Ack{}, err
 	}
 	for tenant := range delta.Cells {
-		if _, ok := h.objectives.Of(tenant); !ok {
+		if _, ok := h.objectives.Lookup(tenant); !ok {
 			return counter.Ack{}, ErrUnknownTenant
 		}
 	}
@@ -124,7 +124,7 @@
 				past = &history{}
 				h.histories[shard][tenant] = past
 			}
-			if objective, ok := h.objectives.Of(tenant); ok {
+			if objective, ok := h.objectives.Lookup(tenant); ok {
 				past.add(now, account, objective.Window)
 			}
 		}
@@ -188,7 +188,7 @@
 func (h *Holder) Of(now time.Duration, tenant string) (Standing, error) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	objective, ok := h.objectives.Of(tenant)
+	objective, ok := h.objectives.Lookup(tenant)
 	if !ok {
 		return Standing{}, ErrUnknownTenant
 	}
@@ -228,7 +228,7 @@
 	for shard, group := range h.groups {
 		totals, age, _ := group.Totals(now)
 		for tenant, account := range totals {
-			if objective, ok := h.objectives.Of(tenant); ok {
+			if objective, ok := h.objectives.Lookup(tenant); ok {
 				out = append(out, h.standing(now, age, shard, tenant, account, objective))
 			}
 		}
--- a/internal/accounts/meter.go
+++ b/internal/accounts/meter.go
@@ -89,7 +89,7 @@
 	if m == nil {
 		return nil
 	}
-	objective, ok := m.objectives.Of(tenant)
+	objective, ok := m.objectives.Lookup(tenant)
 	if !ok {
 		return nil
 	}
--- a/internal/accounts/objectives.go
+++ b/internal/accounts/objectives.go
@@ -45,8 +45,8 @@
 	other    *Objective // of tenants that are not named; nil: they have none
 }
 
-// Of is a tenant's objective, if it has one.
-func (o *Objectives) Of(tenant string) (Objective, bool) {
+// Lookup is a tenant's objective, if it has one.
+func (o *Objectives) Lookup(tenant string) (Objective, bool) {
 	if objective, ok := o.tenants[tenant]; ok {
 		return objective, true
 	}
