--- a/internal/accounts/objectives.go
+++ b/internal/accounts/objectives.go
@@ -56,8 +56,8 @@
 	return *o.other, true
 }
 
-// Named are the tenants that the file names.
-func (o *Objectives) Named() int { return len(o.tenants) }
+// NamedTenants are the tenants that the file names.
+func (o *Objectives) NamedTenants() int { return len(o.tenants) }
 
 // file is the settings file as it is written.
 type file struct {
