--- a/internal/accounts/agent.go
+++ b/internal/accounts/agent.go
@@ -53,7 +53,7 @@
 func NewAgent(options AgentOptions) *Agent {
 	life := counter.LifeID(rand.Uint64() | 1)
 	a := &Agent{options: options, holders: make([]string, options.Objectives.Shards), untold: make([]untold, options.Objectives.Shards)}
-	directory := options.Objectives.Journal
+	directory := options.Objectives.JournalDir
 	if directory == "" {
 		a.Meter = NewMeter(options.Node, life, options.Objectives, nil, nil)
 		return a
@@ -193,7 +193,7 @@
 // finish deletes the journals of lives that majorities hold whole.
 func (a *Agent) finish(lives []counter.LifeID) {
 	for _, life := range lives {
-		if err := RemoveJournal(a.options.Objectives.Journal, life); err != nil {
+		if err := RemoveJournal(a.options.Objectives.JournalDir, life); err != nil {
 			a.options.Note("account_journal", err.Error())
 		}
 	}
--- a/internal/accounts/objectives.go
+++ b/internal/accounts/objectives.go
@@ -36,8 +36,8 @@
 
 // Objectives are those of all tenants, from the settings file.
 type Objectives struct {
-	Shards  int    // of all tenants; the same on all machines, and never changed
-	Journal string // directory of the proxies' journals; empty: none are kept
+	Shards     int    // of all tenants; the same on all machines, and never changed
+	JournalDir string // directory of the proxies' journals; empty: none are kept
 	// Founding says that the deployment has no accounts yet: control machines begin with
 	// empty disks. Otherwise an empty disk has lost what it held.
 	Founding bool
@@ -116,7 +116,7 @@
 }
 
 func (f file) objectives() (*Objectives, error) {
-	out := &Objectives{Shards: f.Shards, Journal: f.Journal, Founding: f.Founding, tenants: map[string]Objective{}}
+	out := &Objectives{Shards: f.Shards, JournalDir: f.Journal, Founding: f.Founding, tenants: map[string]Objective{}}
 	classes := map[string]Objective{}
 	for name, written := range f.Classes {
 		objective, err := written.check()
