--- a/cmd/scalerun/accounts.go
+++ b/cmd/scalerun/accounts.go
@@ -118,7 +118,7 @@
 		delta := accounts.Delta{Life: counter.LifeID(proxy + 1), Node: fmt.Sprint("proxy-", proxy), From: from, To: to, Closed: closed, Cells: counter.Cells[string, accounts.Account]{}}
 		for range perShard {
 			account := accounts.Account{Taken: 1000 * to}
-			account.Settled[accounts.InAim] = 1000 * to
+			account.Settled[accounts.OnTime] = 1000 * to
 			for range 20 {
 				account.Latency.Observe(time.Duration(float64(accountMedian) * math.Exp(accountSpread*rng.NormFloat64())))
 			}
--- a/cmd/slateridge/accounts_test.go
+++ b/cmd/slateridge/accounts_test.go
@@ -28,7 +28,7 @@
 		snapshot := accounts.Snapshot{At: time.Unix(int64(asked), 0), Shards: []accounts.ShardState{{Shard: 0, Leading: leads}}}
 		if leads {
 			account := accounts.Account{Taken: 10 * asked}
-			account.Settled[accounts.InAim] = 10 * asked
+			account.Settled[accounts.OnTime] = 10 * asked
 			snapshot.Standings = []accounts.Standing{{Tenant: "acme", Account: account, Objective: accounts.Objective{Target: 0.99, Latency: time.Second, Window: time.Hour}}}
 		}
 		w.Header().Set("Content-Type", "application/json")
--- a/internal/accountreport/report_test.go
+++ b/internal/accountreport/report_test.go
@@ -16,7 +16,7 @@
 func snapshotAt(minute int) accounts.Snapshot {
 	objective := accounts.Objective{Target: 0.99, Latency: 250 * time.Millisecond, Window: 720 * time.Hour}
 	account := accounts.Account{Taken: uint64(1000 * minute)}
-	account.Settled[accounts.InAim] = uint64(980 * minute)
+	account.Settled[accounts.OnTime] = uint64(980 * minute)
 	account.Settled[accounts.Late] = uint64(20 * minute)
 	account.Latency = accounts.Sketch{{Index: -24, Count: uint64(980 * minute)}, {Index: -2, Count: uint64(20 * minute)}}
 	return accounts.Snapshot{At: time.Unix(int64(60*minute), 0), Shards: []accounts.ShardState{{Shard: 0, Leading: true}, {Shard: 1}},
--- a/internal/accounts/account.go
+++ b/internal/accounts/account.go
@@ -13,9 +13,9 @@
 type Outcome int
 
 const (
-	// InAim is a success whose answer was written to the client whole, within the
+	// OnTime is a success whose answer was written to the client whole, within the
 	// objective's latency.
-	InAim Outcome = iota
+	OnTime Outcome = iota
 	// Late is such a success after the objective's latency.
 	Late
 	// Lost is a request without a success, of which it is known that it has had none.
@@ -41,7 +41,7 @@
 }
 
 // Outcomes are all outcomes, in the order of tables.
-func Outcomes() []Outcome { return []Outcome{InAim, Late, Lost, Refused, Unknown} }
+func Outcomes() []Outcome { return []Outcome{OnTime, Late, Lost, Refused, Unknown} }
 
 // Account is the state of one tenant's counters.
 type Account struct {
@@ -81,7 +81,7 @@
 
 // Owed is the number of settled requests that the objective is about.
 func (a Account) Owed() uint64 {
-	return a.Settled[InAim] + a.Settled[Late] + a.Settled[Lost] + a.Settled[Unknown]
+	return a.Settled[OnTime] + a.Settled[Late] + a.Settled[Lost] + a.Settled[Unknown]
 }
 
 // Missed is the number of those that did not meet it. What is unknown, or ran twice,
--- a/internal/accounts/agent_test.go
+++ b/internal/accounts/agent_test.go
@@ -91,7 +91,7 @@
 		t.Fatal(err)
 	}
 	account := snapshot.Standings[0].Account
-	if want := [outcomeCount]uint64{InAim: 1, Late: 1, Lost: 1, Unknown: 1}; account.Taken != 4 || account.Settled != want {
+	if want := [outcomeCount]uint64{OnTime: 1, Late: 1, Lost: 1, Unknown: 1}; account.Taken != 4 || account.Settled != want {
 		t.Errorf("the account is %+v", account)
 	}
 	if left, _ := filepath.Glob(filepath.Join(directory, "*")); len(left) != 1 {
@@ -127,7 +127,7 @@
 	if state.FoldedLives != 1 || state.OpenLives+state.EndedLives != 0 {
 		t.Errorf("%+v", state)
 	}
-	if standing, err := p.services["b"].Of(p.now, "known"); err != nil || standing.Account.Settled[InAim] != 1 {
+	if standing, err := p.services["b"].Of(p.now, "known"); err != nil || standing.Account.Settled[OnTime] != 1 {
 		t.Errorf("%+v, %v", standing.Account, err)
 	}
 }
--- a/internal/accounts/input_test.go
+++ b/internal/accounts/input_test.go
@@ -100,7 +100,7 @@
 		t.Fatalf("the good report was refused: %s", ack.Refused)
 	}
 	holder.Tick(time.Minute, leads, []string{"a"})
-	if standing, err := holder.Of(time.Minute, "known"); err != nil || standing.Account.Settled[InAim] != 1 || standing.Account.Taken != 1 {
+	if standing, err := holder.Of(time.Minute, "known"); err != nil || standing.Account.Settled[OnTime] != 1 || standing.Account.Taken != 1 {
 		t.Errorf("the account is %+v, %v", standing.Account, err)
 	}
 	holder.Tick(time.Minute, func(int) bool { return false }, []string{"a"})
@@ -221,7 +221,7 @@
 			missed = 50
 		}
 		account.Settled[Late] += missed
-		account.Settled[InAim] += 1000 - missed
+		account.Settled[OnTime] += 1000 - missed
 		now := time.Duration(minute) * time.Minute
 		past.add(now, account, objective.Window)
 		alarmed[minute] = past.budget(now, account, objective).Alarm
--- a/internal/accounts/meter.go
+++ b/internal/accounts/meter.go
@@ -103,7 +103,7 @@
 	if r == nil {
 		return
 	}
-	outcome := InAim
+	outcome := OnTime
 	if latency > r.bound {
 		outcome = Late
 	}
--- a/internal/proxy/accounting_test.go
+++ b/internal/proxy/accounting_test.go
@@ -57,11 +57,11 @@
 		method, path, upstream string
 		want                   accounts.Outcome
 	}{
-		{"GET", "/safe/x", "fine", accounts.InAim},
+		{"GET", "/safe/x", "fine", accounts.OnTime},
 		{"GET", "/safe/x", "late", accounts.Late},
 		{"GET", "/safe/x", "broken", accounts.Lost},
 		{"GET", "/safe/x", "wrong", accounts.Refused},
-		{"POST", "/once/x", "fine", accounts.InAim},
+		{"POST", "/once/x", "fine", accounts.OnTime},
 		{"POST", "/once/x", "broken", accounts.Unknown}, // it may have been executed
 		{"GET", "/flow/x", "cut", accounts.Lost},
 	}
@@ -87,7 +87,7 @@
 		sendRequest(s, "GET", "/safe/x", "", headerAPIKey, "k2")
 	}
 	account := s.accounts.Of("tight")
-	if account.Taken != 3 || account.Settled[accounts.Refused] == 0 || account.Settled[accounts.Refused]+account.Settled[accounts.InAim] != 3 {
+	if account.Taken != 3 || account.Settled[accounts.Refused] == 0 || account.Settled[accounts.Refused]+account.Settled[accounts.OnTime] != 3 {
 		t.Errorf("over the quota: %+v", account)
 	}
 	sendRequest(s, "GET", "/safe/x", "", headerAPIKey, "unknown key")
