--- a/internal/accounts/account.go
+++ b/internal/accounts/account.go
@@ -79,15 +79,15 @@
 	return a.Taken - min(a.Taken, settled)
 }
 
-// Owed is the number of settled requests that the objective is about.
-func (a Account) Owed() uint64 {
+// Eligible is the number of settled requests that the objective is about.
+func (a Account) Eligible() uint64 {
 	return a.Settled[OnTime] + a.Settled[Late] + a.Settled[Lost] + a.Settled[Unknown]
 }
 
 // Missed is the number of those that did not meet it. What is unknown, or ran twice,
 // counts as missed.
 func (a Account) Missed() uint64 {
-	return min(a.Owed(), a.Settled[Late]+a.Settled[Lost]+a.Settled[Unknown]+a.Doubled)
+	return min(a.Eligible(), a.Settled[Late]+a.Settled[Lost]+a.Settled[Unknown]+a.Doubled)
 }
 
 // close settles what is open as unknown, once the life is over.
--- a/internal/accounts/budget.go
+++ b/internal/accounts/budget.go
@@ -44,7 +44,7 @@
 	if n := len(h.samples); n > 0 && now-h.samples[n-1].at < sampleEvery {
 		return
 	}
-	h.samples = append(h.samples, sample{now, account.Owed(), account.Missed()})
+	h.samples = append(h.samples, sample{now, account.Eligible(), account.Missed()})
 	kept := h.samples[:0]
 	for i, s := range h.samples {
 		age := now - s.at
@@ -83,10 +83,10 @@
 // missShare is the share of misses over a span, and the requests it is a share of.
 func (h *history) missShare(now, span time.Duration, account Account) (share float64, owed uint64) {
 	from, ok := h.since(now, span)
-	if !ok || account.Owed() <= from.owed {
+	if !ok || account.Eligible() <= from.owed {
 		return 0, 0
 	}
-	owed = account.Owed() - from.owed
+	owed = account.Eligible() - from.owed
 	return float64(account.Missed()-min(account.Missed(), from.missed)) / float64(owed), owed
 }
 
--- a/internal/accounts/input_test.go
+++ b/internal/accounts/input_test.go
@@ -273,7 +273,7 @@
 			return
 		}
 		for tenant, account := range life.Accounts {
-			if account.Owed()+account.Settled[Refused]+account.Open() != account.Taken {
+			if account.Eligible()+account.Settled[Refused]+account.Open() != account.Taken {
 				t.Fatalf("%q: %+v does not add up", tenant, account)
 			}
 		}
--- a/internal/accounts/snapshot.go
+++ b/internal/accounts/snapshot.go
@@ -109,10 +109,10 @@
 func Between(from, to Snapshot, tenant string) (Interval, bool) {
 	a, okA := from.Of(tenant)
 	b, okB := to.Of(tenant)
-	if !okA || !okB || b.Account.Owed() < a.Account.Owed() || b.Account.Missed() < a.Account.Missed() {
+	if !okA || !okB || b.Account.Eligible() < a.Account.Eligible() || b.Account.Missed() < a.Account.Missed() {
 		return Interval{}, false
 	}
-	return Interval{From: from.At, To: to.At, Owed: b.Account.Owed() - a.Account.Owed(), Missed: b.Account.Missed() - a.Account.Missed(),
+	return Interval{From: from.At, To: to.At, Owed: b.Account.Eligible() - a.Account.Eligible(), Missed: b.Account.Missed() - a.Account.Missed(),
 		Latency: b.Account.Latency.minus(a.Account.Latency)}, true
 }
 
