--- a/internal/accountreport/text.go
+++ b/internal/accountreport/text.go
@@ -52,7 +52,7 @@
 		fmt.Fprintf(t, ", %d %s", s.Account.Settled[outcome], outcome)
 	}
 	fmt.Fprintf(t, ", %d open; %d doubled\n", s.Open, s.Account.Doubled)
-	fmt.Fprintf(t, "  latency\tp50 %s, p99 %s (within %.0f%%)\n", milliseconds(s.P50), milliseconds(s.P99), 100*accounts.SketchError)
+	fmt.Fprintf(t, "  latency\tp50 %s, p99 %s (within %.0f%%)\n", milliseconds(s.P50), milliseconds(s.P99), 100*accounts.SketchRelativeError)
 	fmt.Fprintf(t, "  budget\t%.1f%% left, of what is known here: %v of %v\n", 100*s.Budget.Left, s.Budget.Known.Round(time.Second), s.Objective.Window)
 	fmt.Fprintf(t, "  burn rate\t%.1f over 5m, %.1f over 1h %s\n", s.Budget.ShortBurn, s.Budget.LongBurn, alarm(s))
 	fmt.Fprintf(t, "  total\tshard %d, held by a majority, %v old\n", s.Shard, s.Age.Round(time.Second))
--- a/internal/accounts/input_test.go
+++ b/internal/accounts/input_test.go
@@ -201,7 +201,7 @@
 			t.Errorf("quantile %v is %v, the library's %v, %v", share, got, want, err)
 		}
 		truth := all[int(share*float64(len(all)-1))]
-		if got := merged.Quantile(share).Seconds(); math.Abs(got-truth)/truth > SketchError+1e-6 {
+		if got := merged.Quantile(share).Seconds(); math.Abs(got-truth)/truth > SketchRelativeError+1e-6 {
 			t.Errorf("quantile %v is %v, truly %v", share, got, truth)
 		}
 	}
--- a/internal/accounts/sketch.go
+++ b/internal/accounts/sketch.go
@@ -7,8 +7,8 @@
 	"github.com/DataDog/sketches-go/ddsketch/mapping"
 )
 
-// SketchError is the relative error of a quantile read from a sketch.
-const SketchError = 0.05
+// SketchRelativeError is the relative error of a quantile read from a sketch.
+const SketchRelativeError = 0.05
 
 // Latencies outside these bounds are recorded as the bound.
 const (
@@ -20,7 +20,7 @@
 var latencyMapping = newLatencyMapping()
 
 func newLatencyMapping() *mapping.LogarithmicMapping {
-	m, err := mapping.NewLogarithmicMapping(SketchError)
+	m, err := mapping.NewLogarithmicMapping(SketchRelativeError)
 	if err != nil {
 		panic("accounts: the sketch's error is out of range: " + err.Error())
 	}
