--- a/internal/accounts/journal.go
+++ b/internal/accounts/journal.go
@@ -171,7 +171,7 @@
 // parseJournal reads and checks the content of a journal file.
 func parseJournal(raw []byte) (EndedLife, error) {
 	if len(raw) < headerSize || string(raw[:len(journalMagic)]) != journalMagic {
-		return EndedLife{}, ErrFormat
+		return EndedLife{}, ErrUnsupportedFormat
 	}
 	life := EndedLife{Life: counter.LifeID(binary.LittleEndian.Uint64(raw[lifeOffset:])), Accounts: map[string]Account{}}
 	shards := binary.LittleEndian.Uint64(raw[shardsOffset:])
--- a/internal/accounts/wire.go
+++ b/internal/accounts/wire.go
@@ -47,10 +47,10 @@
 
 // Errors of a report that is refused.
 var (
-	ErrFormat        = errors.New("report of another format")
-	ErrGarbled       = errors.New("report is garbled")
-	ErrUnknownTenant = errors.New("tenant has no objective here")
-	ErrNotHolder     = errors.New("this machine does not hold the shard")
+	ErrUnsupportedFormat = errors.New("report of another format")
+	ErrGarbled           = errors.New("report is garbled")
+	ErrUnknownTenant     = errors.New("tenant has no objective here")
+	ErrNotHolder         = errors.New("this machine does not hold the shard")
 )
 
 // ShardOf is the shard that a tenant belongs to.
@@ -106,7 +106,7 @@
 // unpackReport reads a report and checks all that can be checked of it alone.
 func unpackReport(report Report, shards int) (Delta, error) {
 	if report.Format != formatVersion {
-		return Delta{}, fmt.Errorf("%w: %d, not %d", ErrFormat, report.Format, formatVersion)
+		return Delta{}, fmt.Errorf("%w: %d, not %d", ErrUnsupportedFormat, report.Format, formatVersion)
 	}
 	if report.Life == 0 || report.Node == "" || len(report.Node) > nameMax || report.Shard < 0 || report.Shard >= shards || report.To < report.From {
 		return Delta{}, ErrGarbled
