--- a/internal/accounts/journal.go
+++ b/internal/accounts/journal.go
@@ -176,7 +176,7 @@
 	life := EndedLife{Life: counter.LifeID(binary.LittleEndian.Uint64(raw[lifeOffset:])), Accounts: map[string]Account{}}
 	shards := binary.LittleEndian.Uint64(raw[shardsOffset:])
 	if life.Life == 0 || shards == 0 || shards > mostShards {
-		return EndedLife{}, ErrGarbled
+		return EndedLife{}, ErrMalformed
 	}
 	for shard := range int(shards) {
 		life.Told = append(life.Told, binary.LittleEndian.Uint64(raw[toldOffset+8*shard:]))
@@ -187,7 +187,7 @@
 			break
 		}
 		if length > nameMax {
-			return EndedLife{}, ErrGarbled
+			return EndedLife{}, ErrMalformed
 		}
 		account, err := parseCounters(record[countersOffset:])
 		if err != nil {
@@ -207,7 +207,7 @@
 	}
 	a.Doubled = binary.LittleEndian.Uint64(raw[8*(len(a.Settled)+1):])
 	if a.Taken > countMax || settled > a.Taken || a.Doubled > a.Taken {
-		return Account{}, ErrGarbled
+		return Account{}, ErrMalformed
 	}
 	return a, nil
 }
--- a/internal/accounts/wire.go
+++ b/internal/accounts/wire.go
@@ -48,7 +48,7 @@
 // Errors of a report that is refused.
 var (
 	ErrUnsupportedFormat = errors.New("report of another format")
-	ErrGarbled           = errors.New("report is garbled")
+	ErrMalformed         = errors.New("report is garbled")
 	ErrUnknownTenant     = errors.New("tenant has no objective here")
 	ErrNotHolder         = errors.New("this machine does not hold the shard")
 )
@@ -109,7 +109,7 @@
 		return Delta{}, fmt.Errorf("%w: %d, not %d", ErrUnsupportedFormat, report.Format, formatVersion)
 	}
 	if report.Life == 0 || report.Node == "" || len(report.Node) > nameMax || report.Shard < 0 || report.Shard >= shards || report.To < report.From {
-		return Delta{}, ErrGarbled
+		return Delta{}, ErrMalformed
 	}
 	delta := Delta{Life: counter.LifeID(report.Life), Node: report.Node, From: report.From, To: report.To, Closed: report.Closed,
 		Cells: counter.Cells[string, Account]{}}
@@ -122,7 +122,7 @@
 		}
 	}
 	if r.bad || len(r.rest) > 0 {
-		return Delta{}, ErrGarbled
+		return Delta{}, ErrMalformed
 	}
 	return delta, nil
 }
