--- a/cmd/scalerun/accounts.go
+++ b/cmd/scalerun/accounts.go
@@ -70,7 +70,7 @@
 	encoder := gob.NewEncoder(connection)
 	var messages int
 	var serving, telling time.Duration
-	requests := accountRate * int(accounts.TellEvery.Seconds())
+	requests := accountRate * int(accounts.ReportInterval.Seconds())
 	for report := range accountReports {
 		names := make([]string, requests)
 		latencies := make([]time.Duration, requests)
@@ -97,7 +97,7 @@
 			serving, telling = served.Sub(began), time.Since(served)
 		}
 	}
-	span := accounts.TellEvery.Seconds()
+	span := accounts.ReportInterval.Seconds()
 	fmt.Fprintf(w, "  %d, %.0f, %.1f, %.2f, %.2f, %.5f, %.0f, %.0f\n", tenants, float64(connection.bytes)/span, float64(messages)/span,
 		float64(serving.Nanoseconds())/float64(requests)/1e3, telling.Seconds()*1e3, (serving+telling).Seconds()/span, (heap()-base)/1e3, float64(tenants)*0.512+4)
 	runtime.KeepAlive(meter)
--- a/internal/accounts/holder.go
+++ b/internal/accounts/holder.go
@@ -23,9 +23,9 @@
 	savesAtOnce = 24                     // rounds on disk between two writings of the whole: two minutes
 )
 
-// TellEvery is the time between a proxy's reports. A proxy that is lost together with its
+// ReportInterval is the time between a proxy's reports. A proxy that is lost together with its
 // journal takes with it what it counted since the latest one.
-const TellEvery = 25 * time.Second
+const ReportInterval = 25 * time.Second
 
 // DefaultOptions are those of a deployment.
 var DefaultOptions = counter.Options{RoundEvery: roundEvery, ResendAfter: resendAfter, FoldEvery: foldEvery,
