--- a/cmd/scalerun/accounts.go
+++ b/cmd/scalerun/accounts.go
@@ -105,7 +105,7 @@
 
 func accountHolderSlope(w io.Writer, objectives *accounts.Objectives, proxies int) {
 	rng := rand.New(rand.NewPCG(2, 2))
-	options := accounts.DefaultOptions
+	options := accounts.DefaultCounterOptions
 	options.FoldEvery, options.FoldAtMost = time.Hour, proxies
 	base := heap()
 	store := &memoryStore{}
--- a/internal/accounts/holder.go
+++ b/internal/accounts/holder.go
@@ -27,8 +27,8 @@
 // journal takes with it what it counted since the latest one.
 const ReportInterval = 25 * time.Second
 
-// DefaultOptions are those of a deployment.
-var DefaultOptions = counter.Options{RoundEvery: roundEvery, ResendAfter: resendAfter, FoldEvery: foldEvery,
+// DefaultCounterOptions are those of a deployment.
+var DefaultCounterOptions = counter.Options{RoundEvery: roundEvery, ResendAfter: resendAfter, FoldEvery: foldEvery,
 	FoldAtMost: foldAtMost, CellsAtOnce: cellsAtOnce, SavesAtOnce: savesAtOnce}
 
 // Holder is a control machine's part in keeping the accounts: a replica of every shard,
