--- a/internal/accounts/agent.go
+++ b/internal/accounts/agent.go
@@ -8,9 +8,9 @@
 	"slateridge/internal/counter"
 )
 
-// RetryEvery is the time until the first new attempt at a report that was not taken: a
+// RetryInterval is the time until the first new attempt at a report that was not taken: a
 // lease that has lapsed for a moment is held again by then.
-const RetryEvery = time.Second
+const RetryInterval = time.Second
 
 // mostRetryTurns bounds the time between attempts, in units of RetryEvery: a control plane
 // that is slow because of its load is asked less often.
--- a/internal/accounts/agent_test.go
+++ b/internal/accounts/agent_test.go
@@ -158,7 +158,7 @@
 	agent.Tell()
 	refused = ""
 	if agent.Retry(); heard != 1 {
-		t.Errorf("after %v, the holder has heard %d", RetryEvery, heard)
+		t.Errorf("after %v, the holder has heard %d", RetryInterval, heard)
 	}
 	agent.Begin("known")
 	agent.Tell()
