--- a/internal/accounts/agent_test.go
+++ b/internal/accounts/agent_test.go
@@ -34,7 +34,7 @@
 
 // pass lets time go by.
 func (p *pair) pass(span time.Duration) {
-	for end := p.now + span; p.now < end; p.now += TickEvery {
+	for end := p.now + span; p.now < end; p.now += TickInterval {
 		p.services["a"].Step()
 		p.services["b"].Step()
 	}
--- a/internal/accounts/service.go
+++ b/internal/accounts/service.go
@@ -13,8 +13,8 @@
 	"slateridge/internal/counter"
 )
 
-// TickEvery is the step of a control machine's service.
-const TickEvery = 200 * time.Millisecond
+// TickInterval is the step of a control machine's service.
+const TickInterval = 200 * time.Millisecond
 
 // mostMetricTenants bounds the tenants that have metrics of their own: those in alarm.
 const mostMetricTenants = 100
--- a/internal/controlplane/daemon.go
+++ b/internal/controlplane/daemon.go
@@ -311,7 +311,7 @@
 		d.publish()
 	})
 	if d.accounts != nil {
-		group.Every(accounts.TickEvery, d.accounts.Step)
+		group.Every(accounts.TickInterval, d.accounts.Step)
 	}
 	if len(d.dutyRunners) > 0 {
 		group.Every(constants.DutyTick, d.stepDuties)
