--- a/internal/accounts/agent.go
+++ b/internal/accounts/agent.go
@@ -22,11 +22,11 @@
 
 // AgentOptions are what an agent needs of the proxy's process.
 type AgentOptions struct {
-	Node       string
-	Objectives *Objectives
-	Controls   []string                                          // control machines to ask first
-	Ask        func(to string, report Report) (ReportAck, error) // one question, answered or not
-	Note       func(kind, about string)
+	Node         string
+	Objectives   *Objectives
+	ControlNodes []string                                          // control machines to ask first
+	Ask          func(to string, report Report) (ReportAck, error) // one question, answered or not
+	Note         func(kind, about string)
 }
 
 // Agent is a proxy's part in the accounts: the meter of its process, with its journal, and
@@ -165,11 +165,11 @@
 	if a.holders[shard] != "" {
 		return a.holders[shard]
 	}
-	if len(a.options.Controls) == 0 {
+	if len(a.options.ControlNodes) == 0 {
 		return ""
 	}
 	a.asked++
-	return a.options.Controls[a.asked%len(a.options.Controls)]
+	return a.options.ControlNodes[a.asked%len(a.options.ControlNodes)]
 }
 
 func (a *Agent) setHolder(shard int, holder string) {
--- a/internal/proxy/accounting.go
+++ b/internal/proxy/accounting.go
@@ -15,7 +15,7 @@
 		return
 	}
 	set := d.nodeSettings.Load()
-	d.accountsAgent = accounts.NewAgent(accounts.AgentOptions{Node: set.NodeName, Objectives: objectives, Controls: set.SeedIPs(),
+	d.accountsAgent = accounts.NewAgent(accounts.AgentOptions{Node: set.NodeName, Objectives: objectives, ControlNodes: set.SeedIPs(),
 		Ask: d.reportAccounts, Note: d.events.Record})
 	d.accounts = d.accountsAgent.Meter
 }
