--- a/internal/accounts/agent.go
+++ b/internal/accounts/agent.go
@@ -25,7 +25,7 @@
 	Node         string
 	Objectives   *Objectives
 	ControlNodes []string                                          // control machines to ask first
-	Ask          func(to string, report Report) (ReportAck, error) // one question, answered or not
+	SendReport   func(to string, report Report) (ReportAck, error) // one question, answered or not
 	Note         func(kind, about string)
 }
 
@@ -137,7 +137,7 @@
 		if to == "" {
 			return false
 		}
-		ack, err := a.options.Ask(to, report)
+		ack, err := a.options.SendReport(to, report)
 		if err != nil {
 			a.forget(to)
 			continue
