--- a/internal/accounts/agent.go
+++ b/internal/accounts/agent.go
@@ -26,7 +26,7 @@
 	Objectives   *Objectives
 	ControlNodes []string                                          // control machines to ask first
 	SendReport   func(to string, report Report) (ReportAck, error) // one question, answered or not
-	Note         func(kind, about string)
+	RecordEvent  func(kind, about string)
 }
 
 // Agent is a proxy's part in the accounts: the meter of its process, with its journal, and
@@ -59,7 +59,7 @@
 		return a
 	}
 	ended, problems := RecoverJournals(directory)
-	journal, err := CreateJournal(directory, life, options.Objectives.Shards, func(err error) { options.Note("account_journal", err.Error()) })
+	journal, err := CreateJournal(directory, life, options.Objectives.Shards, func(err error) { options.RecordEvent("account_journal", err.Error()) })
 	if err != nil {
 		problems = append(problems, err)
 		a.Meter = NewMeter(options.Node, life, options.Objectives, nil, ended)
@@ -68,7 +68,7 @@
 		a.Meter = NewMeter(options.Node, life, options.Objectives, journal, ended)
 	}
 	for _, problem := range problems {
-		options.Note("account_journal", problem.Error())
+		options.RecordEvent("account_journal", problem.Error())
 	}
 	return a
 }
@@ -148,7 +148,7 @@
 		}
 		if ack.Holder == "" || ack.Holder == to {
 			if ack.Refused != ErrNotHolder.Error() {
-				a.options.Note("account_untold", ack.Refused)
+				a.options.RecordEvent("account_untold", ack.Refused)
 			}
 			a.setHolder(report.Shard, "")
 			return false
@@ -194,7 +194,7 @@
 func (a *Agent) finish(lives []counter.LifeID) {
 	for _, life := range lives {
 		if err := RemoveJournal(a.options.Objectives.JournalDir, life); err != nil {
-			a.options.Note("account_journal", err.Error())
+			a.options.RecordEvent("account_journal", err.Error())
 		}
 	}
 }
--- a/internal/accounts/agent_test.go
+++ b/internal/accounts/agent_test.go
@@ -59,7 +59,7 @@
 	p := newPair(objectives)
 	start := func() *Agent {
 		return NewAgent(AgentOptions{Node: "proxy", Objectives: objectives, ControlNodes: []string{"a", "b"}, SendReport: p.ask,
-			Note: func(kind, about string) { t.Errorf("%s: %s", kind, about) }})
+			RecordEvent: func(kind, about string) { t.Errorf("%s: %s", kind, about) }})
 	}
 	first := start()
 	first.Begin("known").Success(time.Millisecond)
@@ -119,7 +119,7 @@
 		t.Fatal(err)
 	}
 	p := newPair(objectives)
-	agent := NewAgent(AgentOptions{Node: "proxy", Objectives: objectives, ControlNodes: []string{"b"}, SendReport: p.ask, Note: func(string, string) {}})
+	agent := NewAgent(AgentOptions{Node: "proxy", Objectives: objectives, ControlNodes: []string{"b"}, SendReport: p.ask, RecordEvent: func(string, string) {}})
 	agent.Begin("known").Success(time.Millisecond)
 	agent.Leave(time.Second)
 	p.pass(15 * time.Minute)
@@ -153,7 +153,7 @@
 		}
 		return ack, nil
 	}
-	agent := NewAgent(AgentOptions{Node: "proxy", Objectives: objectives, ControlNodes: []string{"a"}, SendReport: ask, Note: func(string, string) {}})
+	agent := NewAgent(AgentOptions{Node: "proxy", Objectives: objectives, ControlNodes: []string{"a"}, SendReport: ask, RecordEvent: func(string, string) {}})
 	agent.Begin("known")
 	agent.Tell()
 	refused = ""
@@ -208,7 +208,7 @@
 		ack.Ack.Term.Counter, ack.Ack.Heard = 1, report.To
 		return ack, nil
 	}
-	agent := NewAgent(AgentOptions{Node: "proxy", Objectives: objectives, ControlNodes: []string{"b"}, SendReport: ask, Note: func(string, string) {}})
+	agent := NewAgent(AgentOptions{Node: "proxy", Objectives: objectives, ControlNodes: []string{"b"}, SendReport: ask, RecordEvent: func(string, string) {}})
 	for shard := range agent.holders {
 		agent.holders[shard] = "a"
 	}
--- a/internal/proxy/accounting.go
+++ b/internal/proxy/accounting.go
@@ -16,7 +16,7 @@
 	}
 	set := d.nodeSettings.Load()
 	d.accountsAgent = accounts.NewAgent(accounts.AgentOptions{Node: set.NodeName, Objectives: objectives, ControlNodes: set.SeedIPs(),
-		SendReport: d.reportAccounts, Note: d.events.Record})
+		SendReport: d.reportAccounts, RecordEvent: d.events.Record})
 	d.accounts = d.accountsAgent.Meter
 }
 
