--- a/internal/accounts/agent.go
+++ b/internal/accounts/agent.go
@@ -73,9 +73,9 @@
 	return a
 }
 
-// Tell brings every shard's holder what it lacks. It is called every TellEvery, and may
+// SendReports brings every shard's holder what it lacks. It is called every TellEvery, and may
 // take as long as the questions do.
-func (a *Agent) Tell() {
+func (a *Agent) SendReports() {
 	for shard := range a.options.Objectives.Shards {
 		a.tellShard(shard)
 	}
@@ -207,7 +207,7 @@
 	}
 	done := make(chan struct{})
 	go func() {
-		a.Tell()
+		a.SendReports()
 		close(done)
 	}()
 	select {
--- a/internal/accounts/agent_test.go
+++ b/internal/accounts/agent_test.go
@@ -64,7 +64,7 @@
 	first := start()
 	first.Begin("known").Success(time.Millisecond)
 	first.Begin("known")
-	first.Tell() // by way of a, which names b
+	first.SendReports() // by way of a, which names b
 	p.pass(10 * time.Second)
 	first.Begin("known").Failure(Lost) // never told by this process
 	first.journal.Close()              // as the end of the process does
@@ -72,7 +72,7 @@
 	second := start()
 	second.Begin("known").Success(time.Second)
 	p.silent = "b"
-	second.Tell()
+	second.SendReports()
 	p.silent = ""
 	second.Retry() // what the silent holder did not take
 	p.pass(10 * time.Second)
@@ -81,7 +81,7 @@
 		t.Errorf("after the retry: %+v, %v", standing.Account, err)
 	}
 	for range 2 {
-		second.Tell()
+		second.SendReports()
 		p.pass(10 * time.Second)
 	}
 	response := httptest.NewRecorder()
@@ -155,13 +155,13 @@
 	}
 	agent := NewAgent(AgentOptions{Node: "proxy", Objectives: objectives, ControlNodes: []string{"a"}, SendReport: ask, RecordEvent: func(string, string) {}})
 	agent.Begin("known")
-	agent.Tell()
+	agent.SendReports()
 	refused = ""
 	if agent.Retry(); heard != 1 {
 		t.Errorf("after %v, the holder has heard %d", RetryInterval, heard)
 	}
 	agent.Begin("known")
-	agent.Tell()
+	agent.SendReports()
 	heard = 0 // a new holder, which has nothing
 	agent.Begin("known")
 	ask2 := ask
@@ -170,7 +170,7 @@
 		ack.Ack.Term.Counter = 2
 		return ack, err
 	}
-	if agent.Tell(); heard != 3 {
+	if agent.SendReports(); heard != 3 {
 		t.Errorf("a new holder has heard %d of 3 after one report", heard)
 	}
 	agent.Begin("known")
@@ -181,7 +181,7 @@
 	if asked != 0 {
 		t.Errorf("%d attempts before the next report is due", asked)
 	}
-	agent.Tell()
+	agent.SendReports()
 	asked = 0
 	for range 100 {
 		agent.Retry()
@@ -215,7 +215,7 @@
 	for i := range 200 {
 		agent.Begin(fmt.Sprint("tenant-", i))
 	}
-	if agent.Tell(); silent != 1 {
+	if agent.SendReports(); silent != 1 {
 		t.Errorf("the silent machine was asked %d times", silent)
 	}
 }
--- a/internal/proxy/accounting.go
+++ b/internal/proxy/accounting.go
@@ -88,6 +88,6 @@
 // planned shutdown.
 func (d *Daemon) FlushAccounts() {
 	if d.accountsAgent != nil {
-		d.accountsAgent.Tell()
+		d.accountsAgent.SendReports()
 	}
 }
--- a/internal/proxy/daemon.go
+++ b/internal/proxy/daemon.go
@@ -234,7 +234,7 @@
 		group.EveryAfter(usage.Phase(rand.Uint64(), interval), interval, d.reportUsage)
 	}
 	if d.accountsAgent != nil {
-		group.EveryAfter(rand.N(accounts.ReportInterval), accounts.ReportInterval, d.accountsAgent.Tell)
+		group.EveryAfter(rand.N(accounts.ReportInterval), accounts.ReportInterval, d.accountsAgent.SendReports)
 		group.Every(accounts.RetryInterval, d.accountsAgent.Retry)
 	}
 	group.Every(constants.RetireEvery, func() { d.pool.CloseExpiredIdle(time.Now()) })
