--- a/internal/accounts/agent.go
+++ b/internal/accounts/agent.go
@@ -81,9 +81,9 @@
 	}
 }
 
-// Retry does the same for the shards whose holders did not take the latest report, at
+// RetryReports does the same for the shards whose holders did not take the latest report, at
 // growing distances. It is called every RetryEvery.
-func (a *Agent) Retry() {
+func (a *Agent) RetryReports() {
 	for shard := range a.options.Objectives.Shards {
 		if a.retryDue(shard) {
 			a.tellShard(shard)
--- a/internal/accounts/agent_test.go
+++ b/internal/accounts/agent_test.go
@@ -74,9 +74,9 @@
 	p.silent = "b"
 	second.SendReports()
 	p.silent = ""
-	second.Retry() // what the silent holder did not take
+	second.RetryReports() // what the silent holder did not take
 	p.pass(10 * time.Second)
-	second.Retry() // nothing: all was taken
+	second.RetryReports() // nothing: all was taken
 	if standing, err := p.services["b"].Of(p.now, "known"); err != nil || standing.Account.Taken != 4 {
 		t.Errorf("after the retry: %+v, %v", standing.Account, err)
 	}
@@ -157,7 +157,7 @@
 	agent.Begin("known")
 	agent.SendReports()
 	refused = ""
-	if agent.Retry(); heard != 1 {
+	if agent.RetryReports(); heard != 1 {
 		t.Errorf("after %v, the holder has heard %d", RetryInterval, heard)
 	}
 	agent.Begin("known")
@@ -176,7 +176,7 @@
 	agent.Begin("known")
 	refused, asked = ErrNotHolder.Error(), 0
 	for range 100 {
-		agent.Retry()
+		agent.RetryReports()
 	}
 	if asked != 0 {
 		t.Errorf("%d attempts before the next report is due", asked)
@@ -184,7 +184,7 @@
 	agent.SendReports()
 	asked = 0
 	for range 100 {
-		agent.Retry()
+		agent.RetryReports()
 	}
 	if asked < 10 || asked > 40 {
 		t.Errorf("%d attempts in 100 turns", asked)
--- a/internal/proxy/daemon.go
+++ b/internal/proxy/daemon.go
@@ -235,7 +235,7 @@
 	}
 	if d.accountsAgent != nil {
 		group.EveryAfter(rand.N(accounts.ReportInterval), accounts.ReportInterval, d.accountsAgent.SendReports)
-		group.Every(accounts.RetryInterval, d.accountsAgent.Retry)
+		group.Every(accounts.RetryInterval, d.accountsAgent.RetryReports)
 	}
 	group.Every(constants.RetireEvery, func() { d.pool.CloseExpiredIdle(time.Now()) })
 	group.Every(membership.TickEvery, d.members.Tick)
