--- a/internal/accounts/agent.go
+++ b/internal/accounts/agent.go
@@ -199,9 +199,9 @@
 	}
 }
 
-// Leave tells what has come since the latest report, before the process ends in order.
+// Shutdown tells what has come since the latest report, before the process ends in order.
 // Without a journal it also closes the life, as no successor can.
-func (a *Agent) Leave(patience time.Duration) {
+func (a *Agent) Shutdown(patience time.Duration) {
 	if a.journal == nil {
 		a.Close()
 	}
--- a/internal/accounts/agent_test.go
+++ b/internal/accounts/agent_test.go
@@ -121,7 +121,7 @@
 	p := newPair(objectives)
 	agent := NewAgent(AgentOptions{Node: "proxy", Objectives: objectives, ControlNodes: []string{"b"}, SendReport: p.ask, RecordEvent: func(string, string) {}})
 	agent.Begin("known").Success(time.Millisecond)
-	agent.Leave(time.Second)
+	agent.Shutdown(time.Second)
 	p.pass(15 * time.Minute)
 	state := p.services["b"].Shards(p.now)[0]
 	if state.FoldedLives != 1 || state.OpenLives+state.EndedLives != 0 {
--- a/internal/proxy/daemon.go
+++ b/internal/proxy/daemon.go
@@ -305,7 +305,7 @@
 	defer cancel()
 	d.frontend.drain(ctx)
 	if d.accountsAgent != nil {
-		d.accountsAgent.Leave(constants.CallTimeout)
+		d.accountsAgent.Shutdown(constants.CallTimeout)
 	}
 	d.events.Record("left", "nothing in flight")
 }
