--- a/internal/accounts/meter.go
+++ b/internal/accounts/meter.go
@@ -225,8 +225,8 @@
 	}
 }
 
-// Tenants is the number of tenants accounted for in this life.
-func (m *Meter) Tenants() int {
+// TenantCount is the number of tenants accounted for in this life.
+func (m *Meter) TenantCount() int {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	count := 0
