--- a/internal/accounts/meter.go
+++ b/internal/accounts/meter.go
@@ -236,8 +236,8 @@
 	return count
 }
 
-// Of is what this life has counted of a tenant.
-func (m *Meter) Of(tenant string) Account {
+// Account is what this life has counted of a tenant.
+func (m *Meter) Account(tenant string) Account {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	return m.current[ShardOf(tenant, len(m.current))].Cell(tenant).Join(Account{})
--- a/internal/proxy/accounting_test.go
+++ b/internal/proxy/accounting_test.go
@@ -72,7 +72,7 @@
 		}
 		s := newAccountingProxy(t, latency, upstreamResponses[c.upstream])
 		sendRequest(s, c.method, c.path, "")
-		account := s.accounts.Of("ten")
+		account := s.accounts.Account("ten")
 		if account.Taken != 1 || account.Open() != 0 || account.Settled[c.want] != 1 || account.Doubled != 0 {
 			t.Errorf("%s %s, upstream %s: %+v, want one %v", c.method, c.path, c.upstream, account, c.want)
 		}
@@ -86,13 +86,13 @@
 	for range 3 {
 		sendRequest(s, "GET", "/safe/x", "", headerAPIKey, "k2")
 	}
-	account := s.accounts.Of("tight")
+	account := s.accounts.Account("tight")
 	if account.Taken != 3 || account.Settled[accounts.Refused] == 0 || account.Settled[accounts.Refused]+account.Settled[accounts.OnTime] != 3 {
 		t.Errorf("over the quota: %+v", account)
 	}
 	sendRequest(s, "GET", "/safe/x", "", headerAPIKey, "unknown key")
 	sendRequest(s, "GET", "/open/x", "")
-	if account := s.accounts.Of("ten"); account.Taken != 0 {
+	if account := s.accounts.Account("ten"); account.Taken != 0 {
 		t.Errorf("requests without a tenant: %+v", account)
 	}
 	s = newAccountingProxy(t, easyLatency, upstreamResponses["late"])
@@ -102,7 +102,7 @@
 	request.RequestURI, request.Host = "/safe/x", "h.example"
 	request.Header.Set(headerAPIKey, "k1")
 	s.ServeHTTP(httptest.NewRecorder(), request)
-	if account := s.accounts.Of("ten"); account.Taken != 1 || account.Settled[accounts.Unknown] != 1 {
+	if account := s.accounts.Account("ten"); account.Taken != 1 || account.Settled[accounts.Unknown] != 1 {
 		t.Errorf("disconnected client: %+v", account)
 	}
 }
@@ -124,7 +124,7 @@
 		}
 		p.countAttempt(&result{sent: true, notExecuted: true, resp: executed.resp})
 	}
-	if account := s.accounts.Of("ten"); account.Taken != 2 || account.Doubled != 1 {
+	if account := s.accounts.Account("ten"); account.Taken != 2 || account.Doubled != 1 {
 		t.Errorf("%+v, want one counted as executed twice", account)
 	}
 }
