--- a/internal/accounts/holder.go
+++ b/internal/accounts/holder.go
@@ -41,7 +41,7 @@
 	sampledAt  time.Duration
 	note       func(kind, about string)
 
-	Refused uint64 // reports
+	refusedReports uint64 // reports
 }
 
 // NewHolder takes up what the machine's disk holds. Note is told, in one line, of every
@@ -65,7 +65,7 @@
 	if err != nil {
 		out.Refused = err.Error()
 		if !errors.Is(err, ErrNotHolder) {
-			h.Refused++
+			h.refusedReports++
 			h.note("account_refused", report.Node+": "+err.Error())
 		}
 	}
--- a/internal/accounts/input_test.go
+++ b/internal/accounts/input_test.go
@@ -87,8 +87,8 @@
 			t.Errorf("bad report %d was taken", i)
 		}
 	}
-	if len(notes) != len(bad) || holder.Refused != uint64(len(bad)) {
-		t.Errorf("%d lines and %d counted for %d bad reports", len(notes), holder.Refused, len(bad))
+	if len(notes) != len(bad) || holder.refusedReports != uint64(len(bad)) {
+		t.Errorf("%d lines and %d counted for %d bad reports", len(notes), holder.refusedReports, len(bad))
 	}
 	if ack := holder.Take(good, false); ack.Refused == "" {
 		t.Error("a report was taken without the lease")
--- a/internal/accounts/service.go
+++ b/internal/accounts/service.go
@@ -136,5 +136,5 @@
 func (h *Holder) RefusedReports() uint64 {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	return h.Refused
+	return h.refusedReports
 }
