--- a/internal/accounts/holder.go
+++ b/internal/accounts/holder.go
@@ -55,9 +55,9 @@
 	return h
 }
 
-// Take merges a proxy's report. Leads says whether this machine holds the shard's lease. A
+// HandleReport merges a proxy's report. Leads says whether this machine holds the shard's lease. A
 // report that is refused changes nothing, and its proxy keeps what was in it.
-func (h *Holder) Take(report Report, leads bool) ReportAck {
+func (h *Holder) HandleReport(report Report, leads bool) ReportAck {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	ack, err := h.take(report, leads)
--- a/internal/accounts/input_test.go
+++ b/internal/accounts/input_test.go
@@ -83,20 +83,20 @@
 		stranger, overfull,
 	}
 	for i, report := range bad {
-		if ack := holder.Take(report, true); ack.Refused == "" {
+		if ack := holder.HandleReport(report, true); ack.Refused == "" {
 			t.Errorf("bad report %d was taken", i)
 		}
 	}
 	if len(notes) != len(bad) || holder.refusedReports != uint64(len(bad)) {
 		t.Errorf("%d lines and %d counted for %d bad reports", len(notes), holder.refusedReports, len(bad))
 	}
-	if ack := holder.Take(good, false); ack.Refused == "" {
+	if ack := holder.HandleReport(good, false); ack.Refused == "" {
 		t.Error("a report was taken without the lease")
 	}
 	if _, err := holder.Of(time.Second, "stranger"); err == nil {
 		t.Error("an unknown tenant has an account")
 	}
-	if ack := holder.Take(meter.Reports(0)[0], true); ack.Refused != "" {
+	if ack := holder.HandleReport(meter.Reports(0)[0], true); ack.Refused != "" {
 		t.Fatalf("the good report was refused: %s", ack.Refused)
 	}
 	holder.Tick(time.Minute, leads, []string{"a"})
--- a/internal/accounts/service.go
+++ b/internal/accounts/service.go
@@ -69,7 +69,7 @@
 
 func (s *Service) report(report Report) ReportAck {
 	inRange := report.Shard >= 0 && report.Shard < s.objectives.Shards
-	ack := s.Take(report, inRange && s.options.Leads(report.Shard))
+	ack := s.HandleReport(report, inRange && s.options.Leads(report.Shard))
 	if ack.Refused == ErrNotHolder.Error() {
 		ack.Holder = s.options.HolderOf(report.Shard)
 	}
--- a/internal/emulator/control.go
+++ b/internal/emulator/control.go
@@ -89,7 +89,7 @@
 func (c *Control) leads(shard int) bool { return c.world.Leases[shard] == c.Name }
 
 func (c *Control) take(report accounts.Report) accounts.ReportAck {
-	return c.Holder.Take(report, report.Shard >= 0 && report.Shard < len(c.world.Leases) && c.leads(report.Shard))
+	return c.Holder.HandleReport(report, report.Shard >= 0 && report.Shard < len(c.world.Leases) && c.leads(report.Shard))
 }
 
 func (c *Control) put(out []counter.Send) {
