--- a/internal/accounts/agent_test.go
+++ b/internal/accounts/agent_test.go
@@ -77,7 +77,7 @@
 	second.RetryReports() // what the silent holder did not take
 	p.pass(10 * time.Second)
 	second.RetryReports() // nothing: all was taken
-	if standing, err := p.services["b"].Of(p.now, "known"); err != nil || standing.Account.Taken != 4 {
+	if standing, err := p.services["b"].Standing(p.now, "known"); err != nil || standing.Account.Taken != 4 {
 		t.Errorf("after the retry: %+v, %v", standing.Account, err)
 	}
 	for range 2 {
@@ -127,7 +127,7 @@
 	if state.FoldedLives != 1 || state.OpenLives+state.EndedLives != 0 {
 		t.Errorf("%+v", state)
 	}
-	if standing, err := p.services["b"].Of(p.now, "known"); err != nil || standing.Account.Settled[OnTime] != 1 {
+	if standing, err := p.services["b"].Standing(p.now, "known"); err != nil || standing.Account.Settled[OnTime] != 1 {
 		t.Errorf("%+v, %v", standing.Account, err)
 	}
 }
--- a/internal/accounts/holder.go
+++ b/internal/accounts/holder.go
@@ -184,8 +184,8 @@
 	P50, P99  time.Duration
 }
 
-// Of is a tenant's standing; ErrNotHolder unless this machine has its total.
-func (h *Holder) Of(now time.Duration, tenant string) (Standing, error) {
+// Standing is a tenant's standing; ErrNotHolder unless this machine has its total.
+func (h *Holder) Standing(now time.Duration, tenant string) (Standing, error) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	objective, ok := h.objectives.Lookup(tenant)
--- a/internal/accounts/input_test.go
+++ b/internal/accounts/input_test.go
@@ -93,18 +93,18 @@
 	if ack := holder.HandleReport(good, false); ack.Refused == "" {
 		t.Error("a report was taken without the lease")
 	}
-	if _, err := holder.Of(time.Second, "stranger"); err == nil {
+	if _, err := holder.Standing(time.Second, "stranger"); err == nil {
 		t.Error("an unknown tenant has an account")
 	}
 	if ack := holder.HandleReport(meter.Reports(0)[0], true); ack.Refused != "" {
 		t.Fatalf("the good report was refused: %s", ack.Refused)
 	}
 	holder.Tick(time.Minute, leads, []string{"a"})
-	if standing, err := holder.Of(time.Minute, "known"); err != nil || standing.Account.Settled[OnTime] != 1 || standing.Account.Taken != 1 {
+	if standing, err := holder.Standing(time.Minute, "known"); err != nil || standing.Account.Settled[OnTime] != 1 || standing.Account.Taken != 1 {
 		t.Errorf("the account is %+v, %v", standing.Account, err)
 	}
 	holder.Tick(time.Minute, func(int) bool { return false }, []string{"a"})
-	if _, err := holder.Of(time.Minute, "known"); err == nil {
+	if _, err := holder.Standing(time.Minute, "known"); err == nil {
 		t.Error("a total from a machine without the lease")
 	}
 }
--- a/internal/accounts/snapshot.go
+++ b/internal/accounts/snapshot.go
@@ -21,7 +21,7 @@
 		out.Standings = h.Table(now)
 		return out, nil
 	}
-	standing, err := h.Of(now, tenant)
+	standing, err := h.Standing(now, tenant)
 	if err != nil {
 		return out, err
 	}
