--- a/internal/accounts/holder.go
+++ b/internal/accounts/holder.go
@@ -31,9 +31,9 @@
 var DefaultCounterOptions = counter.Options{RoundEvery: roundEvery, ResendAfter: resendAfter, FoldEvery: foldEvery,
 	FoldAtMost: foldAtMost, CellsAtOnce: cellsAtOnce, SavesAtOnce: savesAtOnce}
 
-// Holder is a control machine's part in keeping the accounts: a replica of every shard,
+// Replica is a control machine's part in keeping the accounts: a replica of every shard,
 // and the totals of the shards whose leases it holds.
-type Holder struct {
+type Replica struct {
 	mu         sync.Mutex
 	objectives *Objectives
 	groups     []*Group
@@ -46,8 +46,8 @@
 
 // NewHolder takes up what the machine's disk holds. Note is told, in one line, of every
 // report that is refused; founding and start are as for counter.NewGroup.
-func NewHolder(machine string, objectives *Objectives, options counter.Options, store counter.Store, founding bool, start uint64, note func(kind, about string)) *Holder {
-	h := &Holder{objectives: objectives, note: note}
+func NewHolder(machine string, objectives *Objectives, options counter.Options, store counter.Store, founding bool, start uint64, note func(kind, about string)) *Replica {
+	h := &Replica{objectives: objectives, note: note}
 	for shard := range objectives.Shards {
 		h.groups = append(h.groups, counter.NewGroup[string, Account](shard, machine, options, store, founding, start))
 		h.histories = append(h.histories, map[string]*history{})
@@ -57,7 +57,7 @@
 
 // HandleReport merges a proxy's report. Leads says whether this machine holds the shard's lease. A
 // report that is refused changes nothing, and its proxy keeps what was in it.
-func (h *Holder) HandleReport(report Report, leads bool) ReportAck {
+func (h *Replica) HandleReport(report Report, leads bool) ReportAck {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	ack, err := h.take(report, leads)
@@ -72,7 +72,7 @@
 	return out
 }
 
-func (h *Holder) take(report Report, leads bool) (counter.Ack, error) {
+func (h *Replica) take(report Report, leads bool) (counter.Ack, error) {
 	delta, err := unpackReport(report, len(h.groups))
 	if err != nil {
 		return counter.Ack{}, err
@@ -95,7 +95,7 @@
 
 // Tick advances all shards; leads says whose lease this machine holds, and replicas are
 // all machines that keep the accounts.
-func (h *Holder) Tick(now time.Duration, leads func(shard int) bool, replicas []string) []counter.Send {
+func (h *Replica) Tick(now time.Duration, leads func(shard int) bool, replicas []string) []counter.Send {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	var out []counter.Send
@@ -111,7 +111,7 @@
 
 // sampleAll notes the figures of the shards held here. A shard that is no longer held
 // loses its history: its new holder knows what is newer.
-func (h *Holder) sampleAll(now time.Duration) {
+func (h *Replica) sampleAll(now time.Duration) {
 	for shard, group := range h.groups {
 		totals, _, ok := group.Totals(now)
 		if !ok {
@@ -132,7 +132,7 @@
 }
 
 // Receive takes a message of a shard's replication from another control machine.
-func (h *Holder) Receive(from string, message any) []counter.Send {
+func (h *Replica) Receive(from string, message any) []counter.Send {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	shard, ok := shardOf(message)
@@ -185,7 +185,7 @@
 }
 
 // Standing is a tenant's standing; ErrNotHolder unless this machine has its total.
-func (h *Holder) Standing(now time.Duration, tenant string) (Standing, error) {
+func (h *Replica) Standing(now time.Duration, tenant string) (Standing, error) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	objective, ok := h.objectives.Lookup(tenant)
@@ -200,7 +200,7 @@
 	return h.standing(now, age, shard, tenant, totals[tenant], objective), nil
 }
 
-func (h *Holder) standing(now, age time.Duration, shard int, tenant string, account Account, objective Objective) Standing {
+func (h *Replica) standing(now, age time.Duration, shard int, tenant string, account Account, objective Objective) Standing {
 	out := Standing{Tenant: tenant, Shard: shard, Objective: objective, Account: account, Open: account.Open(), Age: age,
 		P50: account.Latency.Quantile(0.5), P99: account.Latency.Quantile(0.99)}
 	past := h.histories[shard][tenant]
@@ -213,7 +213,7 @@
 
 // Totals are the accounts of a shard that a majority holds, and how old that knowledge is;
 // false unless this machine leads the shard.
-func (h *Holder) Totals(now time.Duration, shard int) (map[string]Account, time.Duration, bool) {
+func (h *Replica) Totals(now time.Duration, shard int) (map[string]Account, time.Duration, bool) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	totals, age, ok := h.groups[shard].Totals(now)
@@ -221,7 +221,7 @@
 }
 
 // Table is the standing of all tenants whose shards are held here, by name.
-func (h *Holder) Table(now time.Duration) []Standing {
+func (h *Replica) Table(now time.Duration) []Standing {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	var out []Standing
@@ -254,7 +254,7 @@
 }
 
 // Shards are the states of all shards.
-func (h *Holder) Shards(now time.Duration) []ShardState {
+func (h *Replica) Shards(now time.Duration) []ShardState {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	var out []ShardState
--- a/internal/accounts/service.go
+++ b/internal/accounts/service.go
@@ -32,13 +32,13 @@
 // Service is a control machine's part in the accounts: the holder, its messages, and the
 // interface for operators.
 type Service struct {
-	*Holder
+	*Replica
 	options ServiceOptions
 }
 
 // NewService makes the service of a holder.
-func NewService(holder *Holder, options ServiceOptions) *Service {
-	return &Service{Holder: holder, options: options}
+func NewService(holder *Replica, options ServiceOptions) *Service {
+	return &Service{Replica: holder, options: options}
 }
 
 // DutyName is the lease of a shard.
@@ -133,7 +133,7 @@
 }
 
 // RefusedReports counts the reports that were refused.
-func (h *Holder) RefusedReports() uint64 {
+func (h *Replica) RefusedReports() uint64 {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	return h.refusedReports
--- a/internal/accounts/snapshot.go
+++ b/internal/accounts/snapshot.go
@@ -15,7 +15,7 @@
 
 // Snapshot is this machine's part: the accounts of the shards that it holds, or of one
 // tenant if one is named.
-func (h *Holder) Snapshot(now time.Duration, at time.Time, tenant string) (Snapshot, error) {
+func (h *Replica) Snapshot(now time.Duration, at time.Time, tenant string) (Snapshot, error) {
 	out := Snapshot{At: at, Shards: h.Shards(now)}
 	if tenant == "" {
 		out.Standings = h.Table(now)
--- a/internal/emulator/control.go
+++ b/internal/emulator/control.go
@@ -19,7 +19,7 @@
 	Life        int
 	FrozenUntil time.Duration
 	Disk        *simnet.Disk
-	Holder      *accounts.Holder
+	Holder      *accounts.Replica
 	world       *World
 	began       time.Duration // its steady clock counts from here
 }
