--- a/internal/accounts/agent_test.go
+++ b/internal/accounts/agent_test.go
@@ -23,7 +23,7 @@
 func newPair(objectives *Objectives) *pair {
 	p := &pair{services: map[string]*Service{}}
 	for _, name := range []string{"a", "b"} {
-		holder := NewHolder(name, objectives, DefaultCounterOptions, simnet.NewDisk(), true, 1, func(string, string) {})
+		holder := NewReplica(name, objectives, DefaultCounterOptions, simnet.NewDisk(), true, 1, func(string, string) {})
 		p.services[name] = NewService(holder, ServiceOptions{Machine: name, Leads: func(int) bool { return name == "b" },
 			HolderOf: func(int) string { return "b" }, Replicas: func() []string { return []string{"a", "b"} },
 			Send: func(to string, message any) { p.services[to].Message(name, message) }, Now: func() time.Duration { return p.now }})
--- a/internal/accounts/holder.go
+++ b/internal/accounts/holder.go
@@ -44,9 +44,9 @@
 	refusedReports uint64 // reports
 }
 
-// NewHolder takes up what the machine's disk holds. Note is told, in one line, of every
+// NewReplica takes up what the machine's disk holds. Note is told, in one line, of every
 // report that is refused; founding and start are as for counter.NewGroup.
-func NewHolder(machine string, objectives *Objectives, options counter.Options, store counter.Store, founding bool, start uint64, note func(kind, about string)) *Replica {
+func NewReplica(machine string, objectives *Objectives, options counter.Options, store counter.Store, founding bool, start uint64, note func(kind, about string)) *Replica {
 	h := &Replica{objectives: objectives, note: note}
 	for shard := range objectives.Shards {
 		h.groups = append(h.groups, counter.NewGroup[string, Account](shard, machine, options, store, founding, start))
--- a/internal/accounts/input_test.go
+++ b/internal/accounts/input_test.go
@@ -59,7 +59,7 @@
 		t.Fatal(err)
 	}
 	var notes []string
-	holder := NewHolder("a", objectives, DefaultCounterOptions, simnet.NewDisk(), true, 1, func(_, about string) { notes = append(notes, about) })
+	holder := NewReplica("a", objectives, DefaultCounterOptions, simnet.NewDisk(), true, 1, func(_, about string) { notes = append(notes, about) })
 	leads := func(int) bool { return true }
 	holder.Tick(0, leads, []string{"a"})
 	holder.Tick(time.Second, leads, []string{"a"})
--- a/internal/controlplane/accounts.go
+++ b/internal/controlplane/accounts.go
@@ -30,7 +30,7 @@
 		return nil, fmt.Errorf("accounts in %s: %w", directory, err)
 	}
 	founding := isNew && (d.settings.Bootstrap || objectives.Founding)
-	holder := accounts.NewHolder(d.settings.IPAddress, objectives, accounts.DefaultCounterOptions, store, founding, rand.Uint64()|1, d.events.Record)
+	holder := accounts.NewReplica(d.settings.IPAddress, objectives, accounts.DefaultCounterOptions, store, founding, rand.Uint64()|1, d.events.Record)
 	d.accounts = accounts.NewService(holder, accounts.ServiceOptions{Machine: d.settings.IPAddress, Leads: d.holdsAccountsLease,
 		HolderOf: d.accountsLeaseHolder, Replicas: d.replica.controlAddresses, Send: d.connections.send, Now: d.now})
 	var duties []string
--- a/internal/emulator/control.go
+++ b/internal/emulator/control.go
@@ -44,7 +44,7 @@
 	c.Up = true
 	c.Life++
 	c.began = c.world.Now - time.Duration(c.world.Rng.IntN(1000))*time.Millisecond
-	c.Holder = accounts.NewHolder(c.Name, c.world.Objectives, c.world.Options, c.Disk, founding, uint64(c.Life), func(string, string) {})
+	c.Holder = accounts.NewReplica(c.Name, c.world.Objectives, c.world.Options, c.Disk, founding, uint64(c.Life), func(string, string) {})
 	c.tick(c.Life)
 }
 
