--- a/internal/accounts/service.go
+++ b/internal/accounts/service.go
@@ -21,7 +21,7 @@
 
 // ServiceOptions are what a service needs of the control machine's process.
 type ServiceOptions struct {
-	Machine  string
+	Node     string
 	Leads    func(shard int) bool   // this machine holds the shard's lease
 	HolderOf func(shard int) string // who does, as far as is known; may be empty
 	Replicas func() []string        // all machines that keep the accounts
