--- a/internal/accounts/service.go
+++ b/internal/accounts/service.go
@@ -21,12 +21,12 @@
 
 // ServiceOptions are what a service needs of the control machine's process.
 type ServiceOptions struct {
-	Node     string
-	Leads    func(shard int) bool   // this machine holds the shard's lease
-	HolderOf func(shard int) string // who does, as far as is known; may be empty
-	Replicas func() []string        // all machines that keep the accounts
-	Send     func(to string, message any)
-	Now      func() time.Duration // steady
+	Node       string
+	HoldsLease func(shard int) bool   // this machine holds the shard's lease
+	HolderOf   func(shard int) string // who does, as far as is known; may be empty
+	Replicas   func() []string        // all machines that keep the accounts
+	Send       func(to string, message any)
+	Now        func() time.Duration // steady
 }
 
 // Service is a control machine's part in the accounts: the holder, its messages, and the
@@ -46,7 +46,7 @@
 
 // Step advances the holder; it is called every TickEvery.
 func (s *Service) Step() {
-	s.send(s.Tick(s.options.Now(), s.options.Leads, s.options.Replicas()))
+	s.send(s.Tick(s.options.Now(), s.options.HoldsLease, s.options.Replicas()))
 }
 
 func (s *Service) send(out []counter.Send) {
@@ -69,7 +69,7 @@
 
 func (s *Service) report(report Report) ReportAck {
 	inRange := report.Shard >= 0 && report.Shard < s.objectives.Shards
-	ack := s.HandleReport(report, inRange && s.options.Leads(report.Shard))
+	ack := s.HandleReport(report, inRange && s.options.HoldsLease(report.Shard))
 	if ack.Refused == ErrNotHolder.Error() {
 		ack.Holder = s.options.HolderOf(report.Shard)
 	}
