--- a/internal/accounts/agent_test.go
+++ b/internal/accounts/agent_test.go
@@ -25,7 +25,7 @@
 	for _, name := range []string{"a", "b"} {
 		holder := NewReplica(name, objectives, DefaultCounterOptions, simnet.NewDisk(), true, 1, func(string, string) {})
 		p.services[name] = NewService(holder, ServiceOptions{Node: name, HoldsLease: func(int) bool { return name == "b" },
-			HolderOf: func(int) string { return "b" }, Replicas: func() []string { return []string{"a", "b"} },
+			LeaseHolder: func(int) string { return "b" }, Replicas: func() []string { return []string{"a", "b"} },
 			Send: func(to string, message any) { p.services[to].Message(name, message) }, Now: func() time.Duration { return p.now }})
 	}
 	p.pass(time.Second)
--- a/internal/accounts/service.go
+++ b/internal/accounts/service.go
@@ -21,12 +21,12 @@
 
 // ServiceOptions are what a service needs of the control machine's process.
 type ServiceOptions struct {
-	Node       string
-	HoldsLease func(shard int) bool   // this machine holds the shard's lease
-	HolderOf   func(shard int) string // who does, as far as is known; may be empty
-	Replicas   func() []string        // all machines that keep the accounts
-	Send       func(to string, message any)
-	Now        func() time.Duration // steady
+	Node        string
+	HoldsLease  func(shard int) bool   // this machine holds the shard's lease
+	LeaseHolder func(shard int) string // who does, as far as is known; may be empty
+	Replicas    func() []string        // all machines that keep the accounts
+	Send        func(to string, message any)
+	Now         func() time.Duration // steady
 }
 
 // Service is a control machine's part in the accounts: the holder, its messages, and the
@@ -71,7 +71,7 @@
 	inRange := report.Shard >= 0 && report.Shard < s.objectives.Shards
 	ack := s.HandleReport(report, inRange && s.options.HoldsLease(report.Shard))
 	if ack.Refused == ErrNotHolder.Error() {
-		ack.Holder = s.options.HolderOf(report.Shard)
+		ack.Holder = s.options.LeaseHolder(report.Shard)
 	}
 	return ack
 }
--- a/internal/controlplane/accounts.go
+++ b/internal/controlplane/accounts.go
@@ -32,7 +32,7 @@
 	founding := isNew && (d.settings.Bootstrap || objectives.Founding)
 	holder := accounts.NewReplica(d.settings.IPAddress, objectives, accounts.DefaultCounterOptions, store, founding, rand.Uint64()|1, d.events.Record)
 	d.accounts = accounts.NewService(holder, accounts.ServiceOptions{Node: d.settings.IPAddress, HoldsLease: d.holdsAccountsLease,
-		HolderOf: d.accountsLeaseHolder, Replicas: d.replica.controlAddresses, Send: d.connections.send, Now: d.now})
+		LeaseHolder: d.accountsLeaseHolder, Replicas: d.replica.controlAddresses, Send: d.connections.send, Now: d.now})
 	var duties []string
 	for shard := range objectives.Shards {
 		duties = append(duties, accounts.DutyName(shard))
