--- a/internal/accountreport/html.go
+++ b/internal/accountreport/html.go
@@ -21,8 +21,8 @@
 	mostTenants = 50 // with plots, those that burn most first
 )
 
-// ErrTooFew is given where there is no span to plot.
-var ErrTooFew = errors.New("a report with plots needs snapshots of at least two times")
+// ErrTooFewSnapshots is given where there is no span to plot.
+var ErrTooFewSnapshots = errors.New("a report with plots needs snapshots of at least two times")
 
 // page is the content of the HTML report.
 type page struct {
@@ -53,7 +53,7 @@
 	snapshots = slices.Clone(snapshots)
 	slices.SortFunc(snapshots, func(a, b accounts.Snapshot) int { return a.At.Compare(b.At) })
 	if len(snapshots) < 2 || !snapshots[0].At.Before(snapshots[len(snapshots)-1].At) {
-		return ErrTooFew
+		return ErrTooFewSnapshots
 	}
 	last := snapshots[len(snapshots)-1]
 	p := page{From: snapshots[0].At, To: last.At, Unheld: last.Unheld()}
--- a/internal/accountreport/report_test.go
+++ b/internal/accountreport/report_test.go
@@ -46,7 +46,7 @@
 			t.Fatalf("not well formed: %v", err)
 		}
 	}
-	if err := HTML(&out, []accounts.Snapshot{snapshotAt(1), snapshotAt(1)}); !errors.Is(err, ErrTooFew) {
+	if err := HTML(&out, []accounts.Snapshot{snapshotAt(1), snapshotAt(1)}); !errors.Is(err, ErrTooFewSnapshots) {
 		t.Errorf("of one time only: %v", err)
 	}
 }
