--- a/internal/accounts/journal.go
+++ b/internal/accounts/journal.go
@@ -122,8 +122,8 @@
 	return err == nil
 }
 
-// Told implements Journal.
-func (j *FileJournal) Told(shard int, version uint64) bool {
+// RecordSent implements Journal.
+func (j *FileJournal) RecordSent(shard int, version uint64) bool {
 	return j.write(binary.LittleEndian.AppendUint64(j.scratch[:0], version), toldOffset+8*shard)
 }
 
--- a/internal/accounts/meter.go
+++ b/internal/accounts/meter.go
@@ -12,9 +12,9 @@
 type Journal interface {
 	// Record notes a tenant's counters. The process may end at any moment after it.
 	Record(tenant string, account *Account)
-	// Told notes, before a report leaves, the newest version of a shard that was told;
+	// RecordSent notes, before a report leaves, the newest version of a shard that was told;
 	// false if that failed, and the report must not leave.
-	Told(shard int, version uint64) bool
+	RecordSent(shard int, version uint64) bool
 }
 
 // EndedLife is what a journal holds of a life that is over.
@@ -174,7 +174,7 @@
 	if !some {
 		return out
 	}
-	if m.journal != nil && !m.journal.Told(shard, writer.Told()) {
+	if m.journal != nil && !m.journal.RecordSent(shard, writer.Told()) {
 		return out
 	}
 	return append(out, packReport(shard, delta))
--- a/internal/emulator/proxy.go
+++ b/internal/emulator/proxy.go
@@ -52,8 +52,8 @@
 	j.accounts[tenant] = kept
 }
 
-// Told implements accounts.Journal.
-func (j *memoryJournal) Told(shard int, version uint64) bool {
+// RecordSent implements accounts.Journal.
+func (j *memoryJournal) RecordSent(shard int, version uint64) bool {
 	j.told[shard] = version
 	return true
 }
