--- a/internal/accounts/journal.go
+++ b/internal/accounts/journal.go
@@ -173,9 +173,9 @@
 	if len(raw) < headerSize || string(raw[:len(journalMagic)]) != journalMagic {
 		return EndedLife{}, ErrUnsupportedFormat
 	}
-	life := EndedLife{Life: counter.LifeID(binary.LittleEndian.Uint64(raw[lifeOffset:])), Accounts: map[string]Account{}}
+	life := EndedLife{Incarnation: counter.LifeID(binary.LittleEndian.Uint64(raw[lifeOffset:])), Accounts: map[string]Account{}}
 	shards := binary.LittleEndian.Uint64(raw[shardsOffset:])
-	if life.Life == 0 || shards == 0 || shards > mostShards {
+	if life.Incarnation == 0 || shards == 0 || shards > mostShards {
 		return EndedLife{}, ErrMalformed
 	}
 	for shard := range int(shards) {
--- a/internal/accounts/meter.go
+++ b/internal/accounts/meter.go
@@ -19,9 +19,9 @@
 
 // EndedLife is what a journal holds of a life that is over.
 type EndedLife struct {
-	Life     counter.LifeID
-	Told     []uint64 // by shard
-	Accounts map[string]Account
+	Incarnation counter.LifeID
+	Told        []uint64 // by shard
+	Accounts    map[string]Account
 }
 
 // Meter accounts for the requests that a proxy takes. A nil meter accounts for nothing,
@@ -62,14 +62,14 @@
 		account.close()
 		cells[ShardOf(tenant, shards)][tenant] = account
 	}
-	out := &endedWriters{life: ended.Life, shards: make([]*counter.Writer[string, Account], shards)}
+	out := &endedWriters{life: ended.Incarnation, shards: make([]*counter.Writer[string, Account], shards)}
 	for shard := range shards {
 		told := uint64(0)
 		if shard < len(ended.Told) {
 			told = ended.Told[shard]
 		}
 		if told > 0 || len(cells[shard]) > 0 {
-			out.shards[shard] = counter.RecoverWriter(node, ended.Life, told, cells[shard])
+			out.shards[shard] = counter.RecoverWriter(node, ended.Incarnation, told, cells[shard])
 		}
 	}
 	return out
