--- a/internal/accounts/input_test.go
+++ b/internal/accounts/input_test.go
@@ -158,7 +158,7 @@
 		t.Fatal(err)
 	}
 	ended, problems := RecoverJournals(directory)
-	if len(ended) != 1 || len(problems) != 1 || len(ended[0].Accounts) != nameMax+1 || ended[0].Told[0] != 1 {
+	if len(ended) != 1 || len(problems) != 1 || len(ended[0].Accounts) != nameMax+1 || ended[0].SentVersions[0] != 1 {
 		t.Fatalf("%d lives, problems %v", len(ended), problems)
 	}
 	if left, _ := filepath.Glob(filepath.Join(directory, "*"+garbledSuffix)); len(left) != 1 {
--- a/internal/accounts/journal.go
+++ b/internal/accounts/journal.go
@@ -179,7 +179,7 @@
 		return EndedLife{}, ErrMalformed
 	}
 	for shard := range int(shards) {
-		life.Told = append(life.Told, binary.LittleEndian.Uint64(raw[toldOffset+8*shard:]))
+		life.SentVersions = append(life.SentVersions, binary.LittleEndian.Uint64(raw[toldOffset+8*shard:]))
 	}
 	for record := raw[headerSize:]; len(record) >= recordSize; record = record[recordSize:] {
 		length := int(binary.LittleEndian.Uint16(record))
--- a/internal/accounts/meter.go
+++ b/internal/accounts/meter.go
@@ -19,9 +19,9 @@
 
 // EndedLife is what a journal holds of a life that is over.
 type EndedLife struct {
-	Incarnation counter.LifeID
-	Told        []uint64 // by shard
-	Accounts    map[string]Account
+	Incarnation  counter.LifeID
+	SentVersions []uint64 // by shard
+	Accounts     map[string]Account
 }
 
 // Meter accounts for the requests that a proxy takes. A nil meter accounts for nothing,
@@ -65,8 +65,8 @@
 	out := &endedWriters{life: ended.Incarnation, shards: make([]*counter.Writer[string, Account], shards)}
 	for shard := range shards {
 		told := uint64(0)
-		if shard < len(ended.Told) {
-			told = ended.Told[shard]
+		if shard < len(ended.SentVersions) {
+			told = ended.SentVersions[shard]
 		}
 		if told > 0 || len(cells[shard]) > 0 {
 			out.shards[shard] = counter.RecoverWriter(node, ended.Incarnation, told, cells[shard])
--- a/internal/emulator/proxy.go
+++ b/internal/emulator/proxy.go
@@ -77,7 +77,7 @@
 	var ended []accounts.EndedLife
 	for _, life := range slices.Sorted(maps.Keys(p.journals)) {
 		journal := p.journals[life]
-		ended = append(ended, accounts.EndedLife{Incarnation: life, Told: journal.told, Accounts: maps.Clone(journal.accounts)})
+		ended = append(ended, accounts.EndedLife{Incarnation: life, SentVersions: journal.told, Accounts: maps.Clone(journal.accounts)})
 	}
 	p.life = counter.LifeID(p.world.Rng.Uint64() | 1)
 	journal := &memoryJournal{told: make([]uint64, p.world.Objectives.Shards), accounts: map[string]accounts.Account{}}
