--- a/internal/accounts/journal.go
+++ b/internal/accounts/journal.go
@@ -133,7 +133,7 @@
 // RecoverJournals reads what ended processes have left in a directory. Files of running
 // processes are passed over. A garbled file is set aside under another name and reported;
 // it does not keep the others from being read.
-func RecoverJournals(directory string) (ended []EndedLife, problems []error) {
+func RecoverJournals(directory string) (ended []EndedIncarnation, problems []error) {
 	paths, err := filepath.Glob(filepath.Join(directory, journalPattern))
 	if err != nil {
 		return nil, []error{err}
@@ -151,32 +151,32 @@
 	return ended, problems
 }
 
-func recoverJournal(path string) (life EndedLife, running bool, err error) {
+func recoverJournal(path string) (life EndedIncarnation, running bool, err error) {
 	file, err := os.Open(path)
 	if err != nil {
-		return EndedLife{}, false, err
+		return EndedIncarnation{}, false, err
 	}
 	defer file.Close()
 	if lock(file) != nil {
-		return EndedLife{}, true, nil
+		return EndedIncarnation{}, true, nil
 	}
 	raw, err := os.ReadFile(path)
 	if err != nil {
-		return EndedLife{}, false, err
+		return EndedIncarnation{}, false, err
 	}
 	life, err = parseJournal(raw)
 	return life, false, err
 }
 
 // parseJournal reads and checks the content of a journal file.
-func parseJournal(raw []byte) (EndedLife, error) {
+func parseJournal(raw []byte) (EndedIncarnation, error) {
 	if len(raw) < headerSize || string(raw[:len(journalMagic)]) != journalMagic {
-		return EndedLife{}, ErrUnsupportedFormat
+		return EndedIncarnation{}, ErrUnsupportedFormat
 	}
-	life := EndedLife{Incarnation: counter.LifeID(binary.LittleEndian.Uint64(raw[lifeOffset:])), Accounts: map[string]Account{}}
+	life := EndedIncarnation{Incarnation: counter.LifeID(binary.LittleEndian.Uint64(raw[lifeOffset:])), Accounts: map[string]Account{}}
 	shards := binary.LittleEndian.Uint64(raw[shardsOffset:])
 	if life.Incarnation == 0 || shards == 0 || shards > mostShards {
-		return EndedLife{}, ErrMalformed
+		return EndedIncarnation{}, ErrMalformed
 	}
 	for shard := range int(shards) {
 		life.SentVersions = append(life.SentVersions, binary.LittleEndian.Uint64(raw[toldOffset+8*shard:]))
@@ -187,11 +187,11 @@
 			break
 		}
 		if length > nameMax {
-			return EndedLife{}, ErrMalformed
+			return EndedIncarnation{}, ErrMalformed
 		}
 		account, err := parseCounters(record[countersOffset:])
 		if err != nil {
-			return EndedLife{}, err
+			return EndedIncarnation{}, err
 		}
 		life.Accounts[string(record[nameOffset:nameOffset+length])] = account
 	}
--- a/internal/accounts/meter.go
+++ b/internal/accounts/meter.go
@@ -17,8 +17,8 @@
 	RecordSent(shard int, version uint64) bool
 }
 
-// EndedLife is what a journal holds of a life that is over.
-type EndedLife struct {
+// EndedIncarnation is what a journal holds of a life that is over.
+type EndedIncarnation struct {
 	Incarnation  counter.LifeID
 	SentVersions []uint64 // by shard
 	Accounts     map[string]Account
@@ -42,7 +42,7 @@
 
 // NewMeter makes the meter of a new life; journal may be nil. Ended are the lives that
 // journals of earlier processes hold: what they had not settled is unknown from now on.
-func NewMeter(node string, life counter.LifeID, objectives *Objectives, journal Journal, ended []EndedLife) *Meter {
+func NewMeter(node string, life counter.LifeID, objectives *Objectives, journal Journal, ended []EndedIncarnation) *Meter {
 	m := &Meter{objectives: objectives, journal: journal}
 	for range objectives.Shards {
 		m.current = append(m.current, counter.NewWriter[string, Account](node, life))
@@ -53,7 +53,7 @@
 	return m
 }
 
-func recoverLife(node string, shards int, ended EndedLife) *endedWriters {
+func recoverLife(node string, shards int, ended EndedIncarnation) *endedWriters {
 	cells := make([]counter.Cells[string, Account], shards)
 	for i := range cells {
 		cells[i] = counter.Cells[string, Account]{}
--- a/internal/emulator/proxy.go
+++ b/internal/emulator/proxy.go
@@ -74,10 +74,10 @@
 	}
 	p.Up = true
 	p.Life++
-	var ended []accounts.EndedLife
+	var ended []accounts.EndedIncarnation
 	for _, life := range slices.Sorted(maps.Keys(p.journals)) {
 		journal := p.journals[life]
-		ended = append(ended, accounts.EndedLife{Incarnation: life, SentVersions: journal.told, Accounts: maps.Clone(journal.accounts)})
+		ended = append(ended, accounts.EndedIncarnation{Incarnation: life, SentVersions: journal.told, Accounts: maps.Clone(journal.accounts)})
 	}
 	p.life = counter.LifeID(p.world.Rng.Uint64() | 1)
 	journal := &memoryJournal{told: make([]uint64, p.world.Objectives.Shards), accounts: map[string]accounts.Account{}}
