--- a/cmd/scalerun/accounts.go
+++ b/cmd/scalerun/accounts.go
@@ -85,7 +85,7 @@
 		}
 		served := time.Now()
 		for shard := range objectives.Shards {
-			for _, r := range meter.Reports(shard) {
+			for _, r := range meter.PendingReports(shard) {
 				if err := encoder.Encode(r); err != nil {
 					panic(err)
 				}
--- a/internal/accounts/agent.go
+++ b/internal/accounts/agent.go
@@ -123,7 +123,7 @@
 
 func (a *Agent) tellAll(shard int) bool {
 	told := true
-	for _, report := range a.Reports(shard) {
+	for _, report := range a.PendingReports(shard) {
 		told = a.tell(report) && told
 	}
 	return told
--- a/internal/accounts/input_test.go
+++ b/internal/accounts/input_test.go
@@ -65,7 +65,7 @@
 	holder.Tick(time.Second, leads, []string{"a"})
 	meter := NewMeter("proxy", 7, objectives, nil, nil)
 	meter.Begin("known").Success(time.Millisecond)
-	good := meter.Reports(0)[0]
+	good := meter.PendingReports(0)[0]
 	change := func(f func(*Report)) Report {
 		out := good
 		out.Packed = slices.Clone(good.Packed)
@@ -96,7 +96,7 @@
 	if _, err := holder.Standing(time.Second, "stranger"); err == nil {
 		t.Error("an unknown tenant has an account")
 	}
-	if ack := holder.HandleReport(meter.Reports(0)[0], true); ack.Refused != "" {
+	if ack := holder.HandleReport(meter.PendingReports(0)[0], true); ack.Refused != "" {
 		t.Fatalf("the good report was refused: %s", ack.Refused)
 	}
 	holder.Tick(time.Minute, leads, []string{"a"})
@@ -147,7 +147,7 @@
 		meter.Begin(strings.Repeat("x", i%nameMax+1)).Success(time.Second)
 	}
 	meter.Begin("known")
-	meter.Reports(0)
+	meter.PendingReports(0)
 	if ended, problems := RecoverJournals(directory); len(ended)+len(problems) != 0 {
 		t.Fatalf("a running process's journal was taken: %v %v", ended, problems)
 	}
@@ -165,7 +165,7 @@
 		t.Errorf("the garbled file was not set aside: %v", left)
 	}
 	next := NewMeter("proxy", 43, objectives, nil, ended)
-	delta, err := unpackReport(next.Reports(0)[0], 1)
+	delta, err := unpackReport(next.PendingReports(0)[0], 1)
 	if err != nil || !delta.Closed || delta.Cells["known"].Settled[Unknown] != 1 || delta.Cells["x"].Settled[Late] != 3 {
 		t.Errorf("the successor tells %+v, %v", delta.Cells["known"], err)
 	}
@@ -319,12 +319,12 @@
 	}
 	file.full = true
 	meter.Begin("known").Failure(Lost)
-	if reports := meter.Reports(0); len(reports) != 0 || problems != 1 {
+	if reports := meter.PendingReports(0); len(reports) != 0 || problems != 1 {
 		t.Errorf("on a full disk %d reports leave, %d problems were noted", len(reports), problems)
 	}
 	file.full = false
 	meter.Begin("known")
-	if reports := meter.Reports(0); len(reports) != 1 {
+	if reports := meter.PendingReports(0); len(reports) != 1 {
 		t.Errorf("with room again %d reports leave", len(reports))
 	}
 	if err := journal.Close(); err != nil {
--- a/internal/accounts/meter.go
+++ b/internal/accounts/meter.go
@@ -155,8 +155,8 @@
 	})
 }
 
-// Reports are what the holder of a shard has to be told, of this life and of ended ones.
-func (m *Meter) Reports(shard int) []Report {
+// PendingReports are what the holder of a shard has to be told, of this life and of ended ones.
+func (m *Meter) PendingReports(shard int) []Report {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	var out []Report
--- a/internal/emulator/proxy.go
+++ b/internal/emulator/proxy.go
@@ -227,7 +227,7 @@
 		return
 	}
 	for shard := range p.world.Objectives.Shards {
-		for _, report := range p.meter.Reports(shard) {
+		for _, report := range p.meter.PendingReports(shard) {
 			p.report(life, report)
 		}
 	}
