--- a/internal/accounts/holder.go
+++ b/internal/accounts/holder.go
@@ -220,8 +220,8 @@
 	return maps.Clone(totals), age, ok
 }
 
-// Table is the standing of all tenants whose shards are held here, by name.
-func (h *Replica) Table(now time.Duration) []Standing {
+// Standings is the standing of all tenants whose shards are held here, by name.
+func (h *Replica) Standings(now time.Duration) []Standing {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	var out []Standing
--- a/internal/accounts/service.go
+++ b/internal/accounts/service.go
@@ -97,7 +97,7 @@
 	now := s.options.Now()
 	var sum Account
 	alarms := 0
-	standings := s.Table(now)
+	standings := s.Standings(now)
 	for _, standing := range standings {
 		sum = sum.Plus(Account{Taken: standing.Account.Taken, Settled: standing.Account.Settled, Doubled: standing.Account.Doubled})
 		if !standing.Budget.Alarm {
--- a/internal/accounts/snapshot.go
+++ b/internal/accounts/snapshot.go
@@ -18,7 +18,7 @@
 func (h *Replica) Snapshot(now time.Duration, at time.Time, tenant string) (Snapshot, error) {
 	out := Snapshot{At: at, Shards: h.Shards(now)}
 	if tenant == "" {
-		out.Standings = h.Table(now)
+		out.Standings = h.Standings(now)
 		return out, nil
 	}
 	standing, err := h.Standing(now, tenant)
