--- a/cmd/slateridge/accounts_test.go
+++ b/cmd/slateridge/accounts_test.go
@@ -44,7 +44,7 @@
 	client := &http.Client{Timeout: time.Second}
 	addresses := []string{"127.0.0.1:1", other, leader}
 	snapshot, err := gatherAccounts(client, addresses, "")
-	if err != nil || len(snapshot.Standings) != 1 || len(snapshot.Unheld()) != 0 {
+	if err != nil || len(snapshot.Standings) != 1 || len(snapshot.MissingShards()) != 0 {
 		t.Fatalf("%+v, %v", snapshot, err)
 	}
 	for want, format := range map[string]accountsCmd{"acme    10": {}, `"Tenant":"acme"`: {JSON: true}, "acme,10,10,": {CSV: true}} {
--- a/internal/accountreport/html.go
+++ b/internal/accountreport/html.go
@@ -56,7 +56,7 @@
 		return ErrTooFewSnapshots
 	}
 	last := snapshots[len(snapshots)-1]
-	p := page{From: snapshots[0].At, To: last.At, Unheld: last.Unheld()}
+	p := page{From: snapshots[0].At, To: last.At, Unheld: last.MissingShards()}
 	for _, standing := range last.Standings {
 		p.Tenants = append(p.Tenants, tenant(snapshots, standing))
 	}
--- a/internal/accountreport/report_test.go
+++ b/internal/accountreport/report_test.go
@@ -71,7 +71,7 @@
 	other := accounts.Snapshot{At: time.Unix(61, 0), Shards: []accounts.ShardState{{Shard: 0}, {Shard: 1, Leading: true}},
 		Standings: []accounts.Standing{{Tenant: "a", Shard: 1}, {Tenant: "stale", Shard: 0}}}
 	merged := accounts.MergeSnapshots([]accounts.Snapshot{snapshotAt(1), other})
-	if len(merged.Unheld()) != 0 || len(merged.Standings) != 2 {
+	if len(merged.MissingShards()) != 0 || len(merged.Standings) != 2 {
 		t.Fatalf("%+v", merged)
 	}
 	if _, ok := merged.Of("a"); !ok {
--- a/internal/accountreport/text.go
+++ b/internal/accountreport/text.go
@@ -25,7 +25,7 @@
 		fmt.Fprintf(t, "%d\t%d\t%s\t%s\t%.1f%%\t%.1f\t%.1f\t%s\t%s\n", s.Open, s.Account.Doubled, milliseconds(s.P50), milliseconds(s.P99),
 			100*s.Budget.Left, s.Budget.ShortBurn, s.Budget.LongBurn, s.Age.Round(time.Second), alarm(s))
 	}
-	if unheld := snapshot.Unheld(); len(unheld) > 0 {
+	if unheld := snapshot.MissingShards(); len(unheld) > 0 {
 		fmt.Fprintf(t, "INCOMPLETE: no machine that answered holds shards %v\n", unheld)
 	}
 	return t.Flush()
--- a/internal/accounts/snapshot.go
+++ b/internal/accounts/snapshot.go
@@ -75,9 +75,9 @@
 	return ShardState{Shard: number}
 }
 
-// Unheld are the shards of which no machine that answered has a total: the accounts of
+// MissingShards are the shards of which no machine that answered has a total: the accounts of
 // their tenants are missing from the snapshot.
-func (s Snapshot) Unheld() []int {
+func (s Snapshot) MissingShards() []int {
 	var out []int
 	for _, shard := range s.Shards {
 		if !shard.Leading {
