--- a/cmd/slateridge/accounts.go
+++ b/cmd/slateridge/accounts.go
@@ -150,7 +150,7 @@
 	if err != nil {
 		return err
 	}
-	standing, ok := snapshot.Of(tenant)
+	standing, ok := snapshot.Standing(tenant)
 	if !ok {
 		return errUnheldTenant
 	}
--- a/cmd/slateridge/whole_accounts_test.go
+++ b/cmd/slateridge/whole_accounts_test.go
@@ -134,7 +134,7 @@
 		if err != nil {
 			return err
 		}
-		standing, _ := snapshot.Of("acme")
+		standing, _ := snapshot.Standing("acme")
 		got := fmt.Sprint(standing.Account.Taken, standing.Account.Settled)
 		if want := "6 [2 2 1 1 0]"; got != want || len(snapshot.MissingShards()) > 0 {
 			return fmt.Errorf("the account is %s, should be %s; shards without a holder: %v", got, want, snapshot.MissingShards())
--- a/internal/accountreport/report_test.go
+++ b/internal/accountreport/report_test.go
@@ -74,10 +74,10 @@
 	if len(merged.MissingShards()) != 0 || len(merged.Standings) != 2 {
 		t.Fatalf("%+v", merged)
 	}
-	if _, ok := merged.Of("a"); !ok {
+	if _, ok := merged.Standing("a"); !ok {
 		t.Error("a is missing")
 	}
-	if _, ok := merged.Of("stale"); ok {
+	if _, ok := merged.Standing("stale"); ok {
 		t.Error("a total from a machine without the lease")
 	}
 }
--- a/internal/accounts/snapshot.go
+++ b/internal/accounts/snapshot.go
@@ -87,8 +87,8 @@
 	return out
 }
 
-// Of is a tenant's standing in the snapshot.
-func (s Snapshot) Of(tenant string) (Standing, bool) {
+// Standing is a tenant's standing in the snapshot.
+func (s Snapshot) Standing(tenant string) (Standing, bool) {
 	i, found := slices.BinarySearchFunc(s.Standings, tenant, func(standing Standing, name string) int { return cmp.Compare(standing.Tenant, name) })
 	if !found {
 		return Standing{}, false
@@ -107,8 +107,8 @@
 // Between is the difference of a tenant's accounts in two snapshots; false if either has
 // none, or the later one has less: it is of another deployment.
 func Between(from, to Snapshot, tenant string) (Interval, bool) {
-	a, okA := from.Of(tenant)
-	b, okB := to.Of(tenant)
+	a, okA := from.Standing(tenant)
+	b, okB := to.Standing(tenant)
 	if !okA || !okB || b.Account.Eligible() < a.Account.Eligible() || b.Account.Missed() < a.Account.Missed() {
 		return Interval{}, false
 	}
