--- a/internal/accountreport/html.go
+++ b/internal/accountreport/html.go
@@ -86,7 +86,7 @@
 		}
 		rate := between.Burn(standing.Objective)
 		out.Worst = max(out.Worst, rate)
-		out.Owed += between.Owed
+		out.Owed += between.Eligible
 		out.Missed += between.Missed
 		burn.values = append(burn.values, rate)
 		p50.values = append(p50.values, between.Latency.Quantile(0.5).Seconds()*1e3)
--- a/internal/accounts/snapshot.go
+++ b/internal/accounts/snapshot.go
@@ -99,7 +99,7 @@
 // Interval is what happened to a tenant between two snapshots.
 type Interval struct {
 	From, To time.Time
-	Owed     uint64
+	Eligible uint64
 	Missed   uint64
 	Latency  Sketch
 }
@@ -112,16 +112,16 @@
 	if !okA || !okB || b.Account.Eligible() < a.Account.Eligible() || b.Account.Missed() < a.Account.Missed() {
 		return Interval{}, false
 	}
-	return Interval{From: from.At, To: to.At, Owed: b.Account.Eligible() - a.Account.Eligible(), Missed: b.Account.Missed() - a.Account.Missed(),
+	return Interval{From: from.At, To: to.At, Eligible: b.Account.Eligible() - a.Account.Eligible(), Missed: b.Account.Missed() - a.Account.Missed(),
 		Latency: b.Account.Latency.minus(a.Account.Latency)}, true
 }
 
 // Burn is the interval's burn rate.
 func (i Interval) Burn(objective Objective) float64 {
-	if i.Owed == 0 {
+	if i.Eligible == 0 {
 		return 0
 	}
-	return float64(i.Missed) / float64(i.Owed) / (1 - objective.Target)
+	return float64(i.Missed) / float64(i.Eligible) / (1 - objective.Target)
 }
 
 // minus is what a sketch has more than an earlier state of it.
