--- a/internal/accountreport/html.go
+++ b/internal/accountreport/html.go
@@ -80,7 +80,7 @@
 	p50 := series{name: "p50", color: "#3060b0"}
 	p99 := series{name: "p99", color: "#b07030"}
 	for i := 1; i < len(snapshots); i++ {
-		between, ok := accounts.Between(snapshots[i-1], snapshots[i], standing.Tenant)
+		between, ok := accounts.NewInterval(snapshots[i-1], snapshots[i], standing.Tenant)
 		if !ok {
 			between = accounts.Interval{}
 		}
--- a/internal/accounts/snapshot.go
+++ b/internal/accounts/snapshot.go
@@ -104,9 +104,9 @@
 	Latency  Sketch
 }
 
-// Between is the difference of a tenant's accounts in two snapshots; false if either has
+// NewInterval is the difference of a tenant's accounts in two snapshots; false if either has
 // none, or the later one has less: it is of another deployment.
-func Between(from, to Snapshot, tenant string) (Interval, bool) {
+func NewInterval(from, to Snapshot, tenant string) (Interval, bool) {
 	a, okA := from.Standing(tenant)
 	b, okB := to.Standing(tenant)
 	if !okA || !okB || b.Account.Eligible() < a.Account.Eligible() || b.Account.Missed() < a.Account.Missed() {
