--- a/internal/accountreport/html.go
+++ b/internal/accountreport/html.go
@@ -84,7 +84,7 @@
 		if !ok {
 			between = accounts.Interval{}
 		}
-		rate := between.Burn(standing.Objective)
+		rate := between.BurnRate(standing.Objective)
 		out.Worst = max(out.Worst, rate)
 		out.Owed += between.Eligible
 		out.Missed += between.Missed
--- a/internal/accounts/snapshot.go
+++ b/internal/accounts/snapshot.go
@@ -116,8 +116,8 @@
 		Latency: b.Account.Latency.minus(a.Account.Latency)}, true
 }
 
-// Burn is the interval's burn rate.
-func (i Interval) Burn(objective Objective) float64 {
+// BurnRate is the interval's burn rate.
+func (i Interval) BurnRate(objective Objective) float64 {
 	if i.Eligible == 0 {
 		return 0
 	}
