--- a/internal/accounts/agent_test.go
+++ b/internal/accounts/agent_test.go
@@ -26,7 +26,7 @@
 		holder := NewReplica(name, objectives, DefaultCounterOptions, simnet.NewDisk(), true, 1, func(string, string) {})
 		p.services[name] = NewService(holder, ServiceOptions{Node: name, HoldsLease: func(int) bool { return name == "b" },
 			LeaseHolder: func(int) string { return "b" }, Replicas: func() []string { return []string{"a", "b"} },
-			Send: func(to string, message any) { p.services[to].Message(name, message) }, Now: func() time.Duration { return p.now }})
+			Send: func(to string, message any) { p.services[to].HandleMessage(name, message) }, Now: func() time.Duration { return p.now }})
 	}
 	p.pass(time.Second)
 	return p
@@ -44,7 +44,7 @@
 	if to == p.silent {
 		return ReportAck{}, errors.New("no answer")
 	}
-	answer, _ := p.services[to].Message("proxy", report)
+	answer, _ := p.services[to].HandleMessage("proxy", report)
 	return answer.(ReportAck), nil
 }
 
--- a/internal/accounts/service.go
+++ b/internal/accounts/service.go
@@ -55,8 +55,8 @@
 	}
 }
 
-// Message takes a message of another process; false if it is none of the accounts'.
-func (s *Service) Message(from string, message any) (answer any, mine bool) {
+// HandleMessage takes a message of another process; false if it is none of the accounts'.
+func (s *Service) HandleMessage(from string, message any) (answer any, mine bool) {
 	if report, ok := message.(Report); ok {
 		return s.report(report), true
 	}
--- a/internal/controlplane/daemon.go
+++ b/internal/controlplane/daemon.go
@@ -340,7 +340,7 @@
 // onMessage dispatches a message from another process and returns the reply, or nil.
 func (d *Daemon) onMessage(conn *transport.Conn, body any) any {
 	if d.accounts != nil {
-		if reply, handled := d.accounts.Message(conn.Remote, body); handled {
+		if reply, handled := d.accounts.HandleMessage(conn.Remote, body); handled {
 			return reply
 		}
 	}
