--- a/internal/accountreport/html.go
+++ b/internal/accountreport/html.go
@@ -15,10 +15,10 @@
 
 // Sizes of a plot, in pixels.
 const (
-	plotWidth   = 640
-	plotHeight  = 160
-	plotMargin  = 48
-	mostTenants = 50 // with plots, those that burn most first
+	plotWidth  = 640
+	plotHeight = 160
+	plotMargin = 48
+	maxTenants = 50 // with plots, those that burn most first
 )
 
 // ErrTooFewSnapshots is given where there is no span to plot.
@@ -28,12 +28,12 @@
 type page struct {
 	From, To time.Time
 	Unheld   []int
-	Tenants  []tenantPart
+	Tenants  []tenantSection
 	Others   int
 }
 
-// tenantPart is one tenant's part of the page.
-type tenantPart struct {
+// tenantSection is one tenant's part of the page.
+type tenantSection struct {
 	accounts.Standing
 	Owed, Missed uint64 // in the span
 	Worst        float64
@@ -58,9 +58,9 @@
 	last := snapshots[len(snapshots)-1]
 	p := page{From: snapshots[0].At, To: last.At, Unheld: last.MissingShards()}
 	for _, standing := range last.Standings {
-		p.Tenants = append(p.Tenants, tenant(snapshots, standing))
+		p.Tenants = append(p.Tenants, newTenantSection(snapshots, standing))
 	}
-	slices.SortStableFunc(p.Tenants, func(a, b tenantPart) int {
+	slices.SortStableFunc(p.Tenants, func(a, b tenantSection) int {
 		if a.Worst > b.Worst {
 			return -1
 		}
@@ -69,13 +69,13 @@
 		}
 		return 0
 	})
-	p.Others = max(0, len(p.Tenants)-mostTenants)
+	p.Others = max(0, len(p.Tenants)-maxTenants)
 	p.Tenants = p.Tenants[:len(p.Tenants)-p.Others]
 	return pageTemplate.Execute(w, p)
 }
 
-func tenant(snapshots []accounts.Snapshot, standing accounts.Standing) tenantPart {
-	out := tenantPart{Standing: standing}
+func newTenantSection(snapshots []accounts.Snapshot, standing accounts.Standing) tenantSection {
+	out := tenantSection{Standing: standing}
 	burn := series{name: "burn rate", color: "#b03030"}
 	p50 := series{name: "p50", color: "#3060b0"}
 	p99 := series{name: "p99", color: "#b07030"}
@@ -103,7 +103,7 @@
 	for _, line := range lines {
 		top = max(top, slices.Max(line.values))
 	}
-	top = niceTop(top)
+	top = axisMax(top)
 	y := func(v float64) float64 { return plotHeight - v/top*plotHeight + plotMargin/2 }
 	var out strings.Builder
 	fmt.Fprintf(&out, `<svg viewBox="0 0 %d %d" width="%d" role="img" aria-label="%s">`, plotWidth+2*plotMargin, plotHeight+plotMargin, plotWidth+2*plotMargin, title)
@@ -114,15 +114,15 @@
 	}
 	fmt.Fprintf(&out, `<line class="bound" x1="%d" y1="%.1f" x2="%d" y2="%.1f"/>`, plotMargin, y(bound), plotMargin+plotWidth, y(bound))
 	for i, line := range lines {
-		fmt.Fprintf(&out, `<polyline fill="none" stroke="%s" points="%s"/>`, line.color, points(line.values, y))
+		fmt.Fprintf(&out, `<polyline fill="none" stroke="%s" points="%s"/>`, line.color, stepPoints(line.values, y))
 		fmt.Fprintf(&out, `<text x="%d" y="14" fill="%s">%s</text>`, plotMargin+plotWidth-120+60*i, line.color, line.name)
 	}
 	out.WriteString(`</svg>`)
 	return template.HTML(out.String()) // names here are constants, all else are numbers
 }
 
-// points are the corners of a stepped line: a value holds for its whole interval.
-func points(values []float64, y func(float64) float64) string {
+// stepPoints are the corners of a stepped line: a value holds for its whole interval.
+func stepPoints(values []float64, y func(float64) float64) string {
 	var out []string
 	step := float64(plotWidth) / float64(len(values))
 	for i, v := range values {
@@ -131,8 +131,8 @@
 	return strings.Join(out, " ")
 }
 
-// niceTop is the next of 1, 2 and 5 times a power of ten.
-func niceTop(v float64) float64 {
+// axisMax is the next of 1, 2 and 5 times a power of ten.
+func axisMax(v float64) float64 {
 	if v <= 0 {
 		return 1
 	}
--- a/internal/accounts/account.go
+++ b/internal/accounts/account.go
@@ -90,8 +90,8 @@
 	return min(a.Eligible(), a.Settled[Late]+a.Settled[Lost]+a.Settled[Unknown]+a.Doubled)
 }
 
-// close settles what is open as unknown, once the life is over.
-func (a *Account) close() { a.Settled[Unknown] += a.Open() }
+// settleOpen settles what is open as unknown, once the life is over.
+func (a *Account) settleOpen() { a.Settled[Unknown] += a.Open() }
 
 // equal compares two states.
 func (a Account) equal(other Account) bool {
--- a/internal/accounts/accounts_test.go
+++ b/internal/accounts/accounts_test.go
@@ -76,7 +76,7 @@
 	overfull := packReport(0, Delta{Life: 9, Node: "p", To: 1, Cells: counter.Cells[string, Account]{"known": {Taken: 1, Doubled: 5}}})
 	bad := []Report{
 		change(func(r *Report) { r.Format = 2 }), change(func(r *Report) { r.Life = 0 }),
-		change(func(r *Report) { r.Node = "" }), change(func(r *Report) { r.Node = strings.Repeat("x", nameMax+1) }),
+		change(func(r *Report) { r.Node = "" }), change(func(r *Report) { r.Node = strings.Repeat("x", maxNameBytes+1) }),
 		change(func(r *Report) { r.Shard = 5 }), change(func(r *Report) { r.Shard = -1 }),
 		change(func(r *Report) { r.From = 9 }), change(func(r *Report) { r.Packed = r.Packed[:len(r.Packed)-1] }),
 		change(func(r *Report) { r.Packed = append(r.Packed, 0) }), change(func(r *Report) { r.Packed[0] = 200 }),
@@ -144,7 +144,7 @@
 	}
 	meter := NewMeter("proxy", 42, objectives, journal, nil)
 	for i := range 768 { // three of each name
-		meter.Begin(strings.Repeat("x", i%nameMax+1)).Success(time.Second)
+		meter.Begin(strings.Repeat("x", i%maxNameBytes+1)).Success(time.Second)
 	}
 	meter.Begin("known")
 	meter.PendingReports(0)
@@ -158,10 +158,10 @@
 		t.Fatal(err)
 	}
 	ended, problems := RecoverJournals(directory)
-	if len(ended) != 1 || len(problems) != 1 || len(ended[0].Accounts) != nameMax+1 || ended[0].SentVersions[0] != 1 {
+	if len(ended) != 1 || len(problems) != 1 || len(ended[0].Accounts) != maxNameBytes+1 || ended[0].SentVersions[0] != 1 {
 		t.Fatalf("%d lives, problems %v", len(ended), problems)
 	}
-	if left, _ := filepath.Glob(filepath.Join(directory, "*"+garbledSuffix)); len(left) != 1 {
+	if left, _ := filepath.Glob(filepath.Join(directory, "*"+malformedSuffix)); len(left) != 1 {
 		t.Errorf("the garbled file was not set aside: %v", left)
 	}
 	next := NewMeter("proxy", 43, objectives, nil, ended)
@@ -265,7 +265,7 @@
 func FuzzJournal(f *testing.F) {
 	content := make([]byte, headerSize+recordSize)
 	copy(content, journalMagic)
-	content[lifeOffset], content[shardsOffset], content[headerSize] = 1, 1, 1
+	content[incarnationOffset], content[shardsOffset], content[headerSize] = 1, 1, 1
 	f.Add(content)
 	f.Fuzz(func(t *testing.T, content []byte) {
 		life, err := parseJournal(content)
@@ -282,7 +282,7 @@
 
 // countingFile counts the writes to a journal, and refuses them when told to.
 type countingFile struct {
-	positionedFile
+	journalFile
 	writes int
 	full   bool
 }
@@ -292,7 +292,7 @@
 	if f.full {
 		return 0, syscall.ENOSPC
 	}
-	return f.positionedFile.WriteAt(content, offset)
+	return f.journalFile.WriteAt(content, offset)
 }
 
 // TestJournalWrites has a request cost at most two writes. On a full disk nothing is told
@@ -308,7 +308,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	file := &countingFile{positionedFile: journal.file}
+	file := &countingFile{journalFile: journal.file}
 	journal.file = file
 	meter := NewMeter("proxy", 42, objectives, journal, nil)
 	for range 10 {
--- a/internal/accounts/agent.go
+++ b/internal/accounts/agent.go
@@ -12,13 +12,13 @@
 // lease that has lapsed for a moment is held again by then.
 const RetryInterval = time.Second
 
-// mostRetryTurns bounds the time between attempts, in units of RetryEvery: a control plane
+// maxRetryTurns bounds the time between attempts, in units of RetryEvery: a control plane
 // that is slow because of its load is asked less often.
-const mostRetryTurns = 8
+const maxRetryTurns = 8
 
-// mostQuestions bounds those for one report: a holder that is lost, another machine that
+// maxReportAttempts bounds those for one report: a holder that is lost, another machine that
 // is lost with it, one that knows the new holder, and that one.
-const mostQuestions = 4
+const maxReportAttempts = 4
 
 // AgentOptions are what an agent needs of the proxy's process.
 type AgentOptions struct {
@@ -36,23 +36,23 @@
 	options AgentOptions
 	journal *FileJournal
 
-	mu      sync.Mutex
-	holders []string // by shard; empty: not known
-	asked   int      // control machines asked for holders, by turns
-	untold  []untold // by shard
+	mu          sync.Mutex
+	holders     []string     // by shard; empty: not known
+	nextControl int          // control machines asked for holders, by turns
+	retries     []retryState // by shard
 }
 
-// untold is what is known of reports that were not taken.
-type untold struct {
-	failures int // in a row
-	wait     int // calls of Retry until the next attempt
+// retryState is what is known of reports that were not taken.
+type retryState struct {
+	failures  int // in a row
+	turnsLeft int // calls of Retry until the next attempt
 }
 
 // NewAgent begins a new life. Journals of lives before it that cannot be read, and a
 // journal of its own that cannot be made, are noted; accounts are kept all the same.
 func NewAgent(options AgentOptions) *Agent {
 	life := counter.LifeID(rand.Uint64() | 1)
-	a := &Agent{options: options, holders: make([]string, options.Objectives.Shards), untold: make([]untold, options.Objectives.Shards)}
+	a := &Agent{options: options, holders: make([]string, options.Objectives.Shards), retries: make([]retryState, options.Objectives.Shards)}
 	directory := options.Objectives.JournalDir
 	if directory == "" {
 		a.Meter = NewMeter(options.Node, life, options.Objectives, nil, nil)
@@ -77,7 +77,7 @@
 // take as long as the questions do.
 func (a *Agent) SendReports() {
 	for shard := range a.options.Objectives.Shards {
-		a.tellShard(shard)
+		a.reportShard(shard)
 	}
 }
 
@@ -86,7 +86,7 @@
 func (a *Agent) RetryReports() {
 	for shard := range a.options.Objectives.Shards {
 		if a.retryDue(shard) {
-			a.tellShard(shard)
+			a.reportShard(shard)
 		}
 	}
 }
@@ -95,55 +95,55 @@
 func (a *Agent) retryDue(shard int) bool {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	state := &a.untold[shard]
+	state := &a.retries[shard]
 	if state.failures == 0 {
 		return false
 	}
-	state.wait--
-	return state.wait <= 0
+	state.turnsLeft--
+	return state.turnsLeft <= 0
 }
 
-// tellShard tells all that the shard's holder lacks. A new holder that lacks what its
+// reportShard tells all that the shard's holder lacks. A new holder that lacks what its
 // predecessor had heard says so in its answer, and is told from there at once.
-func (a *Agent) tellShard(shard int) {
-	told := a.tellAll(shard)
+func (a *Agent) reportShard(shard int) {
+	told := a.sendPending(shard)
 	if !told {
-		told = a.tellAll(shard)
+		told = a.sendPending(shard)
 	}
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	state := &a.untold[shard]
+	state := &a.retries[shard]
 	if told {
-		*state = untold{}
+		*state = retryState{}
 		return
 	}
 	state.failures++
-	state.wait = min(1<<min(state.failures-1, mostRetryTurns), mostRetryTurns)
+	state.turnsLeft = min(1<<min(state.failures-1, maxRetryTurns), maxRetryTurns)
 }
 
-func (a *Agent) tellAll(shard int) bool {
+func (a *Agent) sendPending(shard int) bool {
 	told := true
 	for _, report := range a.PendingReports(shard) {
-		told = a.tell(report) && told
+		told = a.send(report) && told
 	}
 	return told
 }
 
-// tell asks the holder known, and then those that answers name, or others by turns; false
+// send asks the holder known, and then those that answers name, or others by turns; false
 // if none has heard all of the report.
-func (a *Agent) tell(report Report) bool {
-	for range mostQuestions {
-		to := a.holder(report.Shard)
+func (a *Agent) send(report Report) bool {
+	for range maxReportAttempts {
+		to := a.reportTarget(report.Shard)
 		if to == "" {
 			return false
 		}
 		ack, err := a.options.SendReport(to, report)
 		if err != nil {
-			a.forget(to)
+			a.forgetHolder(to)
 			continue
 		}
 		if ack.Refused == "" {
-			a.finish(a.Acknowledge(ack))
+			a.removeJournals(a.Acknowledge(ack))
 			return ack.Ack.Heard >= report.To
 		}
 		if ack.Holder == "" || ack.Holder == to {
@@ -158,8 +158,8 @@
 	return false
 }
 
-// holder is whom to ask for a shard: its holder, or any control machine by turns.
-func (a *Agent) holder(shard int) string {
+// reportTarget is whom to ask for a shard: its reportTarget, or any control machine by turns.
+func (a *Agent) reportTarget(shard int) string {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	if a.holders[shard] != "" {
@@ -168,8 +168,8 @@
 	if len(a.options.ControlNodes) == 0 {
 		return ""
 	}
-	a.asked++
-	return a.options.ControlNodes[a.asked%len(a.options.ControlNodes)]
+	a.nextControl++
+	return a.options.ControlNodes[a.nextControl%len(a.options.ControlNodes)]
 }
 
 func (a *Agent) setHolder(shard int, holder string) {
@@ -178,9 +178,9 @@
 	a.holders[shard] = holder
 }
 
-// forget takes a machine that did not answer for the holder of no shard any more, so that
+// forgetHolder takes a machine that did not answer for the holder of no shard any more, so that
 // not each shard's report has to wait for it anew.
-func (a *Agent) forget(machine string) {
+func (a *Agent) forgetHolder(machine string) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	for shard, holder := range a.holders {
@@ -190,8 +190,8 @@
 	}
 }
 
-// finish deletes the journals of lives that majorities hold whole.
-func (a *Agent) finish(lives []counter.LifeID) {
+// removeJournals deletes the journals of lives that majorities hold whole.
+func (a *Agent) removeJournals(lives []counter.LifeID) {
 	for _, life := range lives {
 		if err := RemoveJournal(a.options.Objectives.JournalDir, life); err != nil {
 			a.options.RecordEvent("account_journal", err.Error())
--- a/internal/accounts/journal.go
+++ b/internal/accounts/journal.go
@@ -15,36 +15,36 @@
 // Layout of a journal file, in bytes. What a process has written there outlasts its end in
 // the page cache, though not the loss of the machine: nothing is synced.
 const (
-	journalMagic   = "SLTACC01"
-	headerSize     = 4096
-	lifeOffset     = 8
-	shardsOffset   = 16
-	toldOffset     = 1024 // versions told, by shard
-	recordSize     = 512
-	nameOffset     = 2 // after the length of the name
-	countersOffset = 264
-	countersSize   = 8 * (1 + int(outcomeCount) + 1)
+	journalMagic      = "SLTACC01"
+	headerSize        = 4096
+	incarnationOffset = 8
+	shardsOffset      = 16
+	sentOffset        = 1024 // versions told, by shard
+	recordSize        = 512
+	nameOffset        = 2 // after the length of the name
+	countersOffset    = 264
+	countersSize      = 8 * (1 + int(outcomeCount) + 1)
 )
 
 const (
-	journalPattern = "accounts-*.journal"
-	garbledSuffix  = ".garbled"
+	journalPattern  = "accounts-*.journal"
+	malformedSuffix = ".garbled"
 )
 
 // FileJournal is the journal of the running process. Each change is one positioned write
 // of the part that changed. A tenant's record is valid once its whole has been written:
 // it is one write, and a file that ends within a record ends before it.
 type FileJournal struct {
-	file    positionedFile
-	records map[string]int // offsets by tenant
-	used    int
-	scratch [recordSize]byte // of the write under way
-	failed  bool
-	note    func(error) // told of the first of writes that fail in a row
+	file        journalFile
+	records     map[string]int // offsets by tenant
+	recordCount int
+	scratch     [recordSize]byte // of the write under way
+	writeFailed bool
+	onError     func(error) // told of the first of writes that fail in a row
 }
 
-// positionedFile is what a journal needs of its file.
-type positionedFile interface {
+// journalFile is what a journal needs of its file.
+type journalFile interface {
 	io.WriterAt
 	io.Closer
 }
@@ -52,8 +52,8 @@
 // CreateJournal makes the journal of a new life in a directory. Note is told of writes
 // that fail.
 func CreateJournal(directory string, life counter.LifeID, shards int, note func(error)) (*FileJournal, error) {
-	if shards > mostShards {
-		return nil, fmt.Errorf("journal: %d shards, at most %d", shards, mostShards)
+	if shards > maxShards {
+		return nil, fmt.Errorf("journal: %d shards, at most %d", shards, maxShards)
 	}
 	file, err := os.OpenFile(journalPath(directory, life), os.O_RDWR|os.O_CREATE|os.O_EXCL, 0o600)
 	if err != nil {
@@ -61,24 +61,24 @@
 	}
 	header := make([]byte, headerSize)
 	copy(header, journalMagic)
-	binary.LittleEndian.PutUint64(header[lifeOffset:], uint64(life))
+	binary.LittleEndian.PutUint64(header[incarnationOffset:], uint64(life))
 	binary.LittleEndian.PutUint64(header[shardsOffset:], uint64(shards))
-	err = lock(file)
+	err = lockFile(file)
 	if err == nil {
 		_, err = file.WriteAt(header, 0)
 	}
 	if err != nil {
 		return nil, errors.Join(fmt.Errorf("journal: %w", err), file.Close(), os.Remove(file.Name()))
 	}
-	return &FileJournal{file: file, records: map[string]int{}, note: note}, nil
+	return &FileJournal{file: file, records: map[string]int{}, onError: note}, nil
 }
 
 func journalPath(directory string, life counter.LifeID) string {
 	return filepath.Join(directory, fmt.Sprintf("accounts-%016x.journal", uint64(life)))
 }
 
-// lock marks a file as one that a process is writing; it ends with the process.
-func lock(file *os.File) error {
+// lockFile marks a file as one that a process is writing; it ends with the process.
+func lockFile(file *os.File) error {
 	return syscall.Flock(int(file.Fd()), syscall.LOCK_EX|syscall.LOCK_NB)
 }
 
@@ -96,10 +96,10 @@
 	binary.LittleEndian.PutUint16(record, uint16(len(tenant)))
 	copy(record[nameOffset:countersOffset], tenant)
 	appendCounters(record[countersOffset:countersOffset], a)
-	offset = headerSize + j.used*recordSize
+	offset = headerSize + j.recordCount*recordSize
 	if j.write(record, offset) {
 		j.records[tenant] = offset
-		j.used++
+		j.recordCount++
 	}
 }
 
@@ -115,16 +115,16 @@
 // write writes at an offset; false if that failed.
 func (j *FileJournal) write(content []byte, offset int) bool {
 	_, err := j.file.WriteAt(content, int64(offset))
-	if err != nil && !j.failed {
-		j.note(fmt.Errorf("journal: %w", err))
+	if err != nil && !j.writeFailed {
+		j.onError(fmt.Errorf("journal: %w", err))
 	}
-	j.failed = err != nil
+	j.writeFailed = err != nil
 	return err == nil
 }
 
 // RecordSent implements Journal.
 func (j *FileJournal) RecordSent(shard int, version uint64) bool {
-	return j.write(binary.LittleEndian.AppendUint64(j.scratch[:0], version), toldOffset+8*shard)
+	return j.write(binary.LittleEndian.AppendUint64(j.scratch[:0], version), sentOffset+8*shard)
 }
 
 // Close ends the use of the journal; the file stays for the next process.
@@ -143,7 +143,7 @@
 		switch {
 		case running:
 		case err != nil:
-			problems = append(problems, errors.Join(fmt.Errorf("journal %s: %w", path, err), os.Rename(path, path+garbledSuffix)))
+			problems = append(problems, errors.Join(fmt.Errorf("journal %s: %w", path, err), os.Rename(path, path+malformedSuffix)))
 		default:
 			ended = append(ended, life)
 		}
@@ -157,7 +157,7 @@
 		return EndedIncarnation{}, false, err
 	}
 	defer file.Close()
-	if lock(file) != nil {
+	if lockFile(file) != nil {
 		return EndedIncarnation{}, true, nil
 	}
 	raw, err := os.ReadFile(path)
@@ -173,20 +173,20 @@
 	if len(raw) < headerSize || string(raw[:len(journalMagic)]) != journalMagic {
 		return EndedIncarnation{}, ErrUnsupportedFormat
 	}
-	life := EndedIncarnation{Incarnation: counter.LifeID(binary.LittleEndian.Uint64(raw[lifeOffset:])), Accounts: map[string]Account{}}
+	life := EndedIncarnation{Incarnation: counter.LifeID(binary.LittleEndian.Uint64(raw[incarnationOffset:])), Accounts: map[string]Account{}}
 	shards := binary.LittleEndian.Uint64(raw[shardsOffset:])
-	if life.Incarnation == 0 || shards == 0 || shards > mostShards {
+	if life.Incarnation == 0 || shards == 0 || shards > maxShards {
 		return EndedIncarnation{}, ErrMalformed
 	}
 	for shard := range int(shards) {
-		life.SentVersions = append(life.SentVersions, binary.LittleEndian.Uint64(raw[toldOffset+8*shard:]))
+		life.SentVersions = append(life.SentVersions, binary.LittleEndian.Uint64(raw[sentOffset+8*shard:]))
 	}
 	for record := raw[headerSize:]; len(record) >= recordSize; record = record[recordSize:] {
 		length := int(binary.LittleEndian.Uint16(record))
 		if length == 0 {
 			break
 		}
-		if length > nameMax {
+		if length > maxNameBytes {
 			return EndedIncarnation{}, ErrMalformed
 		}
 		account, err := parseCounters(record[countersOffset:])
@@ -203,10 +203,10 @@
 	settled := uint64(0)
 	for i := range a.Settled {
 		a.Settled[i] = binary.LittleEndian.Uint64(raw[8*(i+1):])
-		settled += min(a.Settled[i], countMax+1)
+		settled += min(a.Settled[i], maxCount+1)
 	}
 	a.Doubled = binary.LittleEndian.Uint64(raw[8*(len(a.Settled)+1):])
-	if a.Taken > countMax || settled > a.Taken || a.Doubled > a.Taken {
+	if a.Taken > maxCount || settled > a.Taken || a.Doubled > a.Taken {
 		return Account{}, ErrMalformed
 	}
 	return a, nil
--- a/internal/accounts/meter.go
+++ b/internal/accounts/meter.go
@@ -36,8 +36,8 @@
 
 // endedWriters tell of a life that is over; a shard in which it had nothing has no writer.
 type endedWriters struct {
-	life   counter.LifeID
-	shards []*counter.Writer[string, Account]
+	incarnation counter.LifeID
+	shards      []*counter.Writer[string, Account]
 }
 
 // NewMeter makes the meter of a new life; journal may be nil. Ended are the lives that
@@ -48,21 +48,21 @@
 		m.current = append(m.current, counter.NewWriter[string, Account](node, life))
 	}
 	for _, e := range ended {
-		m.ended = append(m.ended, recoverLife(node, objectives.Shards, e))
+		m.ended = append(m.ended, recoverWriters(node, objectives.Shards, e))
 	}
 	return m
 }
 
-func recoverLife(node string, shards int, ended EndedIncarnation) *endedWriters {
+func recoverWriters(node string, shards int, ended EndedIncarnation) *endedWriters {
 	cells := make([]counter.Cells[string, Account], shards)
 	for i := range cells {
 		cells[i] = counter.Cells[string, Account]{}
 	}
 	for tenant, account := range ended.Accounts {
-		account.close()
+		account.settleOpen()
 		cells[ShardOf(tenant, shards)][tenant] = account
 	}
-	out := &endedWriters{life: ended.Incarnation, shards: make([]*counter.Writer[string, Account], shards)}
+	out := &endedWriters{incarnation: ended.Incarnation, shards: make([]*counter.Writer[string, Account], shards)}
 	for shard := range shards {
 		told := uint64(0)
 		if shard < len(ended.SentVersions) {
@@ -77,11 +77,11 @@
 
 // Request is one request under way. A nil request is one that is not accounted for.
 type Request struct {
-	meter   *Meter
-	tenant  string
-	bound   time.Duration
-	settled bool
-	doubled bool
+	meter        *Meter
+	tenant       string
+	latencyLimit time.Duration
+	settled      bool
+	doubled      bool
 }
 
 // Begin notes a request that was taken from a client; nil if the tenant has no objective.
@@ -94,7 +94,7 @@
 		return nil
 	}
 	m.update(tenant, func(a *Account) { a.Taken++ })
-	return &Request{meter: m, tenant: tenant, bound: objective.Latency}
+	return &Request{meter: m, tenant: tenant, latencyLimit: objective.Latency}
 }
 
 // Success settles a request whose answer was written whole, by its latency. Only the
@@ -104,7 +104,7 @@
 		return
 	}
 	outcome := OnTime
-	if latency > r.bound {
+	if latency > r.latencyLimit {
 		outcome = Late
 	}
 	r.settle(func(a *Account) {
@@ -193,11 +193,11 @@
 	}
 	left := m.ended[:0]
 	for _, ended := range m.ended {
-		if uint64(ended.life) == ack.Life && ended.shards[ack.Shard] != nil {
+		if uint64(ended.incarnation) == ack.Life && ended.shards[ack.Shard] != nil {
 			ended.shards[ack.Shard].Acknowledge(ack.Ack)
 		}
 		if ended.finished() {
-			finished = append(finished, ended.life)
+			finished = append(finished, ended.incarnation)
 		} else {
 			left = append(left, ended)
 		}
--- a/internal/accounts/objectives.go
+++ b/internal/accounts/objectives.go
@@ -12,19 +12,19 @@
 
 // Bounds of an objective.
 const (
-	leastTarget    = 0.5                 // a lower share is a mistake in writing
-	longestBound   = 10 * time.Minute    // of a latency, as the sketch records it
-	shortestWindow = time.Hour           // the long window of the burn rate
-	longestWindow  = 90 * 24 * time.Hour // a quarter of a year
-	defaultShards  = 16
-	mostShards     = 256
+	minTarget        = 0.5                 // a lower share is a mistake in writing
+	maxLatencyTarget = 10 * time.Minute    // of a latency, as the sketch records it
+	minWindow        = time.Hour           // the long window of the burn rate
+	maxWindow        = 90 * 24 * time.Hour // a quarter of a year
+	defaultShards    = 16
+	maxShards        = 256
 )
 
 // EnvFile names the variable that holds the settings file's path.
 const EnvFile = "SLATERIDGE_OBJECTIVES_FILE"
 
-// objectivesVersion is that of the settings file's format.
-const objectivesVersion = 1
+// objectivesFileVersion is that of the settings file's format.
+const objectivesFileVersion = 1
 
 // Objective is what a tenant may expect: the share Target of its requests succeeds within
 // Latency, reckoned over Window.
@@ -42,7 +42,7 @@
 	// empty disks. Otherwise an empty disk has lost what it held.
 	Founding bool
 	tenants  map[string]Objective
-	other    *Objective // of tenants that are not named; nil: they have none
+	fallback *Objective // of tenants that are not named; nil: they have none
 }
 
 // Lookup is a tenant's objective, if it has one.
@@ -50,27 +50,27 @@
 	if objective, ok := o.tenants[tenant]; ok {
 		return objective, true
 	}
-	if o.other == nil || tenant == "" || len(tenant) > nameMax {
+	if o.fallback == nil || tenant == "" || len(tenant) > maxNameBytes {
 		return Objective{}, false
 	}
-	return *o.other, true
+	return *o.fallback, true
 }
 
 // NamedTenants are the tenants that the file names.
 func (o *Objectives) NamedTenants() int { return len(o.tenants) }
 
-// file is the settings file as it is written.
-type file struct {
-	Version  int                      `json:"version"`
-	Shards   int                      `json:"shards"`
-	Journal  string                   `json:"journalDirectory"`
-	Founding bool                     `json:"founding"`
-	Classes  map[string]fileObjective `json:"classes"`
-	Tenants  map[string]string        `json:"tenants"`
-	Default  string                   `json:"defaultClass"`
+// objectivesFile is the settings objectivesFile as it is written.
+type objectivesFile struct {
+	Version  int                       `json:"version"`
+	Shards   int                       `json:"shards"`
+	Journal  string                    `json:"journalDirectory"`
+	Founding bool                      `json:"founding"`
+	Classes  map[string]objectiveClass `json:"classes"`
+	Tenants  map[string]string         `json:"tenants"`
+	Default  string                    `json:"defaultClass"`
 }
 
-type fileObjective struct {
+type objectiveClass struct {
 	Target  float64 `json:"target"`
 	Latency string  `json:"latency"`
 	Window  string  `json:"window"`
@@ -97,29 +97,29 @@
 
 // ParseObjectives reads and checks the content of a settings file.
 func ParseObjectives(raw []byte) (*Objectives, error) {
-	var f file
+	var f objectivesFile
 	decoder := json.NewDecoder(bytes.NewReader(raw))
 	decoder.DisallowUnknownFields()
 	if err := decoder.Decode(&f); err != nil {
 		return nil, err
 	}
-	if f.Version != objectivesVersion {
-		return nil, fmt.Errorf("version is %d, must be %d", f.Version, objectivesVersion)
+	if f.Version != objectivesFileVersion {
+		return nil, fmt.Errorf("version is %d, must be %d", f.Version, objectivesFileVersion)
 	}
 	if f.Shards == 0 {
 		f.Shards = defaultShards
 	}
-	if f.Shards < 1 || f.Shards > mostShards {
-		return nil, fmt.Errorf("shards is %d, must be 1 to %d", f.Shards, mostShards)
+	if f.Shards < 1 || f.Shards > maxShards {
+		return nil, fmt.Errorf("shards is %d, must be 1 to %d", f.Shards, maxShards)
 	}
-	return f.objectives()
+	return f.build()
 }
 
-func (f file) objectives() (*Objectives, error) {
+func (f objectivesFile) build() (*Objectives, error) {
 	out := &Objectives{Shards: f.Shards, JournalDir: f.Journal, Founding: f.Founding, tenants: map[string]Objective{}}
 	classes := map[string]Objective{}
 	for name, written := range f.Classes {
-		objective, err := written.check()
+		objective, err := written.parse()
 		if err != nil {
 			return nil, fmt.Errorf("class %q: %w", name, err)
 		}
@@ -130,8 +130,8 @@
 		if !ok {
 			return nil, fmt.Errorf("tenant %q: there is no class %q", tenant, class)
 		}
-		if tenant == "" || len(tenant) > nameMax {
-			return nil, fmt.Errorf("tenant %.20q: a name has 1 to %d bytes", tenant, nameMax)
+		if tenant == "" || len(tenant) > maxNameBytes {
+			return nil, fmt.Errorf("tenant %.20q: a name has 1 to %d bytes", tenant, maxNameBytes)
 		}
 		out.tenants[tenant] = objective
 	}
@@ -140,25 +140,25 @@
 		if !ok {
 			return nil, fmt.Errorf("defaultClass: there is no class %q", f.Default)
 		}
-		out.other = &objective
+		out.fallback = &objective
 	}
-	if len(out.tenants) == 0 && out.other == nil {
+	if len(out.tenants) == 0 && out.fallback == nil {
 		return nil, errors.New("no tenant has an objective: leave the file away")
 	}
 	return out, nil
 }
 
-func (w fileObjective) check() (Objective, error) {
-	if !(w.Target >= leastTarget && w.Target < 1) {
-		return Objective{}, fmt.Errorf("target is %v, must be at least %v and under 1", w.Target, leastTarget)
+func (w objectiveClass) parse() (Objective, error) {
+	if !(w.Target >= minTarget && w.Target < 1) {
+		return Objective{}, fmt.Errorf("target is %v, must be at least %v and under 1", w.Target, minTarget)
 	}
 	latency, err := time.ParseDuration(w.Latency)
-	if err != nil || latency <= 0 || latency > longestBound {
-		return Objective{}, fmt.Errorf("latency is %q, must be a time such as 250ms, at most %v", w.Latency, longestBound)
+	if err != nil || latency <= 0 || latency > maxLatencyTarget {
+		return Objective{}, fmt.Errorf("latency is %q, must be a time such as 250ms, at most %v", w.Latency, maxLatencyTarget)
 	}
 	window, err := time.ParseDuration(w.Window)
-	if err != nil || window < shortestWindow || window > longestWindow {
-		return Objective{}, fmt.Errorf("window is %q, must be a time such as 720h, from %v to %v", w.Window, shortestWindow, longestWindow)
+	if err != nil || window < minWindow || window > maxWindow {
+		return Objective{}, fmt.Errorf("window is %q, must be a time such as 720h, from %v to %v", w.Window, minWindow, maxWindow)
 	}
 	return Objective{w.Target, latency, window}, nil
 }
--- a/internal/accounts/replica.go
+++ b/internal/accounts/replica.go
@@ -15,12 +15,12 @@
 
 // Times and sizes of a shard's replication.
 const (
-	roundEvery  = 5 * time.Second        // a total is so much older at most than what proxies have told
-	resendAfter = 600 * time.Millisecond // two round trips between regions and a slow disk's sync
-	foldEvery   = 10 * time.Minute       // ended lives are few, and a base is a large message
-	foldAtMost  = 500                    // lives in one base more than in the one before
-	cellsAtOnce = 20_000                 // accounts in one message: under 2 MB
-	savesAtOnce = 24                     // rounds on disk between two writings of the whole: two minutes
+	roundInterval             = 5 * time.Second        // a total is so much older at most than what proxies have told
+	resendTimeout             = 600 * time.Millisecond // two round trips between regions and a slow disk's sync
+	compactionInterval        = 10 * time.Minute       // ended lives are few, and a base is a large message
+	incarnationsPerCompaction = 500                    // lives in one base more than in the one before
+	maxCellsPerMessage        = 20_000                 // accounts in one message: under 2 MB
+	maxIncrementalSaves       = 24                     // rounds on disk between two writings of the whole: two minutes
 )
 
 // ReportInterval is the time between a proxy's reports. A proxy that is lost together with its
@@ -28,18 +28,18 @@
 const ReportInterval = 25 * time.Second
 
 // DefaultCounterOptions are those of a deployment.
-var DefaultCounterOptions = counter.Options{RoundEvery: roundEvery, ResendAfter: resendAfter, FoldEvery: foldEvery,
-	FoldAtMost: foldAtMost, CellsAtOnce: cellsAtOnce, SavesAtOnce: savesAtOnce}
+var DefaultCounterOptions = counter.Options{RoundEvery: roundInterval, ResendAfter: resendTimeout, FoldEvery: compactionInterval,
+	FoldAtMost: incarnationsPerCompaction, CellsAtOnce: maxCellsPerMessage, SavesAtOnce: maxIncrementalSaves}
 
 // Replica is a control machine's part in keeping the accounts: a replica of every shard,
 // and the totals of the shards whose leases it holds.
 type Replica struct {
-	mu         sync.Mutex
-	objectives *Objectives
-	groups     []*Group
-	histories  []map[string]*history
-	sampledAt  time.Duration
-	note       func(kind, about string)
+	mu          sync.Mutex
+	objectives  *Objectives
+	groups      []*Group
+	histories   []map[string]*history
+	sampledAt   time.Duration
+	recordEvent func(kind, about string)
 
 	refusedReports uint64 // reports
 }
@@ -47,7 +47,7 @@
 // NewReplica takes up what the machine's disk holds. Note is told, in one line, of every
 // report that is refused; founding and start are as for counter.NewGroup.
 func NewReplica(machine string, objectives *Objectives, options counter.Options, store counter.Store, founding bool, start uint64, note func(kind, about string)) *Replica {
-	h := &Replica{objectives: objectives, note: note}
+	h := &Replica{objectives: objectives, recordEvent: note}
 	for shard := range objectives.Shards {
 		h.groups = append(h.groups, counter.NewGroup[string, Account](shard, machine, options, store, founding, start))
 		h.histories = append(h.histories, map[string]*history{})
@@ -60,19 +60,19 @@
 func (h *Replica) HandleReport(report Report, leads bool) ReportAck {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	ack, err := h.take(report, leads)
+	ack, err := h.mergeReport(report, leads)
 	out := ReportAck{Shard: report.Shard, Life: report.Life, Ack: ack}
 	if err != nil {
 		out.Refused = err.Error()
 		if !errors.Is(err, ErrNotHolder) {
 			h.refusedReports++
-			h.note("account_refused", report.Node+": "+err.Error())
+			h.recordEvent("account_refused", report.Node+": "+err.Error())
 		}
 	}
 	return out
 }
 
-func (h *Replica) take(report Report, leads bool) (counter.Ack, error) {
+func (h *Replica) mergeReport(report Report, leads bool) (counter.Ack, error) {
 	delta, err := unpackReport(report, len(h.groups))
 	if err != nil {
 		return counter.Ack{}, err
@@ -102,16 +102,16 @@
 	for shard, group := range h.groups {
 		out = append(out, group.Tick(now, leads(shard), replicas)...)
 	}
-	if now-h.sampledAt >= sampleEvery {
+	if now-h.sampledAt >= sampleInterval {
 		h.sampledAt = now
-		h.sampleAll(now)
+		h.sampleHistories(now)
 	}
 	return out
 }
 
-// sampleAll notes the figures of the shards held here. A shard that is no longer held
+// sampleHistories notes the figures of the shards held here. A shard that is no longer held
 // loses its history: its new holder knows what is newer.
-func (h *Replica) sampleAll(now time.Duration) {
+func (h *Replica) sampleHistories(now time.Duration) {
 	for shard, group := range h.groups {
 		totals, _, ok := group.Totals(now)
 		if !ok {
@@ -135,7 +135,7 @@
 func (h *Replica) Receive(from string, message any) []counter.Send {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	shard, ok := shardOf(message)
+	shard, ok := messageShard(message)
 	if !ok || shard < 0 || shard >= len(h.groups) {
 		return nil
 	}
@@ -155,8 +155,8 @@
 	Replicated = counter.Replicated
 )
 
-// shardOf is the shard that a message of the replication is about.
-func shardOf(message any) (shard int, ok bool) {
+// messageShard is the shard that a message of the replication is about.
+func messageShard(message any) (shard int, ok bool) {
 	switch m := message.(type) {
 	case Prepare:
 		return m.Group, true
@@ -197,10 +197,10 @@
 	if !ok {
 		return Standing{}, ErrNotHolder
 	}
-	return h.standing(now, age, shard, tenant, totals[tenant], objective), nil
+	return h.newStanding(now, age, shard, tenant, totals[tenant], objective), nil
 }
 
-func (h *Replica) standing(now, age time.Duration, shard int, tenant string, account Account, objective Objective) Standing {
+func (h *Replica) newStanding(now, age time.Duration, shard int, tenant string, account Account, objective Objective) Standing {
 	out := Standing{Tenant: tenant, Shard: shard, Objective: objective, Account: account, Open: account.Open(), Age: age,
 		P50: account.Latency.Quantile(0.5), P99: account.Latency.Quantile(0.99)}
 	past := h.histories[shard][tenant]
@@ -229,7 +229,7 @@
 		totals, age, _ := group.Totals(now)
 		for tenant, account := range totals {
 			if objective, ok := h.objectives.Lookup(tenant); ok {
-				out = append(out, h.standing(now, age, shard, tenant, account, objective))
+				out = append(out, h.newStanding(now, age, shard, tenant, account, objective))
 			}
 		}
 	}
--- a/internal/accounts/service.go
+++ b/internal/accounts/service.go
@@ -16,8 +16,8 @@
 // TickInterval is the step of a control machine's service.
 const TickInterval = 200 * time.Millisecond
 
-// mostMetricTenants bounds the tenants that have metrics of their own: those in alarm.
-const mostMetricTenants = 100
+// maxMetricTenants bounds the tenants that have metrics of their own: those in alarm.
+const maxMetricTenants = 100
 
 // ServiceOptions are what a service needs of the control machine's process.
 type ServiceOptions struct {
@@ -46,10 +46,10 @@
 
 // Step advances the holder; it is called every TickEvery.
 func (s *Service) Step() {
-	s.send(s.Tick(s.options.Now(), s.options.HoldsLease, s.options.Replicas()))
+	s.sendAll(s.Tick(s.options.Now(), s.options.HoldsLease, s.options.Replicas()))
 }
 
-func (s *Service) send(out []counter.Send) {
+func (s *Service) sendAll(out []counter.Send) {
 	for _, send := range out {
 		s.options.Send(send.To, send.Message)
 	}
@@ -58,16 +58,16 @@
 // HandleMessage takes a message of another process; false if it is none of the accounts'.
 func (s *Service) HandleMessage(from string, message any) (answer any, mine bool) {
 	if report, ok := message.(Report); ok {
-		return s.report(report), true
+		return s.handleReport(report), true
 	}
-	if _, ok := shardOf(message); !ok {
+	if _, ok := messageShard(message); !ok {
 		return nil, false
 	}
-	s.send(s.Receive(from, message))
+	s.sendAll(s.Receive(from, message))
 	return nil, true
 }
 
-func (s *Service) report(report Report) ReportAck {
+func (s *Service) handleReport(report Report) ReportAck {
 	inRange := report.Shard >= 0 && report.Shard < s.objectives.Shards
 	ack := s.HandleReport(report, inRange && s.options.HoldsLease(report.Shard))
 	if ack.Refused == ErrNotHolder.Error() {
@@ -103,7 +103,7 @@
 		if !standing.Budget.Alarm {
 			continue
 		}
-		if alarms++; alarms <= mostMetricTenants {
+		if alarms++; alarms <= maxMetricTenants {
 			label := fmt.Sprintf("{tenant=%q}", standing.Tenant)
 			metrics.WriteGaugeFloat64(w, "slateridge_accounts_burn_short"+label, standing.Budget.ShortBurn)
 			metrics.WriteGaugeFloat64(w, "slateridge_accounts_burn_long"+label, standing.Budget.LongBurn)
--- a/internal/accounts/sketch.go
+++ b/internal/accounts/sketch.go
@@ -12,8 +12,8 @@
 
 // Latencies outside these bounds are recorded as the bound.
 const (
-	shortestLatency = 100 * time.Microsecond
-	longestLatency  = 10 * time.Minute
+	minRecordedLatency = 100 * time.Microsecond
+	maxRecordedLatency = 10 * time.Minute
 )
 
 // latencyMapping assigns latencies to bins whose bounds grow by a constant factor.
@@ -39,7 +39,7 @@
 
 // Observe adds a latency.
 func (s *Sketch) Observe(latency time.Duration) {
-	latency = min(max(latency, shortestLatency), longestLatency)
+	latency = min(max(latency, minRecordedLatency), maxRecordedLatency)
 	index := int32(latencyMapping.Index(latency.Seconds()))
 	at, found := slices.BinarySearchFunc(*s, index, func(b Bin, index int32) int { return int(b.Index) - int(index) })
 	if !found {
--- a/internal/accounts/snapshot.go
+++ b/internal/accounts/snapshot.go
@@ -40,13 +40,13 @@
 		}
 		for _, shard := range part.Shards {
 			best, known := leaders[shard.Shard]
-			if !known || better(shard, parts[best].shard(shard.Shard)) {
+			if !known || preferred(shard, parts[best].shardState(shard.Shard)) {
 				leaders[shard.Shard] = i
 			}
 		}
 	}
 	for shard, i := range leaders {
-		out.Shards = append(out.Shards, parts[i].shard(shard))
+		out.Shards = append(out.Shards, parts[i].shardState(shard))
 		for _, standing := range parts[i].Standings {
 			if standing.Shard == shard {
 				out.Standings = append(out.Standings, standing)
@@ -58,15 +58,15 @@
 	return out
 }
 
-// better reports whether one machine's word on a shard goes before another's.
-func better(a, b ShardState) bool {
+// preferred reports whether one machine's word on a shard goes before another's.
+func preferred(a, b ShardState) bool {
 	if a.Leading != b.Leading {
 		return a.Leading
 	}
 	return a.Leading && a.Age < b.Age
 }
 
-func (s Snapshot) shard(number int) ShardState {
+func (s Snapshot) shardState(number int) ShardState {
 	for _, shard := range s.Shards {
 		if shard.Shard == number {
 			return shard
@@ -113,7 +113,7 @@
 		return Interval{}, false
 	}
 	return Interval{From: from.At, To: to.At, Eligible: b.Account.Eligible() - a.Account.Eligible(), Missed: b.Account.Missed() - a.Account.Missed(),
-		Latency: b.Account.Latency.minus(a.Account.Latency)}, true
+		Latency: b.Account.Latency.subtract(a.Account.Latency)}, true
 }
 
 // BurnRate is the interval's burn rate.
@@ -124,8 +124,8 @@
 	return float64(i.Missed) / float64(i.Eligible) / (1 - objective.Target)
 }
 
-// minus is what a sketch has more than an earlier state of it.
-func (s Sketch) minus(earlier Sketch) Sketch {
+// subtract is what a sketch has more than an earlier state of it.
+func (s Sketch) subtract(earlier Sketch) Sketch {
 	var out Sketch
 	for _, bin := range s {
 		at, found := slices.BinarySearchFunc(earlier, bin.Index, func(b Bin, index int32) int { return cmp.Compare(b.Index, index) })
--- a/internal/accounts/wire.go
+++ b/internal/accounts/wire.go
@@ -18,10 +18,10 @@
 
 // Limits of a report; what is beyond them is garbled.
 const (
-	nameMax    = 256     // bytes of a tenant's or a node's name
-	tenantsMax = 200_000 // accounts in one report
-	binsMax    = 400     // bins of a sketch: all between the shortest and the longest latency
-	countMax   = 1 << 48 // requests of one tenant in one life
+	maxNameBytes     = 256     // bytes of a tenant's or a node's name
+	maxReportTenants = 200_000 // accounts in one report
+	maxSketchBins    = 400     // bins of a sketch: all between the shortest and the longest latency
+	maxCount         = 1 << 48 // requests of one tenant in one life
 )
 
 // Report brings a shard's holder what has changed at a proxy.
@@ -108,72 +108,72 @@
 	if report.Format != formatVersion {
 		return Delta{}, fmt.Errorf("%w: %d, not %d", ErrUnsupportedFormat, report.Format, formatVersion)
 	}
-	if report.Life == 0 || report.Node == "" || len(report.Node) > nameMax || report.Shard < 0 || report.Shard >= shards || report.To < report.From {
+	if report.Life == 0 || report.Node == "" || len(report.Node) > maxNameBytes || report.Shard < 0 || report.Shard >= shards || report.To < report.From {
 		return Delta{}, ErrMalformed
 	}
 	delta := Delta{Life: counter.LifeID(report.Life), Node: report.Node, From: report.From, To: report.To, Closed: report.Closed,
 		Cells: counter.Cells[string, Account]{}}
-	r := reader{rest: report.Packed}
-	for len(r.rest) > 0 && !r.bad && len(delta.Cells) < tenantsMax {
+	r := packedReader{remaining: report.Packed}
+	for len(r.remaining) > 0 && !r.malformed && len(delta.Cells) < maxReportTenants {
 		tenant := r.name()
 		delta.Cells[tenant] = r.account()
 		if tenant == "" || ShardOf(tenant, shards) != report.Shard {
-			r.bad = true
+			r.malformed = true
 		}
 	}
-	if r.bad || len(r.rest) > 0 {
+	if r.malformed || len(r.remaining) > 0 {
 		return Delta{}, ErrMalformed
 	}
 	return delta, nil
 }
 
-// reader takes values from packed bytes; bad says that they are garbled.
-type reader struct {
-	rest []byte
-	bad  bool
+// packedReader takes values from packed bytes; bad says that they are garbled.
+type packedReader struct {
+	remaining []byte
+	malformed bool
 }
 
-func (r *reader) number(most uint64) uint64 {
-	value, n := binary.Uvarint(r.rest)
+func (r *packedReader) uvarint(most uint64) uint64 {
+	value, n := binary.Uvarint(r.remaining)
 	if n <= 0 || value > most {
-		r.bad, r.rest = true, nil
+		r.malformed, r.remaining = true, nil
 		return 0
 	}
-	r.rest = r.rest[n:]
+	r.remaining = r.remaining[n:]
 	return value
 }
 
-func (r *reader) signed() int64 {
-	value, n := binary.Varint(r.rest)
+func (r *packedReader) varint() int64 {
+	value, n := binary.Varint(r.remaining)
 	if n <= 0 {
-		r.bad, r.rest = true, nil
+		r.malformed, r.remaining = true, nil
 		return 0
 	}
-	r.rest = r.rest[n:]
+	r.remaining = r.remaining[n:]
 	return value
 }
 
-func (r *reader) name() string {
-	length := int(r.number(nameMax))
-	if length > len(r.rest) {
-		r.bad, r.rest = true, nil
+func (r *packedReader) name() string {
+	length := int(r.uvarint(maxNameBytes))
+	if length > len(r.remaining) {
+		r.malformed, r.remaining = true, nil
 		return ""
 	}
-	name := string(r.rest[:length])
-	r.rest = r.rest[length:]
+	name := string(r.remaining[:length])
+	r.remaining = r.remaining[length:]
 	return name
 }
 
-func (r *reader) account() Account {
+func (r *packedReader) account() Account {
 	var a Account
 	counters := a.counters()
-	present := r.number(math.MaxUint8)
+	present := r.uvarint(math.MaxUint8)
 	if present >= 1<<len(counters) {
-		r.bad = true
+		r.malformed = true
 	}
 	for i := range counters {
 		if present&(1<<i) != 0 {
-			counters[i] = r.number(countMax)
+			counters[i] = r.uvarint(maxCount)
 		}
 	}
 	a.Taken = counters[outcomeCount+1]
@@ -182,18 +182,18 @@
 		a.Taken += counters[i]
 	}
 	a.Doubled = counters[outcomeCount]
-	bins := r.number(binsMax)
+	bins := r.uvarint(maxSketchBins)
 	index := int64(0)
 	for i := range bins {
-		step := r.signed()
+		step := r.varint()
 		index += step
 		if i > 0 && step <= 0 || index != int64(int32(index)) {
-			r.bad = true
+			r.malformed = true
 		}
-		a.Latency = append(a.Latency, Bin{int32(index), r.number(countMax)})
+		a.Latency = append(a.Latency, Bin{int32(index), r.uvarint(maxCount)})
 	}
 	if a.Doubled > a.Taken {
-		r.bad = true
+		r.malformed = true
 	}
 	return a
 }
