--- a/internal/accountreport/html.go
+++ b/internal/accountreport/html.go
@@ -13,42 +13,43 @@
 	"slateridge/internal/accounts"
 )
 
-// Sizes of a plot, in pixels.
+// Dimensions of a plot, in pixels.
 const (
 	plotWidth  = 640
 	plotHeight = 160
 	plotMargin = 48
-	maxTenants = 50 // with plots, those that burn most first
 )
 
-// ErrTooFewSnapshots is given where there is no span to plot.
-var ErrTooFewSnapshots = errors.New("a report with plots needs snapshots of at least two times")
+// maxTenants limits the tenants on the page to those with the highest burn rates.
+const maxTenants = 50
 
-// page is the content of the HTML report.
+// ErrTooFewSnapshots is returned if the snapshots don't span any time.
+var ErrTooFewSnapshots = errors.New("an HTML report needs snapshots from at least two times")
+
+// page is the data of pageTemplate.
 type page struct {
-	From, To time.Time
-	Unheld   []int
-	Tenants  []tenantSection
-	Others   int
+	From, To      time.Time
+	MissingShards []int
+	Tenants       []tenantSection
+	Omitted       int // tenants that aren't shown
 }
 
-// tenantSection is one tenant's part of the page.
+// tenantSection is the data of one tenant on the page.
 type tenantSection struct {
 	accounts.Standing
-	Owed, Missed uint64 // in the span
-	Worst        float64
-	BurnPlot     template.HTML
-	LatencyPlot  template.HTML
+	Eligible, Missed uint64 // requests between the first and the last snapshot
+	PeakBurnRate     float64
+	BurnPlot         template.HTML
+	LatencyPlot      template.HTML
 }
 
-// series is one line of a plot.
+// series is the data of one line in a plot.
 type series struct {
 	name, color string
 	values      []float64
 }
 
-// HTML writes a page on the span between the first and the last snapshot. It needs
-// nothing from elsewhere.
+// HTML writes a self-contained page about the time between the first and the last snapshot.
 func HTML(w io.Writer, snapshots []accounts.Snapshot) error {
 	snapshots = slices.Clone(snapshots)
 	slices.SortFunc(snapshots, func(a, b accounts.Snapshot) int { return a.At.Compare(b.At) })
@@ -56,21 +57,21 @@
 		return ErrTooFewSnapshots
 	}
 	last := snapshots[len(snapshots)-1]
-	p := page{From: snapshots[0].At, To: last.At, Unheld: last.MissingShards()}
+	p := page{From: snapshots[0].At, To: last.At, MissingShards: last.MissingShards()}
 	for _, standing := range last.Standings {
 		p.Tenants = append(p.Tenants, newTenantSection(snapshots, standing))
 	}
 	slices.SortStableFunc(p.Tenants, func(a, b tenantSection) int {
-		if a.Worst > b.Worst {
+		if a.PeakBurnRate > b.PeakBurnRate {
 			return -1
 		}
-		if a.Worst < b.Worst {
+		if a.PeakBurnRate < b.PeakBurnRate {
 			return 1
 		}
 		return 0
 	})
-	p.Others = max(0, len(p.Tenants)-maxTenants)
-	p.Tenants = p.Tenants[:len(p.Tenants)-p.Others]
+	p.Omitted = max(0, len(p.Tenants)-maxTenants)
+	p.Tenants = p.Tenants[:len(p.Tenants)-p.Omitted]
 	return pageTemplate.Execute(w, p)
 }
 
@@ -80,24 +81,24 @@
 	p50 := series{name: "p50", color: "#3060b0"}
 	p99 := series{name: "p99", color: "#b07030"}
 	for i := 1; i < len(snapshots); i++ {
-		between, ok := accounts.NewInterval(snapshots[i-1], snapshots[i], standing.Tenant)
+		interval, ok := accounts.NewInterval(snapshots[i-1], snapshots[i], standing.Tenant)
 		if !ok {
-			between = accounts.Interval{}
+			interval = accounts.Interval{}
 		}
-		rate := between.BurnRate(standing.Objective)
-		out.Worst = max(out.Worst, rate)
-		out.Owed += between.Eligible
-		out.Missed += between.Missed
+		rate := interval.BurnRate(standing.Objective)
+		out.PeakBurnRate = max(out.PeakBurnRate, rate)
+		out.Eligible += interval.Eligible
+		out.Missed += interval.Missed
 		burn.values = append(burn.values, rate)
-		p50.values = append(p50.values, between.Latency.Quantile(0.5).Seconds()*1e3)
-		p99.values = append(p99.values, between.Latency.Quantile(0.99).Seconds()*1e3)
+		p50.values = append(p50.values, interval.Latency.Quantile(0.5).Seconds()*1e3)
+		p99.values = append(p99.values, interval.Latency.Quantile(0.99).Seconds()*1e3)
 	}
 	out.BurnPlot = plot("burn rate", 1, burn)
 	out.LatencyPlot = plot("latency, ms", standing.Objective.Latency.Seconds()*1e3, p50, p99)
 	return out
 }
 
-// plot draws lines over the span, and a dashed one at a bound.
+// plot returns an SVG image of the lines over time, with a dashed line at bound.
 func plot(title string, bound float64, lines ...series) template.HTML {
 	top := bound
 	for _, line := range lines {
@@ -118,10 +119,11 @@
 		fmt.Fprintf(&out, `<text x="%d" y="14" fill="%s">%s</text>`, plotMargin+plotWidth-120+60*i, line.color, line.name)
 	}
 	out.WriteString(`</svg>`)
-	return template.HTML(out.String()) // names here are constants, all else are numbers
+	return template.HTML(out.String()) // safe: all inserted values are constants or numbers
 }
 
-// stepPoints are the corners of a stepped line: a value holds for its whole interval.
+// stepPoints returns the corner points of a step line: each value applies to its whole
+// interval.
 func stepPoints(values []float64, y func(float64) float64) string {
 	var out []string
 	step := float64(plotWidth) / float64(len(values))
@@ -131,7 +133,7 @@
 	return strings.Join(out, " ")
 }
 
-// axisMax is the next of 1, 2 and 5 times a power of ten.
+// axisMax rounds up to 1, 2 or 5 times a power of ten.
 func axisMax(v float64) float64 {
 	if v <= 0 {
 		return 1
@@ -150,15 +152,15 @@
 	"ms":      milliseconds,
 	"time":    func(t time.Time) string { return t.UTC().Format("2006-01-02 15:04:05 UTC") },
 }).Parse(`<!DOCTYPE html>
-<html lang="en"><head><meta charset="utf-8"><title>Accounts of tenants</title>
+<html lang="en"><head><meta charset="utf-8"><title>Tenant accounts</title>
 <style>body{font:14px sans-serif;margin:2em;max-width:62em}table{border-collapse:collapse}td,th{border:1px solid #ccc;padding:2px 8px;text-align:right}
 th:first-child,td:first-child{text-align:left}svg{display:block}svg text{font:11px sans-serif}.mark{text-anchor:end}.grid{stroke:#ddd}
 .bound{stroke:#888;stroke-dasharray:4 3}.alarm{color:#b03030;font-weight:bold}</style></head><body>
-<h1>Accounts of tenants</h1><p>{{time .From}} to {{time .To}}</p>
-{{if .Unheld}}<p class="alarm">Incomplete: no machine that answered holds shards {{.Unheld}}.</p>{{end}}
-<table><tr><th>tenant</th><th>objective</th><th>requests in the span</th><th>missed</th><th>budget left</th><th>burn 5m</th><th>burn 1h</th><th>p50</th><th>p99</th></tr>
-{{range .Tenants}}<tr><td>{{.Tenant}}{{if .Budget.Alarm}} <span class="alarm">alarm</span>{{end}}</td><td>{{percent .Objective.Target}} in {{ms .Objective.Latency}}</td><td>{{.Owed}}</td><td>{{.Missed}}</td><td>{{percent .Budget.Left}}</td><td>{{printf "%.1f" .Budget.ShortBurn}}</td><td>{{printf "%.1f" .Budget.LongBurn}}</td><td>{{ms .P50}}</td><td>{{ms .P99}}</td></tr>
-{{end}}</table>{{if .Others}}<p>{{.Others}} tenants that burned less are left out.</p>{{end}}
+<h1>Tenant accounts</h1><p>{{time .From}} to {{time .To}}</p>
+{{if .MissingShards}}<p class="alarm">Incomplete: none of the nodes that responded leads shards {{.MissingShards}}.</p>{{end}}
+<table><tr><th>tenant</th><th>objective</th><th>requests</th><th>missed</th><th>budget left</th><th>burn 5m</th><th>burn 1h</th><th>p50</th><th>p99</th></tr>
+{{range .Tenants}}<tr><td>{{.Tenant}}{{if .Budget.Alarm}} <span class="alarm">alarm</span>{{end}}</td><td>{{percent .Objective.Target}} in {{ms .Objective.Latency}}</td><td>{{.Eligible}}</td><td>{{.Missed}}</td><td>{{percent .Budget.Left}}</td><td>{{printf "%.1f" .Budget.ShortBurn}}</td><td>{{printf "%.1f" .Budget.LongBurn}}</td><td>{{ms .P50}}</td><td>{{ms .P99}}</td></tr>
+{{end}}</table>{{if .Omitted}}<p>{{.Omitted}} tenants with lower burn rates are not shown.</p>{{end}}
 {{range .Tenants}}<h2>{{.Tenant}}</h2>{{.BurnPlot}}{{.LatencyPlot}}{{end}}
 </body></html>
 `))
--- a/internal/accountreport/text.go
+++ b/internal/accountreport/text.go
@@ -1,5 +1,5 @@
-// Package accountreport shows snapshots of the accounts to people and to other programs:
-// as a table, as CSV, and as an HTML page with plots.
+// Package accountreport formats snapshots of the accounts as a table, as CSV, and as an HTML
+// page with plots.
 package accountreport
 
 import (
@@ -13,7 +13,7 @@
 	"slateridge/internal/accounts"
 )
 
-// Table writes one line for each tenant, those with an alarm marked.
+// Table writes one line per tenant and marks tenants in alarm.
 func Table(w io.Writer, snapshot accounts.Snapshot) error {
 	t := tabwriter.NewWriter(w, 0, 4, 2, ' ', 0)
 	fmt.Fprintln(t, "TENANT\tTAKEN\tIN TIME\tLATE\tLOST\tREFUSED\tUNKNOWN\tOPEN\tDOUBLED\tP50\tP99\tBUDGET LEFT\tBURN 5m\tBURN 1h\tAGE\t")
@@ -25,8 +25,8 @@
 		fmt.Fprintf(t, "%d\t%d\t%s\t%s\t%.1f%%\t%.1f\t%.1f\t%s\t%s\n", s.Open, s.Account.Doubled, milliseconds(s.P50), milliseconds(s.P99),
 			100*s.Budget.Left, s.Budget.ShortBurn, s.Budget.LongBurn, s.Age.Round(time.Second), alarm(s))
 	}
-	if unheld := snapshot.MissingShards(); len(unheld) > 0 {
-		fmt.Fprintf(t, "INCOMPLETE: no machine that answered holds shards %v\n", unheld)
+	if missing := snapshot.MissingShards(); len(missing) > 0 {
+		fmt.Fprintf(t, "INCOMPLETE: none of the nodes that responded leads shards %v\n", missing)
 	}
 	return t.Flush()
 }
@@ -42,7 +42,7 @@
 	return strconv.FormatFloat(float64(d)/float64(time.Millisecond), 'f', 1, 64) + "ms"
 }
 
-// Tenant writes what is known of one tenant.
+// Tenant writes the details of one tenant.
 func Tenant(w io.Writer, s accounts.Standing) error {
 	t := tabwriter.NewWriter(w, 0, 4, 2, ' ', 0)
 	fmt.Fprintf(t, "tenant %s\n", s.Tenant)
@@ -53,17 +53,17 @@
 	}
 	fmt.Fprintf(t, ", %d open; %d doubled\n", s.Open, s.Account.Doubled)
 	fmt.Fprintf(t, "  latency\tp50 %s, p99 %s (within %.0f%%)\n", milliseconds(s.P50), milliseconds(s.P99), 100*accounts.SketchRelativeError)
-	fmt.Fprintf(t, "  budget\t%.1f%% left, of what is known here: %v of %v\n", 100*s.Budget.Left, s.Budget.Known.Round(time.Second), s.Objective.Window)
+	fmt.Fprintf(t, "  budget\t%.1f%% left, based on %v of %v\n", 100*s.Budget.Left, s.Budget.Known.Round(time.Second), s.Objective.Window)
 	fmt.Fprintf(t, "  burn rate\t%.1f over 5m, %.1f over 1h %s\n", s.Budget.ShortBurn, s.Budget.LongBurn, alarm(s))
 	fmt.Fprintf(t, "  total\tshard %d, held by a majority, %v old\n", s.Shard, s.Age.Round(time.Second))
 	return t.Flush()
 }
 
-// csvHeader names the columns of CSV.
+// csvHeader holds the column names of CSV.
 var csvHeader = []string{"tenant", "taken", "in_aim", "late", "lost", "refused", "unknown", "open", "doubled", "p50_seconds", "p99_seconds",
 	"target", "latency_seconds", "window_seconds", "budget_left", "budget_known_seconds", "burn_short", "burn_long", "alarm", "age_seconds"}
 
-// CSV writes one record for each tenant under a header.
+// CSV writes a header and one record per tenant.
 func CSV(w io.Writer, snapshot accounts.Snapshot) error {
 	out := csv.NewWriter(w)
 	if err := out.Write(csvHeader); err != nil {
--- a/internal/accounts/agent.go
+++ b/internal/accounts/agent.go
@@ -8,64 +8,65 @@
 	"slateridge/internal/counter"
 )
 
-// RetryInterval is the time until the first new attempt at a report that was not taken: a
-// lease that has lapsed for a moment is held again by then.
+// RetryInterval is the time until the first retry of a report that was not accepted. A lease
+// that lapsed briefly has been acquired again by then.
 const RetryInterval = time.Second
 
-// maxRetryTurns bounds the time between attempts, in units of RetryEvery: a control plane
-// that is slow because of its load is asked less often.
+// maxRetryTurns is the maximum time between two attempts, in units of RetryInterval. The
+// backoff reduces the load on a control plane that is slow because it is overloaded.
 const maxRetryTurns = 8
 
-// maxReportAttempts bounds those for one report: a holder that is lost, another machine that
-// is lost with it, one that knows the new holder, and that one.
+// maxReportAttempts is the maximum number of nodes that one report is sent to in a row: a
+// failed leader, a second node that failed with it, a node that redirects to the new leader,
+// and the new leader.
 const maxReportAttempts = 4
 
-// AgentOptions are what an agent needs of the proxy's process.
+// AgentOptions configures an Agent.
 type AgentOptions struct {
 	Node         string
 	Objectives   *Objectives
-	ControlNodes []string                                          // control machines to ask first
-	SendReport   func(to string, report Report) (ReportAck, error) // one question, answered or not
+	ControlNodes []string                                          // control-plane nodes to try while a shard's leader is unknown
+	SendReport   func(to string, report Report) (ReportAck, error) // sends a report and waits for the response
 	RecordEvent  func(kind, about string)
 }
 
-// Agent is a proxy's part in the accounts: the meter of its process, with its journal, and
-// the reports to the holders of the shards.
+// Agent runs the accounts of a proxy: the meter of its process with its journal, and the
+// reports to the leaders of the shards.
 type Agent struct {
 	*Meter
 	options AgentOptions
 	journal *FileJournal
 
 	mu          sync.Mutex
-	holders     []string     // by shard; empty: not known
-	nextControl int          // control machines asked for holders, by turns
+	holders     []string     // lease holder of each shard; empty if unknown
+	nextControl int          // counter that selects ControlNodes round-robin
 	retries     []retryState // by shard
 }
 
-// retryState is what is known of reports that were not taken.
+// retryState is the retry backoff of a shard whose latest reports were not accepted.
 type retryState struct {
-	failures  int // in a row
-	turnsLeft int // calls of Retry until the next attempt
+	failures  int // consecutive failures
+	turnsLeft int // calls of RetryReports until the next attempt
 }
 
-// NewAgent begins a new life. Journals of lives before it that cannot be read, and a
-// journal of its own that cannot be made, are noted; accounts are kept all the same.
+// NewAgent starts a new incarnation. Errors in reading journals of earlier incarnations or in
+// creating the new journal are recorded as events; requests are counted regardless.
 func NewAgent(options AgentOptions) *Agent {
-	life := counter.LifeID(rand.Uint64() | 1)
+	incarnation := counter.LifeID(rand.Uint64() | 1)
 	a := &Agent{options: options, holders: make([]string, options.Objectives.Shards), retries: make([]retryState, options.Objectives.Shards)}
 	directory := options.Objectives.JournalDir
 	if directory == "" {
-		a.Meter = NewMeter(options.Node, life, options.Objectives, nil, nil)
+		a.Meter = NewMeter(options.Node, incarnation, options.Objectives, nil, nil)
 		return a
 	}
 	ended, problems := RecoverJournals(directory)
-	journal, err := CreateJournal(directory, life, options.Objectives.Shards, func(err error) { options.RecordEvent("account_journal", err.Error()) })
+	journal, err := CreateJournal(directory, incarnation, options.Objectives.Shards, func(err error) { options.RecordEvent("account_journal", err.Error()) })
 	if err != nil {
 		problems = append(problems, err)
-		a.Meter = NewMeter(options.Node, life, options.Objectives, nil, ended)
+		a.Meter = NewMeter(options.Node, incarnation, options.Objectives, nil, ended)
 	} else {
 		a.journal = journal
-		a.Meter = NewMeter(options.Node, life, options.Objectives, journal, ended)
+		a.Meter = NewMeter(options.Node, incarnation, options.Objectives, journal, ended)
 	}
 	for _, problem := range problems {
 		options.RecordEvent("account_journal", problem.Error())
@@ -73,16 +74,16 @@
 	return a
 }
 
-// SendReports brings every shard's holder what it lacks. It is called every TellEvery, and may
-// take as long as the questions do.
+// SendReports sends the pending changes of every shard to the shard's leader. It is called
+// every ReportInterval and blocks until all reports have been sent.
 func (a *Agent) SendReports() {
 	for shard := range a.options.Objectives.Shards {
 		a.reportShard(shard)
 	}
 }
 
-// RetryReports does the same for the shards whose holders did not take the latest report, at
-// growing distances. It is called every RetryEvery.
+// RetryReports does the same for the shards whose latest report was not accepted, with
+// exponential backoff. It is called every RetryInterval.
 func (a *Agent) RetryReports() {
 	for shard := range a.options.Objectives.Shards {
 		if a.retryDue(shard) {
@@ -91,7 +92,8 @@
 	}
 }
 
-// retryDue counts one call of Retry.
+// retryDue counts down a shard's backoff by one call of RetryReports, and reports whether a
+// retry is due.
 func (a *Agent) retryDue(shard int) bool {
 	a.mu.Lock()
 	defer a.mu.Unlock()
@@ -103,17 +105,17 @@
 	return state.turnsLeft <= 0
 }
 
-// reportShard tells all that the shard's holder lacks. A new holder that lacks what its
-// predecessor had heard says so in its answer, and is told from there at once.
+// reportShard sends all pending changes of a shard. If a new leader lacks changes that its
+// predecessor had received, its response says so, and the second attempt resends from there.
 func (a *Agent) reportShard(shard int) {
-	told := a.sendPending(shard)
-	if !told {
-		told = a.sendPending(shard)
+	accepted := a.sendPending(shard)
+	if !accepted {
+		accepted = a.sendPending(shard)
 	}
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	state := &a.retries[shard]
-	if told {
+	if accepted {
 		*state = retryState{}
 		return
 	}
@@ -121,16 +123,17 @@
 	state.turnsLeft = min(1<<min(state.failures-1, maxRetryTurns), maxRetryTurns)
 }
 
+// sendPending sends the pending reports of a shard and reports whether all were accepted.
 func (a *Agent) sendPending(shard int) bool {
-	told := true
+	accepted := true
 	for _, report := range a.PendingReports(shard) {
-		told = a.send(report) && told
+		accepted = a.send(report) && accepted
 	}
-	return told
+	return accepted
 }
 
-// send asks the holder known, and then those that answers name, or others by turns; false
-// if none has heard all of the report.
+// send sends a report to the shard's known lease holder, follows redirects, and tries other
+// nodes if one doesn't respond. It reports whether a leader has received all of the report.
 func (a *Agent) send(report Report) bool {
 	for range maxReportAttempts {
 		to := a.reportTarget(report.Shard)
@@ -158,7 +161,8 @@
 	return false
 }
 
-// reportTarget is whom to ask for a shard: its reportTarget, or any control machine by turns.
+// reportTarget returns the node to send a shard's reports to: the lease holder if it is known,
+// otherwise the next control-plane node.
 func (a *Agent) reportTarget(shard int) string {
 	a.mu.Lock()
 	defer a.mu.Unlock()
@@ -178,30 +182,32 @@
 	a.holders[shard] = holder
 }
 
-// forgetHolder takes a machine that did not answer for the holder of no shard any more, so that
-// not each shard's report has to wait for it anew.
-func (a *Agent) forgetHolder(machine string) {
+// forgetHolder removes a node that didn't respond as the holder of all shards, so that the
+// reports of the other shards don't wait for it too.
+func (a *Agent) forgetHolder(node string) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	for shard, holder := range a.holders {
-		if holder == machine {
+		if holder == node {
 			a.holders[shard] = ""
 		}
 	}
 }
 
-// removeJournals deletes the journals of lives that majorities hold whole.
-func (a *Agent) removeJournals(lives []counter.LifeID) {
-	for _, life := range lives {
-		if err := RemoveJournal(a.options.Objectives.JournalDir, life); err != nil {
+// removeJournals deletes the journals of incarnations whose counters majorities hold
+// completely.
+func (a *Agent) removeJournals(incarnations []counter.LifeID) {
+	for _, incarnation := range incarnations {
+		if err := RemoveJournal(a.options.Objectives.JournalDir, incarnation); err != nil {
 			a.options.RecordEvent("account_journal", err.Error())
 		}
 	}
 }
 
-// Shutdown tells what has come since the latest report, before the process ends in order.
-// Without a journal it also closes the life, as no successor can.
-func (a *Agent) Shutdown(patience time.Duration) {
+// Shutdown sends the changes since the latest report before a regular end of the process, and
+// waits for at most timeout. Without a journal it also ends the incarnation, as no later
+// process can do so.
+func (a *Agent) Shutdown(timeout time.Duration) {
 	if a.journal == nil {
 		a.Close()
 	}
@@ -212,6 +218,6 @@
 	}()
 	select {
 	case <-done:
-	case <-time.After(patience):
+	case <-time.After(timeout):
 	}
 }
--- a/internal/accounts/budget.go
+++ b/internal/accounts/budget.go
@@ -2,44 +2,46 @@
 
 import "time"
 
-// Burn rates: the share of misses, in units of the share that the objective allows. At 1
-// the budget of a window is used up exactly at its end. The alarm's rate uses a fiftieth
-// of a budget of 30 days in an hour.
+// A burn rate is the fraction of requests that missed the objective, divided by the fraction
+// that the objective allows. At a burn rate of 1, the error budget is used up exactly at the
+// end of the objective's window. At alarmBurnRate, one hour uses a fiftieth of a 30-day budget.
 const (
 	shortBurnWindow = 5 * time.Minute
 	longBurnWindow  = time.Hour
 	alarmBurnRate   = 14.4
 )
 
-// Spacings of samples: fine ones as far as the short window needs them, then coarser.
+// Distances between the samples of a history: small for the short burn window, larger for
+// older samples.
 const (
 	sampleInterval       = time.Minute
 	coarseSampleInterval = 5 * time.Minute
-	samplesPerWindow     = 30 // over the objective's window
+	samplesPerWindow     = 30 // over the objective's window, unless coarseSampleInterval is longer
 )
 
-// sample is an account's cumulative figures at a time.
+// sample is a snapshot of an account's cumulative request counts.
 type sample struct {
 	at       time.Duration
 	eligible uint64
 	missed   uint64
 }
 
-// history is what was, newest last.
+// history holds the past samples of one account, oldest first.
 type history struct {
 	samples []sample
 }
 
-// Budget is a tenant's standing against its objective.
+// Budget is the state of a tenant's error budget.
 type Budget struct {
-	Left      float64       // part of the window's budget that is left; negative: overdrawn
-	Known     time.Duration // how much of the window is known to this machine
+	Left      float64       // remaining fraction of the budget; negative if the budget is exceeded
+	Known     time.Duration // the part of the window that this node has samples of
 	ShortBurn float64
 	LongBurn  float64
-	Alarm     bool // both burn at the alarm's rate or more
+	Alarm     bool // both burn rates are at least alarmBurnRate
 }
 
-// add notes figures and thins out what is older.
+// add records a sample, discards samples older than the objective's window and thins out
+// older ones.
 func (h *history) add(now time.Duration, account Account, window time.Duration) {
 	if n := len(h.samples); n > 0 && now-h.samples[n-1].at < sampleInterval {
 		return
@@ -59,7 +61,7 @@
 	h.samples = kept
 }
 
-// minSpacing is the least time between two samples of an age.
+// minSpacing returns the minimum distance between two samples of the given age.
 func minSpacing(age, window time.Duration) time.Duration {
 	switch {
 	case age <= shortBurnWindow+sampleInterval:
@@ -70,7 +72,8 @@
 	return max(coarseSampleInterval, window/samplesPerWindow)
 }
 
-// sampleBefore is the newest sample at least as old as a span, or the oldest there is.
+// sampleBefore returns the newest sample that is at least as old as span, or the oldest sample
+// if none is.
 func (h *history) sampleBefore(now, span time.Duration) (sample, bool) {
 	for i := len(h.samples) - 1; i >= 0; i-- {
 		if now-h.samples[i].at >= span || i == 0 {
@@ -80,17 +83,18 @@
 	return sample{}, false
 }
 
-// missRatio is the share of misses over a span, and the requests it is a share of.
-func (h *history) missRatio(now, span time.Duration, account Account) (share float64, owed uint64) {
+// missRatio returns the fraction of eligible requests that missed the objective within span,
+// and the number of those eligible requests.
+func (h *history) missRatio(now, span time.Duration, account Account) (ratio float64, eligible uint64) {
 	from, ok := h.sampleBefore(now, span)
 	if !ok || account.Eligible() <= from.eligible {
 		return 0, 0
 	}
-	owed = account.Eligible() - from.eligible
-	return float64(account.Missed()-min(account.Missed(), from.missed)) / float64(owed), owed
+	eligible = account.Eligible() - from.eligible
+	return float64(account.Missed()-min(account.Missed(), from.missed)) / float64(eligible), eligible
 }
 
-// budget reckons the standing of an account.
+// budget computes the state of an account's error budget.
 func (h *history) budget(now time.Duration, account Account, objective Objective) Budget {
 	allowed := 1 - objective.Target
 	short, _ := h.missRatio(now, shortBurnWindow, account)
--- a/internal/accounts/journal.go
+++ b/internal/accounts/journal.go
@@ -12,16 +12,16 @@
 	"slateridge/internal/counter"
 )
 
-// Layout of a journal file, in bytes. What a process has written there outlasts its end in
-// the page cache, though not the loss of the machine: nothing is synced.
+// Layout of a journal file, in bytes. The file is never synced: written data survives the end
+// of the process in the page cache, but not a crash of the machine.
 const (
 	journalMagic      = "SLTACC01"
 	headerSize        = 4096
 	incarnationOffset = 8
 	shardsOffset      = 16
-	sentOffset        = 1024 // versions told, by shard
+	sentOffset        = 1024 // newest sent version of each shard
 	recordSize        = 512
-	nameOffset        = 2 // after the length of the name
+	nameOffset        = 2 // follows the length of the name
 	countersOffset    = 264
 	countersSize      = 8 * (1 + int(outcomeCount) + 1)
 )
@@ -31,37 +31,37 @@
 	malformedSuffix = ".garbled"
 )
 
-// FileJournal is the journal of the running process. Each change is one positioned write
-// of the part that changed. A tenant's record is valid once its whole has been written:
-// it is one write, and a file that ends within a record ends before it.
+// FileJournal is the Journal of the running process, kept in a file. Each change is one
+// positioned write of the changed bytes. A tenant's record is created by a single write, and a
+// file that ends inside a record is read as if it ended before that record.
 type FileJournal struct {
 	file        journalFile
-	records     map[string]int // offsets by tenant
+	records     map[string]int // record offsets by tenant
 	recordCount int
-	scratch     [recordSize]byte // of the write under way
+	scratch     [recordSize]byte // buffer of the current write
 	writeFailed bool
-	onError     func(error) // told of the first of writes that fail in a row
+	onError     func(error) // called for the first of several consecutive failed writes
 }
 
-// journalFile is what a journal needs of its file.
+// journalFile is the part of os.File that a FileJournal uses; tests replace it.
 type journalFile interface {
 	io.WriterAt
 	io.Closer
 }
 
-// CreateJournal makes the journal of a new life in a directory. Note is told of writes
-// that fail.
-func CreateJournal(directory string, life counter.LifeID, shards int, note func(error)) (*FileJournal, error) {
+// CreateJournal creates the journal of a new incarnation in a directory. onError is called
+// for failed writes.
+func CreateJournal(directory string, incarnation counter.LifeID, shards int, onError func(error)) (*FileJournal, error) {
 	if shards > maxShards {
-		return nil, fmt.Errorf("journal: %d shards, at most %d", shards, maxShards)
+		return nil, fmt.Errorf("journal: too many shards: %d, must be at most %d", shards, maxShards)
 	}
-	file, err := os.OpenFile(journalPath(directory, life), os.O_RDWR|os.O_CREATE|os.O_EXCL, 0o600)
+	file, err := os.OpenFile(journalPath(directory, incarnation), os.O_RDWR|os.O_CREATE|os.O_EXCL, 0o600)
 	if err != nil {
 		return nil, fmt.Errorf("journal: %w", err)
 	}
 	header := make([]byte, headerSize)
 	copy(header, journalMagic)
-	binary.LittleEndian.PutUint64(header[incarnationOffset:], uint64(life))
+	binary.LittleEndian.PutUint64(header[incarnationOffset:], uint64(incarnation))
 	binary.LittleEndian.PutUint64(header[shardsOffset:], uint64(shards))
 	err = lockFile(file)
 	if err == nil {
@@ -70,21 +70,21 @@
 	if err != nil {
 		return nil, errors.Join(fmt.Errorf("journal: %w", err), file.Close(), os.Remove(file.Name()))
 	}
-	return &FileJournal{file: file, records: map[string]int{}, onError: note}, nil
+	return &FileJournal{file: file, records: map[string]int{}, onError: onError}, nil
 }
 
-func journalPath(directory string, life counter.LifeID) string {
-	return filepath.Join(directory, fmt.Sprintf("accounts-%016x.journal", uint64(life)))
+func journalPath(directory string, incarnation counter.LifeID) string {
+	return filepath.Join(directory, fmt.Sprintf("accounts-%016x.journal", uint64(incarnation)))
 }
 
-// lockFile marks a file as one that a process is writing; it ends with the process.
+// lockFile takes an exclusive lock that marks the file as in use by a running process. The
+// lock is released when the process ends.
 func lockFile(file *os.File) error {
 	return syscall.Flock(int(file.Fd()), syscall.LOCK_EX|syscall.LOCK_NB)
 }
 
-// Record implements Journal: one write of the tenant's counters, or of its whole record
-// the first time. A change that could not be written is in the record's next write, as all
-// counters are cumulative.
+// Record implements Journal. It writes the tenant's counters, or the whole record the first
+// time. As counters are cumulative, the next write also covers a change whose write failed.
 func (j *FileJournal) Record(tenant string, a *Account) {
 	offset, known := j.records[tenant]
 	if known {
@@ -103,7 +103,7 @@
 	}
 }
 
-// appendCounters gives an account's counters as they stand in a record.
+// appendCounters appends an account's counters in the layout of a record.
 func appendCounters(out []byte, a *Account) []byte {
 	out = binary.LittleEndian.AppendUint64(out, a.Taken)
 	for _, n := range a.Settled {
@@ -112,7 +112,7 @@
 	return binary.LittleEndian.AppendUint64(out, a.Doubled)
 }
 
-// write writes at an offset; false if that failed.
+// write writes content at an offset and reports whether this succeeded.
 func (j *FileJournal) write(content []byte, offset int) bool {
 	_, err := j.file.WriteAt(content, int64(offset))
 	if err != nil && !j.writeFailed {
@@ -127,31 +127,31 @@
 	return j.write(binary.LittleEndian.AppendUint64(j.scratch[:0], version), sentOffset+8*shard)
 }
 
-// Close ends the use of the journal; the file stays for the next process.
+// Close closes the file without deleting it, so that the next process can recover it.
 func (j *FileJournal) Close() error { return j.file.Close() }
 
-// RecoverJournals reads what ended processes have left in a directory. Files of running
-// processes are passed over. A garbled file is set aside under another name and reported;
-// it does not keep the others from being read.
+// RecoverJournals reads the journals of ended processes in a directory. It skips journals of
+// running processes. A journal that can't be read is renamed and reported; the others are
+// still read.
 func RecoverJournals(directory string) (ended []EndedIncarnation, problems []error) {
 	paths, err := filepath.Glob(filepath.Join(directory, journalPattern))
 	if err != nil {
 		return nil, []error{err}
 	}
 	for _, path := range paths {
-		life, running, err := recoverJournal(path)
+		incarnation, running, err := recoverJournal(path)
 		switch {
 		case running:
 		case err != nil:
 			problems = append(problems, errors.Join(fmt.Errorf("journal %s: %w", path, err), os.Rename(path, path+malformedSuffix)))
 		default:
-			ended = append(ended, life)
+			ended = append(ended, incarnation)
 		}
 	}
 	return ended, problems
 }
 
-func recoverJournal(path string) (life EndedIncarnation, running bool, err error) {
+func recoverJournal(path string) (incarnation EndedIncarnation, running bool, err error) {
 	file, err := os.Open(path)
 	if err != nil {
 		return EndedIncarnation{}, false, err
@@ -164,22 +164,22 @@
 	if err != nil {
 		return EndedIncarnation{}, false, err
 	}
-	life, err = parseJournal(raw)
-	return life, false, err
+	incarnation, err = parseJournal(raw)
+	return incarnation, false, err
 }
 
-// parseJournal reads and checks the content of a journal file.
+// parseJournal decodes and validates the content of a journal file.
 func parseJournal(raw []byte) (EndedIncarnation, error) {
 	if len(raw) < headerSize || string(raw[:len(journalMagic)]) != journalMagic {
 		return EndedIncarnation{}, ErrUnsupportedFormat
 	}
-	life := EndedIncarnation{Incarnation: counter.LifeID(binary.LittleEndian.Uint64(raw[incarnationOffset:])), Accounts: map[string]Account{}}
+	incarnation := EndedIncarnation{Incarnation: counter.LifeID(binary.LittleEndian.Uint64(raw[incarnationOffset:])), Accounts: map[string]Account{}}
 	shards := binary.LittleEndian.Uint64(raw[shardsOffset:])
-	if life.Incarnation == 0 || shards == 0 || shards > maxShards {
+	if incarnation.Incarnation == 0 || shards == 0 || shards > maxShards {
 		return EndedIncarnation{}, ErrMalformed
 	}
 	for shard := range int(shards) {
-		life.SentVersions = append(life.SentVersions, binary.LittleEndian.Uint64(raw[sentOffset+8*shard:]))
+		incarnation.SentVersions = append(incarnation.SentVersions, binary.LittleEndian.Uint64(raw[sentOffset+8*shard:]))
 	}
 	for record := raw[headerSize:]; len(record) >= recordSize; record = record[recordSize:] {
 		length := int(binary.LittleEndian.Uint16(record))
@@ -193,9 +193,9 @@
 		if err != nil {
 			return EndedIncarnation{}, err
 		}
-		life.Accounts[string(record[nameOffset:nameOffset+length])] = account
+		incarnation.Accounts[string(record[nameOffset:nameOffset+length])] = account
 	}
-	return life, nil
+	return incarnation, nil
 }
 
 func parseCounters(raw []byte) (Account, error) {
@@ -212,7 +212,8 @@
 	return a, nil
 }
 
-// RemoveJournal deletes the journal of a life of which a majority holds everything.
-func RemoveJournal(directory string, life counter.LifeID) error {
-	return os.Remove(journalPath(directory, life))
+// RemoveJournal deletes the journal of an incarnation. It must not be called before majorities
+// hold all counters of that incarnation.
+func RemoveJournal(directory string, incarnation counter.LifeID) error {
+	return os.Remove(journalPath(directory, incarnation))
 }
--- a/internal/accounts/meter.go
+++ b/internal/accounts/meter.go
@@ -7,45 +7,47 @@
 	"slateridge/internal/counter"
 )
 
-// Journal keeps a process life's counters where they outlast the process. Latencies are
-// not kept in it.
+// Journal stores the counters of one incarnation so that they survive the process. It doesn't
+// store latencies.
 type Journal interface {
-	// Record notes a tenant's counters. The process may end at any moment after it.
+	// Record stores a tenant's counters. They survive if the process ends after it returns.
 	Record(tenant string, account *Account)
-	// RecordSent notes, before a report leaves, the newest version of a shard that was told;
-	// false if that failed, and the report must not leave.
+	// RecordSent stores the version of a shard that the next report includes, before the
+	// report is sent. It returns false on failure; the report must not be sent then.
 	RecordSent(shard int, version uint64) bool
 }
 
-// EndedIncarnation is what a journal holds of a life that is over.
+// EndedIncarnation is the content of a journal whose process has ended.
 type EndedIncarnation struct {
 	Incarnation  counter.LifeID
 	SentVersions []uint64 // by shard
 	Accounts     map[string]Account
 }
 
-// Meter accounts for the requests that a proxy takes. A nil meter accounts for nothing,
-// at no cost.
+// Meter counts the requests that a proxy accepts. A nil Meter counts nothing and allocates
+// nothing.
 type Meter struct {
 	mu         sync.Mutex
 	objectives *Objectives
-	journal    Journal // nil: the counters end with the process
-	current    []*counter.Writer[string, Account]
-	ended      []*endedWriters
+	journal    Journal                            // nil if the counters aren't stored
+	current    []*counter.Writer[string, Account] // by shard
+	ended      []*endedWriters                    // earlier incarnations that aren't reported completely
 }
 
-// endedWriters tell of a life that is over; a shard in which it had nothing has no writer.
+// endedWriters report the counters of an ended incarnation. The writer of a shard without
+// counters is nil.
 type endedWriters struct {
 	incarnation counter.LifeID
 	shards      []*counter.Writer[string, Account]
 }
 
-// NewMeter makes the meter of a new life; journal may be nil. Ended are the lives that
-// journals of earlier processes hold: what they had not settled is unknown from now on.
-func NewMeter(node string, life counter.LifeID, objectives *Objectives, journal Journal, ended []EndedIncarnation) *Meter {
+// NewMeter returns the meter of a new incarnation. journal may be nil. ended holds the
+// incarnations recovered from the journals of earlier processes; their open requests are
+// settled as Unknown.
+func NewMeter(node string, incarnation counter.LifeID, objectives *Objectives, journal Journal, ended []EndedIncarnation) *Meter {
 	m := &Meter{objectives: objectives, journal: journal}
 	for range objectives.Shards {
-		m.current = append(m.current, counter.NewWriter[string, Account](node, life))
+		m.current = append(m.current, counter.NewWriter[string, Account](node, incarnation))
 	}
 	for _, e := range ended {
 		m.ended = append(m.ended, recoverWriters(node, objectives.Shards, e))
@@ -64,18 +66,18 @@
 	}
 	out := &endedWriters{incarnation: ended.Incarnation, shards: make([]*counter.Writer[string, Account], shards)}
 	for shard := range shards {
-		told := uint64(0)
+		sentVersion := uint64(0)
 		if shard < len(ended.SentVersions) {
-			told = ended.SentVersions[shard]
+			sentVersion = ended.SentVersions[shard]
 		}
-		if told > 0 || len(cells[shard]) > 0 {
-			out.shards[shard] = counter.RecoverWriter(node, ended.Incarnation, told, cells[shard])
+		if sentVersion > 0 || len(cells[shard]) > 0 {
+			out.shards[shard] = counter.RecoverWriter(node, ended.Incarnation, sentVersion, cells[shard])
 		}
 	}
 	return out
 }
 
-// Request is one request under way. A nil request is one that is not accounted for.
+// Request is one request in flight. A nil Request is not counted.
 type Request struct {
 	meter        *Meter
 	tenant       string
@@ -84,7 +86,7 @@
 	doubled      bool
 }
 
-// Begin notes a request that was taken from a client; nil if the tenant has no objective.
+// Begin counts a request accepted from a client. It returns nil if the tenant has no objective.
 func (m *Meter) Begin(tenant string) *Request {
 	if m == nil {
 		return nil
@@ -97,8 +99,8 @@
 	return &Request{meter: m, tenant: tenant, latencyLimit: objective.Latency}
 }
 
-// Success settles a request whose answer was written whole, by its latency. Only the
-// first of all calls that settle a request counts.
+// Success settles a request whose response was written completely, as OnTime or Late
+// according to its latency. Only the first call that settles a request has an effect.
 func (r *Request) Success(latency time.Duration) {
 	if r == nil {
 		return
@@ -113,7 +115,7 @@
 	})
 }
 
-// Failure settles a request without a known success.
+// Failure settles a request that isn't known to have succeeded.
 func (r *Request) Failure(outcome Outcome) {
 	if r == nil {
 		return
@@ -121,8 +123,8 @@
 	r.settle(func(a *Account) { a.Settled[outcome]++ })
 }
 
-// Doubled notes that a second upstream has answered as having run a request that may run
-// once. It may come after the request was settled, and counts once.
+// Doubled records that a second upstream reported that it executed a non-repeatable request.
+// It may be called after the request was settled; only the first call has an effect.
 func (r *Request) Doubled() {
 	if r == nil {
 		return
@@ -135,6 +137,7 @@
 	})
 }
 
+// settle applies a change unless the request has already been settled.
 func (r *Request) settle(change func(*Account)) {
 	r.meter.update(r.tenant, func(a *Account) {
 		if !r.settled {
@@ -144,6 +147,7 @@
 	})
 }
 
+// update changes a tenant's account and records it in the journal.
 func (m *Meter) update(tenant string, change func(*Account)) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -155,7 +159,8 @@
 	})
 }
 
-// PendingReports are what the holder of a shard has to be told, of this life and of ended ones.
+// PendingReports returns the reports to send to the leader of a shard, for this incarnation
+// and for ended ones.
 func (m *Meter) PendingReports(shard int) []Report {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -165,13 +170,13 @@
 		if writer == nil {
 			continue
 		}
-		if delta, some := writer.Pending(); some {
+		if delta, pending := writer.Pending(); pending {
 			out = append(out, packReport(shard, delta))
 		}
 	}
 	writer := m.current[shard]
-	delta, some := writer.Pending()
-	if !some {
+	delta, pending := writer.Pending()
+	if !pending {
 		return out
 	}
 	if m.journal != nil && !m.journal.RecordSent(shard, writer.Told()) {
@@ -180,8 +185,8 @@
 	return append(out, packReport(shard, delta))
 }
 
-// Acknowledge takes the answer to a report. It gives the lives of which majorities now
-// hold everything, so that their journals can go.
+// Acknowledge processes the response to a report. It returns the ended incarnations whose
+// counters are now completely held by majorities; their journals can be removed.
 func (m *Meter) Acknowledge(ack ReportAck) (finished []counter.LifeID) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -191,7 +196,7 @@
 	if writer := m.current[ack.Shard]; uint64(writer.Life()) == ack.Life {
 		writer.Acknowledge(ack.Ack)
 	}
-	left := m.ended[:0]
+	remaining := m.ended[:0]
 	for _, ended := range m.ended {
 		if uint64(ended.incarnation) == ack.Life && ended.shards[ack.Shard] != nil {
 			ended.shards[ack.Shard].Acknowledge(ack.Ack)
@@ -199,13 +204,14 @@
 		if ended.finished() {
 			finished = append(finished, ended.incarnation)
 		} else {
-			left = append(left, ended)
+			remaining = append(remaining, ended)
 		}
 	}
-	m.ended = left
+	m.ended = remaining
 	return finished
 }
 
+// finished reports whether majorities hold the counters of all shards.
 func (e *endedWriters) finished() bool {
 	for _, writer := range e.shards {
 		if writer != nil && !writer.Finished() {
@@ -215,8 +221,8 @@
 	return true
 }
 
-// Close ends the life in order, once nothing is under way: for a process that has no
-// journal from which its successor could end it.
+// Close marks the incarnation as ended. It must only be called when no request is in flight.
+// It serves processes without a journal, whose successor can't end the incarnation.
 func (m *Meter) Close() {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -225,7 +231,7 @@
 	}
 }
 
-// TenantCount is the number of tenants accounted for in this life.
+// TenantCount returns the number of tenants that have an account in this incarnation.
 func (m *Meter) TenantCount() int {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -236,7 +242,7 @@
 	return count
 }
 
-// Account is what this life has counted of a tenant.
+// Account returns a copy of a tenant's account in this incarnation.
 func (m *Meter) Account(tenant string) Account {
 	m.mu.Lock()
 	defer m.mu.Unlock()
--- a/internal/accounts/objectives.go
+++ b/internal/accounts/objectives.go
@@ -10,42 +10,42 @@
 	"time"
 )
 
-// Bounds of an objective.
+// Bounds of the settings of an objective.
 const (
-	minTarget        = 0.5                 // a lower share is a mistake in writing
-	maxLatencyTarget = 10 * time.Minute    // of a latency, as the sketch records it
+	minTarget        = 0.5                 // a lower target is most likely a typing error
+	maxLatencyTarget = 10 * time.Minute    // the longest latency that a sketch records
 	minWindow        = time.Hour           // the long window of the burn rate
 	maxWindow        = 90 * 24 * time.Hour // a quarter of a year
 	defaultShards    = 16
 	maxShards        = 256
 )
 
-// EnvFile names the variable that holds the settings file's path.
+// EnvFile is the environment variable that holds the path of the objectives file.
 const EnvFile = "SLATERIDGE_OBJECTIVES_FILE"
 
-// objectivesFileVersion is that of the settings file's format.
+// objectivesFileVersion is the version of the objectives file format.
 const objectivesFileVersion = 1
 
-// Objective is what a tenant may expect: the share Target of its requests succeeds within
-// Latency, reckoned over Window.
+// Objective is a tenant's service level objective: over Window, at least the fraction Target
+// of the requests must succeed within Latency.
 type Objective struct {
 	Target  float64
 	Latency time.Duration
 	Window  time.Duration
 }
 
-// Objectives are those of all tenants, from the settings file.
+// Objectives holds the objectives of all tenants, as read from the objectives file.
 type Objectives struct {
-	Shards     int    // of all tenants; the same on all machines, and never changed
-	JournalDir string // directory of the proxies' journals; empty: none are kept
-	// Founding says that the deployment has no accounts yet: control machines begin with
-	// empty disks. Otherwise an empty disk has lost what it held.
+	Shards     int    // number of shards; must be equal on all nodes and can't be changed later
+	JournalDir string // directory of the proxies' journals; no journals are kept if empty
+	// Founding is set for a new deployment without accounts, in which control-plane nodes
+	// start with empty disks. Otherwise an empty disk means that its data was lost.
 	Founding bool
 	tenants  map[string]Objective
-	fallback *Objective // of tenants that are not named; nil: they have none
+	fallback *Objective // objective of all other tenants; nil if they have none
 }
 
-// Lookup is a tenant's objective, if it has one.
+// Lookup returns a tenant's objective, if it has one.
 func (o *Objectives) Lookup(tenant string) (Objective, bool) {
 	if objective, ok := o.tenants[tenant]; ok {
 		return objective, true
@@ -56,10 +56,10 @@
 	return *o.fallback, true
 }
 
-// NamedTenants are the tenants that the file names.
+// NamedTenants returns the number of tenants that the file lists by name.
 func (o *Objectives) NamedTenants() int { return len(o.tenants) }
 
-// objectivesFile is the settings objectivesFile as it is written.
+// objectivesFile is the JSON form of the objectives file.
 type objectivesFile struct {
 	Version  int                       `json:"version"`
 	Shards   int                       `json:"shards"`
@@ -70,13 +70,15 @@
 	Default  string                    `json:"defaultClass"`
 }
 
+// objectiveClass is one entry of objectivesFile.Classes.
 type objectiveClass struct {
 	Target  float64 `json:"target"`
 	Latency string  `json:"latency"`
 	Window  string  `json:"window"`
 }
 
-// LoadObjectives reads the settings file; nil without an error where there is none.
+// LoadObjectives reads the objectives file. It returns nil without an error if path is empty
+// or the file doesn't exist.
 func LoadObjectives(path string) (*Objectives, error) {
 	if path == "" {
 		return nil, nil
@@ -95,7 +97,7 @@
 	return objectives, nil
 }
 
-// ParseObjectives reads and checks the content of a settings file.
+// ParseObjectives parses and validates the content of an objectives file.
 func ParseObjectives(raw []byte) (*Objectives, error) {
 	var f objectivesFile
 	decoder := json.NewDecoder(bytes.NewReader(raw))
@@ -115,11 +117,12 @@
 	return f.build()
 }
 
+// build resolves the classes of the file to objectives per tenant.
 func (f objectivesFile) build() (*Objectives, error) {
 	out := &Objectives{Shards: f.Shards, JournalDir: f.Journal, Founding: f.Founding, tenants: map[string]Objective{}}
 	classes := map[string]Objective{}
-	for name, written := range f.Classes {
-		objective, err := written.parse()
+	for name, class := range f.Classes {
+		objective, err := class.parse()
 		if err != nil {
 			return nil, fmt.Errorf("class %q: %w", name, err)
 		}
@@ -128,37 +131,38 @@
 	for tenant, class := range f.Tenants {
 		objective, ok := classes[class]
 		if !ok {
-			return nil, fmt.Errorf("tenant %q: there is no class %q", tenant, class)
+			return nil, fmt.Errorf("tenant %q: class %q is not defined", tenant, class)
 		}
 		if tenant == "" || len(tenant) > maxNameBytes {
-			return nil, fmt.Errorf("tenant %.20q: a name has 1 to %d bytes", tenant, maxNameBytes)
+			return nil, fmt.Errorf("tenant %.20q: name must have 1 to %d bytes", tenant, maxNameBytes)
 		}
 		out.tenants[tenant] = objective
 	}
 	if f.Default != "" {
 		objective, ok := classes[f.Default]
 		if !ok {
-			return nil, fmt.Errorf("defaultClass: there is no class %q", f.Default)
+			return nil, fmt.Errorf("defaultClass: class %q is not defined", f.Default)
 		}
 		out.fallback = &objective
 	}
 	if len(out.tenants) == 0 && out.fallback == nil {
-		return nil, errors.New("no tenant has an objective: leave the file away")
+		return nil, errors.New("no tenant has an objective; remove the file to disable accounts")
 	}
 	return out, nil
 }
 
-func (w objectiveClass) parse() (Objective, error) {
-	if !(w.Target >= minTarget && w.Target < 1) {
-		return Objective{}, fmt.Errorf("target is %v, must be at least %v and under 1", w.Target, minTarget)
+// parse validates a class and returns its objective.
+func (c objectiveClass) parse() (Objective, error) {
+	if !(c.Target >= minTarget && c.Target < 1) {
+		return Objective{}, fmt.Errorf("target is %v, must be at least %v and less than 1", c.Target, minTarget)
 	}
-	latency, err := time.ParseDuration(w.Latency)
+	latency, err := time.ParseDuration(c.Latency)
 	if err != nil || latency <= 0 || latency > maxLatencyTarget {
-		return Objective{}, fmt.Errorf("latency is %q, must be a time such as 250ms, at most %v", w.Latency, maxLatencyTarget)
+		return Objective{}, fmt.Errorf("latency is %q, must be a positive duration such as 250ms, at most %v", c.Latency, maxLatencyTarget)
 	}
-	window, err := time.ParseDuration(w.Window)
+	window, err := time.ParseDuration(c.Window)
 	if err != nil || window < minWindow || window > maxWindow {
-		return Objective{}, fmt.Errorf("window is %q, must be a time such as 720h, from %v to %v", w.Window, minWindow, maxWindow)
+		return Objective{}, fmt.Errorf("window is %q, must be a duration such as 720h, from %v to %v", c.Window, minWindow, maxWindow)
 	}
-	return Objective{w.Target, latency, window}, nil
+	return Objective{c.Target, latency, window}, nil
 }
--- a/internal/accounts/replica.go
+++ b/internal/accounts/replica.go
@@ -10,80 +10,80 @@
 	"slateridge/internal/counter"
 )
 
-// Group is one shard's replicated counters.
+// Group holds the replicated counters of one shard.
 type Group = counter.Group[string, Account]
 
-// Times and sizes of a shard's replication.
+// Parameters of a shard's replication.
 const (
-	roundInterval             = 5 * time.Second        // a total is so much older at most than what proxies have told
-	resendTimeout             = 600 * time.Millisecond // two round trips between regions and a slow disk's sync
-	compactionInterval        = 10 * time.Minute       // ended lives are few, and a base is a large message
-	incarnationsPerCompaction = 500                    // lives in one base more than in the one before
-	maxCellsPerMessage        = 20_000                 // accounts in one message: under 2 MB
-	maxIncrementalSaves       = 24                     // rounds on disk between two writings of the whole: two minutes
+	roundInterval             = 5 * time.Second        // a total is at most this much older than the proxies' latest reports
+	resendTimeout             = 600 * time.Millisecond // two round trips between regions and the sync of a slow disk
+	compactionInterval        = 10 * time.Minute       // incarnations end rarely, and the compacted base is a large message
+	incarnationsPerCompaction = 500                    // incarnations that one compaction adds to the base
+	maxCellsPerMessage        = 20_000                 // accounts in one message, less than 2 MB
+	maxIncrementalSaves       = 24                     // rounds saved individually before the complete state is saved: two minutes
 )
 
-// ReportInterval is the time between a proxy's reports. A proxy that is lost together with its
-// journal takes with it what it counted since the latest one.
+// ReportInterval is the time between a proxy's reports. If a proxy is lost together with its
+// journal, the counts since its latest report are lost.
 const ReportInterval = 25 * time.Second
 
-// DefaultCounterOptions are those of a deployment.
+// DefaultCounterOptions are the replication options used in production.
 var DefaultCounterOptions = counter.Options{RoundEvery: roundInterval, ResendAfter: resendTimeout, FoldEvery: compactionInterval,
 	FoldAtMost: incarnationsPerCompaction, CellsAtOnce: maxCellsPerMessage, SavesAtOnce: maxIncrementalSaves}
 
-// Replica is a control machine's part in keeping the accounts: a replica of every shard,
-// and the totals of the shards whose leases it holds.
+// Replica is the accounts' state on one control-plane node: a replica of every shard, and the
+// totals of the shards whose leases the node holds.
 type Replica struct {
 	mu          sync.Mutex
 	objectives  *Objectives
 	groups      []*Group
-	histories   []map[string]*history
+	histories   []map[string]*history // by shard and tenant
 	sampledAt   time.Duration
 	recordEvent func(kind, about string)
 
-	refusedReports uint64 // reports
+	refusedReports uint64
 }
 
-// NewReplica takes up what the machine's disk holds. Note is told, in one line, of every
-// report that is refused; founding and start are as for counter.NewGroup.
-func NewReplica(machine string, objectives *Objectives, options counter.Options, store counter.Store, founding bool, start uint64, note func(kind, about string)) *Replica {
-	h := &Replica{objectives: objectives, recordEvent: note}
+// NewReplica loads the replica of node from store. recordEvent is called for every rejected
+// report. founding and start are described at counter.NewGroup.
+func NewReplica(node string, objectives *Objectives, options counter.Options, store counter.Store, founding bool, start uint64, recordEvent func(kind, about string)) *Replica {
+	r := &Replica{objectives: objectives, recordEvent: recordEvent}
 	for shard := range objectives.Shards {
-		h.groups = append(h.groups, counter.NewGroup[string, Account](shard, machine, options, store, founding, start))
-		h.histories = append(h.histories, map[string]*history{})
+		r.groups = append(r.groups, counter.NewGroup[string, Account](shard, node, options, store, founding, start))
+		r.histories = append(r.histories, map[string]*history{})
 	}
-	return h
+	return r
 }
 
-// HandleReport merges a proxy's report. Leads says whether this machine holds the shard's lease. A
-// report that is refused changes nothing, and its proxy keeps what was in it.
-func (h *Replica) HandleReport(report Report, leads bool) ReportAck {
-	h.mu.Lock()
-	defer h.mu.Unlock()
-	ack, err := h.mergeReport(report, leads)
+// HandleReport merges a proxy's report. holdsLease reports whether this node holds the shard's
+// lease. A rejected report changes nothing; the proxy keeps its changes.
+func (r *Replica) HandleReport(report Report, holdsLease bool) ReportAck {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	ack, err := r.mergeReport(report, holdsLease)
 	out := ReportAck{Shard: report.Shard, Life: report.Life, Ack: ack}
 	if err != nil {
 		out.Refused = err.Error()
 		if !errors.Is(err, ErrNotHolder) {
-			h.refusedReports++
-			h.recordEvent("account_refused", report.Node+": "+err.Error())
+			r.refusedReports++
+			r.recordEvent("account_refused", report.Node+": "+err.Error())
 		}
 	}
 	return out
 }
 
-func (h *Replica) mergeReport(report Report, leads bool) (counter.Ack, error) {
-	delta, err := unpackReport(report, len(h.groups))
+func (r *Replica) mergeReport(report Report, holdsLease bool) (counter.Ack, error) {
+	delta, err := unpackReport(report, len(r.groups))
 	if err != nil {
 		return counter.Ack{}, err
 	}
 	for tenant := range delta.Cells {
-		if _, ok := h.objectives.Lookup(tenant); !ok {
+		if _, ok := r.objectives.Lookup(tenant); !ok {
 			return counter.Ack{}, ErrUnknownTenant
 		}
 	}
-	group := h.groups[report.Shard]
-	if !leads || !group.Leading() {
+	group := r.groups[report.Shard]
+	if !holdsLease || !group.Leading() {
 		return counter.Ack{}, ErrNotHolder
 	}
 	ack, ok := group.Report(delta)
@@ -93,69 +93,70 @@
 	return ack, nil
 }
 
-// Tick advances all shards; leads says whose lease this machine holds, and replicas are
-// all machines that keep the accounts.
-func (h *Replica) Tick(now time.Duration, leads func(shard int) bool, replicas []string) []counter.Send {
-	h.mu.Lock()
-	defer h.mu.Unlock()
+// Tick advances all shards. holdsLease reports whether this node holds a shard's lease, and
+// replicas are all nodes that store the accounts.
+func (r *Replica) Tick(now time.Duration, holdsLease func(shard int) bool, replicas []string) []counter.Send {
+	r.mu.Lock()
+	defer r.mu.Unlock()
 	var out []counter.Send
-	for shard, group := range h.groups {
-		out = append(out, group.Tick(now, leads(shard), replicas)...)
+	for shard, group := range r.groups {
+		out = append(out, group.Tick(now, holdsLease(shard), replicas)...)
 	}
-	if now-h.sampledAt >= sampleInterval {
-		h.sampledAt = now
-		h.sampleHistories(now)
+	if now-r.sampledAt >= sampleInterval {
+		r.sampledAt = now
+		r.sampleHistories(now)
 	}
 	return out
 }
 
-// sampleHistories notes the figures of the shards held here. A shard that is no longer held
-// loses its history: its new holder knows what is newer.
-func (h *Replica) sampleHistories(now time.Duration) {
-	for shard, group := range h.groups {
+// sampleHistories records a sample of every account whose shard this node leads. The history
+// of a shard that it no longer leads is discarded, as the new leader has newer samples.
+func (r *Replica) sampleHistories(now time.Duration) {
+	for shard, group := range r.groups {
 		totals, _, ok := group.Totals(now)
 		if !ok {
-			clear(h.histories[shard])
+			clear(r.histories[shard])
 			continue
 		}
 		for tenant, account := range totals {
-			past := h.histories[shard][tenant]
+			past := r.histories[shard][tenant]
 			if past == nil {
 				past = &history{}
-				h.histories[shard][tenant] = past
+				r.histories[shard][tenant] = past
 			}
-			if objective, ok := h.objectives.Lookup(tenant); ok {
+			if objective, ok := r.objectives.Lookup(tenant); ok {
 				past.add(now, account, objective.Window)
 			}
 		}
 	}
 }
 
-// Receive takes a message of a shard's replication from another control machine.
-func (h *Replica) Receive(from string, message any) []counter.Send {
-	h.mu.Lock()
-	defer h.mu.Unlock()
+// Receive processes a replication message from another control-plane node and returns the
+// messages to send.
+func (r *Replica) Receive(from string, message any) []counter.Send {
+	r.mu.Lock()
+	defer r.mu.Unlock()
 	shard, ok := messageShard(message)
-	if !ok || shard < 0 || shard >= len(h.groups) {
+	if !ok || shard < 0 || shard >= len(r.groups) {
 		return nil
 	}
-	return h.groups[shard].Receive(from, message)
+	return r.groups[shard].Receive(from, message)
 }
 
 type (
-	// Prepare is a message of a shard's replication, as the others here.
+	// Prepare asks a replica to reject lower ballots and to send its state.
 	Prepare = counter.Prepare
-	// Promise answers Prepare.
+	// Promise is the response to Prepare.
 	Promise = counter.Promise[string, Account]
-	// Reject answers a message of a leader that has been replaced.
+	// Reject is the response to a message of a replaced leader.
 	Reject = counter.Reject
-	// Replicate brings what has been reported to the other control machines.
+	// Replicate transfers reported changes from a leader to the other nodes.
 	Replicate = counter.Replicate[string, Account]
-	// Replicated answers Replicate.
+	// Replicated is the response to Replicate.
 	Replicated = counter.Replicated
 )
 
-// messageShard is the shard that a message of the replication is about.
+// messageShard returns the shard of a replication message; ok is false for other messages.
 func messageShard(message any) (shard int, ok bool) {
 	switch m := message.(type) {
 	case Prepare:
@@ -172,38 +173,40 @@
 	return 0, false
 }
 
-// Standing is one tenant's account for operators.
+// Standing is the state of one tenant's account and error budget, as shown to operators.
 type Standing struct {
 	Tenant    string
 	Shard     int
 	Objective Objective
 	Account   Account
-	Open      uint64        // under way, or of lives whose end is not known
-	Age       time.Duration // of the total: what proxies told later is not in it
+	Open      uint64        // in flight, or of incarnations that are not known to have ended
+	Age       time.Duration // of the total, which doesn't include later reports
 	Budget    Budget
 	P50, P99  time.Duration
 }
 
-// Standing is a tenant's standing; ErrNotHolder unless this machine has its total.
-func (h *Replica) Standing(now time.Duration, tenant string) (Standing, error) {
-	h.mu.Lock()
-	defer h.mu.Unlock()
-	objective, ok := h.objectives.Lookup(tenant)
+// Standing returns the state of a tenant's account, or ErrNotHolder if this node doesn't have
+// its total.
+func (r *Replica) Standing(now time.Duration, tenant string) (Standing, error) {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	objective, ok := r.objectives.Lookup(tenant)
 	if !ok {
 		return Standing{}, ErrUnknownTenant
 	}
-	shard := ShardOf(tenant, len(h.groups))
-	totals, age, ok := h.groups[shard].Totals(now)
+	shard := ShardOf(tenant, len(r.groups))
+	totals, age, ok := r.groups[shard].Totals(now)
 	if !ok {
 		return Standing{}, ErrNotHolder
 	}
-	return h.newStanding(now, age, shard, tenant, totals[tenant], objective), nil
+	return r.newStanding(now, age, shard, tenant, totals[tenant], objective), nil
 }
 
-func (h *Replica) newStanding(now, age time.Duration, shard int, tenant string, account Account, objective Objective) Standing {
+// newStanding derives a tenant's standing from its total and its history.
+func (r *Replica) newStanding(now, age time.Duration, shard int, tenant string, account Account, objective Objective) Standing {
 	out := Standing{Tenant: tenant, Shard: shard, Objective: objective, Account: account, Open: account.Open(), Age: age,
 		P50: account.Latency.Quantile(0.5), P99: account.Latency.Quantile(0.99)}
-	past := h.histories[shard][tenant]
+	past := r.histories[shard][tenant]
 	if past == nil {
 		past = &history{}
 	}
@@ -211,25 +214,25 @@
 	return out
 }
 
-// Totals are the accounts of a shard that a majority holds, and how old that knowledge is;
-// false unless this machine leads the shard.
-func (h *Replica) Totals(now time.Duration, shard int) (map[string]Account, time.Duration, bool) {
-	h.mu.Lock()
-	defer h.mu.Unlock()
-	totals, age, ok := h.groups[shard].Totals(now)
+// Totals returns the accounts of a shard as held by a majority, and their age. It returns
+// false unless this node leads the shard.
+func (r *Replica) Totals(now time.Duration, shard int) (map[string]Account, time.Duration, bool) {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	totals, age, ok := r.groups[shard].Totals(now)
 	return maps.Clone(totals), age, ok
 }
 
-// Standings is the standing of all tenants whose shards are held here, by name.
-func (h *Replica) Standings(now time.Duration) []Standing {
-	h.mu.Lock()
-	defer h.mu.Unlock()
+// Standings returns the standings of all tenants whose shards this node leads, sorted by name.
+func (r *Replica) Standings(now time.Duration) []Standing {
+	r.mu.Lock()
+	defer r.mu.Unlock()
 	var out []Standing
-	for shard, group := range h.groups {
+	for shard, group := range r.groups {
 		totals, age, _ := group.Totals(now)
 		for tenant, account := range totals {
-			if objective, ok := h.objectives.Lookup(tenant); ok {
-				out = append(out, h.newStanding(now, age, shard, tenant, account, objective))
+			if objective, ok := r.objectives.Lookup(tenant); ok {
+				out = append(out, r.newStanding(now, age, shard, tenant, account, objective))
 			}
 		}
 	}
@@ -242,27 +245,27 @@
 	return out
 }
 
-// ShardState is one shard for operators.
+// ShardState is the state of one shard on a node, as shown to operators.
 type ShardState struct {
 	Shard       int
 	Leading     bool
-	Age         time.Duration
-	OpenLives   int // process lives that have not ended, as known here
-	EndedLives  int // lives that have ended and are not folded yet
-	FoldedLives int
-	Refused     uint64 // deltas that did not fit
+	Age         time.Duration // of the totals
+	OpenLives   int           // incarnations that are not known to have ended
+	EndedLives  int           // incarnations that have ended and are not compacted yet
+	FoldedLives int           // compacted incarnations
+	Refused     uint64        // deltas that were malformed or went beyond a final version
 }
 
-// Shards are the states of all shards.
-func (h *Replica) Shards(now time.Duration) []ShardState {
-	h.mu.Lock()
-	defer h.mu.Unlock()
+// Shards returns the states of all shards.
+func (r *Replica) Shards(now time.Duration) []ShardState {
+	r.mu.Lock()
+	defer r.mu.Unlock()
 	var out []ShardState
-	for shard, group := range h.groups {
-		lives, folded := group.Lives()
+	for shard, group := range r.groups {
+		incarnations, compacted := group.Lives()
 		open := len(group.OpenLives())
 		_, age, leading := group.Totals(now)
-		out = append(out, ShardState{shard, leading, age, open, lives - open, folded, group.Refused})
+		out = append(out, ShardState{shard, leading, age, open, incarnations - open, compacted, group.Refused})
 	}
 	return out
 }
--- a/internal/accounts/service.go
+++ b/internal/accounts/service.go
@@ -13,38 +13,39 @@
 	"slateridge/internal/counter"
 )
 
-// TickInterval is the step of a control machine's service.
+// TickInterval is the interval at which a control-plane node calls Service.Step.
 const TickInterval = 200 * time.Millisecond
 
-// maxMetricTenants bounds the tenants that have metrics of their own: those in alarm.
+// maxMetricTenants limits the number of tenants with metrics of their own. Only tenants in
+// alarm have them.
 const maxMetricTenants = 100
 
-// ServiceOptions are what a service needs of the control machine's process.
+// ServiceOptions configures a Service.
 type ServiceOptions struct {
 	Node        string
-	HoldsLease  func(shard int) bool   // this machine holds the shard's lease
-	LeaseHolder func(shard int) string // who does, as far as is known; may be empty
-	Replicas    func() []string        // all machines that keep the accounts
+	HoldsLease  func(shard int) bool   // reports whether this node holds the shard's lease
+	LeaseHolder func(shard int) string // returns the node that holds the shard's lease, or "" if unknown
+	Replicas    func() []string        // returns all nodes that store the accounts
 	Send        func(to string, message any)
-	Now         func() time.Duration // steady
+	Now         func() time.Duration // monotonic time
 }
 
-// Service is a control machine's part in the accounts: the holder, its messages, and the
-// interface for operators.
+// Service runs the accounts on a control-plane node: the replica, its messages, and the HTTP
+// endpoint and metrics for operators.
 type Service struct {
 	*Replica
 	options ServiceOptions
 }
 
-// NewService makes the service of a holder.
-func NewService(holder *Replica, options ServiceOptions) *Service {
-	return &Service{Replica: holder, options: options}
+// NewService returns the service of a replica.
+func NewService(replica *Replica, options ServiceOptions) *Service {
+	return &Service{Replica: replica, options: options}
 }
 
-// DutyName is the lease of a shard.
+// DutyName returns the name of the duty whose lease makes a node the leader of a shard.
 func DutyName(shard int) string { return fmt.Sprintf("accounts/%d", shard) }
 
-// Step advances the holder; it is called every TickEvery.
+// Step advances the replica. It is called every TickInterval.
 func (s *Service) Step() {
 	s.sendAll(s.Tick(s.options.Now(), s.options.HoldsLease, s.options.Replicas()))
 }
@@ -55,8 +56,9 @@
 	}
 }
 
-// HandleMessage takes a message of another process; false if it is none of the accounts'.
-func (s *Service) HandleMessage(from string, message any) (answer any, mine bool) {
+// HandleMessage processes a message from another process and returns its response, if any.
+// handled is false if the message doesn't belong to the accounts.
+func (s *Service) HandleMessage(from string, message any) (response any, handled bool) {
 	if report, ok := message.(Report); ok {
 		return s.handleReport(report), true
 	}
@@ -67,6 +69,7 @@
 	return nil, true
 }
 
+// handleReport passes a report to the replica and adds the lease holder to a redirect.
 func (s *Service) handleReport(report Report) ReportAck {
 	inRange := report.Shard >= 0 && report.Shard < s.objectives.Shards
 	ack := s.HandleReport(report, inRange && s.options.HoldsLease(report.Shard))
@@ -76,8 +79,8 @@
 	return ack
 }
 
-// ServeHTTP answers operators with a snapshot as JSON, of the tenant named in the query
-// or of all.
+// ServeHTTP responds with a snapshot as JSON, of the tenant given in the query or of all
+// tenants.
 func (s *Service) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	snapshot, err := s.Snapshot(s.options.Now(), time.Now(), r.URL.Query().Get("tenant"))
 	switch {
@@ -89,10 +92,11 @@
 		return
 	}
 	w.Header().Set("Content-Type", "application/json")
-	json.NewEncoder(w).Encode(snapshot) // a caller that has gone needs no answer
+	json.NewEncoder(w).Encode(snapshot) // an error means that the client has disconnected
 }
 
-// WriteMetrics gives the sums over the shards held here, and the tenants in alarm.
+// WriteMetrics writes the sums over the shards that this node leads, and the metrics of the
+// tenants in alarm.
 func (s *Service) WriteMetrics(w io.Writer) {
 	now := s.options.Now()
 	var sum Account
@@ -132,9 +136,9 @@
 	metrics.WriteCounterUint64(w, "slateridge_accounts_reports_refused_total", s.RefusedReports())
 }
 
-// RefusedReports counts the reports that were refused.
-func (h *Replica) RefusedReports() uint64 {
-	h.mu.Lock()
-	defer h.mu.Unlock()
-	return h.refusedReports
+// RefusedReports returns the number of rejected reports.
+func (r *Replica) RefusedReports() uint64 {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	return r.refusedReports
 }
--- a/internal/accounts/sketch.go
+++ b/internal/accounts/sketch.go
@@ -7,58 +7,59 @@
 	"github.com/DataDog/sketches-go/ddsketch/mapping"
 )
 
-// SketchRelativeError is the relative error of a quantile read from a sketch.
+// SketchRelativeError is the maximum relative error of a quantile estimated from a Sketch.
 const SketchRelativeError = 0.05
 
-// Latencies outside these bounds are recorded as the bound.
+// Latencies outside these bounds are recorded as the nearest bound.
 const (
 	minRecordedLatency = 100 * time.Microsecond
 	maxRecordedLatency = 10 * time.Minute
 )
 
-// latencyMapping assigns latencies to bins whose bounds grow by a constant factor.
+// latencyMapping maps latencies to logarithmic bins: bin bounds grow by a constant factor.
 var latencyMapping = newLatencyMapping()
 
 func newLatencyMapping() *mapping.LogarithmicMapping {
 	m, err := mapping.NewLogarithmicMapping(SketchRelativeError)
 	if err != nil {
-		panic("accounts: the sketch's error is out of range: " + err.Error())
+		panic("accounts: invalid relative error for the latency sketch: " + err.Error())
 	}
 	return m
 }
 
-// Bin counts the latencies of one bin of the mapping.
+// Bin counts the latencies that fall into one bin of the mapping.
 type Bin struct {
 	Index int32
 	Count uint64
 }
 
-// Sketch is a DDSketch as its bins, in the order of their indexes. Unlike the library's,
-// it can also be joined with an earlier state of itself.
+// Sketch is a DDSketch stored as its non-empty bins, sorted by index. Unlike the sketch of
+// the DDSketch library, it can also be joined with an earlier state of itself.
 type Sketch []Bin
 
-// Observe adds a latency.
+// Observe records one latency.
 func (s *Sketch) Observe(latency time.Duration) {
 	latency = min(max(latency, minRecordedLatency), maxRecordedLatency)
 	index := int32(latencyMapping.Index(latency.Seconds()))
-	at, found := slices.BinarySearchFunc(*s, index, func(b Bin, index int32) int { return int(b.Index) - int(index) })
+	i, found := slices.BinarySearchFunc(*s, index, func(b Bin, index int32) int { return int(b.Index) - int(index) })
 	if !found {
-		*s = slices.Insert(*s, at, Bin{Index: index})
+		*s = slices.Insert(*s, i, Bin{Index: index})
 	}
-	(*s)[at].Count++
+	(*s)[i].Count++
 }
 
-// Join is the later of two states of one life.
+// Join merges two states of the same incarnation: it takes the larger count of each bin.
 func (s Sketch) Join(other Sketch) Sketch {
 	return s.combine(other, func(a, b uint64) uint64 { return max(a, b) })
 }
 
-// Plus is the sum over two lives.
+// Plus returns the sum of the sketches of two incarnations.
 func (s Sketch) Plus(other Sketch) Sketch {
 	return s.combine(other, func(a, b uint64) uint64 { return a + b })
 }
 
-func (s Sketch) combine(other Sketch, both func(a, b uint64) uint64) Sketch {
+// combine merges the bins of two sketches; combineCounts is applied to bins present in both.
+func (s Sketch) combine(other Sketch, combineCounts func(a, b uint64) uint64) Sketch {
 	if len(s)+len(other) == 0 {
 		return nil
 	}
@@ -70,13 +71,13 @@
 		case a.Index > b.Index:
 			out, other = append(out, b), other[1:]
 		default:
-			out, s, other = append(out, Bin{a.Index, both(a.Count, b.Count)}), s[1:], other[1:]
+			out, s, other = append(out, Bin{a.Index, combineCounts(a.Count, b.Count)}), s[1:], other[1:]
 		}
 	}
 	return append(append(out, s...), other...)
 }
 
-// Count is the number of latencies.
+// Count returns the number of recorded latencies.
 func (s Sketch) Count() uint64 {
 	count := uint64(0)
 	for _, bin := range s {
@@ -85,17 +86,18 @@
 	return count
 }
 
-// Quantile is the latency that a share of all lies under, within SketchError of the true
-// one; 0 where there is none. It is what the library's sketch of these bins gives.
-func (s Sketch) Quantile(share float64) time.Duration {
+// Quantile returns an estimate of the q-quantile of the latencies, within
+// SketchRelativeError of the true value, or 0 if the sketch is empty. It equals the estimate
+// of the DDSketch library for the same bins.
+func (s Sketch) Quantile(q float64) time.Duration {
 	count := s.Count()
 	if count == 0 {
 		return 0
 	}
-	rank := share * float64(count-1)
-	below := uint64(0)
+	rank := q * float64(count-1)
+	cumulative := uint64(0)
 	for _, bin := range s {
-		if below += bin.Count; float64(below) > rank {
+		if cumulative += bin.Count; float64(cumulative) > rank {
 			return time.Duration(latencyMapping.Value(int(bin.Index)) * float64(time.Second))
 		}
 	}
--- a/internal/accounts/snapshot.go
+++ b/internal/accounts/snapshot.go
@@ -6,22 +6,22 @@
 	"time"
 )
 
-// Snapshot is what control machines say of the accounts at a time.
+// Snapshot is the state of the accounts at one time, as reported by control-plane nodes.
 type Snapshot struct {
 	At        time.Time
 	Shards    []ShardState
-	Standings []Standing // by tenant
+	Standings []Standing // sorted by tenant
 }
 
-// Snapshot is this machine's part: the accounts of the shards that it holds, or of one
-// tenant if one is named.
-func (h *Replica) Snapshot(now time.Duration, at time.Time, tenant string) (Snapshot, error) {
-	out := Snapshot{At: at, Shards: h.Shards(now)}
+// Snapshot returns this node's part of a snapshot: the accounts of the shards that it leads,
+// or of one tenant if tenant isn't empty.
+func (r *Replica) Snapshot(now time.Duration, at time.Time, tenant string) (Snapshot, error) {
+	out := Snapshot{At: at, Shards: r.Shards(now)}
 	if tenant == "" {
-		out.Standings = h.Standings(now)
+		out.Standings = r.Standings(now)
 		return out, nil
 	}
-	standing, err := h.Standing(now, tenant)
+	standing, err := r.Standing(now, tenant)
 	if err != nil {
 		return out, err
 	}
@@ -29,11 +29,12 @@
 	return out, nil
 }
 
-// MergeSnapshots puts together what several control machines say at about one time: of
-// each shard the word of the machine that leads it, and the newest where two say they do.
+// MergeSnapshots combines snapshots that several control-plane nodes took at about the same
+// time. Each shard is taken from the node that leads it, or from the one with the newest
+// totals if two nodes report that they lead it.
 func MergeSnapshots(parts []Snapshot) Snapshot {
 	var out Snapshot
-	leaders := map[int]int{} // shard to part
+	leaders := map[int]int{} // index of the chosen part, by shard
 	for i, part := range parts {
 		if part.At.After(out.At) {
 			out.At = part.At
@@ -58,7 +59,7 @@
 	return out
 }
 
-// preferred reports whether one machine's word on a shard goes before another's.
+// preferred reports whether state a of a shard takes precedence over state b.
 func preferred(a, b ShardState) bool {
 	if a.Leading != b.Leading {
 		return a.Leading
@@ -66,6 +67,7 @@
 	return a.Leading && a.Age < b.Age
 }
 
+// shardState returns the state of a shard, or a state without a leader if there is none.
 func (s Snapshot) shardState(number int) ShardState {
 	for _, shard := range s.Shards {
 		if shard.Shard == number {
@@ -75,8 +77,8 @@
 	return ShardState{Shard: number}
 }
 
-// MissingShards are the shards of which no machine that answered has a total: the accounts of
-// their tenants are missing from the snapshot.
+// MissingShards returns the shards whose leader isn't among the nodes that responded. The
+// accounts of their tenants are missing from the snapshot.
 func (s Snapshot) MissingShards() []int {
 	var out []int
 	for _, shard := range s.Shards {
@@ -87,7 +89,7 @@
 	return out
 }
 
-// Standing is a tenant's standing in the snapshot.
+// Standing returns a tenant's standing, if the snapshot has it.
 func (s Snapshot) Standing(tenant string) (Standing, bool) {
 	i, found := slices.BinarySearchFunc(s.Standings, tenant, func(standing Standing, name string) int { return cmp.Compare(standing.Tenant, name) })
 	if !found {
@@ -96,7 +98,7 @@
 	return s.Standings[i], true
 }
 
-// Interval is what happened to a tenant between two snapshots.
+// Interval holds the changes of a tenant's account between two snapshots.
 type Interval struct {
 	From, To time.Time
 	Eligible uint64
@@ -104,8 +106,9 @@
 	Latency  Sketch
 }
 
-// NewInterval is the difference of a tenant's accounts in two snapshots; false if either has
-// none, or the later one has less: it is of another deployment.
+// NewInterval returns the difference between a tenant's accounts in two snapshots. It returns
+// false if either snapshot lacks the tenant, or if the later one has lower counts, which means
+// that it is from another deployment.
 func NewInterval(from, to Snapshot, tenant string) (Interval, bool) {
 	a, okA := from.Standing(tenant)
 	b, okB := to.Standing(tenant)
@@ -116,7 +119,7 @@
 		Latency: b.Account.Latency.subtract(a.Account.Latency)}, true
 }
 
-// BurnRate is the interval's burn rate.
+// BurnRate returns the burn rate of the interval.
 func (i Interval) BurnRate(objective Objective) float64 {
 	if i.Eligible == 0 {
 		return 0
@@ -124,13 +127,13 @@
 	return float64(i.Missed) / float64(i.Eligible) / (1 - objective.Target)
 }
 
-// subtract is what a sketch has more than an earlier state of it.
+// subtract returns the latencies recorded since an earlier state of the sketch.
 func (s Sketch) subtract(earlier Sketch) Sketch {
 	var out Sketch
 	for _, bin := range s {
-		at, found := slices.BinarySearchFunc(earlier, bin.Index, func(b Bin, index int32) int { return cmp.Compare(b.Index, index) })
+		j, found := slices.BinarySearchFunc(earlier, bin.Index, func(b Bin, index int32) int { return cmp.Compare(b.Index, index) })
 		if found {
-			bin.Count -= min(bin.Count, earlier[at].Count)
+			bin.Count -= min(bin.Count, earlier[j].Count)
 		}
 		if bin.Count > 0 {
 			out = append(out, bin)
--- a/internal/accounts/wire.go
+++ b/internal/accounts/wire.go
@@ -10,57 +10,58 @@
 	"slateridge/internal/counter"
 )
 
-// Delta is what changed of a life's accounts.
+// Delta holds the changes of one incarnation's accounts between two versions.
 type Delta = counter.Delta[string, Account]
 
-// formatVersion is that of packed accounts; a report of another one is refused.
+// formatVersion is the version of the packed account encoding. Reports of another version are
+// rejected.
 const formatVersion = 1
 
-// Limits of a report; what is beyond them is garbled.
+// Limits of a report; a report that exceeds them is rejected as malformed.
 const (
-	maxNameBytes     = 256     // bytes of a tenant's or a node's name
+	maxNameBytes     = 256     // of a tenant or node name
 	maxReportTenants = 200_000 // accounts in one report
-	maxSketchBins    = 400     // bins of a sketch: all between the shortest and the longest latency
-	maxCount         = 1 << 48 // requests of one tenant in one life
+	maxSketchBins    = 400     // covers all bins between minRecordedLatency and maxRecordedLatency
+	maxCount         = 1 << 48 // requests of one tenant in one incarnation
 )
 
-// Report brings a shard's holder what has changed at a proxy.
+// Report transfers the changes of a proxy's accounts to the leader of a shard.
 type Report struct {
 	Shard  int
 	Format int
 	Node   string
-	Life   uint64
-	From   uint64
-	To     uint64
-	Closed bool
-	Packed []byte // accounts by tenant
+	Life   uint64 // incarnation of the proxy process
+	From   uint64 // version that the changes are relative to
+	To     uint64 // version that includes the changes
+	Closed bool   // the incarnation has ended; no changes follow
+	Packed []byte // encoded accounts by tenant
 }
 
-// ReportAck answers a report.
+// ReportAck is the response to a Report.
 type ReportAck struct {
 	Shard   int
 	Life    uint64
-	Refused string // why the report was not taken; it is kept by its proxy
-	Holder  string // the machine that holds the shard's lease, as far as is known
+	Refused string // reason for a rejection; empty if the report was accepted. The proxy keeps rejected changes.
+	Holder  string // node that holds the shard's lease, if known
 	Ack     counter.Ack
 }
 
-// Errors of a report that is refused.
+// Reasons for which a report is rejected. Proxies compare the text of ErrNotHolder.
 var (
-	ErrUnsupportedFormat = errors.New("report of another format")
-	ErrMalformed         = errors.New("report is garbled")
-	ErrUnknownTenant     = errors.New("tenant has no objective here")
+	ErrUnsupportedFormat = errors.New("unsupported format version")
+	ErrMalformed         = errors.New("malformed data")
+	ErrUnknownTenant     = errors.New("tenant has no objective on this node")
 	ErrNotHolder         = errors.New("this machine does not hold the shard")
 )
 
-// ShardOf is the shard that a tenant belongs to.
+// ShardOf returns the shard of a tenant, by a hash of its name.
 func ShardOf(tenant string, shards int) int {
 	hash := fnv.New64a()
 	hash.Write([]byte(tenant))
 	return int(hash.Sum64() % uint64(shards))
 }
 
-// packReport makes a report of a delta.
+// packReport encodes a delta as a report.
 func packReport(shard int, delta Delta) Report {
 	report := Report{Shard: shard, Format: formatVersion, Node: delta.Node, Life: uint64(delta.Life), From: delta.From, To: delta.To, Closed: delta.Closed}
 	for tenant, account := range delta.Cells {
@@ -71,14 +72,14 @@
 	return report
 }
 
-// counters are an account's numbers as they are packed: mostly zero. What is open stands
-// for what was taken.
+// counters returns the counters of an account in the order in which they are packed. Open
+// replaces Taken, so that most of them are zero.
 func (a Account) counters() []uint64 {
 	return append(a.Settled[:], a.Doubled, a.Open())
 }
 
-// appendAccount packs an account: a bit for each number that is not zero, those numbers,
-// and the bins as steps from one to the next.
+// appendAccount encodes an account: a bit mask of the non-zero counters, these counters, and
+// the bins of the sketch with delta-encoded indexes.
 func appendAccount(out []byte, a Account) []byte {
 	present := byte(0)
 	counters := a.counters()
@@ -94,19 +95,19 @@
 		}
 	}
 	out = binary.AppendUvarint(out, uint64(len(a.Latency)))
-	before := int32(0)
+	previous := int32(0)
 	for _, bin := range a.Latency {
-		out = binary.AppendVarint(out, int64(bin.Index-before))
+		out = binary.AppendVarint(out, int64(bin.Index-previous))
 		out = binary.AppendUvarint(out, bin.Count)
-		before = bin.Index
+		previous = bin.Index
 	}
 	return out
 }
 
-// unpackReport reads a report and checks all that can be checked of it alone.
+// unpackReport decodes a report and validates it as far as this needs no other state.
 func unpackReport(report Report, shards int) (Delta, error) {
 	if report.Format != formatVersion {
-		return Delta{}, fmt.Errorf("%w: %d, not %d", ErrUnsupportedFormat, report.Format, formatVersion)
+		return Delta{}, fmt.Errorf("%w %d, must be %d", ErrUnsupportedFormat, report.Format, formatVersion)
 	}
 	if report.Life == 0 || report.Node == "" || len(report.Node) > maxNameBytes || report.Shard < 0 || report.Shard >= shards || report.To < report.From {
 		return Delta{}, ErrMalformed
@@ -127,15 +128,16 @@
 	return delta, nil
 }
 
-// packedReader takes values from packed bytes; bad says that they are garbled.
+// packedReader decodes values from packed bytes; malformed is set once decoding has failed.
 type packedReader struct {
 	remaining []byte
 	malformed bool
 }
 
-func (r *packedReader) uvarint(most uint64) uint64 {
+// uvarint reads an unsigned integer of at most limit.
+func (r *packedReader) uvarint(limit uint64) uint64 {
 	value, n := binary.Uvarint(r.remaining)
-	if n <= 0 || value > most {
+	if n <= 0 || value > limit {
 		r.malformed, r.remaining = true, nil
 		return 0
 	}
@@ -185,9 +187,9 @@
 	bins := r.uvarint(maxSketchBins)
 	index := int64(0)
 	for i := range bins {
-		step := r.varint()
-		index += step
-		if i > 0 && step <= 0 || index != int64(int32(index)) {
+		increment := r.varint()
+		index += increment
+		if i > 0 && increment <= 0 || index != int64(int32(index)) {
 			r.malformed = true
 		}
 		a.Latency = append(a.Latency, Bin{int32(index), r.uvarint(maxCount)})
