--- a/internal/accounts/accounts_test.go
+++ b/internal/accounts/accounts_test.go
@@ -18,15 +18,15 @@
 	"slateridge/internal/simnet"
 )
 
-const goodFile = `{"version":1,"shards":1,"classes":{"gold":{"target":0.999,"latency":"250ms","window":"720h"}},"tenants":{"known":"gold"}}`
+const validObjectives = `{"version":1,"shards":1,"classes":{"gold":{"target":0.999,"latency":"250ms","window":"720h"}},"tenants":{"known":"gold"}}`
 
-// TestObjectivesRefused gives settings files that must be refused, with the part that is
-// wrong named.
-func TestObjectivesRefused(t *testing.T) {
-	if _, err := ParseObjectives([]byte(goodFile)); err != nil {
+// TestParseObjectivesRejectsInvalid checks that invalid objectives files are rejected, with an
+// error that names the invalid part.
+func TestParseObjectivesRejectsInvalid(t *testing.T) {
+	if _, err := ParseObjectives([]byte(validObjectives)); err != nil {
 		t.Fatal(err)
 	}
-	cases := []struct{ from, to, names string }{
+	cases := []struct{ old, replacement, mentions string }{
 		{`"version":1`, `"version":2`, "version"},
 		{`"shards":1`, `"shards":-1`, "shards"},
 		{`"shards":1`, `"shards":1000`, "shards"},
@@ -44,73 +44,73 @@
 		{`"tenants"`, `"tenant"`, "tenant"},
 	}
 	for _, c := range cases {
-		_, err := ParseObjectives([]byte(strings.Replace(goodFile, c.from, c.to, 1)))
-		if err == nil || !strings.Contains(err.Error(), c.names) {
-			t.Errorf("%s: error is %v, should name %q", c.to, err, c.names)
+		_, err := ParseObjectives([]byte(strings.Replace(validObjectives, c.old, c.replacement, 1)))
+		if err == nil || !strings.Contains(err.Error(), c.mentions) {
+			t.Errorf("%s: got error %v, want one that mentions %q", c.replacement, err, c.mentions)
 		}
 	}
 }
 
-// TestBadReports gives a holder reports that it must refuse: each is counted, said in one
-// line, and changes nothing; the proxy keeps what was in it.
-func TestBadReports(t *testing.T) {
-	objectives, err := ParseObjectives([]byte(goodFile))
+// TestInvalidReportsRejected checks that each invalid report is rejected, counted and recorded
+// as one event, and changes no account, while the proxy keeps its changes for the next report.
+func TestInvalidReportsRejected(t *testing.T) {
+	objectives, err := ParseObjectives([]byte(validObjectives))
 	if err != nil {
 		t.Fatal(err)
 	}
-	var notes []string
-	holder := NewReplica("a", objectives, DefaultCounterOptions, simnet.NewDisk(), true, 1, func(_, about string) { notes = append(notes, about) })
-	leads := func(int) bool { return true }
-	holder.Tick(0, leads, []string{"a"})
-	holder.Tick(time.Second, leads, []string{"a"})
+	var events []string
+	replica := NewReplica("a", objectives, DefaultCounterOptions, simnet.NewDisk(), true, 1, func(_, about string) { events = append(events, about) })
+	holdsLease := func(int) bool { return true }
+	replica.Tick(0, holdsLease, []string{"a"})
+	replica.Tick(time.Second, holdsLease, []string{"a"})
 	meter := NewMeter("proxy", 7, objectives, nil, nil)
 	meter.Begin("known").Success(time.Millisecond)
-	good := meter.PendingReports(0)[0]
-	change := func(f func(*Report)) Report {
-		out := good
-		out.Packed = slices.Clone(good.Packed)
+	valid := meter.PendingReports(0)[0]
+	modify := func(f func(*Report)) Report {
+		out := valid
+		out.Packed = slices.Clone(valid.Packed)
 		f(&out)
 		return out
 	}
-	stranger := packReport(0, Delta{Life: 9, Node: "p", To: 1, Cells: counter.Cells[string, Account]{"stranger": {Taken: 1}}})
-	overfull := packReport(0, Delta{Life: 9, Node: "p", To: 1, Cells: counter.Cells[string, Account]{"known": {Taken: 1, Doubled: 5}}})
-	bad := []Report{
-		change(func(r *Report) { r.Format = 2 }), change(func(r *Report) { r.Life = 0 }),
-		change(func(r *Report) { r.Node = "" }), change(func(r *Report) { r.Node = strings.Repeat("x", maxNameBytes+1) }),
-		change(func(r *Report) { r.Shard = 5 }), change(func(r *Report) { r.Shard = -1 }),
-		change(func(r *Report) { r.From = 9 }), change(func(r *Report) { r.Packed = r.Packed[:len(r.Packed)-1] }),
-		change(func(r *Report) { r.Packed = append(r.Packed, 0) }), change(func(r *Report) { r.Packed[0] = 200 }),
-		stranger, overfull,
-	}
-	for i, report := range bad {
-		if ack := holder.HandleReport(report, true); ack.Refused == "" {
-			t.Errorf("bad report %d was taken", i)
+	unknownTenant := packReport(0, Delta{Life: 9, Node: "p", To: 1, Cells: counter.Cells[string, Account]{"stranger": {Taken: 1}}})
+	tooManyDoubled := packReport(0, Delta{Life: 9, Node: "p", To: 1, Cells: counter.Cells[string, Account]{"known": {Taken: 1, Doubled: 5}}})
+	invalid := []Report{
+		modify(func(r *Report) { r.Format = 2 }), modify(func(r *Report) { r.Life = 0 }),
+		modify(func(r *Report) { r.Node = "" }), modify(func(r *Report) { r.Node = strings.Repeat("x", maxNameBytes+1) }),
+		modify(func(r *Report) { r.Shard = 5 }), modify(func(r *Report) { r.Shard = -1 }),
+		modify(func(r *Report) { r.From = 9 }), modify(func(r *Report) { r.Packed = r.Packed[:len(r.Packed)-1] }),
+		modify(func(r *Report) { r.Packed = append(r.Packed, 0) }), modify(func(r *Report) { r.Packed[0] = 200 }),
+		unknownTenant, tooManyDoubled,
+	}
+	for i, report := range invalid {
+		if ack := replica.HandleReport(report, true); ack.Refused == "" {
+			t.Errorf("invalid report %d was accepted", i)
 		}
 	}
-	if len(notes) != len(bad) || holder.refusedReports != uint64(len(bad)) {
-		t.Errorf("%d lines and %d counted for %d bad reports", len(notes), holder.refusedReports, len(bad))
+	if len(events) != len(invalid) || replica.refusedReports != uint64(len(invalid)) {
+		t.Errorf("%d events and a count of %d for %d invalid reports", len(events), replica.refusedReports, len(invalid))
 	}
-	if ack := holder.HandleReport(good, false); ack.Refused == "" {
-		t.Error("a report was taken without the lease")
+	if ack := replica.HandleReport(valid, false); ack.Refused == "" {
+		t.Error("a report was accepted without the lease")
 	}
-	if _, err := holder.Standing(time.Second, "stranger"); err == nil {
+	if _, err := replica.Standing(time.Second, "stranger"); err == nil {
 		t.Error("an unknown tenant has an account")
 	}
-	if ack := holder.HandleReport(meter.PendingReports(0)[0], true); ack.Refused != "" {
-		t.Fatalf("the good report was refused: %s", ack.Refused)
+	if ack := replica.HandleReport(meter.PendingReports(0)[0], true); ack.Refused != "" {
+		t.Fatalf("the valid report was rejected: %s", ack.Refused)
 	}
-	holder.Tick(time.Minute, leads, []string{"a"})
-	if standing, err := holder.Standing(time.Minute, "known"); err != nil || standing.Account.Settled[OnTime] != 1 || standing.Account.Taken != 1 {
-		t.Errorf("the account is %+v, %v", standing.Account, err)
+	replica.Tick(time.Minute, holdsLease, []string{"a"})
+	if standing, err := replica.Standing(time.Minute, "known"); err != nil || standing.Account.Settled[OnTime] != 1 || standing.Account.Taken != 1 {
+		t.Errorf("got account %+v, %v, want one request that was on time", standing.Account, err)
 	}
-	holder.Tick(time.Minute, func(int) bool { return false }, []string{"a"})
-	if _, err := holder.Standing(time.Minute, "known"); err == nil {
-		t.Error("a total from a machine without the lease")
+	replica.Tick(time.Minute, func(int) bool { return false }, []string{"a"})
+	if _, err := replica.Standing(time.Minute, "known"); err == nil {
+		t.Error("a node without the lease returned a total")
 	}
 }
 
-// FuzzReports takes garbled packed accounts without a panic; what is taken can be packed
-// again to the same accounts.
+// FuzzReports checks that decoding packed accounts never panics, and that accounts that decode
+// successfully survive encoding and decoding.
 func FuzzReports(f *testing.F) {
 	f.Add(packReport(0, Delta{Life: 9, Node: "p", To: 1, Cells: counter.Cells[string, Account]{"known": {Taken: 3, Latency: Sketch{{1, 2}, {4, 1}}}}}).Packed)
 	f.Fuzz(func(t *testing.T, packed []byte) {
@@ -118,23 +118,24 @@
 		if err != nil {
 			return
 		}
-		again, err := unpackReport(packReport(0, delta), 1)
+		decoded, err := unpackReport(packReport(0, delta), 1)
 		if err != nil {
-			t.Fatalf("%v: %v", delta.Cells, err)
+			t.Fatalf("decoding the encoded accounts %v: %v", delta.Cells, err)
 		}
 		for tenant, account := range delta.Cells {
-			if !account.equal(again.Cells[tenant]) {
-				t.Fatalf("%s: %+v became %+v", tenant, account, again.Cells[tenant])
+			if !account.equal(decoded.Cells[tenant]) {
+				t.Fatalf("%s: %+v became %+v", tenant, account, decoded.Cells[tenant])
 			}
 		}
 	})
 }
 
-// TestJournal has a process end without a word: what it recorded is there, what it had
-// under way is unknown, and its file is not taken while the process holds it.
-func TestJournal(t *testing.T) {
+// TestJournalRecovery ends a process without a shutdown. The next process must recover its
+// counters and settle its requests in flight as Unknown, but must not read the journal while
+// the first process runs. A malformed journal is renamed.
+func TestJournalRecovery(t *testing.T) {
 	directory := t.TempDir()
-	objectives, err := ParseObjectives([]byte(strings.Replace(goodFile, `"tenants"`, `"defaultClass":"gold","tenants"`, 1)))
+	objectives, err := ParseObjectives([]byte(strings.Replace(validObjectives, `"tenants"`, `"defaultClass":"gold","tenants"`, 1)))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -143,13 +144,13 @@
 		t.Fatal(err)
 	}
 	meter := NewMeter("proxy", 42, objectives, journal, nil)
-	for i := range 768 { // three of each name
+	for i := range 768 { // each name three times
 		meter.Begin(strings.Repeat("x", i%maxNameBytes+1)).Success(time.Second)
 	}
 	meter.Begin("known")
 	meter.PendingReports(0)
 	if ended, problems := RecoverJournals(directory); len(ended)+len(problems) != 0 {
-		t.Fatalf("a running process's journal was taken: %v %v", ended, problems)
+		t.Fatalf("the journal of a running process was read: %v %v", ended, problems)
 	}
 	if err := journal.Close(); err != nil {
 		t.Fatal(err)
@@ -159,22 +160,23 @@
 	}
 	ended, problems := RecoverJournals(directory)
 	if len(ended) != 1 || len(problems) != 1 || len(ended[0].Accounts) != maxNameBytes+1 || ended[0].SentVersions[0] != 1 {
-		t.Fatalf("%d lives, problems %v", len(ended), problems)
+		t.Fatalf("recovered %d incarnations, problems: %v", len(ended), problems)
 	}
 	if left, _ := filepath.Glob(filepath.Join(directory, "*"+malformedSuffix)); len(left) != 1 {
-		t.Errorf("the garbled file was not set aside: %v", left)
+		t.Errorf("the malformed file was not renamed: %v", left)
 	}
-	next := NewMeter("proxy", 43, objectives, nil, ended)
-	delta, err := unpackReport(next.PendingReports(0)[0], 1)
+	successor := NewMeter("proxy", 43, objectives, nil, ended)
+	delta, err := unpackReport(successor.PendingReports(0)[0], 1)
 	if err != nil || !delta.Closed || delta.Cells["known"].Settled[Unknown] != 1 || delta.Cells["x"].Settled[Late] != 3 {
-		t.Errorf("the successor tells %+v, %v", delta.Cells["known"], err)
+		t.Errorf("the next process reports %+v, %v", delta.Cells["known"], err)
 	}
 	if err := RemoveJournal(directory, 42); err != nil {
 		t.Error(err)
 	}
 }
 
-// TestQuantileError compares quantiles of sketches, merged from parts, with the true ones.
+// TestQuantileError compares quantiles of a merged sketch with those of the DDSketch library
+// and with the exact ones.
 func TestQuantileError(t *testing.T) {
 	rng := rand.New(rand.NewPCG(1, 1))
 	var parts [3]Sketch
@@ -187,7 +189,7 @@
 	merged := parts[0].Plus(parts[1]).Join(parts[0]).Plus(parts[2])
 	slices.Sort(all)
 	if merged.Count() != uint64(len(all)) {
-		t.Fatalf("%d latencies, there were %d", merged.Count(), len(all))
+		t.Fatalf("got %d latencies, want %d", merged.Count(), len(all))
 	}
 	library := ddsketch.NewDDSketchFromStoreProvider(latencyMapping, store.SparseStoreConstructor)
 	for _, bin := range merged {
@@ -195,25 +197,26 @@
 			t.Fatal(err)
 		}
 	}
-	for _, share := range []float64{0, 0.01, 0.5, 0.9, 0.99, 0.999, 1} {
-		want, err := library.GetValueAtQuantile(share)
-		if got := merged.Quantile(share).Seconds(); err != nil || math.Abs(got-want) > 1e-8 {
-			t.Errorf("quantile %v is %v, the library's %v, %v", share, got, want, err)
+	for _, q := range []float64{0, 0.01, 0.5, 0.9, 0.99, 0.999, 1} {
+		want, err := library.GetValueAtQuantile(q)
+		if got := merged.Quantile(q).Seconds(); err != nil || math.Abs(got-want) > 1e-8 {
+			t.Errorf("quantile %v: got %v, the library returns %v, %v", q, got, want, err)
 		}
-		truth := all[int(share*float64(len(all)-1))]
-		if got := merged.Quantile(share).Seconds(); math.Abs(got-truth)/truth > SketchRelativeError+1e-6 {
-			t.Errorf("quantile %v is %v, truly %v", share, got, truth)
+		exact := all[int(q*float64(len(all)-1))]
+		if got := merged.Quantile(q).Seconds(); math.Abs(got-exact)/exact > SketchRelativeError+1e-6 {
+			t.Errorf("quantile %v: got %v, the exact value is %v", q, got, exact)
 		}
 	}
 }
 
-// TestBurn has a tenant miss a twentieth of its requests for a while: the alarm comes once
-// both windows burn, ends soon after the misses do, and the budget tells what was used.
-func TestBurn(t *testing.T) {
+// TestBurnRateAlarm lets a twentieth of the requests miss the objective for an hour. The alarm
+// must start once both burn rates are high enough and end soon after the misses, and the budget
+// must shrink by the misses.
+func TestBurnRateAlarm(t *testing.T) {
 	objective := Objective{Target: 0.999, Latency: time.Second, Window: 720 * time.Hour}
 	var past history
 	var account Account
-	alarmed := map[int]bool{}
+	alarms := map[int]bool{}
 	for minute := range 8 * 60 {
 		account.Taken += 1000
 		missed := uint64(0)
@@ -224,11 +227,11 @@
 		account.Settled[OnTime] += 1000 - missed
 		now := time.Duration(minute) * time.Minute
 		past.add(now, account, objective.Window)
-		alarmed[minute] = past.budget(now, account, objective).Alarm
+		alarms[minute] = past.budget(now, account, objective).Alarm
 	}
 	first, last := 0, 0
 	for minute := range 8 * 60 {
-		if alarmed[minute] {
+		if alarms[minute] {
 			last = minute
 			if first == 0 {
 				first = minute
@@ -236,51 +239,53 @@
 		}
 	}
 	if first < 125 || first > 145 || last < 178 || last > 190 {
-		t.Errorf("alarm from minute %d to %d, misses from 120 to 180", first, last)
+		t.Errorf("alarm from minute %d to %d for misses from minute 120 to 180", first, last)
 	}
 	budget := past.budget(8*time.Hour, account, objective)
 	if want := 1 - 3000.0/479_000/0.001; math.Abs(budget.Left-want) > 0.3 {
-		t.Errorf("budget left is %v, should be about %v", budget.Left, want)
+		t.Errorf("got %v of the budget left, want about %v", budget.Left, want)
 	}
 	if len(past.samples) > 60 {
-		t.Errorf("%d samples are kept", len(past.samples))
+		t.Errorf("history keeps %d samples, want at most 60", len(past.samples))
 	}
 }
 
-// TestNoObjectivesCostNothing accounts with a nil meter: no memory is taken.
-func TestNoObjectivesCostNothing(t *testing.T) {
+// TestNilMeterDoesNotAllocate checks that a proxy without objectives allocates nothing per
+// request.
+func TestNilMeterDoesNotAllocate(t *testing.T) {
 	var meter *Meter
-	cost := testing.AllocsPerRun(100, func() {
+	allocs := testing.AllocsPerRun(100, func() {
 		request := meter.Begin("anyone")
 		request.Success(time.Second)
 		request.Doubled()
 		request.Failure(Lost)
 	})
-	if cost != 0 {
-		t.Errorf("%v allocations a request", cost)
+	if allocs != 0 {
+		t.Errorf("%v allocations per request, want 0", allocs)
 	}
 }
 
-// FuzzJournal reads garbled journals without a panic; what is read adds up.
+// FuzzJournal checks that parsing a journal never panics, and that the counters of parsed
+// accounts add up.
 func FuzzJournal(f *testing.F) {
 	content := make([]byte, headerSize+recordSize)
 	copy(content, journalMagic)
 	content[incarnationOffset], content[shardsOffset], content[headerSize] = 1, 1, 1
 	f.Add(content)
 	f.Fuzz(func(t *testing.T, content []byte) {
-		life, err := parseJournal(content)
+		incarnation, err := parseJournal(content)
 		if err != nil {
 			return
 		}
-		for tenant, account := range life.Accounts {
+		for tenant, account := range incarnation.Accounts {
 			if account.Eligible()+account.Settled[Refused]+account.Open() != account.Taken {
-				t.Fatalf("%q: %+v does not add up", tenant, account)
+				t.Fatalf("%q: the counters of %+v do not add up", tenant, account)
 			}
 		}
 	})
 }
 
-// countingFile counts the writes to a journal, and refuses them when told to.
+// countingFile counts the writes to a journal. Writes fail while full is set.
 type countingFile struct {
 	journalFile
 	writes int
@@ -295,11 +300,12 @@
 	return f.journalFile.WriteAt(content, offset)
 }
 
-// TestJournalWrites has a request cost at most two writes. On a full disk nothing is told
-// that the journal does not know of, and what was refused is in the file once it has room.
-func TestJournalWrites(t *testing.T) {
+// TestJournalWritesAndFullDisk checks that a request needs at most two writes. On a full disk,
+// a version that the journal can't record must not be reported; the changes whose writes failed
+// must be in the file after the next successful write.
+func TestJournalWritesAndFullDisk(t *testing.T) {
 	directory := t.TempDir()
-	objectives, err := ParseObjectives([]byte(goodFile))
+	objectives, err := ParseObjectives([]byte(validObjectives))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -315,30 +321,29 @@
 		meter.Begin("known").Success(time.Millisecond)
 	}
 	if file.writes > 20 {
-		t.Errorf("%d writes for 10 requests", file.writes)
+		t.Errorf("%d writes for 10 requests, want at most 20", file.writes)
 	}
 	file.full = true
 	meter.Begin("known").Failure(Lost)
 	if reports := meter.PendingReports(0); len(reports) != 0 || problems != 1 {
-		t.Errorf("on a full disk %d reports leave, %d problems were noted", len(reports), problems)
+		t.Errorf("full disk: got %d reports and %d problems, want 0 and 1", len(reports), problems)
 	}
 	file.full = false
 	meter.Begin("known")
 	if reports := meter.PendingReports(0); len(reports) != 1 {
-		t.Errorf("with room again %d reports leave", len(reports))
+		t.Errorf("after the disk has space again: got %d reports, want 1", len(reports))
 	}
 	if err := journal.Close(); err != nil {
 		t.Fatal(err)
 	}
 	ended, _ := RecoverJournals(directory)
 	if account := ended[0].Accounts["known"]; account.Taken != 12 || account.Settled[Lost] != 1 || account.Open() != 1 {
-		t.Errorf("the journal holds %+v", account)
+		t.Errorf("unexpected account in the journal: %+v", account)
 	}
 }
 
-// TestJournalCutShort reads a journal of which only the beginning was written: each record
-// that is whole is there.
-func TestJournalCutShort(t *testing.T) {
+// TestTruncatedJournal checks that every complete record of a truncated journal is read.
+func TestTruncatedJournal(t *testing.T) {
 	directory := t.TempDir()
 	journal, err := CreateJournal(directory, 42, 1, func(err error) { t.Error(err) })
 	if err != nil {
@@ -355,9 +360,9 @@
 		t.Fatal(err)
 	}
 	for size := headerSize; size <= len(content); size++ {
-		life, err := parseJournal(content[:size])
-		if want := (size - headerSize) / recordSize; err != nil || len(life.Accounts) != want {
-			t.Fatalf("%d bytes: %d records, not %d, %v", size, len(life.Accounts), want, err)
+		incarnation, err := parseJournal(content[:size])
+		if want := (size - headerSize) / recordSize; err != nil || len(incarnation.Accounts) != want {
+			t.Fatalf("%d bytes: got %d records, want %d, error %v", size, len(incarnation.Accounts), want, err)
 		}
 	}
 }
--- a/internal/accounts/agent_test.go
+++ b/internal/accounts/agent_test.go
@@ -13,76 +13,78 @@
 	"slateridge/internal/simnet"
 )
 
-// pair is two control machines of which the second holds the shard, without a network.
-type pair struct {
-	now      time.Duration
-	services map[string]*Service
-	silent   string
+// controlPlane consists of two control-plane nodes, a and b, without a network between them.
+// b holds the leases of all shards.
+type controlPlane struct {
+	now          time.Duration
+	services     map[string]*Service
+	unresponsive string // node that doesn't respond to reports
 }
 
-func newPair(objectives *Objectives) *pair {
-	p := &pair{services: map[string]*Service{}}
+func newControlPlane(objectives *Objectives) *controlPlane {
+	p := &controlPlane{services: map[string]*Service{}}
 	for _, name := range []string{"a", "b"} {
-		holder := NewReplica(name, objectives, DefaultCounterOptions, simnet.NewDisk(), true, 1, func(string, string) {})
-		p.services[name] = NewService(holder, ServiceOptions{Node: name, HoldsLease: func(int) bool { return name == "b" },
+		replica := NewReplica(name, objectives, DefaultCounterOptions, simnet.NewDisk(), true, 1, func(string, string) {})
+		p.services[name] = NewService(replica, ServiceOptions{Node: name, HoldsLease: func(int) bool { return name == "b" },
 			LeaseHolder: func(int) string { return "b" }, Replicas: func() []string { return []string{"a", "b"} },
 			Send: func(to string, message any) { p.services[to].HandleMessage(name, message) }, Now: func() time.Duration { return p.now }})
 	}
-	p.pass(time.Second)
+	p.advance(time.Second)
 	return p
 }
 
-// pass lets time go by.
-func (p *pair) pass(span time.Duration) {
+// advance moves the clock forward and runs all steps that are due.
+func (p *controlPlane) advance(span time.Duration) {
 	for end := p.now + span; p.now < end; p.now += TickInterval {
 		p.services["a"].Step()
 		p.services["b"].Step()
 	}
 }
 
-func (p *pair) ask(to string, report Report) (ReportAck, error) {
-	if to == p.silent {
-		return ReportAck{}, errors.New("no answer")
+func (p *controlPlane) handleReport(to string, report Report) (ReportAck, error) {
+	if to == p.unresponsive {
+		return ReportAck{}, errors.New("no response")
 	}
-	answer, _ := p.services[to].HandleMessage("proxy", report)
-	return answer.(ReportAck), nil
+	response, _ := p.services[to].HandleMessage("proxy", report)
+	return response.(ReportAck), nil
 }
 
-// TestAgentOverItsProcesses takes an agent through a process that is killed: its successor
-// settles what was under way as unknown, and removes the journal once a majority has it.
-func TestAgentOverItsProcesses(t *testing.T) {
+// TestAgentRecoversJournal ends a proxy process without a shutdown. The next process must settle
+// the requests in flight as Unknown, and must remove the journal once a majority holds its
+// counters.
+func TestAgentRecoversJournal(t *testing.T) {
 	directory := t.TempDir()
-	objectives, err := ParseObjectives([]byte(strings.Replace(goodFile, `"shards":1`, `"shards":1,"journalDirectory":"`+directory+`"`, 1)))
+	objectives, err := ParseObjectives([]byte(strings.Replace(validObjectives, `"shards":1`, `"shards":1,"journalDirectory":"`+directory+`"`, 1)))
 	if err != nil {
 		t.Fatal(err)
 	}
-	p := newPair(objectives)
+	p := newControlPlane(objectives)
 	start := func() *Agent {
-		return NewAgent(AgentOptions{Node: "proxy", Objectives: objectives, ControlNodes: []string{"a", "b"}, SendReport: p.ask,
+		return NewAgent(AgentOptions{Node: "proxy", Objectives: objectives, ControlNodes: []string{"a", "b"}, SendReport: p.handleReport,
 			RecordEvent: func(kind, about string) { t.Errorf("%s: %s", kind, about) }})
 	}
 	first := start()
 	first.Begin("known").Success(time.Millisecond)
 	first.Begin("known")
-	first.SendReports() // by way of a, which names b
-	p.pass(10 * time.Second)
-	first.Begin("known").Failure(Lost) // never told by this process
-	first.journal.Close()              // as the end of the process does
+	first.SendReports() // a redirects to b
+	p.advance(10 * time.Second)
+	first.Begin("known").Failure(Lost) // not reported by this process
+	first.journal.Close()              // the end of a process has the same effect
 
 	second := start()
 	second.Begin("known").Success(time.Second)
-	p.silent = "b"
+	p.unresponsive = "b"
 	second.SendReports()
-	p.silent = ""
-	second.RetryReports() // what the silent holder did not take
-	p.pass(10 * time.Second)
-	second.RetryReports() // nothing: all was taken
+	p.unresponsive = ""
+	second.RetryReports() // resends what the leader did not receive
+	p.advance(10 * time.Second)
+	second.RetryReports() // sends nothing: everything was accepted
 	if standing, err := p.services["b"].Standing(p.now, "known"); err != nil || standing.Account.Taken != 4 {
-		t.Errorf("after the retry: %+v, %v", standing.Account, err)
+		t.Errorf("after the retry: got account %+v, %v, want 4 requests", standing.Account, err)
 	}
 	for range 2 {
 		second.SendReports()
-		p.pass(10 * time.Second)
+		p.advance(10 * time.Second)
 	}
 	response := httptest.NewRecorder()
 	p.services["b"].ServeHTTP(response, httptest.NewRequest("GET", "/accounts?tenant=known", nil))
@@ -92,130 +94,130 @@
 	}
 	account := snapshot.Standings[0].Account
 	if want := [outcomeCount]uint64{OnTime: 1, Late: 1, Lost: 1, Unknown: 1}; account.Taken != 4 || account.Settled != want {
-		t.Errorf("the account is %+v", account)
+		t.Errorf("unexpected account: %+v", account)
 	}
-	if left, _ := filepath.Glob(filepath.Join(directory, "*")); len(left) != 1 {
-		t.Errorf("journals left: %v", left)
+	if files, _ := filepath.Glob(filepath.Join(directory, "*")); len(files) != 1 {
+		t.Errorf("got journals %v, want only that of the second process", files)
 	}
 	var metrics strings.Builder
 	p.services["b"].WriteMetrics(&metrics)
 	if !strings.Contains(metrics.String(), "slateridge_accounts_taken_total 4") || !strings.Contains(metrics.String(), `{outcome="unknown"} 1`) {
-		t.Errorf("metrics are\n%s", metrics.String())
+		t.Errorf("unexpected metrics:\n%s", metrics.String())
 	}
 	for query, status := range map[string]int{"?tenant=stranger": 404, "": 200} {
 		response := httptest.NewRecorder()
 		p.services["a"].ServeHTTP(response, httptest.NewRequest("GET", "/accounts"+query, nil))
 		if response.Code != status {
-			t.Errorf("%q: status %d", query, response.Code)
+			t.Errorf("query %q: got status %d, want %d", query, response.Code, status)
 		}
 	}
 }
 
-// TestLeavingAgentClosesItsLife ends a process in order that has no journal: its life can
-// be folded.
-func TestLeavingAgentClosesItsLife(t *testing.T) {
-	objectives, err := ParseObjectives([]byte(goodFile))
+// TestShutdownWithoutJournalEndsIncarnation checks that the regular shutdown of a process without
+// a journal ends its incarnation, so that its counters are compacted.
+func TestShutdownWithoutJournalEndsIncarnation(t *testing.T) {
+	objectives, err := ParseObjectives([]byte(validObjectives))
 	if err != nil {
 		t.Fatal(err)
 	}
-	p := newPair(objectives)
-	agent := NewAgent(AgentOptions{Node: "proxy", Objectives: objectives, ControlNodes: []string{"b"}, SendReport: p.ask, RecordEvent: func(string, string) {}})
+	p := newControlPlane(objectives)
+	agent := NewAgent(AgentOptions{Node: "proxy", Objectives: objectives, ControlNodes: []string{"b"}, SendReport: p.handleReport, RecordEvent: func(string, string) {}})
 	agent.Begin("known").Success(time.Millisecond)
 	agent.Shutdown(time.Second)
-	p.pass(15 * time.Minute)
+	p.advance(15 * time.Minute)
 	state := p.services["b"].Shards(p.now)[0]
 	if state.FoldedLives != 1 || state.OpenLives+state.EndedLives != 0 {
-		t.Errorf("%+v", state)
+		t.Errorf("got %+v, want one compacted incarnation", state)
 	}
 	if standing, err := p.services["b"].Standing(p.now, "known"); err != nil || standing.Account.Settled[OnTime] != 1 {
-		t.Errorf("%+v, %v", standing.Account, err)
+		t.Errorf("got account %+v, %v, want one request that was on time", standing.Account, err)
 	}
 }
 
-// TestAgentRetries has an agent's holder lapse for a moment, change, and stay away: what
-// was not taken is told again soon, a new holder is told at once what it lacks, and the
-// distance between attempts grows.
-func TestAgentRetries(t *testing.T) {
-	objectives, err := ParseObjectives([]byte(goodFile))
+// TestAgentRetryBackoff lets a shard's lease lapse briefly, move to a new leader, and lapse for
+// long. A report that was not accepted must be retried soon, a new leader must receive all that
+// it lacks at once, and the backoff must grow.
+func TestAgentRetryBackoff(t *testing.T) {
+	objectives, err := ParseObjectives([]byte(validObjectives))
 	if err != nil {
 		t.Fatal(err)
 	}
-	asked := 0
-	heard, refused := uint64(0), ErrNotHolder.Error()
-	ask := func(_ string, report Report) (ReportAck, error) {
-		asked++
+	attempts := 0
+	received, refused := uint64(0), ErrNotHolder.Error()
+	send := func(_ string, report Report) (ReportAck, error) {
+		attempts++
 		ack := ReportAck{Shard: report.Shard, Life: report.Life, Refused: refused, Holder: "a"}
 		if refused == "" {
-			if report.From <= heard {
-				heard = max(heard, report.To)
+			if report.From <= received {
+				received = max(received, report.To)
 			}
-			ack.Ack.Term.Counter, ack.Ack.Heard = 1, heard
+			ack.Ack.Term.Counter, ack.Ack.Heard = 1, received
 		}
 		return ack, nil
 	}
-	agent := NewAgent(AgentOptions{Node: "proxy", Objectives: objectives, ControlNodes: []string{"a"}, SendReport: ask, RecordEvent: func(string, string) {}})
+	agent := NewAgent(AgentOptions{Node: "proxy", Objectives: objectives, ControlNodes: []string{"a"}, SendReport: send, RecordEvent: func(string, string) {}})
 	agent.Begin("known")
 	agent.SendReports()
 	refused = ""
-	if agent.RetryReports(); heard != 1 {
-		t.Errorf("after %v, the holder has heard %d", RetryInterval, heard)
+	if agent.RetryReports(); received != 1 {
+		t.Errorf("after %v, the leader has received version %d, want 1", RetryInterval, received)
 	}
 	agent.Begin("known")
 	agent.SendReports()
-	heard = 0 // a new holder, which has nothing
+	received = 0 // a new leader without any changes
 	agent.Begin("known")
-	ask2 := ask
+	sendToFirst := send
 	agent.options.SendReport = func(to string, report Report) (ReportAck, error) {
-		ack, err := ask2(to, report)
+		ack, err := sendToFirst(to, report)
 		ack.Ack.Term.Counter = 2
 		return ack, err
 	}
-	if agent.SendReports(); heard != 3 {
-		t.Errorf("a new holder has heard %d of 3 after one report", heard)
+	if agent.SendReports(); received != 3 {
+		t.Errorf("after one call, the new leader has received version %d, want 3", received)
 	}
 	agent.Begin("known")
-	refused, asked = ErrNotHolder.Error(), 0
+	refused, attempts = ErrNotHolder.Error(), 0
 	for range 100 {
 		agent.RetryReports()
 	}
-	if asked != 0 {
-		t.Errorf("%d attempts before the next report is due", asked)
+	if attempts != 0 {
+		t.Errorf("%d attempts before the next report is due, want 0", attempts)
 	}
 	agent.SendReports()
-	asked = 0
+	attempts = 0
 	for range 100 {
 		agent.RetryReports()
 	}
-	if asked < 10 || asked > 40 {
-		t.Errorf("%d attempts in 100 turns", asked)
+	if attempts < 10 || attempts > 40 {
+		t.Errorf("%d attempts in 100 calls, want 10 to 40", attempts)
 	}
 }
 
-// TestAgentForgetsSilentHolder has a machine that held all shards not answer any more: it
-// is asked for the first shard, not for each.
-func TestAgentForgetsSilentHolder(t *testing.T) {
-	objectives, err := ParseObjectives([]byte(strings.Replace(goodFile, `"shards":1`, `"shards":16,"defaultClass":"gold"`, 1)))
+// TestAgentForgetsUnresponsiveHolder makes the holder of all shards unresponsive. The agent must
+// try it for the first shard only, instead of waiting for it for each shard.
+func TestAgentForgetsUnresponsiveHolder(t *testing.T) {
+	objectives, err := ParseObjectives([]byte(strings.Replace(validObjectives, `"shards":1`, `"shards":16,"defaultClass":"gold"`, 1)))
 	if err != nil {
 		t.Fatal(err)
 	}
-	dead, silent := "a", 0
-	ask := func(to string, report Report) (ReportAck, error) {
-		if to == dead {
-			silent++
-			return ReportAck{}, errors.New("no answer")
+	failedNode, attempts := "a", 0
+	send := func(to string, report Report) (ReportAck, error) {
+		if to == failedNode {
+			attempts++
+			return ReportAck{}, errors.New("no response")
 		}
 		ack := ReportAck{Shard: report.Shard, Life: report.Life}
 		ack.Ack.Term.Counter, ack.Ack.Heard = 1, report.To
 		return ack, nil
 	}
-	agent := NewAgent(AgentOptions{Node: "proxy", Objectives: objectives, ControlNodes: []string{"b"}, SendReport: ask, RecordEvent: func(string, string) {}})
+	agent := NewAgent(AgentOptions{Node: "proxy", Objectives: objectives, ControlNodes: []string{"b"}, SendReport: send, RecordEvent: func(string, string) {}})
 	for shard := range agent.holders {
 		agent.holders[shard] = "a"
 	}
 	for i := range 200 {
 		agent.Begin(fmt.Sprint("tenant-", i))
 	}
-	if agent.SendReports(); silent != 1 {
-		t.Errorf("the silent machine was asked %d times", silent)
+	if agent.SendReports(); attempts != 1 {
+		t.Errorf("the failed node was tried %d times, want 1", attempts)
 	}
 }
--- a/internal/accounts/meter.go
+++ b/internal/accounts/meter.go
@@ -10,7 +10,7 @@
 // Journal stores the counters of one incarnation so that they survive the process. It doesn't
 // store latencies.
 type Journal interface {
-	// Record stores a tenant's counters. They survive if the process ends after it returns.
+	// Record stores a tenant's counters. The process may end at any time after it returns.
 	Record(tenant string, account *Account)
 	// RecordSent stores the version of a shard that the next report includes, before the
 	// report is sent. It returns false on failure; the report must not be sent then.
@@ -55,6 +55,8 @@
 	return m
 }
 
+// recoverWriters returns the writers of an ended incarnation, with its open requests settled as
+// Unknown.
 func recoverWriters(node string, shards int, ended EndedIncarnation) *endedWriters {
 	cells := make([]counter.Cells[string, Account], shards)
 	for i := range cells {
--- a/internal/accounts/model_test.go
+++ b/internal/accounts/model_test.go
@@ -10,12 +10,12 @@
 )
 
 const (
-	modelSpan    = 6 * time.Second         // while clients send and things go wrong
-	modelSettle  = 6 * time.Second         // until all totals are whole
-	modelTrouble = 1200 * time.Millisecond // longest
+	activeSpan   = 6 * time.Second // time during which clients send requests and faults occur
+	settleSpan   = 6 * time.Second // time until all totals are complete
+	maxFaultSpan = 1200 * time.Millisecond
 )
 
-func modelObjectives(t testing.TB) *accounts.Objectives {
+func simulationObjectives(t testing.TB) *accounts.Objectives {
 	t.Helper()
 	objectives, err := accounts.ParseObjectives([]byte(`{"version":1,"shards":3,"defaultClass":"all",
 		"classes":{"all":{"target":0.99,"latency":"250ms","window":"720h"}}}`))
@@ -25,151 +25,155 @@
 	return objectives
 }
 
-// model is a world under trouble, whose published totals are watched.
-type model struct {
+// simulation is an emulated deployment with injected faults. It checks all totals that
+// control-plane nodes publish.
+type simulation struct {
 	*emulator.World
 	t         *testing.T
 	seed      uint64
-	published map[string]accounts.Account
+	published map[string]accounts.Account // latest totals by tenant
 }
 
-func newModel(t *testing.T, seed uint64) *model {
-	m := &model{World: emulator.New(seed, modelObjectives(t)), t: t, seed: seed, published: map[string]accounts.Account{}}
-	m.Delay = []time.Duration{2, 10, 40}[seed%3] * time.Millisecond
-	m.DoublePart = 0.2
+func newSimulation(t *testing.T, seed uint64) *simulation {
+	s := &simulation{World: emulator.New(seed, simulationObjectives(t)), t: t, seed: seed, published: map[string]accounts.Account{}}
+	s.Delay = []time.Duration{2, 10, 40}[seed%3] * time.Millisecond
+	s.DoublePart = 0.2
 	for i := range 3 {
-		m.NewControl(fmt.Sprint("control-", i))
+		s.NewControl(fmt.Sprint("control-", i))
 	}
 	for i := range 4 {
-		m.NewUpstream(fmt.Sprint("upstream-", i))
+		s.NewUpstream(fmt.Sprint("upstream-", i))
 	}
-	for shard := range m.Objectives.Shards {
-		m.MoveShard(shard, fmt.Sprint("control-", shard%3))
+	for shard := range s.Objectives.Shards {
+		s.MoveShard(shard, fmt.Sprint("control-", shard%3))
 	}
 	for i := range 3 {
-		m.NewProxy(fmt.Sprint("proxy-", i))
+		s.NewProxy(fmt.Sprint("proxy-", i))
 	}
 	for i := range 6 {
-		m.NewClient(fmt.Sprint("tenant-", i%4), time.Duration(20+15*i)*time.Millisecond, modelSpan)
+		s.NewClient(fmt.Sprint("tenant-", i%4), time.Duration(20+15*i)*time.Millisecond, activeSpan)
 	}
-	m.OnTotals = m.watch
-	return m
+	s.OnTotals = s.checkTotals
+	return s
 }
 
-// watch fails when a published figure falls, or a total has more requests than were taken.
-func (m *model) watch(control *emulator.Control, shard int, totals map[string]accounts.Account) {
-	for tenant, before := range m.published {
-		if accounts.ShardOf(tenant, m.Objectives.Shards) != shard {
+// checkTotals fails the test if a published counter decreases.
+func (s *simulation) checkTotals(control *emulator.Control, shard int, totals map[string]accounts.Account) {
+	for tenant, previous := range s.published {
+		if accounts.ShardOf(tenant, s.Objectives.Shards) != shard {
 			continue
 		}
 		now := totals[tenant]
-		fell := now.Taken < before.Taken || now.Doubled < before.Doubled || now.Latency.Count() < before.Latency.Count()
+		decreased := now.Taken < previous.Taken || now.Doubled < previous.Doubled || now.Latency.Count() < previous.Latency.Count()
 		for i := range now.Settled {
-			fell = fell || now.Settled[i] < before.Settled[i]
+			decreased = decreased || now.Settled[i] < previous.Settled[i]
 		}
-		if fell {
-			m.t.Fatalf("seed %d at %v: the account of %s fell from %+v to %+v at %s", m.seed, m.Now, tenant, before, now, control.Name)
+		if decreased {
+			s.t.Fatalf("seed %d at %v: the account of %s decreased from %+v to %+v at %s", s.seed, s.Now, tenant, previous, now, control.Name)
 		}
 	}
 	for tenant, account := range totals {
-		m.published[tenant] = account
+		s.published[tenant] = account
 	}
 }
 
-// busy reports whether a control machine is down, so that no second one is disturbed.
-func (m *model) busy() bool {
-	for _, control := range m.Controls {
-		if !control.Up || control.FrozenUntil > m.Now {
+// controlFaulty reports whether a control-plane node is down or frozen. No fault is injected
+// into a second one then.
+func (s *simulation) controlFaulty() bool {
+	for _, control := range s.Controls {
+		if !control.Up || control.FrozenUntil > s.Now {
 			return true
 		}
 	}
 	return false
 }
 
-// trouble does one thing that goes wrong.
-func (m *model) trouble(wipes bool) {
-	names, proxies := m.ControlNames(), m.ProxyNames()
-	control := m.Controls[names[m.Rng.IntN(len(names))]]
-	other := names[m.Rng.IntN(len(names))]
-	proxy := m.Proxies[proxies[m.Rng.IntN(len(proxies))]]
-	span := time.Duration(m.Rng.Int64N(int64(modelTrouble)))
-	switch m.Rng.IntN(9) {
+// injectFault injects one random fault; wipes includes the loss of a proxy's disk.
+func (s *simulation) injectFault(wipes bool) {
+	names, proxies := s.ControlNames(), s.ProxyNames()
+	control := s.Controls[names[s.Rng.IntN(len(names))]]
+	other := names[s.Rng.IntN(len(names))]
+	proxy := s.Proxies[proxies[s.Rng.IntN(len(proxies))]]
+	span := time.Duration(s.Rng.Int64N(int64(maxFaultSpan)))
+	switch s.Rng.IntN(9) {
 	case 0:
 		proxy.Kill()
-		m.After(span/2, proxy.Start)
+		s.After(span/2, proxy.Start)
 	case 1:
 		if wipes {
 			proxy.Wipe()
-			m.After(span/2, proxy.Start)
+			s.After(span/2, proxy.Start)
 		}
 	case 2:
 		proxy.Freeze(span)
 	case 3:
-		if !m.busy() {
+		if !s.controlFaulty() {
 			control.Kill()
-			m.After(span, control.Start)
+			s.After(span, control.Start)
 		}
 	case 4:
-		if !m.busy() {
+		if !s.controlFaulty() {
 			control.Freeze(span)
 		}
 	case 5:
-		m.CutBoth(proxy.Name, control.Name, true)
-		m.After(span, func() { m.CutBoth(proxy.Name, control.Name, false) })
+		s.CutBoth(proxy.Name, control.Name, true)
+		s.After(span, func() { s.CutBoth(proxy.Name, control.Name, false) })
 	case 6:
-		m.CutBoth(proxy.Name, fmt.Sprint("client-", m.Rng.IntN(6)), true)
-		m.After(span, m.JoinAll)
+		s.CutBoth(proxy.Name, fmt.Sprint("client-", s.Rng.IntN(6)), true)
+		s.After(span, s.JoinAll)
 	case 7:
-		shard := m.Rng.IntN(m.Objectives.Shards)
-		m.MoveShard(shard, "")
-		m.After(span/4, func() { m.MoveShard(shard, other) })
+		shard := s.Rng.IntN(s.Objectives.Shards)
+		s.MoveShard(shard, "")
+		s.After(span/4, func() { s.MoveShard(shard, other) })
 	case 8:
-		upstream := m.Upstreams[fmt.Sprint("upstream-", m.Rng.IntN(4))]
+		upstream := s.Upstreams[fmt.Sprint("upstream-", s.Rng.IntN(4))]
 		upstream.Up = false
-		m.After(span, func() { upstream.Up = true })
+		s.After(span, func() { upstream.Up = true })
 	}
 }
 
-// play runs the troubles, then lets everything settle.
-func (m *model) play(wipes bool) {
-	for at := 300 * time.Millisecond; at < modelSpan; at += time.Duration(50+m.Rng.IntN(400)) * time.Millisecond {
-		m.After(at, func() { m.trouble(wipes) })
-	}
-	m.Run(modelSpan+2*modelTrouble, nil)
-	m.JoinAll()
-	m.Run(modelSpan+2*modelTrouble+modelSettle, nil)
+// runWithFaults runs the simulation with random faults, and then without faults until the totals are
+// complete.
+func (s *simulation) runWithFaults(wipes bool) {
+	for at := 300 * time.Millisecond; at < activeSpan; at += time.Duration(50+s.Rng.IntN(400)) * time.Millisecond {
+		s.After(at, func() { s.injectFault(wipes) })
+	}
+	s.Run(activeSpan+2*maxFaultSpan, nil)
+	s.JoinAll()
+	s.Run(activeSpan+2*maxFaultSpan+settleSpan, nil)
 }
 
-// TestAccountsAgainstTruth plays sixty seeded runs in which proxies and control machines
-// are killed and frozen, shards change hands, paths are cut, and messages are late and
-// doubled. Published figures never fall, and in the end every request that a proxy took
-// is in its tenant's account once, and what clients were told agrees with it.
-func TestAccountsAgainstTruth(t *testing.T) {
+// TestAccountsMatchGroundTruth runs sixty seeded simulations in which proxies and control-plane
+// nodes are killed and frozen, shards change their leader, connections are cut, and messages
+// are delayed and duplicated. Published counters must never decrease. In the end, every request
+// that a proxy accepted must be counted exactly once in its tenant's account, in agreement with
+// the responses that clients received.
+func TestAccountsMatchGroundTruth(t *testing.T) {
 	taken, unknown, doubled := 0, 0, 0
 	for seed := uint64(1); seed <= 60; seed++ {
-		m := newModel(t, seed)
-		m.play(false)
-		totals := m.Totals()
-		for tenant, truth := range m.Truth() {
+		s := newSimulation(t, seed)
+		s.runWithFaults(false)
+		totals := s.Totals()
+		for tenant, truth := range s.Truth() {
 			account := totals[tenant]
 			checkAccount(t, fmt.Sprintf("seed %d: %s", seed, tenant), account, truth)
 			if account.Open() != 0 || int(account.Taken) != truth.Taken {
-				t.Errorf("seed %d: %s: %d taken and %d open in the account, %d were taken", seed, tenant, account.Taken, account.Open(), truth.Taken)
+				t.Errorf("seed %d: %s: the account has %d taken and %d open, %d were accepted", seed, tenant, account.Taken, account.Open(), truth.Taken)
 			}
 			if int(account.Doubled) != truth.DoubledSeen {
-				t.Errorf("seed %d: %s: %d doubled in the account, %d were seen", seed, tenant, account.Doubled, truth.DoubledSeen)
+				t.Errorf("seed %d: %s: the account has %d doubled, the proxies saw %d", seed, tenant, account.Doubled, truth.DoubledSeen)
 			}
 			taken, unknown, doubled = taken+truth.Taken, unknown+int(account.Settled[accounts.Unknown]), doubled+truth.DoubledSeen
 		}
 		if t.Failed() && seed%5 == 0 {
-			break // seeds like it say the same
+			break // further seeds are likely to fail in the same way
 		}
 	}
-	t.Logf("%d requests taken, %d unknown, %d doubled", taken, unknown, doubled)
+	t.Logf("%d requests accepted, %d unknown, %d doubled", taken, unknown, doubled)
 }
 
-// checkAccount compares an account with what clients and upstreams know. What a client
-// was not told is unknown, or an answer that was lost after it had been written.
+// checkAccount compares an account with the observations of clients and upstreams. A request
+// without a response is unknown, or its response was lost after the proxy had written it.
 func checkAccount(t *testing.T, label string, account accounts.Account, truth *emulator.Truth) {
 	t.Helper()
 	settled := uint64(0)
@@ -177,57 +181,58 @@
 		settled += n
 	}
 	if settled+account.Open() != account.Taken {
-		t.Errorf("%s: known %d and open %d do not add up to %d taken", label, settled, account.Open(), account.Taken)
+		t.Errorf("%s: %d settled and %d open do not add up to %d taken", label, settled, account.Open(), account.Taken)
 	}
 	if successes := int(account.Settled[accounts.OnTime] + account.Settled[accounts.Late]); successes > truth.Successes+truth.Untold {
-		t.Errorf("%s: %d successes, clients were told of %d, and nothing of %d", label, successes, truth.Successes, truth.Untold)
+		t.Errorf("%s: %d successes, but clients received %d successes and no response to %d requests", label, successes, truth.Successes, truth.Untold)
 	}
 	if int(account.Doubled) > truth.DoubledRuns {
-		t.Errorf("%s: %d doubled, upstreams ran %d twice", label, account.Doubled, truth.DoubledRuns)
+		t.Errorf("%s: %d doubled, but upstreams executed only %d twice", label, account.Doubled, truth.DoubledRuns)
 	}
 	if account.Latency.Count() > account.Settled[accounts.OnTime]+account.Settled[accounts.Late] {
-		t.Errorf("%s: %d latencies of %d successes", label, account.Latency.Count(), account.Settled[accounts.OnTime]+account.Settled[accounts.Late])
+		t.Errorf("%s: %d latencies for %d successes", label, account.Latency.Count(), account.Settled[accounts.OnTime]+account.Settled[accounts.Late])
 	}
 }
 
-// TestWipeLosesOneReport wipes proxies, with nothing else going wrong: an account lacks at
-// most what the wiped processes took since their latest report could arrive, and what they
-// had under way stays open.
-func TestWipeLosesOneReport(t *testing.T) {
+// TestDiskLossBoundedByReportInterval wipes the disks of proxies, without any other fault. An
+// account may lack only the requests that the wiped processes accepted after the latest report
+// that could arrive; their requests in flight stay open.
+func TestDiskLossBoundedByReportInterval(t *testing.T) {
 	taken, lost, open := 0, 0, 0
 	for seed := uint64(1); seed <= 60; seed++ {
-		m := newModel(t, seed)
-		for _, name := range m.ProxyNames() {
-			proxy := m.Proxies[name]
-			m.After(time.Second+time.Duration(m.Rng.Int64N(int64(4*time.Second))), func() {
+		s := newSimulation(t, seed)
+		for _, name := range s.ProxyNames() {
+			proxy := s.Proxies[name]
+			s.After(time.Second+time.Duration(s.Rng.Int64N(int64(4*time.Second))), func() {
 				proxy.Wipe()
-				m.After(300*time.Millisecond, proxy.Start)
+				s.After(300*time.Millisecond, proxy.Start)
 			})
 		}
-		m.Run(modelSpan+modelSettle, nil)
-		totals, truths, atRisk := m.Totals(), m.Truth(), m.atRisk(m.TellEvery+m.Delay+m.Delay/20)
+		s.Run(activeSpan+settleSpan, nil)
+		totals, truths, atRisk := s.Totals(), s.Truth(), s.atRisk(s.TellEvery+s.Delay+s.Delay/20)
 		for tenant, truth := range truths {
 			account := totals[tenant]
 			checkAccount(t, fmt.Sprintf("seed %d: %s", seed, tenant), account, truth)
-			lacks := truth.Taken - int(account.Taken)
-			if lacks < 0 || lacks > atRisk[tenant] {
-				t.Errorf("seed %d: %s: the account lacks %d of %d, at most %d may be lost", seed, tenant, lacks, truth.Taken, atRisk[tenant])
+			missing := truth.Taken - int(account.Taken)
+			if missing < 0 || missing > atRisk[tenant] {
+				t.Errorf("seed %d: %s: the account lacks %d of %d requests, at most %d may be lost", seed, tenant, missing, truth.Taken, atRisk[tenant])
 			}
-			taken, lost, open = taken+truth.Taken, lost+lacks, open+int(account.Open())
+			taken, lost, open = taken+truth.Taken, lost+missing, open+int(account.Open())
 		}
 	}
-	t.Logf("%d requests taken, %d lost by 180 wipes, %d left open", taken, lost, open)
+	t.Logf("%d requests accepted, %d lost by 180 wipes, %d left open", taken, lost, open)
 }
 
-// atRisk counts, by tenant, the requests that wiped processes took within a span before.
-func (m *model) atRisk(span time.Duration) map[string]int {
+// atRisk counts, by tenant, the requests that wiped processes accepted within span before the
+// wipe.
+func (s *simulation) atRisk(span time.Duration) map[string]int {
 	out := map[string]int{}
-	for _, client := range m.Clients {
+	for _, client := range s.Clients {
 		for _, request := range client.Requests {
 			if !request.Taken {
 				continue
 			}
-			for _, wipe := range m.Proxies[request.Proxy].Wipes {
+			for _, wipe := range s.Proxies[request.Proxy].Wipes {
 				if wipe.Life == request.Life && request.TakenAt >= wipe.At-span {
 					out[request.Tenant]++
 				}
@@ -237,17 +242,17 @@
 	return out
 }
 
-// TestWipesUnderTrouble adds wipes to all other troubles: figures never fall, and no
-// account has more than was taken.
-func TestWipesUnderTrouble(t *testing.T) {
+// TestDiskLossUnderFaults adds wiped proxy disks to all other faults. Counters must never
+// decrease, and no account may have more requests than were accepted.
+func TestDiskLossUnderFaults(t *testing.T) {
 	for seed := uint64(101); seed <= 130; seed++ {
-		m := newModel(t, seed)
-		m.play(true)
-		totals := m.Totals()
-		for tenant, truth := range m.Truth() {
+		s := newSimulation(t, seed)
+		s.runWithFaults(true)
+		totals := s.Totals()
+		for tenant, truth := range s.Truth() {
 			checkAccount(t, fmt.Sprintf("seed %d: %s", seed, tenant), totals[tenant], truth)
 			if int(totals[tenant].Taken) > truth.Taken {
-				t.Errorf("seed %d: %s: %d in the account, %d were taken", seed, tenant, totals[tenant].Taken, truth.Taken)
+				t.Errorf("seed %d: %s: the account has %d requests, but only %d were accepted", seed, tenant, totals[tenant].Taken, truth.Taken)
 			}
 		}
 	}
--- a/internal/accounts/objectives.go
+++ b/internal/accounts/objectives.go
@@ -14,8 +14,8 @@
 const (
 	minTarget        = 0.5                 // a lower target is most likely a typing error
 	maxLatencyTarget = 10 * time.Minute    // the longest latency that a sketch records
-	minWindow        = time.Hour           // the long window of the burn rate
-	maxWindow        = 90 * 24 * time.Hour // a quarter of a year
+	minWindow        = time.Hour           // longBurnWindow
+	maxWindow        = 90 * 24 * time.Hour // about three months
 	defaultShards    = 16
 	maxShards        = 256
 )
