--- a/internal/accounts/budget.go
+++ b/internal/accounts/budget.go
@@ -3,8 +3,9 @@
 import "time"
 
 // A burn rate is the fraction of eligible requests that missed the objective, divided by the
-// fraction that the objective allows. At a burn rate of 1, the error budget is used up exactly at the
-// end of the objective's window. At alarmBurnRate, one hour uses a fiftieth of a 30-day budget.
+// fraction that the objective allows. At a burn rate of 1, the error budget is used up exactly
+// at the end of the objective's window. At alarmBurnRate, one hour uses a fiftieth of a 30-day
+// budget.
 const (
 	shortBurnWindow = 5 * time.Minute
 	longBurnWindow  = time.Hour
--- a/internal/accounts/simulation_test.go
+++ b/internal/accounts/simulation_test.go
@@ -132,8 +132,8 @@
 	}
 }
 
-// runWithFaults runs the simulation with random faults, and then without faults until the totals are
-// complete.
+// runWithFaults runs the simulation with random faults, and then without faults until the totals
+// are complete.
 func (s *simulation) runWithFaults(wipes bool) {
 	for at := 300 * time.Millisecond; at < activeSpan; at += time.Duration(50+s.Rng.IntN(400)) * time.Millisecond {
 		s.After(at, func() { s.injectFault(wipes) })
--- a/internal/accounts/wire.go
+++ b/internal/accounts/wire.go
@@ -41,7 +41,7 @@
 type ReportAck struct {
 	Shard   int
 	Life    uint64
-	Refused string // reason for a rejection; empty if the report was accepted. The proxy keeps rejected changes.
+	Refused string // reason for a rejection, after which the proxy keeps its changes; empty if accepted
 	Holder  string // node that holds the shard's lease, if known
 	Ack     counter.Ack
 }
