--- a/cmd/scalerun/accounts.go
+++ b/cmd/scalerun/accounts.go
@@ -70,7 +70,7 @@
 	encoder := gob.NewEncoder(connection)
 	var messages int
 	var serving, telling time.Duration
-	requests := accountRate * int(accounts.TellEvery.Seconds())
+	requests := accountRate * int(accounts.ReportInterval.Seconds())
 	for report := range accountReports {
 		names := make([]string, requests)
 		latencies := make([]time.Duration, requests)
@@ -85,7 +85,7 @@
 		}
 		served := time.Now()
 		for shard := range objectives.Shards {
-			for _, r := range meter.Reports(shard) {
+			for _, r := range meter.PendingReports(shard) {
 				if err := encoder.Encode(r); err != nil {
 					panic(err)
 				}
@@ -97,7 +97,7 @@
 			serving, telling = served.Sub(began), time.Since(served)
 		}
 	}
-	span := accounts.TellEvery.Seconds()
+	span := accounts.ReportInterval.Seconds()
 	fmt.Fprintf(w, "  %d, %.0f, %.1f, %.2f, %.2f, %.5f, %.0f, %.0f\n", tenants, float64(connection.bytes)/span, float64(messages)/span,
 		float64(serving.Nanoseconds())/float64(requests)/1e3, telling.Seconds()*1e3, (serving+telling).Seconds()/span, (heap()-base)/1e3, float64(tenants)*0.512+4)
 	runtime.KeepAlive(meter)
@@ -105,7 +105,7 @@
 
 func accountHolderSlope(w io.Writer, objectives *accounts.Objectives, proxies int) {
 	rng := rand.New(rand.NewPCG(2, 2))
-	options := accounts.DefaultOptions
+	options := accounts.DefaultCounterOptions
 	options.CompactionInterval, options.IncarnationsPerCompaction = time.Hour, proxies
 	base := heap()
 	store := &memoryStore{}
@@ -118,7 +118,7 @@
 		delta := accounts.Delta{Life: counter.IncarnationID(proxy + 1), Node: fmt.Sprint("proxy-", proxy), From: from, To: to, Closed: closed, Cells: counter.Cells[string, accounts.Account]{}}
 		for range perShard {
 			account := accounts.Account{Taken: 1000 * to}
-			account.Settled[accounts.InAim] = 1000 * to
+			account.Settled[accounts.OnTime] = 1000 * to
 			for range 20 {
 				account.Latency.Observe(time.Duration(float64(accountMedian) * math.Exp(accountSpread*rng.NormFloat64())))
 			}
--- a/cmd/slateridge/accounts_test.go
+++ b/cmd/slateridge/accounts_test.go
@@ -28,7 +28,7 @@
 		snapshot := accounts.Snapshot{At: time.Unix(int64(asked), 0), Shards: []accounts.ShardState{{Shard: 0, Leading: leads}}}
 		if leads {
 			account := accounts.Account{Taken: 10 * asked}
-			account.Settled[accounts.InAim] = 10 * asked
+			account.Settled[accounts.OnTime] = 10 * asked
 			snapshot.Standings = []accounts.Standing{{Tenant: "acme", Account: account, Objective: accounts.Objective{Target: 0.99, Latency: time.Second, Window: time.Hour}}}
 		}
 		w.Header().Set("Content-Type", "application/json")
@@ -44,7 +44,7 @@
 	client := &http.Client{Timeout: time.Second}
 	addresses := []string{"127.0.0.1:1", other, leader}
 	snapshot, err := gatherAccounts(client, addresses, "")
-	if err != nil || len(snapshot.Standings) != 1 || len(snapshot.Unheld()) != 0 {
+	if err != nil || len(snapshot.Standings) != 1 || len(snapshot.MissingShards()) != 0 {
 		t.Fatalf("%+v, %v", snapshot, err)
 	}
 	for want, format := range map[string]accountsCmd{"acme    10": {}, `"Tenant":"acme"`: {JSON: true}, "acme,10,10,": {CSV: true}} {
--- a/internal/accounts/agent.go
+++ b/internal/accounts/agent.go
@@ -8,147 +8,150 @@
 	"slateridge/internal/counter"
 )
 
-// RetryEvery is the time until the first new attempt at a report that was not taken: a
-// lease that has lapsed for a moment is held again by then.
-const RetryEvery = time.Second
+// RetryInterval is the time until the first retry of a report that was not accepted. A lease
+// that lapsed briefly has been acquired again by then.
+const RetryInterval = time.Second
 
-// mostRetryTurns bounds the time between attempts, in units of RetryEvery: a control plane
-// that is slow because of its load is asked less often.
-const mostRetryTurns = 8
+// maxRetryTurns is the maximum time between two attempts, in units of RetryInterval. The
+// backoff reduces the load on a control plane that is slow because it is overloaded.
+const maxRetryTurns = 8
 
-// mostQuestions bounds those for one report: a holder that is lost, another machine that
-// is lost with it, one that knows the new holder, and that one.
-const mostQuestions = 4
+// maxReportAttempts is the maximum number of nodes that one report is sent to in a row: a
+// failed leader, a second node that failed with it, a node that redirects to the new leader,
+// and the new leader.
+const maxReportAttempts = 4
 
-// AgentOptions are what an agent needs of the proxy's process.
+// AgentOptions configures an Agent.
 type AgentOptions struct {
-	Node       string
-	Objectives *Objectives
-	Controls   []string                                          // control machines to ask first
-	Ask        func(to string, report Report) (ReportAck, error) // one question, answered or not
-	Note       func(kind, about string)
+	Node         string
+	Objectives   *Objectives
+	ControlNodes []string                                          // control-plane nodes to try while a shard's leader is unknown
+	SendReport   func(to string, report Report) (ReportAck, error) // sends a report and waits for the response
+	RecordEvent  func(kind, about string)
 }
 
-// Agent is a proxy's part in the accounts: the meter of its process, with its journal, and
-// the reports to the holders of the shards.
+// Agent runs the accounts of a proxy: the meter of its process with its journal, and the
+// reports to the leaders of the shards.
 type Agent struct {
 	*Meter
 	options AgentOptions
 	journal *FileJournal
 
-	mu      sync.Mutex
-	holders []string // by shard; empty: not known
-	asked   int      // control machines asked for holders, by turns
-	untold  []untold // by shard
+	mu          sync.Mutex
+	holders     []string     // lease holder of each shard; empty if unknown
+	nextControl int          // counter that selects ControlNodes round-robin
+	retries     []retryState // by shard
 }
 
-// untold is what is known of reports that were not taken.
-type untold struct {
-	failures int // in a row
-	wait     int // calls of Retry until the next attempt
+// retryState is the retry backoff of a shard whose latest reports were not accepted.
+type retryState struct {
+	failures  int // consecutive failures
+	turnsLeft int // calls of RetryReports until the next attempt
 }
 
-// NewAgent begins a new life. Journals of lives before it that cannot be read, and a
-// journal of its own that cannot be made, are noted; accounts are kept all the same.
+// NewAgent starts a new incarnation. Errors in reading journals of earlier incarnations or in
+// creating the new journal are recorded as events; requests are counted regardless.
 func NewAgent(options AgentOptions) *Agent {
-	life := counter.IncarnationID(rand.Uint64() | 1)
-	a := &Agent{options: options, holders: make([]string, options.Objectives.Shards), untold: make([]untold, options.Objectives.Shards)}
-	directory := options.Objectives.Journal
+	incarnation := counter.IncarnationID(rand.Uint64() | 1)
+	a := &Agent{options: options, holders: make([]string, options.Objectives.Shards), retries: make([]retryState, options.Objectives.Shards)}
+	directory := options.Objectives.JournalDir
 	if directory == "" {
-		a.Meter = NewMeter(options.Node, life, options.Objectives, nil, nil)
+		a.Meter = NewMeter(options.Node, incarnation, options.Objectives, nil, nil)
 		return a
 	}
 	ended, problems := RecoverJournals(directory)
-	journal, err := CreateJournal(directory, life, options.Objectives.Shards, func(err error) { options.Note("account_journal", err.Error()) })
+	journal, err := CreateJournal(directory, incarnation, options.Objectives.Shards, func(err error) { options.RecordEvent("account_journal", err.Error()) })
 	if err != nil {
 		problems = append(problems, err)
-		a.Meter = NewMeter(options.Node, life, options.Objectives, nil, ended)
+		a.Meter = NewMeter(options.Node, incarnation, options.Objectives, nil, ended)
 	} else {
 		a.journal = journal
-		a.Meter = NewMeter(options.Node, life, options.Objectives, journal, ended)
+		a.Meter = NewMeter(options.Node, incarnation, options.Objectives, journal, ended)
 	}
 	for _, problem := range problems {
-		options.Note("account_journal", problem.Error())
+		options.RecordEvent("account_journal", problem.Error())
 	}
 	return a
 }
 
-// Tell brings every shard's holder what it lacks. It is called every TellEvery, and may
-// take as long as the questions do.
-func (a *Agent) Tell() {
+// SendReports sends the pending changes of every shard to the shard's leader. It is called
+// every ReportInterval and blocks until all reports have been sent.
+func (a *Agent) SendReports() {
 	for shard := range a.options.Objectives.Shards {
-		a.tellShard(shard)
+		a.reportShard(shard)
 	}
 }
 
-// Retry does the same for the shards whose holders did not take the latest report, at
-// growing distances. It is called every RetryEvery.
-func (a *Agent) Retry() {
+// RetryReports does the same for the shards whose latest report was not accepted, with
+// exponential backoff. It is called every RetryInterval.
+func (a *Agent) RetryReports() {
 	for shard := range a.options.Objectives.Shards {
 		if a.retryDue(shard) {
-			a.tellShard(shard)
+			a.reportShard(shard)
 		}
 	}
 }
 
-// retryDue counts one call of Retry.
+// retryDue counts down a shard's backoff by one call of RetryReports, and reports whether a
+// retry is due.
 func (a *Agent) retryDue(shard int) bool {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	state := &a.untold[shard]
+	state := &a.retries[shard]
 	if state.failures == 0 {
 		return false
 	}
-	state.wait--
-	return state.wait <= 0
+	state.turnsLeft--
+	return state.turnsLeft <= 0
 }
 
-// tellShard tells all that the shard's holder lacks. A new holder that lacks what its
-// predecessor had heard says so in its answer, and is told from there at once.
-func (a *Agent) tellShard(shard int) {
-	told := a.tellAll(shard)
-	if !told {
-		told = a.tellAll(shard)
+// reportShard sends all pending changes of a shard. If a new leader lacks changes that its
+// predecessor had received, its response says so, and the second attempt resends from there.
+func (a *Agent) reportShard(shard int) {
+	accepted := a.sendPending(shard)
+	if !accepted {
+		accepted = a.sendPending(shard)
 	}
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	state := &a.untold[shard]
-	if told {
-		*state = untold{}
+	state := &a.retries[shard]
+	if accepted {
+		*state = retryState{}
 		return
 	}
 	state.failures++
-	state.wait = min(1<<min(state.failures-1, mostRetryTurns), mostRetryTurns)
+	state.turnsLeft = min(1<<min(state.failures-1, maxRetryTurns), maxRetryTurns)
 }
 
-func (a *Agent) tellAll(shard int) bool {
-	told := true
-	for _, report := range a.Reports(shard) {
-		told = a.tell(report) && told
+// sendPending sends the pending reports of a shard and reports whether all were accepted.
+func (a *Agent) sendPending(shard int) bool {
+	accepted := true
+	for _, report := range a.PendingReports(shard) {
+		accepted = a.send(report) && accepted
 	}
-	return told
+	return accepted
 }
 
-// tell asks the holder known, and then those that answers name, or others by turns; false
-// if none has heard all of the report.
-func (a *Agent) tell(report Report) bool {
-	for range mostQuestions {
-		to := a.holder(report.Shard)
+// send sends a report to the shard's known lease holder, follows redirects, and tries other
+// nodes if one doesn't respond. It reports whether a leader has received all of the report.
+func (a *Agent) send(report Report) bool {
+	for range maxReportAttempts {
+		to := a.reportTarget(report.Shard)
 		if to == "" {
 			return false
 		}
-		ack, err := a.options.Ask(to, report)
+		ack, err := a.options.SendReport(to, report)
 		if err != nil {
-			a.forget(to)
+			a.forgetHolder(to)
 			continue
 		}
 		if ack.Refused == "" {
-			a.finish(a.Acknowledge(ack))
+			a.removeJournals(a.Acknowledge(ack))
 			return ack.Ack.Heard >= report.To
 		}
 		if ack.Holder == "" || ack.Holder == to {
 			if ack.Refused != ErrNotHolder.Error() {
-				a.options.Note("account_untold", ack.Refused)
+				a.options.RecordEvent("account_untold", ack.Refused)
 			}
 			a.setHolder(report.Shard, "")
 			return false
@@ -158,18 +161,19 @@
 	return false
 }
 
-// holder is whom to ask for a shard: its holder, or any control machine by turns.
-func (a *Agent) holder(shard int) string {
+// reportTarget returns the node to send a shard's reports to: the lease holder if it is known,
+// otherwise the next control-plane node.
+func (a *Agent) reportTarget(shard int) string {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	if a.holders[shard] != "" {
 		return a.holders[shard]
 	}
-	if len(a.options.Controls) == 0 {
+	if len(a.options.ControlNodes) == 0 {
 		return ""
 	}
-	a.asked++
-	return a.options.Controls[a.asked%len(a.options.Controls)]
+	a.nextControl++
+	return a.options.ControlNodes[a.nextControl%len(a.options.ControlNodes)]
 }
 
 func (a *Agent) setHolder(shard int, holder string) {
@@ -178,40 +182,42 @@
 	a.holders[shard] = holder
 }
 
-// forget takes a machine that did not answer for the holder of no shard any more, so that
-// not each shard's report has to wait for it anew.
-func (a *Agent) forget(machine string) {
+// forgetHolder removes a node that didn't respond as the holder of all shards, so that the
+// reports of the other shards don't wait for it too.
+func (a *Agent) forgetHolder(node string) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	for shard, holder := range a.holders {
-		if holder == machine {
+		if holder == node {
 			a.holders[shard] = ""
 		}
 	}
 }
 
-// finish deletes the journals of lives that majorities hold whole.
-func (a *Agent) finish(lives []counter.IncarnationID) {
-	for _, life := range lives {
-		if err := RemoveJournal(a.options.Objectives.Journal, life); err != nil {
-			a.options.Note("account_journal", err.Error())
+// removeJournals deletes the journals of incarnations whose counters majorities hold
+// completely.
+func (a *Agent) removeJournals(incarnations []counter.IncarnationID) {
+	for _, incarnation := range incarnations {
+		if err := RemoveJournal(a.options.Objectives.JournalDir, incarnation); err != nil {
+			a.options.RecordEvent("account_journal", err.Error())
 		}
 	}
 }
 
-// Leave tells what has come since the latest report, before the process ends in order.
-// Without a journal it also closes the life, as no successor can.
-func (a *Agent) Leave(patience time.Duration) {
+// Shutdown sends the changes since the latest report before a regular end of the process, and
+// waits for at most timeout. Without a journal it also ends the incarnation, as no later
+// process can do so.
+func (a *Agent) Shutdown(timeout time.Duration) {
 	if a.journal == nil {
 		a.Close()
 	}
 	done := make(chan struct{})
 	go func() {
-		a.Tell()
+		a.SendReports()
 		close(done)
 	}()
 	select {
 	case <-done:
-	case <-time.After(patience):
+	case <-time.After(timeout):
 	}
 }
--- a/internal/accounts/service.go
+++ b/internal/accounts/service.go
@@ -13,71 +13,74 @@
 	"slateridge/internal/counter"
 )
 
-// TickEvery is the step of a control machine's service.
-const TickEvery = 200 * time.Millisecond
+// TickInterval is the interval at which a control-plane node calls Service.Step.
+const TickInterval = 200 * time.Millisecond
 
-// mostMetricTenants bounds the tenants that have metrics of their own: those in alarm.
-const mostMetricTenants = 100
+// maxMetricTenants limits the number of tenants with metrics of their own. Only tenants in
+// alarm have them.
+const maxMetricTenants = 100
 
-// ServiceOptions are what a service needs of the control machine's process.
+// ServiceOptions configures a Service.
 type ServiceOptions struct {
-	Machine  string
-	Leads    func(shard int) bool   // this machine holds the shard's lease
-	HolderOf func(shard int) string // who does, as far as is known; may be empty
-	Replicas func() []string        // all machines that keep the accounts
-	Send     func(to string, message any)
-	Now      func() time.Duration // steady
+	Node        string
+	HoldsLease  func(shard int) bool   // reports whether this node holds the shard's lease
+	LeaseHolder func(shard int) string // returns the node that holds the shard's lease, or "" if unknown
+	Replicas    func() []string        // returns all nodes that store the accounts
+	Send        func(to string, message any)
+	Now         func() time.Duration // monotonic time
 }
 
-// Service is a control machine's part in the accounts: the holder, its messages, and the
-// interface for operators.
+// Service runs the accounts on a control-plane node: the replica, its messages, and the HTTP
+// endpoint and metrics for operators.
 type Service struct {
-	*Holder
+	*Replica
 	options ServiceOptions
 }
 
-// NewService makes the service of a holder.
-func NewService(holder *Holder, options ServiceOptions) *Service {
-	return &Service{Holder: holder, options: options}
+// NewService returns the service of a replica.
+func NewService(replica *Replica, options ServiceOptions) *Service {
+	return &Service{Replica: replica, options: options}
 }
 
-// DutyName is the lease of a shard.
+// DutyName returns the name of the duty whose lease makes a node the leader of a shard.
 func DutyName(shard int) string { return fmt.Sprintf("accounts/%d", shard) }
 
-// Step advances the holder; it is called every TickEvery.
+// Step advances the replica. It is called every TickInterval.
 func (s *Service) Step() {
-	s.send(s.Tick(s.options.Now(), s.options.Leads, s.options.Replicas()))
+	s.sendAll(s.Tick(s.options.Now(), s.options.HoldsLease, s.options.Replicas()))
 }
 
-func (s *Service) send(out []counter.Send) {
+func (s *Service) sendAll(out []counter.Send) {
 	for _, send := range out {
 		s.options.Send(send.To, send.Message)
 	}
 }
 
-// Message takes a message of another process; false if it is none of the accounts'.
-func (s *Service) Message(from string, message any) (answer any, mine bool) {
+// HandleMessage processes a message from another process and returns its response, if any.
+// handled is false if the message doesn't belong to the accounts.
+func (s *Service) HandleMessage(from string, message any) (response any, handled bool) {
 	if report, ok := message.(Report); ok {
-		return s.report(report), true
+		return s.handleReport(report), true
 	}
-	if _, ok := shardOf(message); !ok {
+	if _, ok := messageShard(message); !ok {
 		return nil, false
 	}
-	s.send(s.Receive(from, message))
+	s.sendAll(s.Receive(from, message))
 	return nil, true
 }
 
-func (s *Service) report(report Report) ReportAck {
+// handleReport passes a report to the replica and adds the lease holder to a redirect.
+func (s *Service) handleReport(report Report) ReportAck {
 	inRange := report.Shard >= 0 && report.Shard < s.objectives.Shards
-	ack := s.Take(report, inRange && s.options.Leads(report.Shard))
+	ack := s.HandleReport(report, inRange && s.options.HoldsLease(report.Shard))
 	if ack.Refused == ErrNotHolder.Error() {
-		ack.Holder = s.options.HolderOf(report.Shard)
+		ack.Holder = s.options.LeaseHolder(report.Shard)
 	}
 	return ack
 }
 
-// ServeHTTP answers operators with a snapshot as JSON, of the tenant named in the query
-// or of all.
+// ServeHTTP responds with a snapshot as JSON, of the tenant given in the query or of all
+// tenants.
 func (s *Service) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	snapshot, err := s.Snapshot(s.options.Now(), time.Now(), r.URL.Query().Get("tenant"))
 	switch {
@@ -89,21 +92,22 @@
 		return
 	}
 	w.Header().Set("Content-Type", "application/json")
-	json.NewEncoder(w).Encode(snapshot) // a caller that has gone needs no answer
+	json.NewEncoder(w).Encode(snapshot) // an error means that the client has disconnected
 }
 
-// WriteMetrics gives the sums over the shards held here, and the tenants in alarm.
+// WriteMetrics writes the sums over the shards that this node leads, and the metrics of the
+// tenants in alarm.
 func (s *Service) WriteMetrics(w io.Writer) {
 	now := s.options.Now()
 	var sum Account
 	alarms := 0
-	standings := s.Table(now)
+	standings := s.Standings(now)
 	for _, standing := range standings {
 		sum = sum.Plus(Account{Taken: standing.Account.Taken, Settled: standing.Account.Settled, Doubled: standing.Account.Doubled})
 		if !standing.Budget.Alarm {
 			continue
 		}
-		if alarms++; alarms <= mostMetricTenants {
+		if alarms++; alarms <= maxMetricTenants {
 			label := fmt.Sprintf("{tenant=%q}", standing.Tenant)
 			metrics.WriteGaugeFloat64(w, "slateridge_accounts_burn_short"+label, standing.Budget.ShortBurn)
 			metrics.WriteGaugeFloat64(w, "slateridge_accounts_burn_long"+label, standing.Budget.LongBurn)
@@ -132,9 +136,9 @@
 	metrics.WriteCounterUint64(w, "slateridge_accounts_reports_refused_total", s.RefusedReports())
 }
 
-// RefusedReports counts the reports that were refused.
-func (h *Holder) RefusedReports() uint64 {
-	h.mu.Lock()
-	defer h.mu.Unlock()
-	return h.Refused
+// RefusedReports returns the number of rejected reports.
+func (r *Replica) RefusedReports() uint64 {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	return r.refusedReports
 }
--- a/internal/accounts/snapshot.go
+++ b/internal/accounts/snapshot.go
@@ -6,22 +6,22 @@
 	"time"
 )
 
-// Snapshot is what control machines say of the accounts at a time.
+// Snapshot is the state of the accounts at one time, as reported by control-plane nodes.
 type Snapshot struct {
 	At        time.Time
 	Shards    []ShardState
-	Standings []Standing // by tenant
+	Standings []Standing // sorted by tenant
 }
 
-// Snapshot is this machine's part: the accounts of the shards that it holds, or of one
-// tenant if one is named.
-func (h *Holder) Snapshot(now time.Duration, at time.Time, tenant string) (Snapshot, error) {
-	out := Snapshot{At: at, Shards: h.Shards(now)}
+// Snapshot returns this node's part of a snapshot: the accounts of the shards that it leads,
+// or of one tenant if tenant isn't empty.
+func (r *Replica) Snapshot(now time.Duration, at time.Time, tenant string) (Snapshot, error) {
+	out := Snapshot{At: at, Shards: r.Shards(now)}
 	if tenant == "" {
-		out.Standings = h.Table(now)
+		out.Standings = r.Standings(now)
 		return out, nil
 	}
-	standing, err := h.Of(now, tenant)
+	standing, err := r.Standing(now, tenant)
 	if err != nil {
 		return out, err
 	}
@@ -29,24 +29,25 @@
 	return out, nil
 }
 
-// MergeSnapshots puts together what several control machines say at about one time: of
-// each shard the word of the machine that leads it, and the newest where two say they do.
+// MergeSnapshots combines snapshots that several control-plane nodes took at about the same
+// time. Each shard is taken from the node that leads it, or from the one with the newest
+// totals if two nodes report that they lead it.
 func MergeSnapshots(parts []Snapshot) Snapshot {
 	var out Snapshot
-	leaders := map[int]int{} // shard to part
+	leaders := map[int]int{} // index of the chosen part, by shard
 	for i, part := range parts {
 		if part.At.After(out.At) {
 			out.At = part.At
 		}
 		for _, shard := range part.Shards {
 			best, known := leaders[shard.Shard]
-			if !known || better(shard, parts[best].shard(shard.Shard)) {
+			if !known || preferred(shard, parts[best].shardState(shard.Shard)) {
 				leaders[shard.Shard] = i
 			}
 		}
 	}
 	for shard, i := range leaders {
-		out.Shards = append(out.Shards, parts[i].shard(shard))
+		out.Shards = append(out.Shards, parts[i].shardState(shard))
 		for _, standing := range parts[i].Standings {
 			if standing.Shard == shard {
 				out.Standings = append(out.Standings, standing)
@@ -58,15 +59,16 @@
 	return out
 }
 
-// better reports whether one machine's word on a shard goes before another's.
-func better(a, b ShardState) bool {
+// preferred reports whether state a of a shard takes precedence over state b.
+func preferred(a, b ShardState) bool {
 	if a.Leading != b.Leading {
 		return a.Leading
 	}
 	return a.Leading && a.Age < b.Age
 }
 
-func (s Snapshot) shard(number int) ShardState {
+// shardState returns the state of a shard, or a state without a leader if there is none.
+func (s Snapshot) shardState(number int) ShardState {
 	for _, shard := range s.Shards {
 		if shard.Shard == number {
 			return shard
@@ -75,9 +77,9 @@
 	return ShardState{Shard: number}
 }
 
-// Unheld are the shards of which no machine that answered has a total: the accounts of
-// their tenants are missing from the snapshot.
-func (s Snapshot) Unheld() []int {
+// MissingShards returns the shards whose leader isn't among the nodes that responded. The
+// accounts of their tenants are missing from the snapshot.
+func (s Snapshot) MissingShards() []int {
 	var out []int
 	for _, shard := range s.Shards {
 		if !shard.Leading {
@@ -87,8 +89,8 @@
 	return out
 }
 
-// Of is a tenant's standing in the snapshot.
-func (s Snapshot) Of(tenant string) (Standing, bool) {
+// Standing returns a tenant's standing, if the snapshot has it.
+func (s Snapshot) Standing(tenant string) (Standing, bool) {
 	i, found := slices.BinarySearchFunc(s.Standings, tenant, func(standing Standing, name string) int { return cmp.Compare(standing.Tenant, name) })
 	if !found {
 		return Standing{}, false
@@ -96,41 +98,42 @@
 	return s.Standings[i], true
 }
 
-// Interval is what happened to a tenant between two snapshots.
+// Interval holds the changes of a tenant's account between two snapshots.
 type Interval struct {
 	From, To time.Time
-	Owed     uint64
+	Eligible uint64
 	Missed   uint64
 	Latency  Sketch
 }
 
-// Between is the difference of a tenant's accounts in two snapshots; false if either has
-// none, or the later one has less: it is of another deployment.
-func Between(from, to Snapshot, tenant string) (Interval, bool) {
-	a, okA := from.Of(tenant)
-	b, okB := to.Of(tenant)
-	if !okA || !okB || b.Account.Owed() < a.Account.Owed() || b.Account.Missed() < a.Account.Missed() {
+// NewInterval returns the difference between a tenant's accounts in two snapshots. It returns
+// false if either snapshot lacks the tenant, or if the later one has lower counts, which means
+// that it is from another deployment.
+func NewInterval(from, to Snapshot, tenant string) (Interval, bool) {
+	a, okA := from.Standing(tenant)
+	b, okB := to.Standing(tenant)
+	if !okA || !okB || b.Account.Eligible() < a.Account.Eligible() || b.Account.Missed() < a.Account.Missed() {
 		return Interval{}, false
 	}
-	return Interval{From: from.At, To: to.At, Owed: b.Account.Owed() - a.Account.Owed(), Missed: b.Account.Missed() - a.Account.Missed(),
-		Latency: b.Account.Latency.minus(a.Account.Latency)}, true
+	return Interval{From: from.At, To: to.At, Eligible: b.Account.Eligible() - a.Account.Eligible(), Missed: b.Account.Missed() - a.Account.Missed(),
+		Latency: b.Account.Latency.subtract(a.Account.Latency)}, true
 }
 
-// Burn is the interval's burn rate.
-func (i Interval) Burn(objective Objective) float64 {
-	if i.Owed == 0 {
+// BurnRate returns the burn rate of the interval.
+func (i Interval) BurnRate(objective Objective) float64 {
+	if i.Eligible == 0 {
 		return 0
 	}
-	return float64(i.Missed) / float64(i.Owed) / (1 - objective.Target)
+	return float64(i.Missed) / float64(i.Eligible) / (1 - objective.Target)
 }
 
-// minus is what a sketch has more than an earlier state of it.
-func (s Sketch) minus(earlier Sketch) Sketch {
+// subtract returns the latencies recorded since an earlier state of the sketch.
+func (s Sketch) subtract(earlier Sketch) Sketch {
 	var out Sketch
 	for _, bin := range s {
-		at, found := slices.BinarySearchFunc(earlier, bin.Index, func(b Bin, index int32) int { return cmp.Compare(b.Index, index) })
+		j, found := slices.BinarySearchFunc(earlier, bin.Index, func(b Bin, index int32) int { return cmp.Compare(b.Index, index) })
 		if found {
-			bin.Count -= min(bin.Count, earlier[at].Count)
+			bin.Count -= min(bin.Count, earlier[j].Count)
 		}
 		if bin.Count > 0 {
 			out = append(out, bin)
--- a/internal/accounts/wire.go
+++ b/internal/accounts/wire.go
@@ -10,57 +10,58 @@
 	"slateridge/internal/counter"
 )
 
-// Delta is what changed of a life's accounts.
+// Delta holds the changes of one incarnation's accounts between two versions.
 type Delta = counter.Delta[string, Account]
 
-// formatVersion is that of packed accounts; a report of another one is refused.
+// formatVersion is the version of the packed account encoding. Reports of another version are
+// rejected.
 const formatVersion = 1
 
-// Limits of a report; what is beyond them is garbled.
+// Limits of a report; a report that exceeds them is rejected as malformed.
 const (
-	nameMax    = 256     // bytes of a tenant's or a node's name
-	tenantsMax = 200_000 // accounts in one report
-	binsMax    = 400     // bins of a sketch: all between the shortest and the longest latency
-	countMax   = 1 << 48 // requests of one tenant in one life
+	maxNameBytes     = 256     // of a tenant or node name
+	maxReportTenants = 200_000 // accounts in one report
+	maxSketchBins    = 400     // covers all bins between minRecordedLatency and maxRecordedLatency
+	maxCount         = 1 << 48 // requests of one tenant in one incarnation
 )
 
-// Report brings a shard's holder what has changed at a proxy.
+// Report transfers the changes of a proxy's accounts to the leader of a shard.
 type Report struct {
 	Shard  int
 	Format int
 	Node   string
-	Life   uint64
-	From   uint64
-	To     uint64
-	Closed bool
-	Packed []byte // accounts by tenant
+	Life   uint64 // incarnation of the proxy process
+	From   uint64 // version that the changes are relative to
+	To     uint64 // version that includes the changes
+	Closed bool   // the incarnation has ended; no changes follow
+	Packed []byte // encoded accounts by tenant
 }
 
-// ReportAck answers a report.
+// ReportAck is the response to a Report.
 type ReportAck struct {
 	Shard   int
 	Life    uint64
-	Refused string // why the report was not taken; it is kept by its proxy
-	Holder  string // the machine that holds the shard's lease, as far as is known
+	Refused string // reason for a rejection, after which the proxy keeps its changes; empty if accepted
+	Holder  string // node that holds the shard's lease, if known
 	Ack     counter.Ack
 }
 
-// Errors of a report that is refused.
+// Reasons for which a report is rejected. Proxies compare the text of ErrNotHolder.
 var (
-	ErrFormat        = errors.New("report of another format")
-	ErrGarbled       = errors.New("report is garbled")
-	ErrUnknownTenant = errors.New("tenant has no objective here")
-	ErrNotHolder     = errors.New("this machine does not hold the shard")
+	ErrUnsupportedFormat = errors.New("unsupported format version")
+	ErrMalformed         = errors.New("malformed data")
+	ErrUnknownTenant     = errors.New("tenant has no objective on this node")
+	ErrNotHolder         = errors.New("this machine does not hold the shard")
 )
 
-// ShardOf is the shard that a tenant belongs to.
+// ShardOf returns the shard of a tenant, by a hash of its name.
 func ShardOf(tenant string, shards int) int {
 	hash := fnv.New64a()
 	hash.Write([]byte(tenant))
 	return int(hash.Sum64() % uint64(shards))
 }
 
-// packReport makes a report of a delta.
+// packReport encodes a delta as a report.
 func packReport(shard int, delta Delta) Report {
 	report := Report{Shard: shard, Format: formatVersion, Node: delta.Node, Life: uint64(delta.Life), From: delta.From, To: delta.To, Closed: delta.Closed}
 	for tenant, account := range delta.Cells {
@@ -71,14 +72,14 @@
 	return report
 }
 
-// counters are an account's numbers as they are packed: mostly zero. What is open stands
-// for what was taken.
+// counters returns the counters of an account in the order in which they are packed. Open
+// replaces Taken, so that most of them are zero.
 func (a Account) counters() []uint64 {
 	return append(a.Settled[:], a.Doubled, a.Open())
 }
 
-// appendAccount packs an account: a bit for each number that is not zero, those numbers,
-// and the bins as steps from one to the next.
+// appendAccount encodes an account: a bit mask of the non-zero counters, these counters, and
+// the bins of the sketch with delta-encoded indexes.
 func appendAccount(out []byte, a Account) []byte {
 	present := byte(0)
 	counters := a.counters()
@@ -94,86 +95,87 @@
 		}
 	}
 	out = binary.AppendUvarint(out, uint64(len(a.Latency)))
-	before := int32(0)
+	previous := int32(0)
 	for _, bin := range a.Latency {
-		out = binary.AppendVarint(out, int64(bin.Index-before))
+		out = binary.AppendVarint(out, int64(bin.Index-previous))
 		out = binary.AppendUvarint(out, bin.Count)
-		before = bin.Index
+		previous = bin.Index
 	}
 	return out
 }
 
-// unpackReport reads a report and checks all that can be checked of it alone.
+// unpackReport decodes a report and validates it as far as this needs no other state.
 func unpackReport(report Report, shards int) (Delta, error) {
 	if report.Format != formatVersion {
-		return Delta{}, fmt.Errorf("%w: %d, not %d", ErrFormat, report.Format, formatVersion)
+		return Delta{}, fmt.Errorf("%w %d, must be %d", ErrUnsupportedFormat, report.Format, formatVersion)
 	}
-	if report.Life == 0 || report.Node == "" || len(report.Node) > nameMax || report.Shard < 0 || report.Shard >= shards || report.To < report.From {
-		return Delta{}, ErrGarbled
+	if report.Life == 0 || report.Node == "" || len(report.Node) > maxNameBytes || report.Shard < 0 || report.Shard >= shards || report.To < report.From {
+		return Delta{}, ErrMalformed
 	}
 	delta := Delta{Life: counter.IncarnationID(report.Life), Node: report.Node, From: report.From, To: report.To, Closed: report.Closed,
 		Cells: counter.Cells[string, Account]{}}
-	r := reader{rest: report.Packed}
-	for len(r.rest) > 0 && !r.bad && len(delta.Cells) < tenantsMax {
+	r := packedReader{remaining: report.Packed}
+	for len(r.remaining) > 0 && !r.malformed && len(delta.Cells) < maxReportTenants {
 		tenant := r.name()
 		delta.Cells[tenant] = r.account()
 		if tenant == "" || ShardOf(tenant, shards) != report.Shard {
-			r.bad = true
+			r.malformed = true
 		}
 	}
-	if r.bad || len(r.rest) > 0 {
-		return Delta{}, ErrGarbled
+	if r.malformed || len(r.remaining) > 0 {
+		return Delta{}, ErrMalformed
 	}
 	return delta, nil
 }
 
-// reader takes values from packed bytes; bad says that they are garbled.
-type reader struct {
-	rest []byte
-	bad  bool
+// packedReader decodes values from packed bytes; malformed is set once decoding has failed.
+type packedReader struct {
+	remaining []byte
+	malformed bool
 }
 
-func (r *reader) number(most uint64) uint64 {
-	value, n := binary.Uvarint(r.rest)
-	if n <= 0 || value > most {
-		r.bad, r.rest = true, nil
+// uvarint reads an unsigned integer of at most limit.
+func (r *packedReader) uvarint(limit uint64) uint64 {
+	value, n := binary.Uvarint(r.remaining)
+	if n <= 0 || value > limit {
+		r.malformed, r.remaining = true, nil
 		return 0
 	}
-	r.rest = r.rest[n:]
+	r.remaining = r.remaining[n:]
 	return value
 }
 
-func (r *reader) signed() int64 {
-	value, n := binary.Varint(r.rest)
+func (r *packedReader) varint() int64 {
+	value, n := binary.Varint(r.remaining)
 	if n <= 0 {
-		r.bad, r.rest = true, nil
+		r.malformed, r.remaining = true, nil
 		return 0
 	}
-	r.rest = r.rest[n:]
+	r.remaining = r.remaining[n:]
 	return value
 }
 
-func (r *reader) name() string {
-	length := int(r.number(nameMax))
-	if length > len(r.rest) {
-		r.bad, r.rest = true, nil
+func (r *packedReader) name() string {
+	length := int(r.uvarint(maxNameBytes))
+	if length > len(r.remaining) {
+		r.malformed, r.remaining = true, nil
 		return ""
 	}
-	name := string(r.rest[:length])
-	r.rest = r.rest[length:]
+	name := string(r.remaining[:length])
+	r.remaining = r.remaining[length:]
 	return name
 }
 
-func (r *reader) account() Account {
+func (r *packedReader) account() Account {
 	var a Account
 	counters := a.counters()
-	present := r.number(math.MaxUint8)
+	present := r.uvarint(math.MaxUint8)
 	if present >= 1<<len(counters) {
-		r.bad = true
+		r.malformed = true
 	}
 	for i := range counters {
 		if present&(1<<i) != 0 {
-			counters[i] = r.number(countMax)
+			counters[i] = r.uvarint(maxCount)
 		}
 	}
 	a.Taken = counters[outcomeCount+1]
@@ -182,18 +184,18 @@
 		a.Taken += counters[i]
 	}
 	a.Doubled = counters[outcomeCount]
-	bins := r.number(binsMax)
+	bins := r.uvarint(maxSketchBins)
 	index := int64(0)
 	for i := range bins {
-		step := r.signed()
-		index += step
-		if i > 0 && step <= 0 || index != int64(int32(index)) {
-			r.bad = true
+		increment := r.varint()
+		index += increment
+		if i > 0 && increment <= 0 || index != int64(int32(index)) {
+			r.malformed = true
 		}
-		a.Latency = append(a.Latency, Bin{int32(index), r.number(countMax)})
+		a.Latency = append(a.Latency, Bin{int32(index), r.uvarint(maxCount)})
 	}
 	if a.Doubled > a.Taken {
-		r.bad = true
+		r.malformed = true
 	}
 	return a
 }
--- a/internal/emulator/control.go
+++ b/internal/emulator/control.go
@@ -19,7 +19,7 @@
 	Life        int
 	FrozenUntil time.Duration
 	Disk        *simnet.Disk
-	Holder      *accounts.Holder
+	Holder      *accounts.Replica
 	world       *World
 	began       time.Duration // its steady clock counts from here
 }
@@ -44,7 +44,7 @@
 	c.Up = true
 	c.Life++
 	c.began = c.world.Now - time.Duration(c.world.Rng.IntN(1000))*time.Millisecond
-	c.Holder = accounts.NewHolder(c.Name, c.world.Objectives, c.world.Options, c.Disk, founding, uint64(c.Life), func(string, string) {})
+	c.Holder = accounts.NewReplica(c.Name, c.world.Objectives, c.world.Options, c.Disk, founding, uint64(c.Life), func(string, string) {})
 	c.tick(c.Life)
 }
 
@@ -89,7 +89,7 @@
 func (c *Control) leads(shard int) bool { return c.world.Leases[shard] == c.Name }
 
 func (c *Control) take(report accounts.Report) accounts.ReportAck {
-	return c.Holder.Take(report, report.Shard >= 0 && report.Shard < len(c.world.Leases) && c.leads(report.Shard))
+	return c.Holder.HandleReport(report, report.Shard >= 0 && report.Shard < len(c.world.Leases) && c.leads(report.Shard))
 }
 
 func (c *Control) put(out []counter.Send) {
--- a/internal/emulator/proxy.go
+++ b/internal/emulator/proxy.go
@@ -52,8 +52,8 @@
 	j.accounts[tenant] = kept
 }
 
-// Told implements accounts.Journal.
-func (j *memoryJournal) Told(shard int, version uint64) bool {
+// RecordSent implements accounts.Journal.
+func (j *memoryJournal) RecordSent(shard int, version uint64) bool {
 	j.told[shard] = version
 	return true
 }
@@ -74,10 +74,10 @@
 	}
 	p.Up = true
 	p.Life++
-	var ended []accounts.EndedLife
+	var ended []accounts.EndedIncarnation
 	for _, life := range slices.Sorted(maps.Keys(p.journals)) {
 		journal := p.journals[life]
-		ended = append(ended, accounts.EndedLife{Life: life, Told: journal.told, Accounts: maps.Clone(journal.accounts)})
+		ended = append(ended, accounts.EndedIncarnation{Incarnation: life, SentVersions: journal.told, Accounts: maps.Clone(journal.accounts)})
 	}
 	p.life = counter.IncarnationID(p.world.Rng.Uint64() | 1)
 	journal := &memoryJournal{told: make([]uint64, p.world.Objectives.Shards), accounts: map[string]accounts.Account{}}
@@ -227,7 +227,7 @@
 		return
 	}
 	for shard := range p.world.Objectives.Shards {
-		for _, report := range p.meter.Reports(shard) {
+		for _, report := range p.meter.PendingReports(shard) {
 			p.report(life, report)
 		}
 	}
--- a/internal/proxy/accounting.go
+++ b/internal/proxy/accounting.go
@@ -15,8 +15,8 @@
 		return
 	}
 	set := d.nodeSettings.Load()
-	d.accountsAgent = accounts.NewAgent(accounts.AgentOptions{Node: set.NodeName, Objectives: objectives, Controls: set.SeedIPs(),
-		Ask: d.reportAccounts, Note: d.events.Record})
+	d.accountsAgent = accounts.NewAgent(accounts.AgentOptions{Node: set.NodeName, Objectives: objectives, ControlNodes: set.SeedIPs(),
+		SendReport: d.reportAccounts, RecordEvent: d.events.Record})
 	d.accounts = d.accountsAgent.Meter
 }
 
@@ -88,6 +88,6 @@
 // planned shutdown.
 func (d *Daemon) FlushAccounts() {
 	if d.accountsAgent != nil {
-		d.accountsAgent.Tell()
+		d.accountsAgent.SendReports()
 	}
 }
--- a/internal/proxy/daemon.go
+++ b/internal/proxy/daemon.go
@@ -234,8 +234,8 @@
 		group.EveryAfter(usage.ReportPhase(rand.Uint64(), interval), interval, d.reportUsage)
 	}
 	if d.accountsAgent != nil {
-		group.EveryAfter(rand.N(accounts.TellEvery), accounts.TellEvery, d.accountsAgent.Tell)
-		group.Every(accounts.RetryEvery, d.accountsAgent.Retry)
+		group.EveryAfter(rand.N(accounts.ReportInterval), accounts.ReportInterval, d.accountsAgent.SendReports)
+		group.Every(accounts.RetryInterval, d.accountsAgent.RetryReports)
 	}
 	group.Every(constants.RetireEvery, func() { d.pool.CloseExpiredIdle(time.Now()) })
 	group.Every(membership.TickInterval, d.members.Tick)
@@ -305,7 +305,7 @@
 	defer cancel()
 	d.frontend.drain(ctx)
 	if d.accountsAgent != nil {
-		d.accountsAgent.Leave(constants.CallTimeout)
+		d.accountsAgent.Shutdown(constants.CallTimeout)
 	}
 	d.events.Record("left", "nothing in flight")
 }
