--- a/internal/config/build.go
+++ b/internal/config/build.go
@@ -20,14 +20,14 @@
 	for _, it := range items {
 		if it.kind == "limits" {
 			if hasLimits {
-				return nil, &ValidationError{Item: "limits", Reason: "defined more than once"}
+				return nil, &ValidationError{Item: "limits", Reason: "stated twice"}
 			}
 			hasLimits, c.Limits = true, it.limits
 			continue
 		}
 		label := it.label()
 		if names[label] {
-			return nil, &ValidationError{Item: label, Field: "metadata.name", Reason: "duplicate name"}
+			return nil, &ValidationError{Item: label, Field: "metadata.name", Reason: "named twice"}
 		}
 		names[label] = true
 		switch {
@@ -60,7 +60,7 @@
 	c.Tenants[it.name] = it.tenant
 	for _, key := range it.keys {
 		if owner := c.tenantsByKey[key]; owner != nil && owner != it.tenant {
-			return &ValidationError{Item: it.label(), Field: "apiKeys", Reason: "an API key also belongs to tenant " + owner.Name}
+			return &ValidationError{Item: it.label(), Field: "apiKeys", Reason: "a key is held by tenant " + owner.Name + " too"}
 		}
 		c.tenantsByKey[key] = it.tenant
 	}
@@ -96,7 +96,7 @@
 	}
 	r.Targets = targets
 	if c.Services[r.Targets[0].Service] == nil {
-		return &ValidationError{Item: it.label(), Field: "targetService", Reason: "unknown service " + r.Targets[0].Service}
+		return &ValidationError{Item: it.label(), Field: "targetService", Reason: "service " + r.Targets[0].Service + " is not known"}
 	}
 	c.routesByHost[r.Host] = append(c.routesByHost[r.Host], r)
 	return nil
@@ -107,7 +107,7 @@
 func (c *Config) routeTargets(it *item) ([]Target, error) {
 	spec := it.route
 	if spec.TargetService != "" && len(spec.WeightedTargets) > 0 {
-		return nil, &ValidationError{Item: it.label(), Field: "targetService", Reason: "cannot be combined with weightedTargets"}
+		return nil, &ValidationError{Item: it.label(), Field: "targetService", Reason: "stands beside weightedTargets"}
 	}
 	if spec.TargetService != "" {
 		return []Target{{spec.TargetService, 1}}, nil
@@ -116,7 +116,7 @@
 	sum := 0.0
 	for _, t := range spec.WeightedTargets {
 		if c.Services[t.TargetService] == nil {
-			return nil, &ValidationError{Item: it.label(), Field: "weightedTargets", Reason: "unknown service " + t.TargetService}
+			return nil, &ValidationError{Item: it.label(), Field: "weightedTargets", Reason: "service " + t.TargetService + " is not known"}
 		}
 		if t.Weight > 0 {
 			sum += t.Weight
@@ -124,7 +124,7 @@
 		}
 	}
 	if sum == 0 {
-		return nil, &ValidationError{Item: it.label(), Field: "targetService", Reason: "no target has a positive weight"}
+		return nil, &ValidationError{Item: it.label(), Field: "targetService", Reason: "no target has any weight"}
 	}
 	return targets, nil
 }
--- a/internal/config/config_test.go
+++ b/internal/config/config_test.go
@@ -39,8 +39,8 @@
 		t.Error("wrong choice of weighted target")
 	}
 	for name, c := range map[string]struct{ old, new, want string }{
-		"truncated":                {validDocument[len(validDocument)/2:], "", "invalid JSON"},
-		"trailing data":            {`"15000ms"}}]}`, `"15000ms"}}]}{}`, "data after the end"},
+		"truncated":                {validDocument[len(validDocument)/2:], "", "cannot be read"},
+		"trailing data":            {`"15000ms"}}]}`, `"15000ms"}}]}{}`, "more follows"},
 		"no version":               {`"r7"`, `"7"`, "configVersion"},
 		"unknown service":          {`"targetService":"y","maxAttempts"`, `"targetService":"z","maxAttempts"`, "routes b: targetService"},
 		"unknown weighted service": {`{"targetService":"y","weight":10}`, `{"targetService":"z","weight":10}`, "routes a: weightedTargets"},
--- a/internal/config/document.go
+++ b/internal/config/document.go
@@ -110,7 +110,7 @@
 	if err := json.Unmarshal(raw, into); err != nil {
 		var te *json.UnmarshalTypeError
 		if errors.As(err, &te) {
-			return &ValidationError{Field: te.Field, Reason: "unexpected " + te.Value}
+			return &ValidationError{Field: te.Field, Reason: "a " + te.Value + " cannot stand here"}
 		}
 		return &ValidationError{Field: "spec", Reason: err.Error()}
 	}
@@ -183,7 +183,7 @@
 		}
 		it.limits = Limits{spec.MaxHeaderBytes, spec.MaxBodyBytes, spec.HeaderTimeout.D(), spec.IdleTimeout.D()}
 	default:
-		return nil, &ValidationError{Item: position(), Field: "resourceKind", Reason: fmt.Sprintf("unknown kind %q", it.kind)}
+		return nil, &ValidationError{Item: position(), Field: "resourceKind", Reason: fmt.Sprintf("%q is not known", it.kind)}
 	}
 	return it, nil
 }
--- a/internal/config/parse.go
+++ b/internal/config/parse.go
@@ -20,11 +20,11 @@
 // ParseVersion returns the number of a configuration version such as "r12".
 func ParseVersion(s string) (uint64, error) {
 	if len(s) < 2 || s[0] != 'r' {
-		return 0, fmt.Errorf("invalid version %q: must be r followed by a number", s)
+		return 0, fmt.Errorf("%q is not r followed by a number", s)
 	}
 	n, err := strconv.ParseUint(s[1:], 10, 64)
 	if err != nil || n == math.MaxUint64 {
-		return 0, fmt.Errorf("invalid version %q: must be r followed by a number", s)
+		return 0, fmt.Errorf("%q is not r followed by a number", s)
 	}
 	return n, nil
 }
@@ -44,10 +44,10 @@
 	var d document
 	dec := json.NewDecoder(bytes.NewReader(raw))
 	if err := dec.Decode(&d); err != nil {
-		return nil, &ValidationError{Reason: "invalid JSON: " + err.Error()}
+		return nil, &ValidationError{Reason: "cannot be read: " + err.Error()}
 	}
 	if _, err := dec.Token(); err != io.EOF {
-		return nil, &ValidationError{Reason: "invalid JSON: data after the end of the document"}
+		return nil, &ValidationError{Reason: "cannot be read: more follows the document"}
 	}
 	version, err := ParseVersion(d.ConfigVersion)
 	if err != nil {
--- a/internal/settings/settings.go
+++ b/internal/settings/settings.go
@@ -36,7 +36,7 @@
 	}
 	f, err := strconv.ParseFloat(num, 64)
 	if unit == 0 || err != nil || f < 0 || f > 1e9 {
-		return 0, fmt.Errorf("invalid duration %q: must be a number and a unit, such as 1500ms or 2.5s", s)
+		return 0, fmt.Errorf("%q is not a time such as 1500ms or 2.5s", s)
 	}
 	return time.Duration(f * float64(unit)), nil
 }
@@ -45,7 +45,7 @@
 func (d *Duration) UnmarshalJSON(b []byte) error {
 	var text string
 	if err := json.Unmarshal(b, &text); err != nil {
-		return fmt.Errorf("invalid duration %s: must be a string such as \"1500ms\"", b)
+		return fmt.Errorf("%s is not a time such as \"1500ms\"", b)
 	}
 	parsed, err := ParseDuration(text)
 	*d = Duration(parsed)
--- a/internal/settings/validation.go
+++ b/internal/settings/validation.go
@@ -35,7 +35,7 @@
 	case "required":
 		return path + ": missing"
 	case "len", "gt", "gte", "lt", "lte", "min", "max", "oneof", "gtefield":
-		return fmt.Sprintf("%s: must be %s %s, got %v", path, first.Tag(), first.Param(), first.Value())
+		return fmt.Sprintf("%s: must be %s %s, is %v", path, first.Tag(), first.Param(), first.Value())
 	}
 	return fmt.Sprintf("%s: %v is not a valid %s", path, first.Value(), first.Tag())
 }
