--- a/internal/controlplane/chain/electorate.go
+++ b/internal/controlplane/chain/electorate.go
@@ -247,15 +247,15 @@
 	v := c.agreement.View
 	switch {
 	case !c.agreement.Joined || c.Relay:
-		return nil, "this machine is not a voter: send the request to one that is"
+		return nil, "this machine has no vote: ask one that has"
 	case v.voterIndex(addr) < 0:
-		return nil, fmt.Sprintf("%s is not a voter", addr)
+		return nil, fmt.Sprintf("%s is no voter", addr)
 	case addr == c.Me.Addr || c.inContact(addr):
 		return nil, fmt.Sprintf("%s is running and in contact: stop it first", addr)
 	case len(v.Voters) <= c.minVoters(v):
-		return nil, fmt.Sprintf("%d voters are the fewest that tolerate the loss of %d: start a successor first, which will replace it", len(v.Voters), c.MaxMachineFailures)
+		return nil, fmt.Sprintf("%d voters are the fewest that can bear the loss of %d: start a successor first, which takes its place", len(v.Voters), c.MaxMachineFailures)
 	case len(v.Members)-1 < c.minMembers() && v.memberIndex(addr) >= 0:
-		return nil, "too few members would remain for a majority"
+		return nil, "too few members would be left for a majority"
 	}
 	for _, m := range v.Members {
 		c.send(m.Addr, Retire{addr})
@@ -295,11 +295,11 @@
 		switch can := len(v.Voters) > c.minVoters(v); {
 		case x.Member || x.State == "in contact":
 		case c.retirementRequested(m) && can:
-			x.WayOut = "an operator requested its removal"
+			x.WayOut = "an operator wants it out"
 		case can:
-			x.WayOut = fmt.Sprintf("leaves with a successor, or after %v", max(0, constants.RetireAfter-x.Gone).Round(time.Second))
+			x.WayOut = fmt.Sprintf("leaves with a successor's coming, or after %v", max(0, constants.RetireAfter-x.Gone).Round(time.Second))
 		default:
-			x.WayOut = "leaves with a successor: too few voters to do without it"
+			x.WayOut = "leaves with a successor's coming: too few voters to go without"
 		}
 		voters = append(voters, x)
 	}
