--- a/internal/accounts/wire.go
+++ b/internal/accounts/wire.go
@@ -48,9 +48,9 @@
 
 // Reasons for which a report is rejected. Proxies compare the text of ErrNotHolder.
 var (
-	ErrUnsupportedFormat = errors.New("unsupported format version")
-	ErrMalformed         = errors.New("malformed data")
-	ErrUnknownTenant     = errors.New("tenant has no objective on this node")
+	ErrUnsupportedFormat = errors.New("report of another format")
+	ErrMalformed         = errors.New("report is garbled")
+	ErrUnknownTenant     = errors.New("tenant has no objective here")
 	ErrNotHolder         = errors.New("this machine does not hold the shard")
 )
 
@@ -107,7 +107,7 @@
 // unpackReport decodes a report and validates it as far as this needs no other state.
 func unpackReport(report Report, shards int) (Delta, error) {
 	if report.Format != formatVersion {
-		return Delta{}, fmt.Errorf("%w %d, must be %d", ErrUnsupportedFormat, report.Format, formatVersion)
+		return Delta{}, fmt.Errorf("%w: %d, not %d", ErrUnsupportedFormat, report.Format, formatVersion)
 	}
 	if report.Life == 0 || report.Node == "" || len(report.Node) > maxNameBytes || report.Shard < 0 || report.Shard >= shards || report.To < report.From {
 		return Delta{}, ErrMalformed
