--- a/review/standin/config.go
+++ b/review/standin/config.go
@@ -28,7 +28,7 @@
 	return []byte(fmt.Sprintf(`{"configVersion":"r%d","resourceList":[%s]}`, version, strings.Join(parts, ",")))
 }
 
-func routeResource(name, host, prefix, kind, service, timeout string, attempts int) obj {
+func routeResource(name, host, prefix, kind, service string, timeout string, attempts int) obj {
 	return resource("routes", name, obj{"host": host, "pathPrefix": prefix, "routeType": kind, "timeout": timeout, "targetLatency": "300ms",
 		"priority": 1, "targetService": service, "maxAttempts": attempts, "public": false})
 }
