--- a/cmd/scalerun/accounts.go
+++ b/cmd/scalerun/accounts.go
@@ -15,11 +15,11 @@
 )
 
 const (
-	accountRate      = 250 // requests a second of one proxy
-	accountSpread    = 0.5 // standard deviation of the latencies' logarithms
-	accountMedian    = 80 * time.Millisecond
-	accountRoundPart = 0.25 // of all proxies report between two rounds of replication
-	accountReports   = 15   // of a proxy, until bins and totals are as in steady state
+	accountRequestsPerS     = 250 // requests a second of one proxy
+	accountLatencyLogStdDev = 0.5 // standard deviation of the latencies' logarithms
+	accountMedianLatency    = 80 * time.Millisecond
+	accountReportsPerRound  = 0.25 // of all proxies report between two rounds of replication
+	accountReportCount      = 15   // of a proxy, until bins and totals are as in steady state
 )
 
 // memoryStore is a disk that takes no time, to measure what is not the disk's.
@@ -40,26 +40,26 @@
 	return len(b), nil
 }
 
-// accountSlopes measures what the accounts cost a proxy, by active tenants, and a control
+// accountCosts measures what the accounts cost a proxy, by active tenants, and a control
 // machine, by accounts of proxies.
-func accountSlopes(w io.Writer) {
+func accountCosts(w io.Writer) {
 	objectives := must(accounts.ParseObjectives([]byte(`{"version":1,"defaultClass":"all","classes":{"all":{"target":0.99,"latency":"250ms","window":"720h"}}}`)))
 	fmt.Fprintln(w, "accounts at a proxy of 250 requests/s with a journal: active tenants, bytes/s out, messages/s, microseconds a request, milliseconds a report round, part of a core, heap KB, journal KB")
 	for _, tenants := range []int{30, 300, 3_000} {
-		accountProxySlope(w, objectives, tenants)
+		accountProxyCosts(w, objectives, tenants)
 	}
 	fmt.Fprintln(w, "accounts at a shard's holder: proxies of 300 tenants in 16 shards, microseconds a report, heap MB of the shard, MB a round to each replica, ms to fold all lives")
 	for _, proxies := range []int{52, 520, 5_200} {
-		accountHolderSlope(w, objectives, proxies)
+		accountHolderCosts(w, objectives, proxies)
 	}
 }
 
-// accountTenant is the name of one of a fleet's tenants.
-func accountTenant(i int) string { return fmt.Sprintf("t%06d", i) }
+// accountTenantName is the name of one of a fleet's tenants.
+func accountTenantName(i int) string { return fmt.Sprintf("t%06d", i) }
 
-func accountProxySlope(w io.Writer, objectives *accounts.Objectives, tenants int) {
+func accountProxyCosts(w io.Writer, objectives *accounts.Objectives, tenants int) {
 	rng := rand.New(rand.NewPCG(1, 1))
-	base := heap()
+	base := liveHeap()
 	directory := must(os.MkdirTemp("", "accounts"))
 	defer os.RemoveAll(directory)
 	journal := must(accounts.CreateJournal(directory, 7, objectives.Shards, func(err error) { panic(err) }))
@@ -70,13 +70,13 @@
 	encoder := gob.NewEncoder(connection)
 	var messages int
 	var serving, telling time.Duration
-	requests := accountRate * int(accounts.ReportInterval.Seconds())
-	for report := range accountReports {
+	requests := accountRequestsPerS * int(accounts.ReportInterval.Seconds())
+	for report := range accountReportCount {
 		names := make([]string, requests)
 		latencies := make([]time.Duration, requests)
 		for i := range names {
-			names[i] = accountTenant(rng.IntN(tenants))
-			latencies[i] = time.Duration(float64(accountMedian) * math.Exp(accountSpread*rng.NormFloat64()))
+			names[i] = accountTenantName(rng.IntN(tenants))
+			latencies[i] = time.Duration(float64(accountMedianLatency) * math.Exp(accountLatencyLogStdDev*rng.NormFloat64()))
 		}
 		connection.bytes, messages = 0, 0
 		began := time.Now()
@@ -93,21 +93,21 @@
 				meter.Acknowledge(accounts.ReportAck{Shard: shard, Life: r.Life, Ack: counter.Ack{Term: term, Heard: r.To, Durable: r.From}})
 			}
 		}
-		if report == accountReports-1 {
+		if report == accountReportCount-1 {
 			serving, telling = served.Sub(began), time.Since(served)
 		}
 	}
 	span := accounts.ReportInterval.Seconds()
 	fmt.Fprintf(w, "  %d, %.0f, %.1f, %.2f, %.2f, %.5f, %.0f, %.0f\n", tenants, float64(connection.bytes)/span, float64(messages)/span,
-		float64(serving.Nanoseconds())/float64(requests)/1e3, telling.Seconds()*1e3, (serving+telling).Seconds()/span, (heap()-base)/1e3, float64(tenants)*0.512+4)
+		float64(serving.Nanoseconds())/float64(requests)/1e3, telling.Seconds()*1e3, (serving+telling).Seconds()/span, (liveHeap()-base)/1e3, float64(tenants)*0.512+4)
 	runtime.KeepAlive(meter)
 }
 
-func accountHolderSlope(w io.Writer, objectives *accounts.Objectives, proxies int) {
+func accountHolderCosts(w io.Writer, objectives *accounts.Objectives, proxies int) {
 	rng := rand.New(rand.NewPCG(2, 2))
 	options := accounts.DefaultCounterOptions
 	options.CompactionInterval, options.IncarnationsPerCompaction = time.Hour, proxies
-	base := heap()
+	base := liveHeap()
 	store := &memoryStore{}
 	group := counter.NewGroup[string, accounts.Account](0, "a", options, store, true, 1)
 	alone := []string{"a"}
@@ -120,9 +120,9 @@
 			account := accounts.Account{Taken: 1000 * to}
 			account.Settled[accounts.OnTime] = 1000 * to
 			for range 20 {
-				account.Latency.Observe(time.Duration(float64(accountMedian) * math.Exp(accountSpread*rng.NormFloat64())))
+				account.Latency.Observe(time.Duration(float64(accountMedianLatency) * math.Exp(accountLatencyLogStdDev*rng.NormFloat64())))
 			}
-			delta.Cells[accountTenant(rng.IntN(200_000/objectives.Shards))] = account
+			delta.Cells[accountTenantName(rng.IntN(200_000/objectives.Shards))] = account
 		}
 		return delta
 	}
@@ -140,11 +140,11 @@
 	}
 	send(1, false)
 	group.Tick(time.Minute, true, alone)
-	held := heap() - base
+	held := liveHeap() - base
 	store.bytes = 0
 	send(2, true)
 	group.Tick(2*time.Minute, true, alone)
-	round := float64(store.bytes) * accountRoundPart
+	round := float64(store.bytes) * accountReportsPerRound
 	began := time.Now()
 	group.Tick(3*time.Hour, true, alone)
 	folding := time.Since(began)
--- a/cmd/scalerun/accounts_trial.go
+++ b/cmd/scalerun/accounts_trial.go
@@ -17,8 +17,8 @@
 // accountObjectives are those of a trial with accounts; nil in one without.
 var accountObjectives *accounts.Objectives
 
-// useAccounts has the processes of a trial keep accounts, if the command line says so.
-func useAccounts(directory string) error {
+// enableAccounts has the processes of a trial keep accounts, if the command line says so.
+func enableAccounts(directory string) error {
 	if !cli.Accounts {
 		return nil
 	}
@@ -35,9 +35,9 @@
 	return err
 }
 
-// awaitAccounts waits until the accounts of all tenants have as many requests as were
+// waitForAccounts waits until the accounts of all tenants have as many requests as were
 // made, and prints how long that took.
-func awaitAccounts(made uint64) error {
+func waitForAccounts(made uint64) error {
 	if !cli.Accounts {
 		return nil
 	}
@@ -60,7 +60,7 @@
 	var parts []accounts.Snapshot
 	for i := range cli.Control {
 		address := net.JoinHostPort(controlIP(i), strconv.Itoa(portInternal+constants.PortControlAdmin))
-		if part, err := accountSnapshot(address); err == nil {
+		if part, err := fetchAccountSnapshot(address); err == nil {
 			parts = append(parts, part)
 		}
 	}
@@ -71,7 +71,7 @@
 	return taken
 }
 
-func accountSnapshot(address string) (accounts.Snapshot, error) {
+func fetchAccountSnapshot(address string) (accounts.Snapshot, error) {
 	var snapshot accounts.Snapshot
 	response, err := http.Get("http://" + address + "/accounts")
 	if err != nil {
--- a/cmd/scalerun/catchup.go
+++ b/cmd/scalerun/catchup.go
@@ -12,8 +12,8 @@
 	"time"
 )
 
-// figures reads all of a process's metrics, by name and labels.
-func (p *proc) figures() map[string]float64 {
+// metrics reads all of a process's metrics, by name and labels.
+func (p *process) metrics() map[string]float64 {
 	out := map[string]float64{}
 	resp, err := http.Get(fmt.Sprintf("http://%s:%d/metrics", p.ip, portInternal+p.admin))
 	if err != nil {
@@ -42,40 +42,40 @@
 	if _, err := startPlatform(); err != nil {
 		return err
 	}
-	c := &catchUpTrial{w: w, dir: dir, controls: make([]*proc, cli.Control), version: 1}
-	defer c.end()
-	if err := c.begin(); err != nil {
+	c := &catchUpTrial{w: w, dir: dir, controls: make([]*process, cli.Control), version: 1}
+	defer c.stop()
+	if err := c.start(); err != nil {
 		return err
 	}
 	for _, n := range cli.Missed {
-		if err := c.row(strconv.Itoa(n), n, false); err != nil {
+		if err := c.measureRow(strconv.Itoa(n), n, false); err != nil {
 			return err
 		}
 	}
-	return c.row(fmt.Sprintf("1 and an empty disk (%d in all)", c.version), 1, true)
+	return c.measureRow(fmt.Sprintf("1 and an empty disk (%d in all)", c.version), 1, true)
 }
 
 // catchUpTrial is the control processes of a trial; the last one is killed in each row.
 type catchUpTrial struct {
 	w        io.Writer
 	dir      string
-	controls []*proc
+	controls []*process
 	version  int // of the configuration, the newest
 }
 
-func (c *catchUpTrial) end() {
+func (c *catchUpTrial) stop() {
 	for _, p := range c.controls {
 		if p != nil {
-			p.end()
+			p.kill()
 		}
 	}
 }
 
-// last is the process that is killed.
-func (c *catchUpTrial) last() int { return len(c.controls) - 1 }
+// lastIndex is the process that is killed.
+func (c *catchUpTrial) lastIndex() int { return len(c.controls) - 1 }
 
-// begin starts all processes and waits until they are one chain.
-func (c *catchUpTrial) begin() error {
+// start starts all processes and waits until they are one chain.
+func (c *catchUpTrial) start() error {
 	for i := range c.controls {
 		p, err := startControl(c.dir, i)
 		if err != nil {
@@ -83,11 +83,11 @@
 		}
 		c.controls[i] = p
 	}
-	if err := post(c.version); err != nil {
+	if err := postConfiguration(c.version); err != nil {
 		return err
 	}
-	again = true
-	if _, err := waitFor("all control processes in the view", c.isMember); err != nil {
+	clusterStarted = true
+	if _, err := waitFor("all control processes in the view", c.lastIsMember); err != nil {
 		return err
 	}
 	fmt.Fprintf(c.w, "catching up: %d control processes, configuration of %d bytes\n", cli.Control, len(configuration(c.version)))
@@ -95,26 +95,26 @@
 	return nil
 }
 
-// isMember says whether the last process is a member of a view that has all of them.
-func (c *catchUpTrial) isMember() bool {
-	f := c.controls[c.last()].figures()
+// lastIsMember says whether the last process is a member of a view that has all of them.
+func (c *catchUpTrial) lastIsMember() bool {
+	f := c.controls[c.lastIndex()].metrics()
 	return f["slateridge_view_member"] == 1 && f["slateridge_view_members"] == float64(cli.Control)
 }
 
-// row kills the last process, makes changes, starts it again and prints how long it took.
-func (c *catchUpTrial) row(name string, missed int, wipe bool) error {
-	last := c.last()
-	c.controls[last].end()
+// measureRow kills the last process, makes changes, starts it again and prints how long it took.
+func (c *catchUpTrial) measureRow(name string, missed int, wipe bool) error {
+	last := c.lastIndex()
+	c.controls[last].kill()
 	c.controls[last] = nil
 	if wipe {
-		if err := os.RemoveAll(dataFolder(c.dir, last)); err != nil {
+		if err := os.RemoveAll(dataDirectory(c.dir, last)); err != nil {
 			return err
 		}
 	}
 	began := time.Now()
 	for range missed {
 		c.version++
-		if err := post(c.version); err != nil {
+		if err := postConfiguration(c.version); err != nil {
 			return err
 		}
 	}
@@ -127,19 +127,19 @@
 	c.controls[last] = p
 	var bytesIn float64
 	newest, err := waitFor("the newest state", func() bool {
-		f := p.figures()
+		f := p.metrics()
 		bytesIn = f[`slateridge_internal_bytes_total{dir="in"}`]
 		return f["slateridge_config_version"] == float64(c.version)
 	})
 	if err != nil {
 		return err
 	}
-	if _, err := waitFor("a member again", c.isMember); err != nil {
+	if _, err := waitFor("a member again", c.lastIsMember); err != nil {
 		return err
 	}
 	member := time.Since(began)
 	var size int64
-	if info, err := os.Stat(dataFolder(c.dir, last) + "/slateridge.db"); err == nil {
+	if info, err := os.Stat(dataDirectory(c.dir, last) + "/slateridge.db"); err == nil {
 		size = info.Size()
 	}
 	fmt.Fprintf(c.w, "  %s, %.1f, %.2f, %.2f, %.0f, %.0f\n", name, posted.Seconds(), newest.Seconds(), member.Seconds(), bytesIn/1e3, float64(size)/1e3)
--- a/cmd/scalerun/configuration.go
+++ b/cmd/scalerun/configuration.go
@@ -11,7 +11,7 @@
 	"time"
 )
 
-func bootSettings(name, ip, zone, data string) map[string]any {
+func nodeSettings(name, ip, zone, data string) map[string]any {
 	var seeds []string
 	for i := range min(3, cli.Control) {
 		seeds = append(seeds, net.JoinHostPort(controlIP(i), strconv.Itoa(portControl)))
@@ -20,14 +20,14 @@
 	return map[string]any{
 		"nodeName": name, "ipAddress": ip, "zone": zone, "region": "here",
 		"zones":           map[string]string{"z0": "here", "z1": "here", "z2": "here", "z3": "here"},
-		"listenAddresses": map[string]string{"frontend": at(portFront), "readiness": at(portReady), "controlPlane": at(portControl)},
+		"listenAddresses": map[string]string{"frontend": at(portFrontend), "readiness": at(portReadiness), "controlPlane": at(portControl)},
 		"internalPorts":   []int{portInternal, portInternal + 15}, "seedNodes": seeds,
-		"bootstrap": !again, "quorumMember": data != "", "dataDirectory": data,
+		"bootstrap": !clusterStarted, "quorumMember": data != "", "dataDirectory": data,
 		"contracts":      []string{"base", "config", "tenants", "quota", "leader"},
 		"faultTolerance": map[string]int{"machineFailures": 2},
 		"bounds": map[string]any{"drain": "2s", "grace": "6s", "configApply": "2s", "retryBudgetRatio": 0.2, "retryWindow": "10s", "retryBudgetSlack": 200,
 			"quotaWindow": "5s", "quotaSlack": 20, "fencingEnforced": true, "lease": "3s", "thawSlack": "300ms", "usageWindow": "5s", "usageTolerance": 0.05, "usageDelay": "10s"},
-		"cloudApi": map[string]any{"address": platform, "ratePerS": 1000.0, "maxLag": "800ms", "duties": []string{"usage_report"}, "dutiesPerS": 50.0},
+		"cloudApi": map[string]any{"address": platformAddr, "ratePerS": 1000.0, "maxLag": "800ms", "duties": []string{"usage_report"}, "dutiesPerS": 50.0},
 	}
 }
 
@@ -62,7 +62,7 @@
 	return b
 }
 
-func post(version int) error {
+func postConfiguration(version int) error {
 	body := configuration(version)
 	end := time.Now().Add(cli.Wait)
 	for i := 0; time.Now().Before(end); i++ {
--- a/cmd/scalerun/load.go
+++ b/cmd/scalerun/load.go
@@ -10,9 +10,9 @@
 	"time"
 )
 
-// load sends requests at a steady rate for a time and gives the sorted times they
+// sendLoad sends requests at a steady rate for a time and gives the sorted times they
 // took, and how many failed.
-func load(to string, rate float64, span time.Duration) (took []time.Duration, failed int) {
+func sendLoad(to string, rate float64, span time.Duration) (took []time.Duration, failed int) {
 	client := &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: 64}, Timeout: 2 * time.Second}
 	var mu sync.Mutex
 	var wg sync.WaitGroup
@@ -47,7 +47,7 @@
 	return took, failed
 }
 
-func at(sorted []time.Duration, part float64) time.Duration {
+func quantile(sorted []time.Duration, part float64) time.Duration {
 	if len(sorted) == 0 {
 		return 0
 	}
--- a/cmd/scalerun/main.go
+++ b/cmd/scalerun/main.go
@@ -34,21 +34,21 @@
 }
 
 const (
-	portFront, portReady, portControl = 18388, 18384, 18381
-	portInternal                      = 17560
-	platform                          = "127.9.0.1:18382"
+	portFrontend, portReadiness, portControl = 18388, 18384, 18381
+	portInternal                             = 17560
+	platformAddr                             = "127.9.0.1:18382"
 )
 
-// again says that the system has been started once.
-var again bool
+// clusterStarted says that the system has been started once.
+var clusterStarted bool
 
 func main() {
 	kong.Parse(&cli, kong.Description("Tries the control plane's size on loopback, with hollow proxies. Bounded in time; ends by itself."))
 	if cli.Slopes {
-		slopes(os.Stdout)
+		operationCosts(os.Stdout)
 		return
 	}
-	run := trial
+	run := runTrial
 	if cli.CatchUp {
 		run = func() error { return catchUp(os.Stdout) }
 	}
--- a/cmd/scalerun/platform.go
+++ b/cmd/scalerun/platform.go
@@ -12,15 +12,15 @@
 	"slateridge/internal/constants"
 )
 
-// standInPlatform takes the platform's place: it serves the list of upstreams in pages, and
+// fakePlatform takes the platform's place: it serves the list of upstreams in pages, and
 // takes reports.
-type standInPlatform struct {
-	mu      sync.Mutex
-	reports int
-	calls   int
+type fakePlatform struct {
+	mu        sync.Mutex
+	reports   int
+	listCalls int
 }
 
-func (s *standInPlatform) ServeHTTP(w http.ResponseWriter, r *http.Request) {
+func (s *fakePlatform) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if r.Method == http.MethodPost {
@@ -28,11 +28,11 @@
 		s.reports++
 		return
 	}
-	s.calls++
+	s.listCalls++
 	from, _ := strconv.Atoi(r.URL.Query().Get("pageToken"))
 	type inst map[string]any
 	out := map[string][]inst{}
-	for i := 0; from == 0 && i < echoes; i++ {
+	for i := 0; from == 0 && i < echoUpstreams; i++ {
 		out["z0"] = append(out["z0"], inst{"instanceId": fmt.Sprintf("echo-%d", i), "targetService": "echo", "zone": "z0",
 			"address": echoAddr(i), "capacitySlots": 16, "state": "ready", "warmupLeft": "0ms"})
 	}
@@ -48,31 +48,31 @@
 	json.NewEncoder(w).Encode(map[string]any{"instances": out, "nextPageToken": next})
 }
 
-const echoes = 8
+const echoUpstreams = 8
 
 func echoAddr(i int) string { return fmt.Sprintf("127.9.1.%d:18080", i+1) }
 
-// echo is an upstream that answers at once.
-func echo(w http.ResponseWriter, r *http.Request) {
+// serveEcho is an upstream that answers at once.
+func serveEcho(w http.ResponseWriter, r *http.Request) {
 	w.Header().Set("X-Slateridge-Attempt-Id", r.Header.Get("X-Slateridge-Attempt-Id"))
 	w.Header().Set("X-Slateridge-Response-Seal", "s")
 	io.WriteString(w, "a small answer")
 }
 
 // startPlatform serves the list, and stand-in upstreams.
-func startPlatform() (*standInPlatform, error) {
-	l, err := net.Listen("tcp4", platform)
+func startPlatform() (*fakePlatform, error) {
+	l, err := net.Listen("tcp4", platformAddr)
 	if err != nil {
 		return nil, err
 	}
-	pl := &standInPlatform{}
+	pl := &fakePlatform{}
 	go http.Serve(l, pl)
-	for i := range echoes {
+	for i := range echoUpstreams {
 		l, err := net.Listen("tcp4", echoAddr(i))
 		if err != nil {
 			return nil, err
 		}
-		go http.Serve(l, http.HandlerFunc(echo))
+		go http.Serve(l, http.HandlerFunc(serveEcho))
 	}
 	return pl, nil
 }
--- a/cmd/scalerun/process.go
+++ b/cmd/scalerun/process.go
@@ -21,15 +21,15 @@
 
 func hollowIP(i int) string { return fmt.Sprintf("127.20.%d.%d", i/250, i%250+1) }
 
-type proc struct {
+type process struct {
 	name, ip string
 	admin    int
 	cmd      *exec.Cmd
 }
 
-func start(dir, role, name, ip, data string, admin int) (*proc, error) {
+func startProcess(dir, role, name, ip, data string, admin int) (*process, error) {
 	path := filepath.Join(dir, name+".json")
-	b, _ := json.Marshal(bootSettings(name, ip, "z0", data))
+	b, _ := json.Marshal(nodeSettings(name, ip, "z0", data))
 	if err := os.WriteFile(path, b, 0o600); err != nil {
 		return nil, err
 	}
@@ -39,19 +39,19 @@
 		c.Stderr = os.Stderr
 	}
 	c.SysProcAttr = &syscall.SysProcAttr{Pdeathsig: syscall.SIGKILL}
-	return &proc{name, ip, admin, c}, c.Start()
+	return &process{name, ip, admin, c}, c.Start()
 }
 
-// reading is what a process has used since its start.
-type reading struct {
+// resourceUsage is what a process has used since its start.
+type resourceUsage struct {
 	at                      time.Time
 	cpu                     time.Duration
 	bytesIn, bytesOut       float64
 	messagesIn, messagesOut float64
 }
 
-// cpu is the processor time a process has used.
-func cpu(pid int) time.Duration {
+// cpuTime is the processor time a process has used.
+func cpuTime(pid int) time.Duration {
 	b, _ := os.ReadFile(fmt.Sprintf("/proc/%d/stat", pid))
 	_, rest, _ := strings.Cut(string(b), ") ")
 	f := strings.Fields(rest)
@@ -63,7 +63,7 @@
 	return time.Duration(u+s) * 10 * time.Millisecond
 }
 
-func rss(pid int) (mb float64) {
+func peakMemoryMB(pid int) (mb float64) {
 	f, err := os.Open(fmt.Sprintf("/proc/%d/status", pid))
 	if err != nil {
 		return 0
@@ -78,10 +78,10 @@
 	return 0
 }
 
-// read takes a process's processor time and traffic at this moment.
-func (p *proc) read() reading {
-	r := reading{at: time.Now(), cpu: cpu(p.cmd.Process.Pid)}
-	f := p.figures()
+// usage takes a process's processor time and traffic at this moment.
+func (p *process) usage() resourceUsage {
+	r := resourceUsage{at: time.Now(), cpu: cpuTime(p.cmd.Process.Pid)}
+	f := p.metrics()
 	r.bytesIn = f[`slateridge_internal_bytes_total{dir="in"}`]
 	r.bytesOut = f[`slateridge_internal_bytes_total{dir="out"}`]
 	r.messagesIn = f[`slateridge_internal_messages_total{dir="in"}`]
@@ -89,22 +89,22 @@
 	return r
 }
 
-func here() reading {
+func ownUsage() resourceUsage {
 	t := &transport.Traffic
-	return reading{time.Now(), cpu(os.Getpid()), float64(t.InBytes.Load()), float64(t.OutBytes.Load()), float64(t.In.Load()), float64(t.Out.Load())}
+	return resourceUsage{time.Now(), cpuTime(os.Getpid()), float64(t.InBytes.Load()), float64(t.OutBytes.Load()), float64(t.In.Load()), float64(t.Out.Load())}
 }
 
-func dataFolder(dir string, i int) string { return filepath.Join(dir, fmt.Sprintf("data-%d", i)) }
+func dataDirectory(dir string, i int) string { return filepath.Join(dir, fmt.Sprintf("data-%d", i)) }
 
-func startControl(dir string, i int) (*proc, error) {
-	data := dataFolder(dir, i)
+func startControl(dir string, i int) (*process, error) {
+	data := dataDirectory(dir, i)
 	if err := os.MkdirAll(data, 0o700); err != nil {
 		return nil, err
 	}
-	return start(dir, "control", fmt.Sprintf("control-%d", i), controlIP(i), data, constants.PortControlAdmin)
+	return startProcess(dir, "control", fmt.Sprintf("control-%d", i), controlIP(i), data, constants.PortControlAdmin)
 }
 
-func (p *proc) end() {
+func (p *process) kill() {
 	p.cmd.Process.Kill()
 	p.cmd.Wait()
 }
--- a/cmd/scalerun/slopes.go
+++ b/cmd/scalerun/slopes.go
@@ -17,8 +17,8 @@
 	"slateridge/internal/usage"
 )
 
-// heap is the live heap after a collection, in bytes.
-func heap() float64 {
+// liveHeap is the live liveHeap after a collection, in bytes.
+func liveHeap() float64 {
 	runtime.GC()
 	runtime.GC()
 	var m runtime.MemStats
@@ -26,7 +26,7 @@
 	return float64(m.HeapAlloc)
 }
 
-func timed(n int, f func()) time.Duration {
+func timePerCall(n int, f func()) time.Duration {
 	began := time.Now()
 	for range n {
 		f()
@@ -34,22 +34,22 @@
 	return time.Since(began) / time.Duration(n)
 }
 
-// counted is how many bytes a value has between own processes.
-type counted int64
+// byteCounter is how many bytes a value has between own processes.
+type byteCounter int64
 
-func (c *counted) Write(b []byte) (int, error) { *c += counted(len(b)); return len(b), nil }
+func (c *byteCounter) Write(b []byte) (int, error) { *c += byteCounter(len(b)); return len(b), nil }
 
 func gobSize(v any) int64 {
-	var c counted
+	var c byteCounter
 	if err := gob.NewEncoder(&c).Encode(v); err != nil {
 		panic(err)
 	}
 	return int64(c)
 }
 
-// slopes prints what single operations cost at three sizes each, in this process,
+// operationCosts prints what single operations cost at three sizes each, in this process,
 // without a network: per-operation figures, as against the whole processes' of a run.
-func slopes(w io.Writer) {
+func operationCosts(w io.Writer) {
 	configurationCosts(w)
 	poolCosts(w)
 	placementCosts(w)
@@ -64,13 +64,13 @@
 	for _, n := range []int{1_100, 11_000, 110_000} {
 		cli.Routes, cli.Services, cli.Tenants, cli.Proxies, cli.PerProxy = n, max(1, n/44), 100, 100, 10
 		raw, next := configuration(1), configuration(2)
-		base := heap()
+		base := liveHeap()
 		var rd config.Parser
 		var a, b *config.Config
-		took := timed(1, func() { a = must(rd.Parse(raw)) })
-		one := heap() - base
-		again := timed(1, func() { b = must(rd.Parse(next)) })
-		two := heap() - base
+		took := timePerCall(1, func() { a = must(rd.Parse(raw)) })
+		one := liveHeap() - base
+		again := timePerCall(1, func() { b = must(rd.Parse(next)) })
+		two := liveHeap() - base
 		da, db := &config.Doc{Version: 1, Raw: raw}, &config.Doc{Version: 2, Raw: next}
 		whole, diff := config.NewDelta(nil, da), config.NewDelta(da, db)
 		fmt.Fprintf(w, "  %d, %.2f, %.0f, %.3f, %.1f, %d, %.3f, %.1f\n", n, float64(len(raw))/1e6, float64(gobSize(whole))/1e3, took.Seconds(), one/1e6, gobSize(diff), again.Seconds(), two/1e6)
@@ -88,11 +88,11 @@
 		for i := range n {
 			l.Instances = append(l.Instances, discovery.Instance{ID: fmt.Sprintf("i-%010x", i), Service: fmt.Sprintf("svc%04d", i%max(1, n/25)), Address: fmt.Sprintf("10.%d.%d.%d:8080", i/65536, i/256%256, i%256), Zone: fmt.Sprintf("z%d", i%8), Slots: 2})
 		}
-		base := heap()
+		base := liveHeap()
 		pool := proxy.NewPool("p", "z1", map[string]string{"z1": "r"}, func(string) int { return 5 }, func(string) proxy.ColdBound { return proxy.ColdBound{} })
-		first := timed(1, func() { pool.Apply(time.Now(), l.Instances) })
-		held := heap() - base
-		again := timed(5, func() { pool.Apply(time.Now(), l.Instances[:n-10]) })
+		first := timePerCall(1, func() { pool.Apply(time.Now(), l.Instances) })
+		held := liveHeap() - base
+		again := timePerCall(5, func() { pool.Apply(time.Now(), l.Instances[:n-10]) })
 		fmt.Fprintf(w, "  %d, %.2f, %.1f, %.2f, %.2f, %d\n", n, float64(gobSize(discovery.Diff(nil, l)))/1e6, held/1e6, first.Seconds()*1e3, again.Seconds()*1e3, (n+49)/50)
 		runtime.KeepAlive(pool)
 	}
@@ -109,7 +109,7 @@
 		}
 		pool.Apply(time.Now(), is)
 		i := 0
-		fmt.Fprintf(w, "  %d, %.1f\n", n, float64(timed(300, func() { pool.PlaceStream("svc", fmt.Sprint(i)); i++ }).Nanoseconds())/1e3)
+		fmt.Fprintf(w, "  %d, %.1f\n", n, float64(timePerCall(300, func() { pool.PlaceStream("svc", fmt.Sprint(i)); i++ }).Nanoseconds())/1e3)
 	}
 }
 
@@ -117,7 +117,7 @@
 func usageCosts(w io.Writer) {
 	fmt.Fprintln(w, "usage at the holder: proxies of 40 tenants each, microseconds a report, heap MB of a window, then tenants in a report: MB, ms to add up and write it")
 	for i, n := range []int{52, 520, 5_200} {
-		base := heap()
+		base := liveHeap()
 		t := usage.NewTally(1)
 		for p := range n {
 			c := usage.Counts{}
@@ -126,12 +126,12 @@
 			}
 			t.Merge(0, 101, usage.Report{Proxy: fmt.Sprint(p), Life: uint64(p + 1), Windows: map[uint64]usage.Counts{100: c}})
 		}
-		held := heap() - base
+		held := liveHeap() - base
 		c := usage.Counts{}
 		for k := range 40 {
 			c[fmt.Sprintf("t%06d", k)] = 3
 		}
-		report := timed(1000, func() {
+		report := timePerCall(1000, func() {
 			t.Merge(0, 101, usage.Report{Proxy: "0", Life: 1, Windows: map[uint64]usage.Counts{100: c}})
 		})
 		many := []int{2_000, 20_000, 200_000}[i]
@@ -140,7 +140,7 @@
 			sum[fmt.Sprintf("t%06d", k)] = 30
 		}
 		var body []byte
-		wrote := timed(1, func() { body = usage.MarshalWindow(100, sum) })
+		wrote := timePerCall(1, func() { body = usage.MarshalWindow(100, sum) })
 		fmt.Fprintf(w, "  %d, %.1f, %.2f; %d, %.2f, %.1f\n", n, float64(report.Nanoseconds())/1e3, held/1e6, many, float64(len(body))/1e6, wrote.Seconds()*1e3)
 	}
 }
@@ -149,7 +149,7 @@
 func trackerCosts(w io.Writer) {
 	fmt.Fprintln(w, "admission at a tracker: keys, proxies asking for two each, heap MB, microseconds a question")
 	for _, n := range [][2]int{{2_000, 52}, {20_000, 520}, {200_000, 5_200}} {
-		base := heap()
+		base := liveHeap()
 		tracker := admission.NewTracker(1, 6, func(int, admission.Quota) bool { return true })
 		qs := map[string]admission.Quota{}
 		for k := range n[0] {
@@ -167,7 +167,7 @@
 			}
 		}
 		took := time.Since(began)
-		fmt.Fprintf(w, "  %d, %d, %.1f, %.1f\n", n[0], n[1], (heap()-base)/1e6, float64(took.Nanoseconds())/float64(asked)/1e3)
+		fmt.Fprintf(w, "  %d, %d, %.1f, %.1f\n", n[0], n[1], (liveHeap()-base)/1e6, float64(took.Nanoseconds())/float64(asked)/1e3)
 		runtime.KeepAlive(tracker)
 	}
 }
@@ -176,18 +176,18 @@
 func membershipCosts(w io.Writer) {
 	fmt.Fprintln(w, "membership: members, heap MB, microseconds a datagram")
 	for _, n := range []int{52, 520, 5_200} {
-		base := heap()
+		base := liveHeap()
 		d := membership.New(0, "10.0.0.1:1", "me", nil, rand.New(rand.NewPCG(1, 1)))
 		i := 0
-		took := timed(n, func() {
+		took := timePerCall(n, func() {
 			a := net.JoinHostPort(fmt.Sprintf("10.1.%d.%d", i/250, i%250), "7563")
 			d.Recv(time.Duration(i)*time.Millisecond, a, membership.Msg{Seq: uint64(i), Facts: []membership.Fact{{Addr: a, Name: fmt.Sprintf("edge-some-hall-%d/proxy", i)}}})
 			i++
 		})
-		fmt.Fprintf(w, "  %d, %.2f, %.1f\n", n, (heap()-base)/1e6, float64(took.Nanoseconds())/1e3)
+		fmt.Fprintf(w, "  %d, %.2f, %.1f\n", n, (liveHeap()-base)/1e6, float64(took.Nanoseconds())/1e3)
 		runtime.KeepAlive(d)
 	}
-	accountSlopes(w)
+	accountCosts(w)
 }
 
 func must[T any](v T, err error) T {
--- a/cmd/scalerun/trial.go
+++ b/cmd/scalerun/trial.go
@@ -35,8 +35,8 @@
 	return time.Since(began), nil
 }
 
-func hollow(i int, g *run.Group, group *rungroup.Group) (*proxy.Daemon, error) {
-	b, _ := json.Marshal(bootSettings(fmt.Sprintf("hollow-%d", i), hollowIP(i), fmt.Sprintf("z%d", i%4), ""))
+func newHollowProxy(i int, g *run.Group, group *rungroup.Group) (*proxy.Daemon, error) {
+	b, _ := json.Marshal(nodeSettings(fmt.Sprintf("hollow-%d", i), hollowIP(i), fmt.Sprintf("z%d", i%4), ""))
 	set := &settings.Settings{}
 	if err := json.Unmarshal(b, set); err != nil {
 		return nil, err
@@ -46,29 +46,29 @@
 	return d, d.AddBackground(g, group)
 }
 
-// trial runs the whole system once and prints its figures.
-func trial() error {
+// runTrial runs the whole system once and prints its figures.
+func runTrial() error {
 	dir, err := os.MkdirTemp("", "scalerun")
 	if err != nil {
 		return err
 	}
 	defer os.RemoveAll(dir)
-	if err := useAccounts(dir); err != nil {
+	if err := enableAccounts(dir); err != nil {
 		return err
 	}
 	platform, err := startPlatform()
 	if err != nil {
 		return err
 	}
-	sys := &system{}
-	defer sys.end()
+	sys := &testSystem{}
+	defer sys.stop()
 	if err := sys.startProcesses(dir); err != nil {
 		return err
 	}
 	if err := sys.startHollow(); err != nil {
 		return err
 	}
-	requests := startRequests(sys.hollow)
+	requests := startLoadGenerator(sys.hollowProxies)
 	time.Sleep(settleTime)
 	sys.measureSteady()
 	if cli.Load > 0 {
@@ -77,13 +77,13 @@
 	if err := sys.measureChanges(); err != nil {
 		return err
 	}
-	made, refused := requests.end()
-	if err := awaitAccounts(uint64(made - refused)); err != nil {
+	made, refused := requests.stop()
+	if err := waitForAccounts(uint64(made - refused)); err != nil {
 		return err
 	}
 	platform.mu.Lock()
 	defer platform.mu.Unlock()
-	fmt.Printf("  %d made-up requests, %d refused; %d usage reports, %d list pages read\n", made, refused, platform.reports, platform.calls)
+	fmt.Printf("  %d made-up requests, %d refused; %d usage reports, %d list pages read\n", made, refused, platform.reports, platform.listCalls)
 	return nil
 }
 
@@ -91,34 +91,34 @@
 // measured.
 const settleTime = 10 * time.Second
 
-// system is all that a trial has started.
-type system struct {
-	processes []*proc // the control processes, then the real proxy
-	real      *proc
-	hollow    []*proxy.Daemon
-	empty     runtime.MemStats // of this process, before there were hollow proxies
-	informed  time.Duration    // until all hollow proxies had the configuration and the list
-	joining   time.Duration    // processor time of the control processes meanwhile
+// testSystem is all that a trial has started.
+type testSystem struct {
+	processes     []*process // the control processes, then the real proxy
+	realProxy     *process
+	hollowProxies []*proxy.Daemon
+	baseMem       runtime.MemStats // of this process, before there were hollow proxies
+	syncTime      time.Duration    // until all hollow proxies had the configuration and the list
+	syncCPU       time.Duration    // processor time of the control processes meanwhile
 }
 
-func (s *system) end() {
+func (s *testSystem) stop() {
 	for _, p := range s.processes {
-		p.end()
+		p.kill()
 	}
 }
 
-func (s *system) controls() []*proc { return s.processes[:cli.Control] }
+func (s *testSystem) controlProcesses() []*process { return s.processes[:cli.Control] }
 
-// controlTime is the processor time that all control processes have used.
-func (s *system) controlTime() (used time.Duration) {
-	for _, p := range s.controls() {
-		used += cpu(p.cmd.Process.Pid)
+// controlCPUTime is the processor time that all control processes have used.
+func (s *testSystem) controlCPUTime() (used time.Duration) {
+	for _, p := range s.controlProcesses() {
+		used += cpuTime(p.cmd.Process.Pid)
 	}
 	return used
 }
 
 // startProcesses starts the control processes and the real proxy, with a configuration.
-func (s *system) startProcesses(dir string) error {
+func (s *testSystem) startProcesses(dir string) error {
 	for i := range cli.Control {
 		p, err := startControl(dir, i)
 		if err != nil {
@@ -126,97 +126,97 @@
 		}
 		s.processes = append(s.processes, p)
 	}
-	p, err := start(dir, "proxy", "proxy-0", "127.10.1.1", "", constants.PortProxyAdmin)
+	p, err := startProcess(dir, "proxy", "proxy-0", "127.10.1.1", "", constants.PortProxyAdmin)
 	if err != nil {
 		return err
 	}
-	s.real = p
+	s.realProxy = p
 	s.processes = append(s.processes, p)
-	return post(1)
+	return postConfiguration(1)
 }
 
 // startHollow starts the hollow proxies and waits until all are informed.
-func (s *system) startHollow() error {
+func (s *testSystem) startHollow() error {
 	runtime.GC()
-	runtime.ReadMemStats(&s.empty)
-	began := s.controlTime()
+	runtime.ReadMemStats(&s.baseMem)
+	began := s.controlCPUTime()
 	g := &run.Group{}
 	group := rungroup.New(g)
 	for i := range cli.Proxies {
-		d, err := hollow(i, g, group)
+		d, err := newHollowProxy(i, g, group)
 		if err != nil {
 			return err
 		}
-		s.hollow = append(s.hollow, d)
+		s.hollowProxies = append(s.hollowProxies, d)
 	}
 	go g.Run()
-	informed, err := waitFor("all proxies informed", s.allInformed(1))
+	informed, err := waitFor("all proxies informed", s.allUpToDate(1))
 	if err != nil {
 		return err
 	}
-	s.informed, s.joining = informed, s.controlTime()-began
+	s.syncTime, s.syncCPU = informed, s.controlCPUTime()-began
 	return nil
 }
 
-// allInformed says whether all hollow proxies have a version, and all upstreams.
-func (s *system) allInformed(version uint64) func() bool {
+// allUpToDate says whether all hollow proxies have a version, and all upstreams.
+func (s *testSystem) allUpToDate(version uint64) func() bool {
 	behind := func(d *proxy.Daemon) bool { return d.ConfigVersion() < version || d.UpstreamCount() < cli.Upstreams }
-	return func() bool { return !slices.ContainsFunc(s.hollow, behind) }
+	return func() bool { return !slices.ContainsFunc(s.hollowProxies, behind) }
 }
 
 // measureSteady prints what each kind of process uses while nothing changes.
-func (s *system) measureSteady() {
-	before, mine := make([]reading, len(s.processes)), here()
+func (s *testSystem) measureSteady() {
+	before, mine := make([]resourceUsage, len(s.processes)), ownUsage()
 	for i, p := range s.processes {
-		before[i] = p.read()
+		before[i] = p.usage()
 	}
 	time.Sleep(cli.For)
 	var cores []float64
 	var bytesOut, messages, peak float64
-	for i, p := range s.controls() {
-		after := p.read()
+	for i, p := range s.controlProcesses() {
+		after := p.usage()
 		seconds := after.at.Sub(before[i].at).Seconds()
 		cores = append(cores, (after.cpu-before[i].cpu).Seconds()/seconds)
 		bytesOut += (after.bytesOut - before[i].bytesOut) / seconds / float64(cli.Control)
 		messages += (after.messagesOut - before[i].messagesOut + after.messagesIn - before[i].messagesIn) / seconds / float64(cli.Control)
-		peak = max(peak, rss(p.cmd.Process.Pid))
+		peak = max(peak, peakMemoryMB(p.cmd.Process.Pid))
 	}
-	now := here()
+	now := ownUsage()
 	seconds, n := now.at.Sub(mine.at).Seconds(), float64(cli.Proxies)
 	debug.FreeOSMemory()
 	var full runtime.MemStats
 	runtime.ReadMemStats(&full)
-	after := s.real.read()
+	after := s.realProxy.usage()
 	fmt.Printf("proxies %d, control %d, upstreams %d, routes %d, tenants %d, %g requests/s a proxy\n", cli.Proxies, cli.Control, cli.Upstreams, cli.Routes, cli.Tenants, cli.PerProxy)
-	fmt.Printf("  all started at once were informed after %v; that took %.2f ms of processor time a proxy, of all control processes\n", s.informed.Round(10*time.Millisecond), s.joining.Seconds()*1e3/n)
+	fmt.Printf("  all started at once were informed after %v; that took %.2f ms of processor time a proxy, of all control processes\n", s.syncTime.Round(10*time.Millisecond), s.syncCPU.Seconds()*1e3/n)
 	fmt.Printf("  control process: cores mean %.4f most %.4f; peak memory %.0f MB; %.1f KB/s out, %.0f messages/s\n", mean(cores), slices.Max(cores), peak, bytesOut/1e3, messages)
 	fmt.Printf("  hollow proxy: cores %.5f; heap and stacks %.2f MB; %.2f KB/s in, %.2f KB/s out, %.1f messages/s (made-up requests included)\n", (now.cpu-mine.cpu).Seconds()/seconds/n,
-		float64(full.HeapInuse+full.StackInuse-s.empty.HeapInuse-s.empty.StackInuse)/n/1e6, (now.bytesIn-mine.bytesIn)/seconds/n/1e3, (now.bytesOut-mine.bytesOut)/seconds/n/1e3, (now.messagesIn-mine.messagesIn+now.messagesOut-mine.messagesOut)/seconds/n)
+		float64(full.HeapInuse+full.StackInuse-s.baseMem.HeapInuse-s.baseMem.StackInuse)/n/1e6, (now.bytesIn-mine.bytesIn)/seconds/n/1e3, (now.bytesOut-mine.bytesOut)/seconds/n/1e3, (now.messagesIn-mine.messagesIn+now.messagesOut-mine.messagesOut)/seconds/n)
 	last := before[len(before)-1]
-	fmt.Printf("  real proxy, idle: cores %.4f; peak memory %.0f MB; %.2f KB/s in and out\n", (after.cpu-last.cpu).Seconds()/seconds, rss(s.real.cmd.Process.Pid), (after.bytesIn+after.bytesOut-last.bytesIn-last.bytesOut)/seconds/1e3)
+	fmt.Printf("  real proxy, idle: cores %.4f; peak memory %.0f MB; %.2f KB/s in and out\n", (after.cpu-last.cpu).Seconds()/seconds, peakMemoryMB(s.realProxy.cmd.Process.Pid), (after.bytesIn+after.bytesOut-last.bytesIn-last.bytesOut)/seconds/1e3)
 }
 
 // measureLoad prints what the real proxy adds to requests that also go directly.
-func (s *system) measureLoad() {
-	before := s.real.read()
-	through, failed := load(net.JoinHostPort(s.real.ip, strconv.Itoa(portFront)), cli.Load, cli.For)
-	after := s.real.read()
-	direct, _ := load(echoAddr(0), cli.Load, cli.For)
+func (s *testSystem) measureLoad() {
+	before := s.realProxy.usage()
+	through, failed := sendLoad(net.JoinHostPort(s.realProxy.ip, strconv.Itoa(portFrontend)), cli.Load, cli.For)
+	after := s.realProxy.usage()
+	direct, _ := sendLoad(echoAddr(0), cli.Load, cli.For)
 	n := float64(len(through) + failed)
 	fmt.Printf("  real proxy at %g requests/s: p50 %v p99 %v, directly p50 %v p99 %v: it adds %v at p50, %v at p99; %d of %.0f failed; %.3f ms of processor time a request\n", cli.Load,
-		at(through, 0.5), at(through, 0.99), at(direct, 0.5), at(direct, 0.99), at(through, 0.5)-at(direct, 0.5), at(through, 0.99)-at(direct, 0.99), failed, n, (after.cpu-before.cpu).Seconds()*1e3/n)
+		quantile(through, 0.5), quantile(through, 0.99), quantile(direct, 0.5), quantile(direct, 0.99), quantile(through, 0.5)-quantile(direct, 0.5), quantile(through, 0.99)-quantile(direct, 0.99), failed, n, (after.cpu-before.cpu).Seconds()*1e3/n)
 }
 
 // measureChanges prints how long configuration changes take to be everywhere, and, if
 // that is asked for, one more with a control process killed.
-func (s *system) measureChanges() error {
+func (s *testSystem) measureChanges() error {
 	var took []time.Duration
 	for v := 2; v < 2+cli.Changes; v++ {
 		began := time.Now()
-		if err := post(v); err != nil {
+		if err := postConfiguration(v); err != nil {
 			return err
 		}
-		if _, err := waitFor("change everywhere", s.allInformed(uint64(v))); err != nil {
+		if _, err := waitFor("change everywhere", s.allUpToDate(uint64(v))); err != nil {
 			return err
 		}
 		took = append(took, time.Since(began).Round(time.Millisecond))
@@ -228,25 +228,25 @@
 	}
 	s.processes[0].cmd.Process.Kill()
 	began := time.Now()
-	if err := post(2 + cli.Changes); err != nil {
+	if err := postConfiguration(2 + cli.Changes); err != nil {
 		return err
 	}
-	if _, err := waitFor("change everywhere with a control process lost", s.allInformed(uint64(2+cli.Changes))); err != nil {
+	if _, err := waitFor("change everywhere with a control process lost", s.allUpToDate(uint64(2+cli.Changes))); err != nil {
 		return err
 	}
 	fmt.Printf("  a control process killed: the next change was everywhere after %v\n", time.Since(began).Round(time.Millisecond))
 	return nil
 }
 
-// requests are the made-up requests of all hollow proxies; each has a goroutine.
-type requests struct {
-	stop          chan struct{}
+// loadGenerator are the made-up loadGenerator of all hollow proxies; each has a goroutine.
+type loadGenerator struct {
+	done          chan struct{}
 	wg            sync.WaitGroup
-	made, refused atomic.Int64
+	sent, refused atomic.Int64
 }
 
-func startRequests(proxies []*proxy.Daemon) *requests {
-	r := &requests{stop: make(chan struct{})}
+func startLoadGenerator(proxies []*proxy.Daemon) *loadGenerator {
+	r := &loadGenerator{done: make(chan struct{})}
 	for i, d := range proxies {
 		r.wg.Go(func() { r.run(d, rand.New(rand.NewPCG(uint64(i), 1))) })
 	}
@@ -254,24 +254,24 @@
 }
 
 // run makes requests at one proxy until the end.
-func (r *requests) run(d *proxy.Daemon, rng *rand.Rand) {
+func (r *loadGenerator) run(d *proxy.Daemon, rng *rand.Rand) {
 	zipf := rand.NewZipf(rng, 1.2, 4, uint64(cli.Tenants-1))
 	for {
 		select {
-		case <-r.stop:
+		case <-r.done:
 			return
 		case <-time.After(time.Duration(rng.ExpFloat64() / cli.PerProxy * float64(time.Second))):
 		}
-		r.made.Add(1)
+		r.sent.Add(1)
 		if !d.SimulateRequest(fmt.Sprintf("t%06d", zipf.Uint64())) {
 			r.refused.Add(1)
 		}
 	}
 }
 
-// end stops the requests, and returns how many were made and refused.
-func (r *requests) end() (made, refused int64) {
-	close(r.stop)
+// stop stops the requests, and returns how many were made and refused.
+func (r *loadGenerator) stop() (made, refused int64) {
+	close(r.done)
 	r.wg.Wait()
-	return r.made.Load(), r.refused.Load()
+	return r.sent.Load(), r.refused.Load()
 }
