--- a/cmd/scalerun/accounts.go
+++ b/cmd/scalerun/accounts.go
@@ -15,14 +15,14 @@
 )
 
 const (
-	accountRequestsPerS     = 250 // requests a second of one proxy
-	accountLatencyLogStdDev = 0.5 // standard deviation of the latencies' logarithms
+	accountRequestsPerS     = 250 // requests per second of one proxy
+	accountLatencyLogStdDev = 0.5 // standard deviation of the logarithm of the latency
 	accountMedianLatency    = 80 * time.Millisecond
-	accountReportsPerRound  = 0.25 // of all proxies report between two rounds of replication
-	accountReportCount      = 15   // of a proxy, until bins and totals are as in steady state
+	accountReportFraction   = 0.25 // fraction of the proxies that report between two replication rounds
+	accountReportCount      = 15   // reports of a proxy until its bins and totals reach the steady state
 )
 
-// memoryStore is a disk that takes no time, to measure what is not the disk's.
+// memoryStore counts the bytes written and discards them, so that disk time isn't measured.
 type memoryStore struct{ bytes int64 }
 
 func (s *memoryStore) Get(string, any) bool { return false }
@@ -32,7 +32,7 @@
 	return nil
 }
 
-// countingWriter stands for a held connection.
+// countingWriter counts the bytes written, in place of a persistent connection.
 type countingWriter struct{ bytes int }
 
 func (w *countingWriter) Write(b []byte) (int, error) {
@@ -40,8 +40,8 @@
 	return len(b), nil
 }
 
-// accountCosts measures what the accounts cost a proxy, by active tenants, and a control
-// machine, by accounts of proxies.
+// accountCosts prints the cost of accounting at a proxy by number of active tenants, and at a
+// shard's holder by number of proxies.
 func accountCosts(w io.Writer) {
 	objectives := must(accounts.ParseObjectives([]byte(`{"version":1,"defaultClass":"all","classes":{"all":{"target":0.99,"latency":"250ms","window":"720h"}}}`)))
 	fmt.Fprintln(w, "accounts at a proxy of 250 requests/s with a journal: active tenants, bytes/s out, messages/s, microseconds a request, milliseconds a report round, part of a core, heap KB, journal KB")
@@ -54,12 +54,13 @@
 	}
 }
 
-// accountTenantName is the name of one of a fleet's tenants.
+// accountTenantName returns the name of the i-th tenant.
 func accountTenantName(i int) string { return fmt.Sprintf("t%06d", i) }
 
+// accountProxyCosts prints one row: the cost of serving and reporting at a proxy.
 func accountProxyCosts(w io.Writer, objectives *accounts.Objectives, tenants int) {
 	rng := rand.New(rand.NewPCG(1, 1))
-	base := liveHeap()
+	baseHeap := liveHeap()
 	directory := must(os.MkdirTemp("", "accounts"))
 	defer os.RemoveAll(directory)
 	journal := must(accounts.CreateJournal(directory, 7, objectives.Shards, func(err error) { panic(err) }))
@@ -69,9 +70,9 @@
 	connection := &countingWriter{}
 	encoder := gob.NewEncoder(connection)
 	var messages int
-	var serving, telling time.Duration
+	var serving, reporting time.Duration
 	requests := accountRequestsPerS * int(accounts.ReportInterval.Seconds())
-	for report := range accountReportCount {
+	for round := range accountReportCount {
 		names := make([]string, requests)
 		latencies := make([]time.Duration, requests)
 		for i := range names {
@@ -93,28 +94,30 @@
 				meter.Acknowledge(accounts.ReportAck{Shard: shard, Life: r.Life, Ack: counter.Ack{Term: term, Heard: r.To, Durable: r.From}})
 			}
 		}
-		if report == accountReportCount-1 {
-			serving, telling = served.Sub(began), time.Since(served)
+		if round == accountReportCount-1 {
+			serving, reporting = served.Sub(began), time.Since(served)
 		}
 	}
-	span := accounts.ReportInterval.Seconds()
-	fmt.Fprintf(w, "  %d, %.0f, %.1f, %.2f, %.2f, %.5f, %.0f, %.0f\n", tenants, float64(connection.bytes)/span, float64(messages)/span,
-		float64(serving.Nanoseconds())/float64(requests)/1e3, telling.Seconds()*1e3, (serving+telling).Seconds()/span, (liveHeap()-base)/1e3, float64(tenants)*0.512+4)
+	seconds := accounts.ReportInterval.Seconds()
+	fmt.Fprintf(w, "  %d, %.0f, %.1f, %.2f, %.2f, %.5f, %.0f, %.0f\n", tenants, float64(connection.bytes)/seconds, float64(messages)/seconds,
+		float64(serving.Nanoseconds())/float64(requests)/1e3, reporting.Seconds()*1e3, (serving+reporting).Seconds()/seconds, (liveHeap()-baseHeap)/1e3, float64(tenants)*0.512+4)
 	runtime.KeepAlive(meter)
 }
 
+// accountHolderCosts prints one row: the cost of merging, replicating and folding the reports
+// of all proxies at the holder of one shard.
 func accountHolderCosts(w io.Writer, objectives *accounts.Objectives, proxies int) {
 	rng := rand.New(rand.NewPCG(2, 2))
 	options := accounts.DefaultCounterOptions
 	options.CompactionInterval, options.IncarnationsPerCompaction = time.Hour, proxies
-	base := liveHeap()
+	baseHeap := liveHeap()
 	store := &memoryStore{}
 	group := counter.NewGroup[string, accounts.Account](0, "a", options, store, true, 1)
-	alone := []string{"a"}
-	group.Tick(0, true, alone)
-	group.Tick(time.Second, true, alone)
+	members := []string{"a"}
+	group.Tick(0, true, members)
+	group.Tick(time.Second, true, members)
 	perShard := 300 / objectives.Shards
-	report := func(proxy int, from, to uint64, closed bool) accounts.Delta {
+	newDelta := func(proxy int, from, to uint64, closed bool) accounts.Delta {
 		delta := accounts.Delta{Life: counter.IncarnationID(proxy + 1), Node: fmt.Sprint("proxy-", proxy), From: from, To: to, Closed: closed, Cells: counter.Cells[string, accounts.Account]{}}
 		for range perShard {
 			account := accounts.Account{Taken: 1000 * to}
@@ -126,28 +129,28 @@
 		}
 		return delta
 	}
-	var taking time.Duration
+	var merging time.Duration
 	send := func(version uint64, closed bool) {
 		deltas := make([]accounts.Delta, proxies)
 		for i := range deltas {
-			deltas[i] = report(i, version-1, version, closed)
+			deltas[i] = newDelta(i, version-1, version, closed)
 		}
 		began := time.Now()
 		for _, delta := range deltas {
 			group.Report(delta)
 		}
-		taking = time.Since(began)
+		merging = time.Since(began)
 	}
 	send(1, false)
-	group.Tick(time.Minute, true, alone)
-	held := liveHeap() - base
+	group.Tick(time.Minute, true, members)
+	shardHeap := liveHeap() - baseHeap
 	store.bytes = 0
 	send(2, true)
-	group.Tick(2*time.Minute, true, alone)
-	round := float64(store.bytes) * accountReportsPerRound
+	group.Tick(2*time.Minute, true, members)
+	roundBytes := float64(store.bytes) * accountReportFraction
 	began := time.Now()
-	group.Tick(3*time.Hour, true, alone)
+	group.Tick(3*time.Hour, true, members)
 	folding := time.Since(began)
-	fmt.Fprintf(w, "  %d, %.1f, %.1f, %.2f, %.0f\n", proxies, float64(taking.Nanoseconds())/float64(proxies)/1e3, held/1e6, round/1e6, folding.Seconds()*1e3)
+	fmt.Fprintf(w, "  %d, %.1f, %.1f, %.2f, %.0f\n", proxies, float64(merging.Nanoseconds())/float64(proxies)/1e3, shardHeap/1e6, roundBytes/1e6, folding.Seconds()*1e3)
 	runtime.KeepAlive(group)
 }
--- a/cmd/scalerun/accounts_trial.go
+++ b/cmd/scalerun/accounts_trial.go
@@ -14,10 +14,10 @@
 	"slateridge/internal/constants"
 )
 
-// accountObjectives are those of a trial with accounts; nil in one without.
+// accountObjectives are the objectives of a trial with --accounts, otherwise nil.
 var accountObjectives *accounts.Objectives
 
-// enableAccounts has the processes of a trial keep accounts, if the command line says so.
+// enableAccounts makes the processes of a trial keep accounts if --accounts is set.
 func enableAccounts(directory string) error {
 	if !cli.Accounts {
 		return nil
@@ -35,27 +35,28 @@
 	return err
 }
 
-// waitForAccounts waits until the accounts of all tenants have as many requests as were
-// made, and prints how long that took.
-func waitForAccounts(made uint64) error {
+// waitForAccounts waits until the accounts of all tenants contain all admitted requests, and
+// prints how long that took.
+func waitForAccounts(sent uint64) error {
 	if !cli.Accounts {
 		return nil
 	}
 	var taken uint64
-	took, err := waitFor("accounts whole", func() bool {
+	waited, err := waitFor("accounts whole", func() bool {
 		time.Sleep(250 * time.Millisecond)
 		taken = accountsTaken()
-		return taken >= made
+		return taken >= sent
 	})
-	fmt.Printf("  accounts: %d requests in them, %d were made\n", taken, made)
+	fmt.Printf("  accounts: %d requests in them, %d were made\n", taken, sent)
 	if err != nil {
 		return err
 	}
-	fmt.Printf("  accounts whole everywhere %v after the last request\n", took.Round(100*time.Millisecond))
+	fmt.Printf("  accounts whole everywhere %v after the last request\n", waited.Round(100*time.Millisecond))
 	return nil
 }
 
-// accountsTaken is the number of requests in all accounts, as the control processes say.
+// accountsTaken returns the number of requests in all accounts, merged from the snapshots of
+// the control processes that respond.
 func accountsTaken() uint64 {
 	var parts []accounts.Snapshot
 	for i := range cli.Control {
--- a/cmd/scalerun/catchup.go
+++ b/cmd/scalerun/catchup.go
@@ -12,24 +12,25 @@
 	"time"
 )
 
-// metrics reads all of a process's metrics, by name and labels.
+// metrics reads the metrics of the process, keyed by name and labels. It returns an empty map
+// if the process doesn't respond.
 func (p *process) metrics() map[string]float64 {
-	out := map[string]float64{}
+	values := map[string]float64{}
 	resp, err := http.Get(fmt.Sprintf("http://%s:%d/metrics", p.ip, portInternal+p.admin))
 	if err != nil {
-		return out
+		return values
 	}
 	defer resp.Body.Close()
-	for sc := bufio.NewScanner(resp.Body); sc.Scan(); {
-		name, v, _ := strings.Cut(sc.Text(), " ")
-		out[name], _ = strconv.ParseFloat(v, 64)
+	for scanner := bufio.NewScanner(resp.Body); scanner.Scan(); {
+		name, value, _ := strings.Cut(scanner.Text(), " ")
+		values[name], _ = strconv.ParseFloat(value, 64)
 	}
-	return out
+	return values
 }
 
-// catchUp kills a control process, makes changes, starts it again, and times
-// until it has the newest, and until it is a member of the view again. Both are
-// from the start of the process.
+// catchUp kills a control process, posts changes, restarts the process and measures how long it
+// takes to have the newest state and to be a member of the view again. Both times count from
+// the restart.
 func catchUp(w io.Writer) error {
 	if cli.Control < 5 {
 		return errors.New("--catch-up needs five control processes at least: the settings ask for two that may be lost")
@@ -55,12 +56,12 @@
 	return c.measureRow(fmt.Sprintf("1 and an empty disk (%d in all)", c.version), 1, true)
 }
 
-// catchUpTrial is the control processes of a trial; the last one is killed in each row.
+// catchUpTrial holds the control processes of a trial; each row kills and restarts the last one.
 type catchUpTrial struct {
 	w        io.Writer
 	dir      string
 	controls []*process
-	version  int // of the configuration, the newest
+	version  int // newest configuration version
 }
 
 func (c *catchUpTrial) stop() {
@@ -71,10 +72,10 @@
 	}
 }
 
-// lastIndex is the process that is killed.
+// lastIndex is the index of the process that is killed.
 func (c *catchUpTrial) lastIndex() int { return len(c.controls) - 1 }
 
-// start starts all processes and waits until they are one chain.
+// start starts all processes and waits until they form one chain.
 func (c *catchUpTrial) start() error {
 	for i := range c.controls {
 		p, err := startControl(c.dir, i)
@@ -95,13 +96,14 @@
 	return nil
 }
 
-// lastIsMember says whether the last process is a member of a view that has all of them.
+// lastIsMember reports whether the last process is a member of a view that contains all processes.
 func (c *catchUpTrial) lastIsMember() bool {
-	f := c.controls[c.lastIndex()].metrics()
-	return f["slateridge_view_member"] == 1 && f["slateridge_view_members"] == float64(cli.Control)
+	metrics := c.controls[c.lastIndex()].metrics()
+	return metrics["slateridge_view_member"] == 1 && metrics["slateridge_view_members"] == float64(cli.Control)
 }
 
-// measureRow kills the last process, makes changes, starts it again and prints how long it took.
+// measureRow kills the last process, posts changes, restarts the process and prints how long it
+// took to catch up. With wipe its data directory is deleted first.
 func (c *catchUpTrial) measureRow(name string, missed int, wipe bool) error {
 	last := c.lastIndex()
 	c.controls[last].kill()
@@ -111,25 +113,25 @@
 			return err
 		}
 	}
-	began := time.Now()
+	started := time.Now()
 	for range missed {
 		c.version++
 		if err := postConfiguration(c.version); err != nil {
 			return err
 		}
 	}
-	posted := time.Since(began)
-	began = time.Now()
-	p, err := startControl(c.dir, last)
+	posted := time.Since(started)
+	started = time.Now()
+	restarted, err := startControl(c.dir, last)
 	if err != nil {
 		return err
 	}
-	c.controls[last] = p
+	c.controls[last] = restarted
 	var bytesIn float64
 	newest, err := waitFor("the newest state", func() bool {
-		f := p.metrics()
-		bytesIn = f[`slateridge_internal_bytes_total{dir="in"}`]
-		return f["slateridge_config_version"] == float64(c.version)
+		metrics := restarted.metrics()
+		bytesIn = metrics[`slateridge_internal_bytes_total{dir="in"}`]
+		return metrics["slateridge_config_version"] == float64(c.version)
 	})
 	if err != nil {
 		return err
@@ -137,7 +139,7 @@
 	if _, err := waitFor("a member again", c.lastIsMember); err != nil {
 		return err
 	}
-	member := time.Since(began)
+	member := time.Since(started)
 	var size int64
 	if info, err := os.Stat(dataDirectory(c.dir, last) + "/slateridge.db"); err == nil {
 		size = info.Size()
--- a/cmd/scalerun/configuration.go
+++ b/cmd/scalerun/configuration.go
@@ -11,6 +11,7 @@
 	"time"
 )
 
+// nodeSettings returns the settings of a node; only control processes have a data directory.
 func nodeSettings(name, ip, zone, data string) map[string]any {
 	var seeds []string
 	for i := range min(3, cli.Control) {
@@ -31,50 +32,53 @@
 	}
 }
 
+// configuration returns the document of a version. Versions differ in the timeout of one route.
 func configuration(version int) []byte {
-	type resource struct { // in the order in which operators write them
+	type resource struct { // fields in the order in which operators write them
 		ResourceKind string            `json:"resourceKind"`
 		Metadata     map[string]string `json:"metadata"`
 		Spec         any               `json:"spec"`
 	}
-	var rs []resource
-	item := func(kind, name string, spec any) {
-		rs = append(rs, resource{kind, map[string]string{"name": name}, spec})
+	var resources []resource
+	addResource := func(kind, name string, spec any) {
+		resources = append(resources, resource{kind, map[string]string{"name": name}, spec})
 	}
 	for i := range cli.Routes {
 		timeout := 1000
 		if i == version%cli.Routes {
-			timeout += version // what this version changes
+			timeout += version // the only difference between versions
 		}
-		item("routes", fmt.Sprintf("r%06d", i), map[string]any{"host": fmt.Sprintf("h%d.example", i%50), "pathPrefix": fmt.Sprintf("/p%d/", i), "routeType": "idempotent",
+		addResource("routes", fmt.Sprintf("r%06d", i), map[string]any{"host": fmt.Sprintf("h%d.example", i%50), "pathPrefix": fmt.Sprintf("/p%d/", i), "routeType": "idempotent",
 			"timeout": fmt.Sprintf("%dms", timeout), "targetLatency": "300ms", "priority": 1, "targetService": fmt.Sprintf("svc%04d", i%cli.Services), "maxAttempts": 2})
 	}
-	item("routes", "echo", map[string]any{"host": "echo.example", "pathPrefix": "/echo/", "routeType": "idempotent", "timeout": "1000ms", "targetLatency": "300ms", "priority": 1, "targetService": "echo", "maxAttempts": 2})
-	item("services", "echo", map[string]any{"healthCheckPath": "/health", "maxConnections": 10_000})
-	item("tenants", "echo", map[string]any{"apiKeys": []string{"key-echo"}, "ratePerS": 100_000, "burstSize": 100_000})
+	addResource("routes", "echo", map[string]any{"host": "echo.example", "pathPrefix": "/echo/", "routeType": "idempotent", "timeout": "1000ms", "targetLatency": "300ms", "priority": 1, "targetService": "echo", "maxAttempts": 2})
+	addResource("services", "echo", map[string]any{"healthCheckPath": "/health", "maxConnections": 10_000})
+	addResource("tenants", "echo", map[string]any{"apiKeys": []string{"key-echo"}, "ratePerS": 100_000, "burstSize": 100_000})
 	for i := range cli.Services {
-		item("services", fmt.Sprintf("svc%04d", i), map[string]any{"healthCheckPath": "/health", "maxConnections": 500})
+		addResource("services", fmt.Sprintf("svc%04d", i), map[string]any{"healthCheckPath": "/health", "maxConnections": 500})
 	}
 	for i := range cli.Tenants {
-		item("tenants", fmt.Sprintf("t%06d", i), map[string]any{"apiKeys": []string{fmt.Sprintf("key-%06d", i)}, "ratePerS": 20 * cli.PerProxy * float64(cli.Proxies) / float64(cli.Tenants), "burstSize": 20 * cli.PerProxy * float64(cli.Proxies) / float64(cli.Tenants)})
+		addResource("tenants", fmt.Sprintf("t%06d", i), map[string]any{"apiKeys": []string{fmt.Sprintf("key-%06d", i)}, "ratePerS": 20 * cli.PerProxy * float64(cli.Proxies) / float64(cli.Tenants), "burstSize": 20 * cli.PerProxy * float64(cli.Proxies) / float64(cli.Tenants)})
 	}
-	b, _ := json.Marshal(map[string]any{"configVersion": fmt.Sprintf("r%d", version), "resourceList": rs})
-	return b
+	document, _ := json.Marshal(map[string]any{"configVersion": fmt.Sprintf("r%d", version), "resourceList": resources})
+	return document
 }
 
+// postConfiguration posts a version to the control processes in turn until one acknowledges or
+// rejects it.
 func postConfiguration(version int) error {
 	body := configuration(version)
-	end := time.Now().Add(cli.Wait)
-	for i := 0; time.Now().Before(end); i++ {
+	deadline := time.Now().Add(cli.Wait)
+	for i := 0; time.Now().Before(deadline); i++ {
 		resp, err := http.Post(fmt.Sprintf("http://%s:%d/api/rpc?call=configuration.replace", controlIP(i%cli.Control), portControl), "application/json", bytes.NewReader(body))
 		if err == nil {
-			b, _ := io.ReadAll(resp.Body)
+			answer, _ := io.ReadAll(resp.Body)
 			resp.Body.Close()
 			if resp.StatusCode == 200 {
 				return nil
 			}
 			if resp.StatusCode/100 == 4 {
-				return fmt.Errorf("refused: %s", b)
+				return fmt.Errorf("refused: %s", answer)
 			}
 		}
 		time.Sleep(200 * time.Millisecond)
--- a/cmd/scalerun/main.go
+++ b/cmd/scalerun/main.go
@@ -1,7 +1,7 @@
-// Command scalerun tries the control plane's size on one machine: real control
-// processes and a real proxy on loopback addresses, and beside them hollow proxies,
-// which subscribe, take part in membership, admit and meter like real ones but carry
-// no traffic, many to a process. It ends by itself and prints one row of figures.
+// Command scalerun measures how the control plane scales, on one machine. It runs real control
+// processes and a real proxy on loopback addresses, and many hollow proxies in its own process.
+// Hollow proxies subscribe, take part in membership, admit and meter like real ones, but carry
+// no traffic. The run is bounded in time and prints its figures at the end.
 package main
 
 import (
@@ -39,7 +39,7 @@
 	platformAddr                             = "127.9.0.1:18382"
 )
 
-// clusterStarted says that the system has been started once.
+// clusterStarted is set once the cluster has formed; processes started later don't bootstrap.
 var clusterStarted bool
 
 func main() {
--- a/cmd/scalerun/platform.go
+++ b/cmd/scalerun/platform.go
@@ -12,8 +12,8 @@
 	"slateridge/internal/constants"
 )
 
-// fakePlatform takes the platform's place: it serves the list of upstreams in pages, and
-// takes reports.
+// fakePlatform stands in for the platform API: it serves the list of upstreams in pages and
+// accepts usage reports.
 type fakePlatform struct {
 	mu        sync.Mutex
 	reports   int
@@ -29,50 +29,50 @@
 		return
 	}
 	s.listCalls++
-	from, _ := strconv.Atoi(r.URL.Query().Get("pageToken"))
-	type inst map[string]any
-	out := map[string][]inst{}
-	for i := 0; from == 0 && i < echoUpstreams; i++ {
-		out["z0"] = append(out["z0"], inst{"instanceId": fmt.Sprintf("echo-%d", i), "targetService": "echo", "zone": "z0",
+	first, _ := strconv.Atoi(r.URL.Query().Get("pageToken"))
+	type instance map[string]any
+	instances := map[string][]instance{}
+	for i := 0; first == 0 && i < echoUpstreams; i++ {
+		instances["z0"] = append(instances["z0"], instance{"instanceId": fmt.Sprintf("echo-%d", i), "targetService": "echo", "zone": "z0",
 			"address": echoAddr(i), "capacitySlots": 16, "state": "ready", "warmupLeft": "0ms"})
 	}
-	for i := from; i < min(from+constants.PollPage, cli.Upstreams); i++ {
-		z := fmt.Sprintf("z%d", i%4)
-		out[z] = append(out[z], inst{"instanceId": fmt.Sprintf("i-%08d", i), "targetService": fmt.Sprintf("svc%04d", i%cli.Services), "zone": z,
+	for i := first; i < min(first+constants.PollPage, cli.Upstreams); i++ {
+		zone := fmt.Sprintf("z%d", i%4)
+		instances[zone] = append(instances[zone], instance{"instanceId": fmt.Sprintf("i-%08d", i), "targetService": fmt.Sprintf("svc%04d", i%cli.Services), "zone": zone,
 			"address": fmt.Sprintf("127.30.%d.%d:8080", i/250%250, i%250), "capacitySlots": 2, "state": "ready", "warmupLeft": "0ms"})
 	}
 	var next any
-	if from+constants.PollPage < cli.Upstreams {
-		next = strconv.Itoa(from + constants.PollPage)
+	if first+constants.PollPage < cli.Upstreams {
+		next = strconv.Itoa(first + constants.PollPage)
 	}
-	json.NewEncoder(w).Encode(map[string]any{"instances": out, "nextPageToken": next})
+	json.NewEncoder(w).Encode(map[string]any{"instances": instances, "nextPageToken": next})
 }
 
 const echoUpstreams = 8
 
 func echoAddr(i int) string { return fmt.Sprintf("127.9.1.%d:18080", i+1) }
 
-// serveEcho is an upstream that answers at once.
+// serveEcho handles a request of an upstream that responds immediately.
 func serveEcho(w http.ResponseWriter, r *http.Request) {
 	w.Header().Set("X-Slateridge-Attempt-Id", r.Header.Get("X-Slateridge-Attempt-Id"))
 	w.Header().Set("X-Slateridge-Response-Seal", "s")
 	io.WriteString(w, "a small answer")
 }
 
-// startPlatform serves the list, and stand-in upstreams.
+// startPlatform starts the fake platform and the echo upstreams.
 func startPlatform() (*fakePlatform, error) {
-	l, err := net.Listen("tcp4", platformAddr)
+	listener, err := net.Listen("tcp4", platformAddr)
 	if err != nil {
 		return nil, err
 	}
-	pl := &fakePlatform{}
-	go http.Serve(l, pl)
+	fake := &fakePlatform{}
+	go http.Serve(listener, fake)
 	for i := range echoUpstreams {
-		l, err := net.Listen("tcp4", echoAddr(i))
+		listener, err := net.Listen("tcp4", echoAddr(i))
 		if err != nil {
 			return nil, err
 		}
-		go http.Serve(l, http.HandlerFunc(serveEcho))
+		go http.Serve(listener, http.HandlerFunc(serveEcho))
 	}
-	return pl, nil
+	return fake, nil
 }
