--- a/cmd/scalerun/accounts.go
+++ b/cmd/scalerun/account_costs.go
@@ -15,14 +15,14 @@
 )
 
 const (
-	accountRate      = 250 // requests a second of one proxy
-	accountSpread    = 0.5 // standard deviation of the latencies' logarithms
-	accountMedian    = 80 * time.Millisecond
-	accountRoundPart = 0.25 // of all proxies report between two rounds of replication
-	accountReports   = 15   // of a proxy, until bins and totals are as in steady state
+	accountRequestsPerS     = 250 // requests per second of one proxy
+	accountLatencyLogStdDev = 0.5 // standard deviation of the logarithm of the latency
+	accountMedianLatency    = 80 * time.Millisecond
+	accountReportFraction   = 0.25 // fraction of the proxies that report between two replication rounds
+	accountReportCount      = 15   // reports of a proxy until its bins and totals reach the steady state
 )
 
-// memoryStore is a disk that takes no time, to measure what is not the disk's.
+// memoryStore counts the bytes written and discards them, so that disk time isn't measured.
 type memoryStore struct{ bytes int64 }
 
 func (s *memoryStore) Get(string, any) bool { return false }
@@ -32,7 +32,7 @@
 	return nil
 }
 
-// countingWriter stands for a held connection.
+// countingWriter counts the bytes written, in place of a persistent connection.
 type countingWriter struct{ bytes int }
 
 func (w *countingWriter) Write(b []byte) (int, error) {
@@ -40,26 +40,27 @@
 	return len(b), nil
 }
 
-// accountSlopes measures what the accounts cost a proxy, by active tenants, and a control
-// machine, by accounts of proxies.
-func accountSlopes(w io.Writer) {
+// accountCosts prints the cost of accounting at a proxy by number of active tenants, and at a
+// shard's holder by number of proxies.
+func accountCosts(w io.Writer) {
 	objectives := must(accounts.ParseObjectives([]byte(`{"version":1,"defaultClass":"all","classes":{"all":{"target":0.99,"latency":"250ms","window":"720h"}}}`)))
 	fmt.Fprintln(w, "accounts at a proxy of 250 requests/s with a journal: active tenants, bytes/s out, messages/s, microseconds a request, milliseconds a report round, part of a core, heap KB, journal KB")
 	for _, tenants := range []int{30, 300, 3_000} {
-		accountProxySlope(w, objectives, tenants)
+		accountProxyCosts(w, objectives, tenants)
 	}
 	fmt.Fprintln(w, "accounts at a shard's holder: proxies of 300 tenants in 16 shards, microseconds a report, heap MB of the shard, MB a round to each replica, ms to fold all lives")
 	for _, proxies := range []int{52, 520, 5_200} {
-		accountHolderSlope(w, objectives, proxies)
+		accountHolderCosts(w, objectives, proxies)
 	}
 }
 
-// accountTenant is the name of one of a fleet's tenants.
-func accountTenant(i int) string { return fmt.Sprintf("t%06d", i) }
+// accountTenantName returns the name of the i-th tenant.
+func accountTenantName(i int) string { return fmt.Sprintf("t%06d", i) }
 
-func accountProxySlope(w io.Writer, objectives *accounts.Objectives, tenants int) {
+// accountProxyCosts prints one row: the cost of serving and reporting at a proxy.
+func accountProxyCosts(w io.Writer, objectives *accounts.Objectives, tenants int) {
 	rng := rand.New(rand.NewPCG(1, 1))
-	base := heap()
+	baseHeap := liveHeap()
 	directory := must(os.MkdirTemp("", "accounts"))
 	defer os.RemoveAll(directory)
 	journal := must(accounts.CreateJournal(directory, 7, objectives.Shards, func(err error) { panic(err) }))
@@ -69,14 +70,14 @@
 	connection := &countingWriter{}
 	encoder := gob.NewEncoder(connection)
 	var messages int
-	var serving, telling time.Duration
-	requests := accountRate * int(accounts.ReportInterval.Seconds())
-	for report := range accountReports {
+	var serving, reporting time.Duration
+	requests := accountRequestsPerS * int(accounts.ReportInterval.Seconds())
+	for round := range accountReportCount {
 		names := make([]string, requests)
 		latencies := make([]time.Duration, requests)
 		for i := range names {
-			names[i] = accountTenant(rng.IntN(tenants))
-			latencies[i] = time.Duration(float64(accountMedian) * math.Exp(accountSpread*rng.NormFloat64()))
+			names[i] = accountTenantName(rng.IntN(tenants))
+			latencies[i] = time.Duration(float64(accountMedianLatency) * math.Exp(accountLatencyLogStdDev*rng.NormFloat64()))
 		}
 		connection.bytes, messages = 0, 0
 		began := time.Now()
@@ -93,61 +94,63 @@
 				meter.Acknowledge(accounts.ReportAck{Shard: shard, Life: r.Life, Ack: counter.Ack{Term: term, Heard: r.To, Durable: r.From}})
 			}
 		}
-		if report == accountReports-1 {
-			serving, telling = served.Sub(began), time.Since(served)
+		if round == accountReportCount-1 {
+			serving, reporting = served.Sub(began), time.Since(served)
 		}
 	}
-	span := accounts.ReportInterval.Seconds()
-	fmt.Fprintf(w, "  %d, %.0f, %.1f, %.2f, %.2f, %.5f, %.0f, %.0f\n", tenants, float64(connection.bytes)/span, float64(messages)/span,
-		float64(serving.Nanoseconds())/float64(requests)/1e3, telling.Seconds()*1e3, (serving+telling).Seconds()/span, (heap()-base)/1e3, float64(tenants)*0.512+4)
+	seconds := accounts.ReportInterval.Seconds()
+	fmt.Fprintf(w, "  %d, %.0f, %.1f, %.2f, %.2f, %.5f, %.0f, %.0f\n", tenants, float64(connection.bytes)/seconds, float64(messages)/seconds,
+		float64(serving.Nanoseconds())/float64(requests)/1e3, reporting.Seconds()*1e3, (serving+reporting).Seconds()/seconds, (liveHeap()-baseHeap)/1e3, float64(tenants)*0.512+4)
 	runtime.KeepAlive(meter)
 }
 
-func accountHolderSlope(w io.Writer, objectives *accounts.Objectives, proxies int) {
+// accountHolderCosts prints one row: the cost of merging, replicating and folding the reports
+// of all proxies at the holder of one shard.
+func accountHolderCosts(w io.Writer, objectives *accounts.Objectives, proxies int) {
 	rng := rand.New(rand.NewPCG(2, 2))
 	options := accounts.DefaultCounterOptions
 	options.CompactionInterval, options.IncarnationsPerCompaction = time.Hour, proxies
-	base := heap()
+	baseHeap := liveHeap()
 	store := &memoryStore{}
 	group := counter.NewGroup[string, accounts.Account](0, "a", options, store, true, 1)
-	alone := []string{"a"}
-	group.Tick(0, true, alone)
-	group.Tick(time.Second, true, alone)
+	members := []string{"a"}
+	group.Tick(0, true, members)
+	group.Tick(time.Second, true, members)
 	perShard := 300 / objectives.Shards
-	report := func(proxy int, from, to uint64, closed bool) accounts.Delta {
+	newDelta := func(proxy int, from, to uint64, closed bool) accounts.Delta {
 		delta := accounts.Delta{Life: counter.IncarnationID(proxy + 1), Node: fmt.Sprint("proxy-", proxy), From: from, To: to, Closed: closed, Cells: counter.Cells[string, accounts.Account]{}}
 		for range perShard {
 			account := accounts.Account{Taken: 1000 * to}
 			account.Settled[accounts.OnTime] = 1000 * to
 			for range 20 {
-				account.Latency.Observe(time.Duration(float64(accountMedian) * math.Exp(accountSpread*rng.NormFloat64())))
+				account.Latency.Observe(time.Duration(float64(accountMedianLatency) * math.Exp(accountLatencyLogStdDev*rng.NormFloat64())))
 			}
-			delta.Cells[accountTenant(rng.IntN(200_000/objectives.Shards))] = account
+			delta.Cells[accountTenantName(rng.IntN(200_000/objectives.Shards))] = account
 		}
 		return delta
 	}
-	var taking time.Duration
+	var merging time.Duration
 	send := func(version uint64, closed bool) {
 		deltas := make([]accounts.Delta, proxies)
 		for i := range deltas {
-			deltas[i] = report(i, version-1, version, closed)
+			deltas[i] = newDelta(i, version-1, version, closed)
 		}
 		began := time.Now()
 		for _, delta := range deltas {
 			group.Report(delta)
 		}
-		taking = time.Since(began)
+		merging = time.Since(began)
 	}
 	send(1, false)
-	group.Tick(time.Minute, true, alone)
-	held := heap() - base
+	group.Tick(time.Minute, true, members)
+	shardHeap := liveHeap() - baseHeap
 	store.bytes = 0
 	send(2, true)
-	group.Tick(2*time.Minute, true, alone)
-	round := float64(store.bytes) * accountRoundPart
+	group.Tick(2*time.Minute, true, members)
+	roundBytes := float64(store.bytes) * accountReportFraction
 	began := time.Now()
-	group.Tick(3*time.Hour, true, alone)
+	group.Tick(3*time.Hour, true, members)
 	folding := time.Since(began)
-	fmt.Fprintf(w, "  %d, %.1f, %.1f, %.2f, %.0f\n", proxies, float64(taking.Nanoseconds())/float64(proxies)/1e3, held/1e6, round/1e6, folding.Seconds()*1e3)
+	fmt.Fprintf(w, "  %d, %.1f, %.1f, %.2f, %.0f\n", proxies, float64(merging.Nanoseconds())/float64(proxies)/1e3, shardHeap/1e6, roundBytes/1e6, folding.Seconds()*1e3)
 	runtime.KeepAlive(group)
 }
--- a/cmd/scalerun/main.go
+++ b/cmd/scalerun/main.go
@@ -1,7 +1,7 @@
-// Command scalerun tries the control plane's size on one machine: real control
-// processes and a real proxy on loopback addresses, and beside them hollow proxies,
-// which subscribe, take part in membership, admit and meter like real ones but carry
-// no traffic, many to a process. It ends by itself and prints one row of figures.
+// Command scalerun measures how the control plane scales, on one machine. It runs real control
+// processes and a real proxy on loopback addresses, and many hollow proxies in its own process.
+// Hollow proxies subscribe, take part in membership, admit and meter like real ones, but carry
+// no traffic. The run is bounded in time and prints its figures at the end.
 package main
 
 import (
@@ -34,21 +34,21 @@
 }
 
 const (
-	portFront, portReady, portControl = 18388, 18384, 18381
-	portInternal                      = 17560
-	platform                          = "127.9.0.1:18382"
+	portFrontend, portReadiness, portControl = 18388, 18384, 18381
+	portInternal                             = 17560
+	platformAddr                             = "127.9.0.1:18382"
 )
 
-// again says that the system has been started once.
-var again bool
+// clusterStarted is set once the cluster has formed; processes started later don't bootstrap.
+var clusterStarted bool
 
 func main() {
 	kong.Parse(&cli, kong.Description("Tries the control plane's size on loopback, with hollow proxies. Bounded in time; ends by itself."))
 	if cli.Slopes {
-		slopes(os.Stdout)
+		operationCosts(os.Stdout)
 		return
 	}
-	run := trial
+	run := runTrial
 	if cli.CatchUp {
 		run = func() error { return catchUp(os.Stdout) }
 	}
