--- a/internal/controlplane/accounts.go
+++ b/internal/controlplane/accounts.go
@@ -15,7 +15,7 @@
 const accountsDirectory = "accounts"
 
 // openAccounts opens the accounts store if tenants have objectives, and returns the names of
-// the duties of the account shards.
+// the account shards' duties.
 func (d *Daemon) openAccounts() ([]string, error) {
 	objectives, err := accounts.LoadObjectives(os.Getenv(accounts.EnvFile))
 	if err != nil || objectives == nil || d.replica.relay {
@@ -30,8 +30,8 @@
 		return nil, fmt.Errorf("accounts in %s: %w", directory, err)
 	}
 	founding := isNew && (d.settings.Bootstrap || objectives.Founding)
-	holder := accounts.NewReplica(d.settings.IPAddress, objectives, accounts.DefaultCounterOptions, store, founding, rand.Uint64()|1, d.events.Record)
-	d.accounts = accounts.NewService(holder, accounts.ServiceOptions{Node: d.settings.IPAddress, HoldsLease: d.holdsAccountsLease,
+	replica := accounts.NewReplica(d.settings.IPAddress, objectives, accounts.DefaultCounterOptions, store, founding, rand.Uint64()|1, d.events.Record)
+	d.accounts = accounts.NewService(replica, accounts.ServiceOptions{Node: d.settings.IPAddress, HoldsLease: d.holdsAccountsLease,
 		LeaseHolder: d.accountsLeaseHolder, Replicas: d.replica.controlAddresses, Send: d.connections.send, Now: d.now})
 	var duties []string
 	for shard := range objectives.Shards {
--- a/internal/controlplane/activestate_test.go
+++ b/internal/controlplane/activestate_test.go
@@ -33,10 +33,10 @@
 	rates []float64
 }
 
-func (l *quotaRecorder) record(quotas map[string]admission.Quota) {
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	l.rates = append(l.rates, quotas["t"].Rate)
+func (r *quotaRecorder) record(quotas map[string]admission.Quota) {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	r.rates = append(r.rates, quotas["t"].Rate)
 }
 
 // When several goroutines apply commits concurrently, the newest one must stay active. Quotas
--- a/internal/controlplane/chain/chain_test.go
+++ b/internal/controlplane/chain/chain_test.go
@@ -518,14 +518,14 @@
 		names       []string
 		maxFailures int
 		seeds       uint64
-		also        []uint64 // seeds that exposed faults before
+		regressions []uint64 // further seeds, which exposed faults before
 	}{
 		{threeMachines, 1, 300, []uint64{584, 665, 1475, 2141, 2274, 2339, 2762, 2861}},
 		{machines(6), 2, 90, nil},
 		{machines(8), 2, 40, nil},
 	} {
 		t.Run(fmt.Sprintf("machines=%d", len(f.names)), func(t *testing.T) {
-			seeds := f.also
+			seeds := f.regressions
 			for seed := uint64(1); seed <= f.seeds; seed++ {
 				seeds = append(seeds, seed)
 			}
--- a/internal/controlplane/chain/electorate.go
+++ b/internal/controlplane/chain/electorate.go
@@ -14,9 +14,9 @@
 // separate consensus instance, so any change between two views is safe as long as the new
 // view's members hold everything that was acknowledged (they are synced before the view is
 // proposed) and are a majority of its voters. A machine becomes a voter with the view that
-// adds it. A voter is removed with a view that it is no member of: in favor of a successor
-// that joins with that view, when the fault tolerance would not hold otherwise, on an
-// operator's request, or after a long absence.
+// adds it. A voter is removed with a view that it is not a member of: when a successor joins
+// with that view, when the fault tolerance would not hold otherwise, on an operator's
+// request, or after a long absence.
 
 // nextView returns the view that a round proposes. A machine that joins with it becomes a
 // voter: in place of its previous incarnation, whose disk is lost, or as an additional one.
@@ -118,10 +118,10 @@
 // votersToRetire returns the voters that leave with a view; joined is the number of voters
 // that join with it.
 func (c *Chain) votersToRetire(v View, joined int) []Member {
-	gone := c.votersOutsideView(v)
-	gone = gone[:min(len(gone), max(0, len(v.Voters)-c.minVoters(v)))]
+	candidates := c.votersOutsideView(v)
+	candidates = candidates[:min(len(candidates), max(0, len(v.Voters)-c.minVoters(v)))]
 	n := 0
-	for i, m := range gone {
+	for i, m := range candidates {
 		if i < joined || c.retirementRequested(m) || c.absentTooLong(m) {
 			n = i + 1
 		}
@@ -129,12 +129,12 @@
 	// Retires as many more as the failure margin requires. If it stays negative, retires
 	// the fewest that give the highest margin.
 	best := n
-	for k := n; k <= len(gone) && c.failureMargin(v, best) < 0; k++ {
+	for k := n; k <= len(candidates) && c.failureMargin(v, best) < 0; k++ {
 		if c.failureMargin(v, k) > c.failureMargin(v, best) {
 			best = k
 		}
 	}
-	return gone[:best]
+	return candidates[:best]
 }
 
 // failureMargin returns by how many the remaining members would exceed a majority of the
@@ -223,8 +223,8 @@
 	return c.takeEffects()
 }
 
-// HasLeft reports whether nothing depends on this machine any more: it is no member of the
-// newest view known.
+// HasLeft reports whether nothing depends on this machine any more: it is not a member of
+// the newest view known.
 func (c *Chain) HasLeft() bool { return !c.agreement.View.HasMember(c.Me) }
 
 // CanLeave reports whether, as far as this machine knows, the others could form a view
@@ -292,11 +292,11 @@
 		case !c.inContact(m.Addr):
 			x.State, x.Gone = "out of contact", c.now-c.lastContact(m)
 		}
-		switch can := len(v.Voters) > c.minVoters(v); {
+		switch canShrink := len(v.Voters) > c.minVoters(v); {
 		case x.Member || x.State == "in contact":
-		case c.retirementRequested(m) && can:
+		case c.retirementRequested(m) && canShrink:
 			x.WayOut = "an operator wants it out"
-		case can:
+		case canShrink:
 			x.WayOut = fmt.Sprintf("leaves with a successor's coming, or after %v", max(0, constants.RetireAfter-x.Gone).Round(time.Second))
 		default:
 			x.WayOut = "leaves with a successor's coming: too few voters to go without"
--- a/internal/controlplane/chain/messages.go
+++ b/internal/controlplane/chain/messages.go
@@ -18,7 +18,7 @@
 		Original        bool     // started with the founders without being one, and no view has included it yet
 		Leaving         bool     // a planned stop is in progress: the others form a view without it
 		Unheard         []string // control machines without two-way contact
-		Asks            bool     // requests a heartbeat in reply: a relay, or a machine that is no voter yet
+		Asks            bool     // requests a heartbeat in reply: a relay, or a machine that is not a voter yet
 		Committed, Held config.Revision
 		Version         uint64 // of the committed configuration
 		Wall            int64  // the sender's time of day in nanoseconds
--- a/internal/controlplane/chain/stale_head_test.go
+++ b/internal/controlplane/chain/stale_head_test.go
@@ -11,7 +11,7 @@
 // TestHeadOfEarlierViewAdmitsNothing has a head that was cut off catch up with what a later
 // view committed before it learns of that view. It must not admit orders as head of its old
 // view: its next state would get a revision that the head of the later view gives to another
-// state, and a machine that hears that this revision is committed would commit the wrong
+// state, and a machine that learns that this revision is committed would commit the wrong
 // state.
 func TestHeadOfEarlierViewAdmitsNothing(t *testing.T) {
 	c, err := New(0, "a", []string{"a", "b", "c"}, true, simnet.NewDisk(), rand.New(rand.NewPCG(1, 1)))
--- a/internal/controlplane/chain/view.go
+++ b/internal/controlplane/chain/view.go
@@ -47,7 +47,7 @@
 
 // inContact reports whether heartbeats have passed recently between this machine and a peer
 // in both directions: a one-way path cannot carry an agreement. A restarted process has
-// heard from nobody when it sends its first heartbeat, so what its predecessor received
+// received nothing yet when it sends its first heartbeat, so what its predecessor received
 // still counts: otherwise each restart, however short, would change the view.
 func (c *Chain) inContact(addr string) bool {
 	if addr == c.Me.Addr {
--- a/internal/controlplane/duties.go
+++ b/internal/controlplane/duties.go
@@ -27,16 +27,16 @@
 	name      string
 	path      string // path of the platform call
 	plan      func(now time.Duration, after uint64) (key uint64, body []byte, ok bool)
-	mu        sync.Mutex
+	mu        sync.Mutex // guards holder, cancel, callID and heldSince
 	holder    *duty.Holder
 	client    *http.Client
-	cancel    context.CancelFunc
-	callID    uint64
-	heldSince time.Duration // start of the current uninterrupted hold
+	cancel    context.CancelFunc // cancels the latest call
+	callID    uint64             // ID of the latest call
+	heldSince time.Duration      // start of the current uninterrupted hold
 	// split divides an act into several calls, keyed by subject; nil sends it as one call.
 	// Calls that the platform has accepted under the current fence are not repeated.
 	split         func(body []byte) map[string][]byte
-	sendMu        sync.Mutex // serializes acts: a canceled call may still be returning
+	sendMu        sync.Mutex // serializes acts, since a canceled call may still be returning; guards the fields below
 	accepted      map[string]string
 	acceptedFence uint64
 }
--- a/internal/controlplane/leases.go
+++ b/internal/controlplane/leases.go
@@ -76,12 +76,12 @@
 	}
 }
 
-// setElectorate sets the voters that grant leases from now on. If leavesElectorate is true,
-// this machine must not grant any.
-func (l *leases) setElectorate(epoch uint64, voters []string, leavesElectorate bool) {
+// setElectorate sets the voters that grant leases from now on. If uncertain is true, this
+// machine must not grant any.
+func (l *leases) setElectorate(epoch uint64, voters []string, uncertain bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.manager.SetElectorate(l.now(), epoch, voters, leavesElectorate)
+	l.manager.SetElectorate(l.now(), epoch, voters, uncertain)
 }
 
 // holds reports whether this machine holds a duty at time now, and since when without
--- a/internal/controlplane/pendingcalls.go
+++ b/internal/controlplane/pendingcalls.go
@@ -31,73 +31,73 @@
 }
 
 // awaitVersion returns a channel that is closed once version is settled. stop ends the wait.
-func (w *pendingCalls) awaitVersion(version uint64) (done <-chan struct{}, stop func()) {
+func (p *pendingCalls) awaitVersion(version uint64) (done <-chan struct{}, stop func()) {
 	ch := make(chan struct{})
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	w.versions[ch] = version
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	p.versions[ch] = version
 	return ch, func() {
-		w.mu.Lock()
-		defer w.mu.Unlock()
-		delete(w.versions, ch)
+		p.mu.Lock()
+		defer p.mu.Unlock()
+		delete(p.versions, ch)
 	}
 }
 
 // awaitEvacuation returns a channel that is closed once the evacuation order is committed.
 // stop ends the wait.
-func (w *pendingCalls) awaitEvacuation(id uint64) (done <-chan struct{}, stop func()) {
+func (p *pendingCalls) awaitEvacuation(id uint64) (done <-chan struct{}, stop func()) {
 	ch := make(chan struct{})
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	w.evacuations[id] = ch
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	p.evacuations[id] = ch
 	return ch, func() {
-		w.mu.Lock()
-		defer w.mu.Unlock()
-		delete(w.evacuations, id)
+		p.mu.Lock()
+		defer p.mu.Unlock()
+		delete(p.evacuations, id)
 	}
 }
 
 // startRead registers a read with a new ID. stop ends the wait.
-func (w *pendingCalls) startRead() (id uint64, r *pendingRead, stop func()) {
+func (p *pendingCalls) startRead() (id uint64, r *pendingRead, stop func()) {
 	r = &pendingRead{done: make(chan struct{})}
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	w.lastReadID++
-	id = w.lastReadID
-	w.reads[id] = r
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	p.lastReadID++
+	id = p.lastReadID
+	p.reads[id] = r
 	return id, r, func() {
-		w.mu.Lock()
-		defer w.mu.Unlock()
-		delete(w.reads, id)
+		p.mu.Lock()
+		defer p.mu.Unlock()
+		delete(p.reads, id)
 	}
 }
 
 // finishRead completes a read with its result.
-func (w *pendingCalls) finishRead(id uint64, doc *config.Doc) {
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	if r := w.reads[id]; r != nil {
+func (p *pendingCalls) finishRead(id uint64, doc *config.Doc) {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	if r := p.reads[id]; r != nil {
 		r.doc = doc
 		close(r.done)
-		delete(w.reads, id)
+		delete(p.reads, id)
 	}
 }
 
 // resolve completes the calls whose condition the committed state satisfies.
-func (w *pendingCalls) resolve(doc config.Doc) {
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	for ch, version := range w.versions {
+func (p *pendingCalls) resolve(doc config.Doc) {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	for ch, version := range p.versions {
 		if doc.Ledger.Settled(version) {
 			close(ch)
-			delete(w.versions, ch)
+			delete(p.versions, ch)
 		}
 	}
 	for _, e := range doc.Evac {
 		for _, id := range e.IDs {
-			if ch := w.evacuations[id]; ch != nil {
+			if ch := p.evacuations[id]; ch != nil {
 				close(ch)
-				delete(w.evacuations, id)
+				delete(p.evacuations, id)
 			}
 		}
 	}
--- a/internal/controlplane/replica.go
+++ b/internal/controlplane/replica.go
@@ -23,10 +23,10 @@
 // viewState is the part of the chain's view that other components read. It is immutable and
 // replaced only when it changes, not at each step.
 type viewState struct {
-	view, epoch      uint64
-	voters           []string // addresses, sorted
-	joined           bool     // the view lists this machine, with its current disk, as a voter
-	leavesElectorate bool     // this machine grants no leases; see chain.Chain.ElectorateUncertain
+	view, epoch         uint64
+	voters              []string // addresses, sorted
+	joined              bool     // the view lists this machine, with its current disk, as a voter
+	electorateUncertain bool     // this machine must not grant leases; see chain.Chain.ElectorateUncertain
 }
 
 // replica runs this machine's chain: it steps the state machine, executes the effects, and
@@ -107,17 +107,17 @@
 }
 
 func (r *replica) publishViewState() {
-	view, joined, leaves := r.chain.View(), r.chain.Joined(), r.chain.ElectorateUncertain()
+	view, joined, uncertain := r.chain.View(), r.chain.Joined(), r.chain.ElectorateUncertain()
 	previous := r.viewState.Load()
-	if previous != nil && previous.view == view.Num && previous.joined == joined && previous.leavesElectorate == leaves {
+	if previous != nil && previous.view == view.Num && previous.joined == joined && previous.electorateUncertain == uncertain {
 		return
 	}
-	next := &viewState{view: view.Num, epoch: view.Epoch, voters: view.VoterAddrs(), joined: joined, leavesElectorate: leaves}
+	next := &viewState{view: view.Num, epoch: view.Epoch, voters: view.VoterAddrs(), joined: joined, electorateUncertain: uncertain}
 	r.viewState.Store(next)
 	// When this machine accepts a view with another electorate, the lease manager must know
 	// before any other machine does. No lease is granted after the acceptance then, however
 	// long the process stalls in between.
-	r.leases.setElectorate(next.epoch, next.voters, leaves)
+	r.leases.setElectorate(next.epoch, next.voters, uncertain)
 }
 
 // tickAndReport advances the chain at regular intervals. It also detects stalls of this
--- a/internal/lease/electorate_test.go
+++ b/internal/lease/electorate_test.go
@@ -58,7 +58,7 @@
 	m.manager.SetElectorate(e.clock(n), v.epoch, v.voters, m.accepted || !joined)
 }
 
-func (e *election) put(n string, out []Send) {
+func (e *election) sendAll(n string, out []Send) {
 	for _, s := range out {
 		e.network.Send(n, s.To, func() { e.deliver(s.To, n, s.Msg) })
 	}
@@ -71,7 +71,7 @@
 	case m.frozen:
 		m.queued = append(m.queued, func() { e.deliver(to, from, msg) })
 	default:
-		e.put(to, m.manager.Recv(e.clock(to), from, msg))
+		e.sendAll(to, m.manager.Recv(e.clock(to), from, msg))
 	}
 }
 
@@ -96,7 +96,7 @@
 	}
 	if !m.frozen {
 		e.reportElectorate(n)
-		e.put(n, m.manager.Tick(e.clock(n)))
+		e.sendAll(n, m.manager.Tick(e.clock(n)))
 	}
 	e.network.After(constants.LeaseTick, func() { e.tick(n, incarnation) })
 }
@@ -150,7 +150,7 @@
 		}
 	}
 	if accepted <= len(v.voters)/2 {
-		return // the machines that have accepted stay sealed until a later attempt
+		return // the electorate stays uncertain to the machines that have accepted, until a later attempt
 	}
 	to := next(v)
 	e.views = append(e.views, to)
@@ -211,7 +211,7 @@
 	case 0, 1: // the process ends and may lose its disk
 		wipe := network.Rng.IntN(3) == 0
 		if m.manager != nil && network.Rng.IntN(3) == 0 && !m.frozen {
-			e.put(n, m.manager.Resign(e.clock(n)))
+			e.sendAll(n, m.manager.Resign(e.clock(n)))
 		}
 		e.stop(n)
 		incarnation := m.incarnation
@@ -244,7 +244,7 @@
 		}
 	case 5:
 		if m.manager != nil && !m.frozen {
-			e.put(n, m.manager.Resign(e.clock(n)))
+			e.sendAll(n, m.manager.Resign(e.clock(n)))
 		}
 	case 6: // several views in quick succession
 		for i := range 1 + network.Rng.IntN(3)*network.Rng.IntN(2) {
--- a/internal/lease/incarnations_test.go
+++ b/internal/lease/incarnations_test.go
@@ -111,7 +111,7 @@
 }
 
 // TestStaleElectorateIsIgnored checks that a late report of an earlier electorate has no
-// effect: it neither unseals the machine nor restores the earlier voters.
+// effect: it neither ends the machine's uncertainty nor restores the earlier voters.
 func TestStaleElectorateIsIgnored(t *testing.T) {
 	manager := withPeers(New(0, 1, "a", []string{"x"}), []string{"a", "b", "c"})
 	manager.SetElectorate(0, 9, []string{"a", "d", "e"}, true)
@@ -122,7 +122,7 @@
 	}
 	manager.SetElectorate(now, 9, []string{"a", "d", "e"}, false) // a view with the same voters
 	if !sendRequest(manager, now, "d", Request{"x", 9, 2, false}) {
-		t.Error("unsealed, it does not grant")
+		t.Error("it does not grant although the electorate is certain again")
 	}
 }
 
--- a/internal/lease/lease.go
+++ b/internal/lease/lease.go
@@ -4,7 +4,7 @@
 // a holder has stopped before anyone else can start. A grantor that has just started grants
 // nothing until every lease it may have granted before the restart has expired. A holder that
 // restarts quickly may reclaim at once what the others still have granted to it, because the
-// incarnation that held it is gone.
+// incarnation that held it has ended.
 //
 // Why there are never two holders, however the electorate changes:
 //
@@ -16,16 +16,16 @@
 //     majority: apart from them and the holder, whose own vote grants nothing yet, too
 //     few machines remain for another majority.
 //   - A new electorate is decided by a view that a majority of the previous voters has
-//     accepted. A machine that has accepted a view with another electorate is sealed and
-//     grants nothing until it learns of a newer view, or has accepted another view in its
-//     place, which shows that the first was not decided. So any lease of the old
-//     electorate has a grantor that granted it before the decision, and it ends at most
-//     LeaseLength after the decision. Every grantor of the new electorate has learned of
-//     it after the decision and waits LeaseLength + LeaseMargin from then. The same holds
-//     step by step for a machine that skips views. A view with the same electorate does
-//     not interrupt granting.
+//     accepted. A machine that has accepted a view with another electorate grants nothing
+//     until it learns of a newer view, or has accepted another view in its place, which
+//     shows that the first was not decided. So any lease of the old electorate has a
+//     grantor that granted it before the decision, and it ends at most LeaseLength after
+//     the decision. Every grantor of the new electorate has learned of it after the
+//     decision and waits LeaseLength + LeaseMargin from then. The same holds step by step
+//     for a machine that skips views. A view with the same electorate does not interrupt
+//     granting.
 //   - Electorates are identified by number, and messages of another electorate are
-//     dropped. The machines that slept through a change are together a minority of the
+//     dropped. The machines that have missed a change are together a minority of the
 //     old electorate.
 //
 // SetElectorate lists what its caller has to guarantee for this to hold.
@@ -88,8 +88,8 @@
 // half of a nonce identifies the incarnation, the lower half is a counter.
 func sameIncarnation(a, b uint64) bool { return a>>32 == b>>32 }
 
-// round is one round of requests. Several may be in flight, since answers can take longer
-// than the renewal interval.
+// round is a set of requests with one nonce, one to each voter. Several rounds may be in
+// flight, since answers can take longer than the renewal interval.
 type round struct {
 	nonce       uint64
 	reclaim     bool
@@ -101,8 +101,8 @@
 type claim struct {
 	nonce         uint64        // of the latest request; 0: no request is valid
 	rounds        []round       // in order of request
-	until         time.Duration // expiry by the holder's own measure; 0 if not held
-	since         time.Duration // start of the uninterrupted holding
+	until         time.Duration // expiry of the lease by this machine's measure; 0 if never held or released
+	since         time.Duration // start of the current uninterrupted hold
 	nextRequestAt time.Duration
 	notBefore     time.Duration // no claim before this time after a voluntary release
 	otherHeldAt   time.Duration // when another holder was last observed
@@ -114,7 +114,7 @@
 	self      string
 	epoch     uint64
 	peers     []string // the electorate; empty while it is not known
-	sealed    bool
+	uncertain bool     // a view with another electorate may have been decided: nothing is granted
 	duties    []string
 	startedAt time.Duration
 	grants    map[string]grant
@@ -122,7 +122,7 @@
 	nonce     uint64
 	outbox    []Send
 
-	Dropped uint64 // messages from or to a non-voter, of another electorate, or about no known duty
+	Dropped uint64 // messages from or to a non-voter, of another electorate, or about an unknown duty
 }
 
 // New returns a Manager without an electorate. All machines must list the same duties in the
@@ -137,25 +137,26 @@
 }
 
 // SetElectorate sets the machines whose majority grants leases, the number of the view that
-// established them, and whether this machine has accepted a view with another electorate. A
-// sealed machine grants nothing, and a majority is sealed before a new electorate is
-// decided. A machine that learns of a new electorate grants nothing until all grants of the
-// old one have expired. So majorities of two electorates never overlap in time.
+// established them, and whether this electorate is uncertain because the machine has accepted
+// a view with another one. While it is uncertain, the machine grants nothing, and a majority
+// has accepted a new electorate before it is decided. A machine that learns of a new
+// electorate grants nothing until all grants of the old one have expired. So majorities of
+// two electorates never overlap in time.
 //
 // The caller must guarantee that
 //
 //   - the number changes whenever the addresses do,
 //   - an acceptance is reported here before the message about it leaves the machine, and
 //     no older state is reported afterwards, and
-//   - a machine whose disk has lost what it accepted is reported as sealed until a view
-//     names its new disk.
+//   - on a machine whose disk has lost what it accepted, the electorate is reported as
+//     uncertain until a view lists the machine with its new disk.
 //
 // TestElectorateCallerObligations shows what happens otherwise.
-func (manager *Manager) SetElectorate(now time.Duration, epoch uint64, peers []string, sealed bool) {
+func (manager *Manager) SetElectorate(now time.Duration, epoch uint64, peers []string, uncertain bool) {
 	if epoch < manager.epoch {
 		return // stale report
 	}
-	manager.sealed = sealed
+	manager.uncertain = uncertain
 	if epoch == manager.epoch {
 		return
 	}
@@ -307,7 +308,7 @@
 		manager.Dropped++
 		return
 	}
-	if manager.sealed {
+	if manager.uncertain {
 		return
 	}
 	g := manager.grants[m.Duty]
--- a/internal/lease/lease_test.go
+++ b/internal/lease/lease_test.go
@@ -24,23 +24,23 @@
 		rate := map[string]float64{} // of a machine's monotonic clock, relative to true time
 		startedAt := map[string]time.Duration{}
 		clock := func(n string) time.Duration { return time.Duration(float64(network.Now-startedAt[n]) * rate[n]) }
-		var put func(n string, out []Send)
-		put = func(n string, out []Send) {
+		var sendAll func(n string, out []Send)
+		sendAll = func(n string, out []Send) {
 			for _, s := range out {
 				network.Send(n, s.To, func() {
 					if manager := managers[s.To]; manager != nil {
-						put(s.To, manager.Recv(clock(s.To), n, s.Msg))
+						sendAll(s.To, manager.Recv(clock(s.To), n, s.Msg))
 					}
 				})
 			}
 		}
-		var tick func(n string, l int)
-		tick = func(n string, l int) {
-			if incarnation[n] != l || managers[n] == nil {
+		var tick func(n string, started int)
+		tick = func(n string, started int) {
+			if incarnation[n] != started || managers[n] == nil {
 				return
 			}
-			put(n, managers[n].Tick(clock(n)))
-			network.After(constants.LeaseTick, func() { tick(n, l) })
+			sendAll(n, managers[n].Tick(clock(n)))
+			network.After(constants.LeaseTick, func() { tick(n, started) })
 		}
 		start := func(n string) {
 			incarnation[n]++
@@ -74,7 +74,7 @@
 				network.After(duration, func() { network.Cut(n, o, false) })
 			case 2:
 				if managers[n] != nil {
-					put(n, managers[n].Resign(clock(n)))
+					sendAll(n, managers[n].Resign(clock(n)))
 				}
 			}
 			network.After(time.Duration(network.Rng.IntN(2000))*time.Millisecond, injectFault)
@@ -156,11 +156,11 @@
 	managers map[string]*Manager
 }
 
-func (c *cluster) put(n string, out []Send) {
+func (c *cluster) sendAll(n string, out []Send) {
 	for _, s := range out {
 		c.network.Send(n, s.To, func() {
 			if manager := c.managers[s.To]; manager != nil {
-				c.put(s.To, manager.Recv(c.network.Now, n, s.Msg))
+				c.sendAll(s.To, manager.Recv(c.network.Now, n, s.Msg))
 			}
 		})
 	}
@@ -171,7 +171,7 @@
 	for _, n := range names {
 		if c.managers[n] != nil {
 			before(n)
-			c.put(n, c.managers[n].Tick(c.network.Now))
+			c.sendAll(n, c.managers[n].Tick(c.network.Now))
 		}
 	}
 	c.network.After(constants.LeaseTick, func() { c.run(names, before) })
@@ -189,8 +189,8 @@
 }
 
 // TestElectorateGrows enlarges the electorate in seeded simulations in the way that views do: a
-// majority of the old electorate is sealed before the new one is decided, and machines learn
-// of it at different times, some of them long after. There are never two holders, and in the
+// majority of the old electorate has accepted the new one before it is decided, and machines
+// learn of it at different times, some of them long after. There are never two holders, and in the
 // end there is one.
 func TestElectorateGrows(t *testing.T) {
 	for seed := uint64(1); seed <= 150; seed++ {
@@ -203,13 +203,13 @@
 		peers := all[:3]
 		known := map[string]uint64{}
 		lists := map[uint64][]string{1: peers}
-		sealed := map[string]bool{}
+		accepted := map[string]bool{}
 		for _, n := range all {
 			managers[n] = New(0, network.Rng.Uint64(), n, []string{"x"})
 			known[n] = 1
 		}
 		c := &cluster{network, managers}
-		c.run(all, func(n string) { managers[n].SetElectorate(network.Now, known[n], lists[known[n]], sealed[n]) })
+		c.run(all, func(n string) { managers[n].SetElectorate(network.Now, known[n], lists[known[n]], accepted[n]) })
 		var growElectorate func()
 		growElectorate = func() {
 			if len(peers) == len(all) {
@@ -222,7 +222,7 @@
 					network.After(time.Second, growElectorate)
 					return
 				}
-				sealed[n] = true
+				accepted[n] = true
 				managers[n].SetElectorate(network.Now, known[n], lists[known[n]], true)
 			}
 			epoch++
@@ -232,7 +232,7 @@
 				e := epoch
 				network.After(time.Duration(network.Rng.IntN([]int{60, 600, 6000}[seed/3%3]))*time.Millisecond, func() {
 					if known[n] < e {
-						known[n], sealed[n] = e, false
+						known[n], accepted[n] = e, false
 					}
 				})
 			}
