--- a/internal/admission/limiter_test.go
+++ b/internal/admission/limiter_test.go
@@ -315,7 +315,7 @@
 }
 
 // A lowered quota applies at once, also to leases granted under the old one. A proxy that
-// hears nothing from the control plane for too long gives up its share.
+// receives nothing from the control plane for too long gives up its share.
 func TestLoweredQuotaAndControlPlaneSilence(t *testing.T) {
 	l := New(20, 3, 1)
 	l.SetProxies(0, 2)
--- a/internal/admission/messages.go
+++ b/internal/admission/messages.go
@@ -31,7 +31,7 @@
 	TrackerTime struct {
 		Life  uint64
 		At    time.Duration
-		Begun uint64 // number of shard takeovers in this incarnation
+		Begun uint64 // number of shards taken over in this incarnation
 	}
 )
 
--- a/internal/admission/pool.go
+++ b/internal/admission/pool.go
@@ -97,8 +97,8 @@
 }
 
 // poolFor returns a key's pool. A new pool counts as filling since fillFrom, because nobody
-// else has granted anything since. begun is when this tracker took the shard over.
-func (t *Tracker) poolFor(key string, q Quota, begun, fillFrom, now time.Duration) *pool {
+// else has granted anything since. takenOverAt is when this tracker took over the shard.
+func (t *Tracker) poolFor(key string, q Quota, takenOverAt, fillFrom, now time.Duration) *pool {
 	if p := t.pools[key]; p != nil {
 		return p
 	}
@@ -111,7 +111,7 @@
 	}
 	p.bucket.filledAt = min(now, fillFrom)
 	p.bucket.rate, p.bucket.depth = p.tracked()
-	p.recoveryUntil = begun + constants.GrantLong
+	p.recoveryUntil = takenOverAt + constants.GrantLong
 	t.pools[key] = p
 	return p
 }
--- a/internal/admission/tracker.go
+++ b/internal/admission/tracker.go
@@ -86,13 +86,13 @@
 	answer.Retell = late
 	for _, want := range request.Wants {
 		shard := Shard(want.Key, t.shards)
-		begun, ok := since(shard)
+		takenOverAt, ok := since(shard)
 		if !ok {
 			answer.Refused = true
 			continue
 		}
-		if t.shardSince[shard] != begun {
-			t.shardSince[shard] = begun
+		if t.shardSince[shard] != takenOverAt {
+			t.shardSince[shard] = takenOverAt
 			t.takeovers++
 			for k := range t.pools {
 				if Shard(k, t.shards) == shard {
@@ -103,12 +103,12 @@
 		q, limited := t.quotas[want.Key]
 		limited = limited && q.Rate > 0
 		delay := t.takeoverDelay(now, want, q, limited)
-		if now-begun < delay {
-			answer.Given = append(answer.Given, KeyGrant{Key: want.Key, Keep: true, Dry: delay - (now - begun), Lent: want.Lend})
+		if now-takenOverAt < delay {
+			answer.Given = append(answer.Given, KeyGrant{Key: want.Key, Keep: true, Dry: delay - (now - takenOverAt), Lent: want.Lend})
 			continue
 		}
 		if limited {
-			p := t.poolFor(want.Key, q, begun, max(begun+delay, t.quotaSince[want.Key]), now)
+			p := t.poolFor(want.Key, q, takenOverAt, max(takenOverAt+delay, t.quotaSince[want.Key]), now)
 			answer.Given = append(answer.Given, t.handleKeyRequest(now, p, request, want, late))
 		}
 	}
--- a/internal/counter/compaction_test.go
+++ b/internal/counter/compaction_test.go
@@ -32,9 +32,9 @@
 	send Send
 }
 
-// compactionWorld is a group of three replicas around one compaction, in which every step is
+// compactionCluster is a group of three replicas around one compaction, in which every step is
 // a choice of the test.
-type compactionWorld struct {
+type compactionCluster struct {
 	names     []string
 	groups    map[string]*Group[string, Count]
 	stores    map[string]mapStore
@@ -46,18 +46,18 @@
 	failure   string
 }
 
-// compactionTotal is the sum of what the incarnations of a compactionWorld have counted.
+// compactionTotal is the sum of what the incarnations of a compactionCluster have counted.
 const compactionTotal = 5
 
-// newCompactionWorld returns a world in which a majority holds two incarnations, one of them
+// newCompactionCluster returns a group in which a majority holds two incarnations, one of them
 // ended, and a compaction is due.
-func newCompactionWorld() *compactionWorld {
-	w := &compactionWorld{names: []string{"a", "b", "c"}, groups: map[string]*Group[string, Count]{}, stores: map[string]mapStore{}, leader: "a"}
-	for _, name := range w.names {
-		w.stores[name] = mapStore{}
-		w.start(name, true)
+func newCompactionCluster() *compactionCluster {
+	c := &compactionCluster{names: []string{"a", "b", "c"}, groups: map[string]*Group[string, Count]{}, stores: map[string]mapStore{}, leader: "a"}
+	for _, name := range c.names {
+		c.stores[name] = mapStore{}
+		c.start(name, true)
 	}
-	w.settle(4)
+	c.settle(4)
 	ended := NewWriter[string, Count]("p", 1)
 	ended.Update("x", func(c *Count) { *c = 2 })
 	ended.Close()
@@ -65,91 +65,91 @@
 	open.Update("x", func(c *Count) { *c = 3 })
 	for _, writer := range []*Writer[string, Count]{ended, open} {
 		delta, _ := writer.Pending()
-		w.groups["a"].Report(delta)
+		c.groups["a"].Report(delta)
 	}
-	w.settle(2)
-	w.now += testOptions.CompactionInterval
-	w.tick()
-	return w
+	c.settle(2)
+	c.now += testOptions.CompactionInterval
+	c.tick()
+	return c
 }
 
-func (w *compactionWorld) start(name string, founding bool) {
-	w.starts++
-	w.groups[name] = NewGroup[string, Count](0, name, testOptions, w.stores[name], founding, w.starts)
+func (c *compactionCluster) start(name string, founding bool) {
+	c.starts++
+	c.groups[name] = NewGroup[string, Count](0, name, testOptions, c.stores[name], founding, c.starts)
 }
 
-func (w *compactionWorld) put(from string, out []Send) {
+func (c *compactionCluster) sendAll(from string, out []Send) {
 	for _, send := range out {
-		w.messages = append(w.messages, inFlight{from, send})
+		c.messages = append(c.messages, inFlight{from, send})
 	}
 }
 
 // tick advances time until every machine has something to send again.
-func (w *compactionWorld) tick() {
-	w.now += testOptions.ResendTimeout
-	for _, name := range w.names {
-		w.put(name, w.groups[name].Tick(w.now, w.leader == name, w.names))
+func (c *compactionCluster) tick() {
+	c.now += testOptions.ResendTimeout
+	for _, name := range c.names {
+		c.sendAll(name, c.groups[name].Tick(c.now, c.leader == name, c.names))
 	}
-	w.check()
+	c.check()
 }
 
 // deliver delivers a message. With keep set, the message will be delivered once more.
-func (w *compactionWorld) deliver(i int, keep bool) {
-	message := w.messages[i]
+func (c *compactionCluster) deliver(i int, keep bool) {
+	message := c.messages[i]
 	if !keep {
-		w.messages = append(w.messages[:i:i], w.messages[i+1:]...)
+		c.messages = append(c.messages[:i:i], c.messages[i+1:]...)
 	}
 	to := message.send.To
-	w.put(to, w.groups[to].Receive(message.from, message.send.Message))
-	w.check()
+	c.sendAll(to, c.groups[to].Receive(message.from, message.send.Message))
+	c.check()
 }
 
 // check verifies that the total published by the leader neither exceeds the true one nor
 // falls below an earlier one.
-func (w *compactionWorld) check() {
-	totals, _, ok := w.groups[w.leader].Totals(w.now)
+func (c *compactionCluster) check() {
+	totals, _, ok := c.groups[c.leader].Totals(c.now)
 	if !ok {
 		return
 	}
-	if totals["x"] < w.published || totals["x"] > compactionTotal {
-		w.failure = fmt.Sprintf("total is %d after %d at %s", totals["x"], w.published, w.leader)
+	if totals["x"] < c.published || totals["x"] > compactionTotal {
+		c.failure = fmt.Sprintf("total is %d after %d at %s", totals["x"], c.published, c.leader)
 	}
-	w.published = max(w.published, totals["x"])
+	c.published = max(c.published, totals["x"])
 }
 
 // settle runs a number of ticks and delivers all messages in order.
-func (w *compactionWorld) settle(ticks int) {
+func (c *compactionCluster) settle(ticks int) {
 	for range ticks {
-		w.tick()
-		for len(w.messages) > 0 {
-			w.deliver(0, false)
+		c.tick()
+		for len(c.messages) > 0 {
+			c.deliver(0, false)
 		}
 	}
 }
 
 // step performs one of the steps that are possible now.
-func (w *compactionWorld) step(choice int) {
-	deliverable := min(len(w.messages), 3)
+func (c *compactionCluster) step(choice int) {
+	deliverable := min(len(c.messages), 3)
 	switch {
 	case choice < deliverable:
-		w.deliver(choice, false)
+		c.deliver(choice, false)
 	case choice == deliverable:
-		w.tick()
+		c.tick()
 	case choice < deliverable+3: // a machine restarts from its disk; undelivered messages are lost
-		name := w.names[choice-deliverable-1]
-		w.start(name, false)
-		w.messages = nil
+		name := c.names[choice-deliverable-1]
+		c.start(name, false)
+		c.messages = nil
 	case choice == deliverable+3: // the lease moves to the next machine
-		w.leader = map[string]string{"a": "b", "b": "c", "c": "a"}[w.leader]
-		w.tick()
+		c.leader = map[string]string{"a": "b", "b": "c", "c": "a"}[c.leader]
+		c.tick()
 	default:
-		w.deliver(0, true)
+		c.deliver(0, true)
 	}
 }
 
 // options returns the number of steps that are possible now.
-func (w *compactionWorld) options() int {
-	deliverable := min(len(w.messages), 3)
+func (c *compactionCluster) options() int {
+	deliverable := min(len(c.messages), 3)
 	if deliverable == 0 {
 		return 4
 	}
@@ -164,18 +164,18 @@
 	choices, limits := make([]int, depth), make([]int, depth)
 	schedules := 0
 	for {
-		w := newCompactionWorld()
+		c := newCompactionCluster()
 		for i := range depth {
-			limits[i] = w.options()
-			w.step(choices[i])
+			limits[i] = c.options()
+			c.step(choices[i])
 		}
-		w.messages = nil
-		w.now += testOptions.CompactionInterval
-		w.settle(12)
-		if schedules++; w.failure != "" || w.published != compactionTotal {
-			t.Fatalf("schedule %v: %s, published %d in the end", choices, w.failure, w.published)
+		c.messages = nil
+		c.now += testOptions.CompactionInterval
+		c.settle(12)
+		if schedules++; c.failure != "" || c.published != compactionTotal {
+			t.Fatalf("schedule %v: %s, published %d in the end", choices, c.failure, c.published)
 		}
-		if _, folded := w.groups[w.leader].IncarnationCounts(); folded != 1 {
+		if _, folded := c.groups[c.leader].IncarnationCounts(); folded != 1 {
 			t.Fatalf("schedule %v: %d incarnations are folded, want 1", choices, folded)
 		}
 		i := depth - 1
--- a/internal/counter/group.go
+++ b/internal/counter/group.go
@@ -173,7 +173,7 @@
 	return g.leader.totals, now - g.leader.totalsAt, true
 }
 
-// IncarnationCounts returns the number of incarnations outside and inside the agreed base.
+// IncarnationCounts returns the numbers of incarnations outside and inside the agreed base.
 func (g *Group[K, V]) IncarnationCounts() (open, folded int) {
 	return len(g.replica.Incarnations), len(g.replica.Base.Folded)
 }
--- a/internal/counter/group_test.go
+++ b/internal/counter/group_test.go
@@ -78,12 +78,12 @@
 	}
 	s.After(s.tickInterval, func() { s.tick(m, incarnation) })
 	if s.Now >= m.frozenUntil {
-		s.put(m.name, m.group.Tick(s.Now, s.leader == m.name, s.names))
+		s.sendAll(m.name, m.group.Tick(s.Now, s.leader == m.name, s.names))
 		s.observe(m)
 	}
 }
 
-func (s *simulation) put(from string, out []Send) {
+func (s *simulation) sendAll(from string, out []Send) {
 	for _, send := range out {
 		copies := 1 + s.Rng.IntN(5)/4
 		for range copies {
@@ -102,7 +102,7 @@
 		return
 	}
 	s.deliveredCount++
-	s.put(send.To, m.group.Receive(from, send.Message))
+	s.sendAll(send.To, m.group.Receive(from, send.Message))
 	s.observe(m)
 	if s.onMessage != nil {
 		s.onMessage(send.Message)
--- a/internal/counter/replica.go
+++ b/internal/counter/replica.go
@@ -7,7 +7,7 @@
 )
 
 // Ballot orders the leaders of a replica group; the zero ballot is the lowest. Start
-// distinguishes a machine that has lost its disk from its earlier self.
+// distinguishes the ballots of a machine that has lost its disk from its earlier ones.
 type Ballot struct {
 	Counter uint64
 	Machine string
