--- a/internal/controlplane/chain/messages.go
+++ b/internal/controlplane/chain/messages.go
@@ -12,7 +12,7 @@
 		Me              Member
 		View            View
 		Joined, Sealed  bool
-		Sick            bool
+		Sick            bool // the disk refuses writes
 		Zone, Region    string
 		Relay           bool     // neither votes nor joins views: it has no disk, or does not count as a control machine
 		Original        bool     // started with the founders without being one, and no view has included it yet
@@ -123,7 +123,7 @@
 	// Watermark covers the evacuation orders that a head had received at some time: their
 	// number, the view, and the run of the head's process.
 	Watermark struct{ View, Life, Received uint64 }
-	// Confirm asks whether the receiver has not sealed a view.
+	// Confirm asks a voter to confirm that it has not sealed a view.
 	Confirm struct{ View, Nonce uint64 }
 	// Confirmed answers a Confirm: the sender has not sealed the view.
 	Confirmed struct {
--- a/internal/controlplane/duties.go
+++ b/internal/controlplane/duties.go
@@ -33,10 +33,11 @@
 	cancel    context.CancelFunc // cancels the latest call
 	callID    uint64             // ID of the latest call
 	heldSince time.Duration      // start of the current uninterrupted hold
-	// split divides an act into several calls, keyed by subject; nil sends it as one call.
-	// Calls that the platform has accepted under the current fence are not repeated.
+	// split divides the body of a decided call into parts, keyed by subject, each of which is
+	// posted on its own; nil posts the whole body. Parts that the platform has accepted under
+	// the current fence are not repeated.
 	split         func(body []byte) map[string][]byte
-	sendMu        sync.Mutex // serializes acts, since a canceled call may still be returning; guards the fields below
+	sendMu        sync.Mutex // serializes calls, since a canceled one may still be returning; guards the fields below
 	accepted      map[string]string
 	acceptedFence uint64
 }
@@ -135,23 +136,23 @@
 	}
 }
 
-// perform sends a decided act to the platform, in one or more calls. It returns the status of
-// the last call, 0 if there was no response.
-func (d *Daemon) perform(ctx context.Context, runner *dutyRunner, act duty.Call) int {
+// perform makes a decided call to the platform, in one or more requests. It returns the status
+// of the last request, 0 if there was no response.
+func (d *Daemon) perform(ctx context.Context, runner *dutyRunner, call duty.Call) int {
 	if runner.split == nil {
-		return d.post(ctx, runner, act.Fence, act.Body)
+		return d.post(ctx, runner, call.Fence, call.Body)
 	}
 	runner.sendMu.Lock()
 	defer runner.sendMu.Unlock()
-	if runner.acceptedFence != act.Fence {
-		runner.acceptedFence, runner.accepted = act.Fence, map[string]string{}
+	if runner.acceptedFence != call.Fence {
+		runner.acceptedFence, runner.accepted = call.Fence, map[string]string{}
 	}
-	parts := runner.split(act.Body)
+	parts := runner.split(call.Body)
 	for _, subject := range slices.Sorted(maps.Keys(parts)) {
 		if runner.accepted[subject] == string(parts[subject]) {
 			continue
 		}
-		if status := d.post(ctx, runner, act.Fence, parts[subject]); status != http.StatusOK {
+		if status := d.post(ctx, runner, call.Fence, parts[subject]); status != http.StatusOK {
 			return status
 		}
 		runner.accepted[subject] = string(parts[subject])
@@ -160,7 +161,7 @@
 	return http.StatusOK
 }
 
-// post makes one call to the platform and returns the status, 0 if there was no response.
+// post makes one request to the platform and returns the status, 0 if there was no response.
 func (d *Daemon) post(ctx context.Context, runner *dutyRunner, fence uint64, body []byte) int {
 	req, err := http.NewRequestWithContext(ctx, http.MethodPost, "http://"+d.settings.CloudAPI.Address+runner.path, bytes.NewReader(body))
 	if err != nil {
@@ -300,8 +301,8 @@
 	Holder     string
 	Mine       bool
 	Held       time.Duration // how long this machine has held the duty without interruption
-	Decided    uint64        // key of the last decided act; for usage, the window
-	Backlog    bool          // the last decided act is not known to be accepted
+	Decided    uint64        // key of the last decided call; for usage, the window
+	Backlog    bool          // the last decided call is not known to be accepted
 	Accepted   uint64        // counted since this process started, as are Refused and Failed
 	Refused    uint64
 	Failed     uint64
--- a/internal/lease/lease.go
+++ b/internal/lease/lease.go
@@ -367,17 +367,17 @@
 	switch {
 	case i < 0: // superseded
 	case m.OK:
-		manager.granted(now, from, c, c.rounds[i])
+		manager.recordGrant(now, from, c, c.rounds[i])
 	case m.Nonce == c.nonce:
-		manager.denied(now, c, m)
+		manager.handleRefusal(now, c, m)
 	}
 }
 
-// denied processes a refusal of the latest Request. Another machine holds the duty or is
+// handleRefusal processes a refusal of the latest Request. Another machine holds the duty or is
 // about to. What was granted so far is released, and the next attempt is delayed by a time
 // specific to this machine, since otherwise claims that split the votes could split them
 // forever.
-func (manager *Manager) denied(now time.Duration, c *claim, m Grant) {
+func (manager *Manager) handleRefusal(now time.Duration, c *claim, m Grant) {
 	if m.Holder == "" || m.Holder == manager.self {
 		return
 	}
@@ -392,10 +392,10 @@
 	c.nonce, c.rounds = 0, nil
 }
 
-// granted counts a grant; with enough of them this machine holds the duty. To reclaim, grants
+// recordGrant counts a grant; with enough of them this machine holds the duty. To reclaim, grants
 // from half of all machines are enough, its own not included: this machine has lost its own
 // grant in the restart, and too few others remain for anyone else's majority.
-func (manager *Manager) granted(now time.Duration, from string, c *claim, r round) {
+func (manager *Manager) recordGrant(now time.Duration, from string, c *claim, r round) {
 	r.granted[from] = true
 	needed := len(manager.peers)/2 + 1
 	if r.reclaim {
