--- a/internal/controlplane/chain/messages.go
+++ b/internal/controlplane/chain/messages.go
@@ -12,13 +12,13 @@
 		Me              Member
 		View            View
 		Joined, Sealed  bool
-		Sick            bool
+		Sick            bool // the disk refuses writes
 		Zone, Region    string
 		Relay           bool     // neither votes nor joins views: it has no disk, or does not count as a control machine
 		Original        bool     // started with the founders without being one, and no view has included it yet
 		Leaving         bool     // a planned stop is in progress: the others form a view without it
 		Unheard         []string // control machines without two-way contact
-		Asks            bool     // requests a heartbeat in reply: a relay, or a machine that is no voter yet
+		Asks            bool     // requests a heartbeat in reply: a relay, or a machine that is not a voter yet
 		Committed, Held config.Revision
 		Version         uint64 // of the committed configuration
 		Wall            int64  // the sender's time of day in nanoseconds
@@ -123,7 +123,7 @@
 	// Watermark covers the evacuation orders that a head had received at some time: their
 	// number, the view, and the run of the head's process.
 	Watermark struct{ View, Life, Received uint64 }
-	// Confirm asks whether the receiver has not sealed a view.
+	// Confirm asks a voter to confirm that it has not sealed a view.
 	Confirm struct{ View, Nonce uint64 }
 	// Confirmed answers a Confirm: the sender has not sealed the view.
 	Confirmed struct {
