--- a/internal/membership/detector.go
+++ b/internal/membership/detector.go
@@ -20,6 +20,7 @@
 // state takes precedence.
 type State int
 
+// States of a member, in ascending order of precedence.
 const (
 	Alive State = iota
 	Suspect
@@ -52,6 +53,7 @@
 // Kind is the kind of a message.
 type Kind int
 
+// Kinds of messages.
 const (
 	Ping        Kind = iota // a probe
 	Ack                     // the answer to a probe
