--- a/internal/counter/incarnation.go
+++ b/internal/counter/incarnation.go
@@ -22,7 +22,7 @@
 // Errors for deltas that cannot be merged. A rejected delta changes nothing.
 var (
 	ErrGap        = errors.New("delta starts after the version held")
-	ErrAfterClose = errors.New("delta exceeds the final version of its incarnation")
+	ErrAfterClose = errors.New("delta goes beyond the final version of its life")
 	ErrMalformed  = errors.New("malformed delta")
 )
 
