--- a/internal/proxy/accounting.go
+++ b/internal/proxy/accounting.go
@@ -28,7 +28,7 @@
 	}
 	ack, ok := response.(accounts.ReportAck)
 	if !ok {
-		ack.Refused = "the node does not keep accounts"
+		ack.Refused = "accounts are not kept there"
 	}
 	return ack, nil
 }
