--- a/internal/proxy/accounting.go
+++ b/internal/proxy/accounting.go
@@ -14,8 +14,8 @@
 	if objectives == nil {
 		return
 	}
-	set := d.nodeSettings.Load()
-	d.accountsAgent = accounts.NewAgent(accounts.AgentOptions{Node: set.NodeName, Objectives: objectives, ControlNodes: set.SeedIPs(),
+	nodeSettings := d.nodeSettings.Load()
+	d.accountsAgent = accounts.NewAgent(accounts.AgentOptions{Node: nodeSettings.NodeName, Objectives: objectives, ControlNodes: nodeSettings.SeedIPs(),
 		SendReport: d.reportAccounts, RecordEvent: d.events.Record})
 	d.accounts = d.accountsAgent.Meter
 }
--- a/internal/proxy/attempts_test.go
+++ b/internal/proxy/attempts_test.go
@@ -56,7 +56,7 @@
 	}
 	for range 400 {
 		s.pool.mu.Lock()
-		s.pool.times["svc"] = &serviceLatency{responses: *uniformLatency(500 * time.Microsecond)} // so that hedges start at about the time responses arrive
+		s.pool.latencies["svc"] = &serviceLatency{responses: *uniformLatency(500 * time.Microsecond)} // so that hedges start at about the time responses arrive
 		s.pool.mu.Unlock()
 		if w := sendRequest(s, "GET", "/safe/", ""); w.Code != http.StatusOK {
 			t.Fatalf("got %d", w.Code)
--- a/internal/proxy/daemon.go
+++ b/internal/proxy/daemon.go
@@ -37,7 +37,7 @@
 	nodeSettings        atomic.Pointer[settings.Settings]
 	settingsPath        string
 	subscriber          *distribution.Subscriber
-	reader              config.Parser // used only by apply, whose calls are serialized
+	parser              config.Parser // used only by apply, whose calls are serialized
 	trackers            atomic.Pointer[[]string]
 	coldBounds          atomic.Pointer[map[string]ColdBound] // by service, from the configuration in force
 	ready               atomic.Bool
@@ -50,7 +50,7 @@
 	members             *membership.Agent
 	trackerEchoesMu     sync.Mutex
 	trackerEchoes       map[string]trackerEcho    // by tracker
-	trackerAnswerTimes  map[string]*latencyWindow // by tracker; under trackerEchoesMu
+	trackerLatencies    map[string]*latencyWindow // by tracker; under trackerEchoesMu
 	clock               *clock.Clock              // the fleet's agreed time, from control-plane updates
 	usageHolder         atomic.Pointer[string]
 	scalingHolder       atomic.Pointer[string]
@@ -60,7 +60,7 @@
 
 // NewDaemon creates a proxy process from its settings, which it reloads from path.
 func NewDaemon(nodeSettings *settings.Settings, path string, events *eventlog.Log) *Daemon {
-	d := &Daemon{settingsPath: path, trackerEchoes: map[string]trackerEcho{}, trackerAnswerTimes: map[string]*latencyWindow{}, source: discovery.NewSource(nodeSettings.CloudAPI.Address)}
+	d := &Daemon{settingsPath: path, trackerEchoes: map[string]trackerEcho{}, trackerLatencies: map[string]*latencyWindow{}, source: discovery.NewSource(nodeSettings.CloudAPI.Address)}
 	d.nodeSettings.Store(nodeSettings)
 	d.settingsFingerprint.Store(d.readSettingsFingerprint()) // only later changes cause a reload
 	bounds := nodeSettings.Bounds
@@ -133,7 +133,7 @@
 func (d *Daemon) apply(changes distribution.Changes) {
 	now := d.now()
 	if changes.Config != nil {
-		cfg, err := d.reader.Parse(changes.Config.Raw)
+		cfg, err := d.parser.Parse(changes.Config.Raw)
 		if err != nil {
 			d.events.Record("config_unreadable", err.Error()) // unexpected: the control plane validates configurations
 		} else {
--- a/internal/proxy/ejection.go
+++ b/internal/proxy/ejection.go
@@ -67,15 +67,15 @@
 		}
 		u.delayUpdatedAt = now
 	}
-	times := pool.serviceLatencyLocked(u.instance.Service)
+	latency := pool.serviceLatencyLocked(u.instance.Service)
 	if result != outcomeAtCapacity && result != outcomeUnused {
-		times.occupancy.observe(now, now.Sub(startedAt).Seconds())
+		latency.occupancy.observe(now, now.Sub(startedAt).Seconds())
 	}
 	switch result {
 	case outcomeServed:
 		u.consecutiveFailures = 0
 		u.responses++
-		times.observeResponse(now, responseTime)
+		latency.observeResponse(now, responseTime)
 		updateDelay(responseTime)
 	case outcomeServerError:
 		// Healthy upstreams rarely return server errors, so a single one is sufficient
--- a/internal/proxy/grants.go
+++ b/internal/proxy/grants.go
@@ -90,10 +90,10 @@
 	}
 	d.trackerEchoesMu.Lock()
 	defer d.trackerEchoesMu.Unlock()
-	if d.trackerAnswerTimes[tracker] == nil {
-		d.trackerAnswerTimes[tracker] = &latencyWindow{}
+	if d.trackerLatencies[tracker] == nil {
+		d.trackerLatencies[tracker] = &latencyWindow{}
 	}
-	d.trackerAnswerTimes[tracker].observe(time.Now(), (d.now() - sentAt).Seconds())
+	d.trackerLatencies[tracker].observe(time.Now(), (d.now() - sentAt).Seconds())
 	return grants, nil
 }
 
@@ -104,7 +104,7 @@
 	d.trackerEchoesMu.Lock()
 	defer d.trackerEchoesMu.Unlock()
 	estimate := defaultLatency
-	if latency := d.trackerAnswerTimes[tracker]; latency != nil {
+	if latency := d.trackerLatencies[tracker]; latency != nil {
 		estimate = latency.estimate()
 	}
 	return max(constants.TrackerBusy, estimate.slowThreshold())
--- a/internal/proxy/grants_test.go
+++ b/internal/proxy/grants_test.go
@@ -72,7 +72,7 @@
 	assertDuration(t, "with 30 ms", waited(30*time.Millisecond), 25*time.Millisecond, 70*time.Millisecond)
 	setUsual := func(took time.Duration) {
 		d.trackerEchoesMu.Lock()
-		d.trackerAnswerTimes[tracker] = uniformLatency(took)
+		d.trackerLatencies[tracker] = uniformLatency(took)
 		d.trackerEchoesMu.Unlock()
 	}
 	setUsual(2 * time.Millisecond)
--- a/internal/proxy/lag_test.go
+++ b/internal/proxy/lag_test.go
@@ -12,31 +12,31 @@
 func TestLagDetector(t *testing.T) {
 	const step = constants.StepEvery
 	began := time.Now()
-	m := &lagDetector{startedAt: began}
-	if !m.lagging(began.Add(step)) {
+	detector := &lagDetector{startedAt: began}
+	if !detector.lagging(began.Add(step)) {
 		t.Error("not lagging without a tick")
 	}
 	at := began.Add(10 * time.Second)
-	m.tick(at)
+	detector.tick(at)
 	for range 20 {
 		at = at.Add(step)
-		m.tick(at)
+		detector.tick(at)
 	}
-	if m.lagging(at.Add(step)) {
+	if detector.lagging(at.Add(step)) {
 		t.Error("lagging with regular ticks")
 	}
-	woken := at.Add(3 * time.Second)
-	if !m.lagging(woken) {
+	resumedAt := at.Add(3 * time.Second)
+	if !detector.lagging(resumedAt) {
 		t.Error("a suspension is not noticed before the next tick")
 	}
-	m.tick(woken)
-	if !m.lagging(woken.Add(step)) {
+	detector.tick(resumedAt)
+	if !detector.lagging(resumedAt.Add(step)) {
 		t.Error("a suspension is forgotten at the next tick")
 	}
-	for at = woken; at.Before(woken.Add(constants.LagMemory)); at = at.Add(step) {
-		m.tick(at)
+	for at = resumedAt; at.Before(resumedAt.Add(constants.LagMemory)); at = at.Add(step) {
+		detector.tick(at)
 	}
-	if m.lagging(at.Add(step)) {
+	if detector.lagging(at.Add(step)) {
 		t.Error("lagging forever")
 	}
 }
--- a/internal/proxy/latency.go
+++ b/internal/proxy/latency.go
@@ -106,10 +106,10 @@
 
 // serviceLatencyLocked returns the latencies of a service.
 func (pool *Pool) serviceLatencyLocked(service string) *serviceLatency {
-	latency := pool.times[service]
+	latency := pool.latencies[service]
 	if latency == nil {
 		latency = &serviceLatency{}
-		pool.times[service] = latency
+		pool.latencies[service] = latency
 	}
 	return latency
 }
--- a/internal/proxy/placement_test.go
+++ b/internal/proxy/placement_test.go
@@ -15,7 +15,7 @@
 	"slateridge/internal/discovery"
 )
 
-const placesConfig = `{"configVersion":"r2","resourceList":[
+const placementConfig = `{"configVersion":"r2","resourceList":[
 {"resourceKind":"routes","metadata":{"name":"home"},"spec":{"host":"h.example","pathPrefix":"/home/","routeType":"idempotent","timeout":"2s","targetLatency":"40ms","targetService":"svc","maxAttempts":3,"allowedRegions":["r","r2"]}},
 {"resourceKind":"routes","metadata":{"name":"any"},"spec":{"host":"h.example","pathPrefix":"/any/","routeType":"non_idempotent","timeout":"2s","targetLatency":"40ms","targetService":"svc","maxAttempts":3,"allowedRegions":[]}},
 {"resourceKind":"services","metadata":{"name":"svc"},"spec":{"maxConnections":100,"warmup":"3s","warmupPerS":5.2}},
@@ -29,7 +29,7 @@
 // not reach an evacuated zone or a cold upstream. If no upstream is allowed, the response is
 // 503.
 func TestPlacementRestrictions(t *testing.T) {
-	cfg, err := config.Parse([]byte(placesConfig))
+	cfg, err := config.Parse([]byte(placementConfig))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -192,7 +192,7 @@
 	for name, change := range map[string]func(*Proxy){
 		"evacuated": func(s *Proxy) { s.pool.SetEvacuatedZones(time.Now(), []string{"z"}) },
 		"forbidden": func(s *Proxy) {
-			cfg, err := config.Parse([]byte(strings.Replace(strings.Replace(placesConfig, `"r2"`, `"r3"`, 1), `"allowedRegions":[]`, `"allowedRegions":["r2"]`, 1)))
+			cfg, err := config.Parse([]byte(strings.Replace(strings.Replace(placementConfig, `"r2"`, `"r3"`, 1), `"allowedRegions":[]`, `"allowedRegions":["r2"]`, 1)))
 			if err != nil {
 				t.Fatal(err)
 			}
@@ -200,7 +200,7 @@
 		},
 	} {
 		s := newProxy(t, u.instance("i-1"))
-		cfg, _ := config.Parse([]byte(placesConfig))
+		cfg, _ := config.Parse([]byte(placementConfig))
 		s.config.Store(cfg)
 		r, _ := http.NewRequest("POST", "/any/", nil)
 		r.RequestURI, r.Host = "/any/", "h.example"
--- a/internal/proxy/pool.go
+++ b/internal/proxy/pool.go
@@ -24,10 +24,10 @@
 	coldBound        func(service string) ColdBound
 	proxyCount       int // number of live proxies; 0 while unknown
 	proxyID          string
-	times            map[string]*serviceLatency // by service
+	latencies        map[string]*serviceLatency // by service
 	waiting          map[string][]*waiter       // by service, most urgent first
 	waiterSeq        uint64                     // sequence number of the latest waiter, which keeps equal waiters in arrival order
-	wakeAt           map[string]time.Time       // by service: when the waiters are next scheduled to be reconsidered
+	nextQueueCheck   map[string]time.Time       // by service: when the waiters are next scheduled to be reconsidered
 	shutdownAt       time.Time                  // when this process exits; zero while no exit is planned
 	connCap          func(service string) int   // this proxy's share of the connections to one upstream
 	connectTime      [3]latencyWindow           // of new connections, by Upstream.distance; measures one round trip
@@ -57,19 +57,19 @@
 // region of each zone.
 func NewPool(proxyID, zone string, regions map[string]string, connCap func(string) int, coldBound func(string) ColdBound) *Pool {
 	return &Pool{
-		proxyID:       proxyID,
-		zone:          zone,
-		regions:       regions,
-		coldBound:     coldBound,
-		connCap:       connCap,
-		upstreams:     map[string]*Upstream{},
-		byService:     map[string][]*Upstream{},
-		candidateSets: map[target]*candidateSet{},
-		evacuated:     map[string]bool{},
-		waiting:       map[string][]*waiter{},
-		times:         map[string]*serviceLatency{},
-		wakeAt:        map[string]time.Time{},
-		dialer:        net.Dialer{Timeout: constants.ConnectTimeout, KeepAlive: -1},
+		proxyID:        proxyID,
+		zone:           zone,
+		regions:        regions,
+		coldBound:      coldBound,
+		connCap:        connCap,
+		upstreams:      map[string]*Upstream{},
+		byService:      map[string][]*Upstream{},
+		candidateSets:  map[target]*candidateSet{},
+		evacuated:      map[string]bool{},
+		waiting:        map[string][]*waiter{},
+		latencies:      map[string]*serviceLatency{},
+		nextQueueCheck: map[string]time.Time{},
+		dialer:         net.Dialer{Timeout: constants.ConnectTimeout, KeepAlive: -1},
 	}
 }
 
--- a/internal/proxy/proxy.go
+++ b/internal/proxy/proxy.go
@@ -69,7 +69,7 @@
 	countOverQuota
 	countNoCapacity
 	countFailed
-	countKeyUnsure
+	countKeyUnconfirmed
 	countClientLeft
 )
 
@@ -176,7 +176,7 @@
 func (s *Proxy) admit(w http.ResponseWriter, p *exchange) bool {
 	if s.keyTrustPeriod > 0 && p.arrived.Sub(s.readIndexAt()) > s.keyTrustPeriod {
 		// The key may have been revoked without this proxy having learned of it.
-		s.outcomeCounts[countKeyUnsure].Add(1)
+		s.outcomeCounts[countKeyUnconfirmed].Add(1)
 		s.refuse(w, p.request, http.StatusServiceUnavailable, configRetryAfter(p.arrived, p.request))
 		return false
 	}
--- a/internal/proxy/proxy_test.go
+++ b/internal/proxy/proxy_test.go
@@ -348,9 +348,9 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	g := newFrontend(l, s, func() config.Limits { return config.Limits{} }, time.Second)
+	frontend := newFrontend(l, s, func() config.Limits { return config.Limits{} }, time.Second)
 	served := make(chan struct{})
-	go func() { g.serve(); close(served) }()
+	go func() { frontend.serve(); close(served) }()
 	got := make(chan string, 1)
 	go func() {
 		r, _ := http.NewRequest("GET", "http://"+l.Addr().String()+"/open/", nil)
@@ -366,7 +366,7 @@
 	}()
 	<-started
 	drained := make(chan struct{})
-	go func() { g.drain(context.Background()); close(drained) }()
+	go func() { frontend.drain(context.Background()); close(drained) }()
 	for { // the listener is closed
 		c, err := net.Dial("tcp4", l.Addr().String())
 		if err != nil {
@@ -384,7 +384,7 @@
 		t.Fatalf("client got %q", b)
 	}
 	<-drained
-	g.close()
+	frontend.close()
 	<-served
 }
 
@@ -454,14 +454,14 @@
 // connection: it does not prove that this request was not executed. On a new connection there is
 // no earlier request.
 func TestUnverifiedRefusalIsNotTrusted(t *testing.T) {
-	const shed = "HTTP/1.1 503 Full\r\nX-Slateridge-Not-Executed: 1\r\nContent-Length: 0\r\n\r\n"
+	const rejection = "HTTP/1.1 503 Full\r\nX-Slateridge-Not-Executed: 1\r\nContent-Length: 0\r\n\r\n"
 	u := newRawUpstream(t, func(n int, r *http.Request) (string, bool) {
 		if n == 1 {
 			return okResponse(r, "b"), false
 		}
-		return shed, false
+		return rejection, false
 	})
-	other := newRawUpstream(t, func(_ int, _ *http.Request) (string, bool) { return shed, false })
+	other := newRawUpstream(t, func(_ int, _ *http.Request) (string, bool) { return rejection, false })
 	s := newProxy(t, u.instance("i-1"))
 	sendRequest(s, "POST", "/once/", "")
 	s.pool.Apply(time.Now(), []discovery.Instance{u.instance("i-1"), other.instance("i-2")})
--- a/internal/proxy/queue.go
+++ b/internal/proxy/queue.go
@@ -170,16 +170,16 @@
 			next = u.ejectedUntil
 		}
 	}
-	planned, isPlanned := pool.wakeAt[service]
+	planned, isPlanned := pool.nextQueueCheck[service]
 	if next.IsZero() || isPlanned && !next.Before(planned) {
 		return
 	}
-	pool.wakeAt[service] = next
+	pool.nextQueueCheck[service] = next
 	time.AfterFunc(next.Sub(now), func() {
 		pool.mu.Lock()
 		defer pool.mu.Unlock()
-		if pool.wakeAt[service].Equal(next) {
-			delete(pool.wakeAt, service)
+		if pool.nextQueueCheck[service].Equal(next) {
+			delete(pool.nextQueueCheck, service)
 		}
 		pool.serveQueueLocked(service)
 	})
--- a/internal/proxy/reconfiguration_test.go
+++ b/internal/proxy/reconfiguration_test.go
@@ -35,11 +35,11 @@
 	if err := os.WriteFile(path, raw, 0o644); err != nil {
 		t.Fatal(err)
 	}
-	set, err := settings.Load(path, "frontend", "readiness")
+	nodeSettings, err := settings.Load(path, "frontend", "readiness")
 	if err != nil {
 		t.Fatal(err)
 	}
-	d = NewDaemon(set, path, eventlog.New(zerolog.Nop()))
+	d = NewDaemon(nodeSettings, path, eventlog.New(zerolog.Nop()))
 	l, err := net.Listen("tcp4", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
--- a/internal/proxy/reload.go
+++ b/internal/proxy/reload.go
@@ -25,12 +25,12 @@
 
 // Reload reads the settings file again. An invalid file leaves the current settings in place.
 func (d *Daemon) Reload() {
-	set, err := settings.Load(d.settingsPath, "frontend", "readiness")
+	nodeSettings, err := settings.Load(d.settingsPath, "frontend", "readiness")
 	if err != nil {
 		d.events.Record("settings_refused", err.Error())
 		return
 	}
-	d.nodeSettings.Store(set)
-	d.subscriber.AddPeers(set.SeedIPs())
+	d.nodeSettings.Store(nodeSettings)
+	d.subscriber.AddPeers(nodeSettings.SeedIPs())
 	d.events.Record("settings", "read again")
 }
--- a/internal/proxy/timing_test.go
+++ b/internal/proxy/timing_test.go
@@ -16,17 +16,17 @@
 	"slateridge/internal/discovery"
 )
 
-// sameTimeConfig has routes to one service that differ only in settings that must not affect
+// equalTimingConfig has routes to one service that differ only in settings that must not affect
 // timing.
-const sameTimeConfig = `{"configVersion":"r9","resourceList":[
+const equalTimingConfig = `{"configVersion":"r9","resourceList":[
 {"resourceKind":"routes","metadata":{"name":"a"},"spec":{"host":"h.example","pathPrefix":"/a/","routeType":"idempotent","timeout":"5s","targetLatency":"100ms","priority":1,"targetService":"svc","maxAttempts":3}},
 {"resourceKind":"routes","metadata":{"name":"b"},"spec":{"host":"h.example","pathPrefix":"/b/","routeType":"idempotent","timeout":"5s","targetLatency":"2s","priority":1,"targetService":"svc","maxAttempts":3}},
 {"resourceKind":"routes","metadata":{"name":"c"},"spec":{"host":"h.example","pathPrefix":"/c/","routeType":"idempotent","timeout":"5s","priority":1,"targetService":"svc","maxAttempts":3}},
 {"resourceKind":"routes","metadata":{"name":"once"},"spec":{"host":"h.example","pathPrefix":"/once/","routeType":"non_idempotent","timeout":"5s","targetLatency":"100ms","priority":1,"targetService":"svc","maxAttempts":3}},
 {"resourceKind":"services","metadata":{"name":"svc"},"spec":{"maxConnections":100}}]}`
 
-// sameTimePaths are paths on routes that differ only in their target latency.
-var sameTimePaths = []string{"/a/", "/b/", "/c/"}
+// equalTimingPaths are paths on routes that differ only in their target latency.
+var equalTimingPaths = []string{"/a/", "/b/", "/c/"}
 
 // uniformLatency returns the window of a peer whose recent responses all had the same latency.
 func uniformLatency(latency time.Duration) *latencyWindow {
@@ -41,7 +41,7 @@
 // latency.
 func newProxyWithLatency(t *testing.T, usual time.Duration, instances ...discovery.Instance) *Proxy {
 	s := newProxy(t, instances...)
-	cfg, err := config.Parse([]byte(sameTimeConfig))
+	cfg, err := config.Parse([]byte(equalTimingConfig))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -50,7 +50,7 @@
 	for _, u := range s.pool.upstreams {
 		u.delay, u.delayUpdatedAt = usual.Seconds(), time.Now()
 	}
-	s.pool.times["svc"] = &serviceLatency{responses: *uniformLatency(usual), occupancy: *uniformLatency(usual)}
+	s.pool.latencies["svc"] = &serviceLatency{responses: *uniformLatency(usual), occupancy: *uniformLatency(usual)}
 	s.pool.mu.Unlock()
 	for range 1000 {
 		s.retryBudget.RecordRequest(s.now(), "svc")
@@ -101,7 +101,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		const usual = 40 * time.Millisecond
 		for _, budget := range []time.Duration{300 * time.Millisecond, 900 * time.Millisecond} {
-			for _, path := range sameTimePaths {
+			for _, path := range equalTimingPaths {
 				s := newProxyWithLatency(t, usual, unreachableUpstream)
 				occupyAll(s)
 				w, took := timedGet(s, path, budget)
@@ -180,7 +180,7 @@
 		{150 * time.Millisecond, 500 * time.Millisecond, 350 * time.Millisecond}, // 450 ms would leave 50 ms for work of 150 ms
 		{150 * time.Millisecond, 200 * time.Millisecond, 150 * time.Millisecond}, // but not before the usual latency
 	} {
-		for _, path := range sameTimePaths {
+		for _, path := range equalTimingPaths {
 			s := newProxyWithLatency(t, c.usual, unreachableUpstream)
 			cfg := s.config.Load()
 			r := httptest.NewRequest("GET", path, nil)
@@ -196,7 +196,7 @@
 // If both upstreams stay silent, the second is asked while the caller still has time.
 func TestSecondUpstreamIsAskedBeforeDeadline(t *testing.T) {
 	const usual, budget = 30 * time.Millisecond, 2 * time.Second
-	for _, path := range sameTimePaths {
+	for _, path := range equalTimingPaths {
 		requestTimes := make(chan time.Time, 8)
 		silent := func(_ int, r *http.Request) (string, bool) {
 			requestTimes <- time.Now()
@@ -331,7 +331,7 @@
 // responses take, nor delay the second upstream.
 func TestOutliersDoNotRaiseLatencyEstimate(t *testing.T) {
 	s := newProxyWithLatency(t, 5*time.Millisecond, newFastUpstream(t))
-	s.pool.times["svc"].responses.observe(time.Now(), 2)
+	s.pool.latencies["svc"].responses.observe(time.Now(), 2)
 	estimate := s.pool.latencyEstimate("svc")
 	if estimate.high > 10*time.Millisecond || estimate.slowThreshold() > 30*time.Millisecond {
 		t.Errorf("many responses of 5 ms and one of 2 s: high %v, slow threshold %v", estimate.high, estimate.slowThreshold())
@@ -386,7 +386,7 @@
 			u.responses = 1
 		}
 		estimate := latencyEstimate{median: c.near, high: c.near + 2*c.spread, updatedAt: now}
-		s.pool.times["svc"] = &serviceLatency{estimate: estimate, estimatedAt: now.Add(time.Minute)}
+		s.pool.latencies["svc"] = &serviceLatency{estimate: estimate, estimatedAt: now.Add(time.Minute)}
 		if pl := s.pool.Place(target{service: "svc", regions: anyRegion}, nil); (pl.upstream.instance.ID == "far") != c.goesFar {
 			t.Errorf("%+v, usual latency %v: %s was chosen", c, estimate.median, pl.upstream.instance.ID)
 		}
