--- a/internal/proxy/accounting_test.go
+++ b/internal/proxy/accounting_test.go
@@ -35,16 +35,16 @@
 
 // upstreamResponses holds the behaviours of the fake upstream by name.
 var upstreamResponses = map[string]func(c net.Conn, r *http.Request){
-	"fine":   func(c net.Conn, r *http.Request) { io.WriteString(c, okResponse(r, "hi")) },
-	"broken": func(c net.Conn, _ *http.Request) { c.Close() },
-	"wrong": func(c net.Conn, _ *http.Request) {
+	"ok":     func(c net.Conn, r *http.Request) { io.WriteString(c, okResponse(r, "hi")) },
+	"closed": func(c net.Conn, _ *http.Request) { c.Close() },
+	"bad request": func(c net.Conn, _ *http.Request) {
 		io.WriteString(c, "HTTP/1.1 400 Bad Request\r\nX-Slateridge-Attempt-Id: id-1\r\nContent-Length: 0\r\n\r\n")
 	},
 	"late": func(c net.Conn, r *http.Request) {
 		time.Sleep(100 * time.Millisecond)
 		io.WriteString(c, okResponse(r, "hi"))
 	},
-	"cut": func(c net.Conn, _ *http.Request) {
+	"truncated": func(c net.Conn, _ *http.Request) {
 		io.WriteString(c, "HTTP/1.1 200 OK\r\nX-Slateridge-Attempt-Id: id-1\r\nX-Slateridge-Response-Seal: s\r\nTransfer-Encoding: chunked\r\n\r\n2\r\nhi\r\n")
 		c.Close()
 	},
@@ -57,13 +57,13 @@
 		method, path, upstream string
 		want                   accounts.Outcome
 	}{
-		{"GET", "/safe/x", "fine", accounts.OnTime},
+		{"GET", "/safe/x", "ok", accounts.OnTime},
 		{"GET", "/safe/x", "late", accounts.Late},
-		{"GET", "/safe/x", "broken", accounts.Lost},
-		{"GET", "/safe/x", "wrong", accounts.Refused},
-		{"POST", "/once/x", "fine", accounts.OnTime},
-		{"POST", "/once/x", "broken", accounts.Unknown}, // it may have been executed
-		{"GET", "/flow/x", "cut", accounts.Lost},
+		{"GET", "/safe/x", "closed", accounts.Lost},
+		{"GET", "/safe/x", "bad request", accounts.Refused},
+		{"POST", "/once/x", "ok", accounts.OnTime},
+		{"POST", "/once/x", "closed", accounts.Unknown}, // it may have been executed
+		{"GET", "/flow/x", "truncated", accounts.Lost},
 	}
 	for _, c := range cases {
 		latency := easyLatency
@@ -82,7 +82,7 @@
 // TestOutcomesWithoutResponse checks the outcomes of requests over the quota, of requests
 // without a tenant, and of a request whose client disconnects.
 func TestOutcomesWithoutResponse(t *testing.T) {
-	s := newAccountingProxy(t, easyLatency, upstreamResponses["fine"])
+	s := newAccountingProxy(t, easyLatency, upstreamResponses["ok"])
 	for range 3 {
 		sendRequest(s, "GET", "/safe/x", "", headerAPIKey, "k2")
 	}
@@ -111,7 +111,7 @@
 // twice, once only, as soon as a second upstream confirms its execution, and that an
 // idempotent request never is.
 func TestSecondExecutionIsCountedOnce(t *testing.T) {
-	s := newAccountingProxy(t, easyLatency, upstreamResponses["fine"])
+	s := newAccountingProxy(t, easyLatency, upstreamResponses["ok"])
 	for _, path := range []string{"/once/x", "/safe/x"} {
 		request := httptest.NewRequest("POST", path, nil)
 		request.RequestURI, request.Host = path, "h.example"
--- a/internal/proxy/attempt.go
+++ b/internal/proxy/attempt.go
@@ -35,7 +35,7 @@
 }
 
 // clientDisconnected reports whether the client has closed its connection. If the request has
-// been in progress for long, or may have waited for long to be read, it polls the socket, since
+// been in progress for long, or may have waited long before it was read, it polls the socket, since
 // the goroutine that reads the socket may not have run since.
 func (p *exchange) clientDisconnected() bool {
 	if p.request.Context().Err() != nil {
@@ -71,7 +71,7 @@
 		if err != nil {
 			failure := outcomeTransportError
 			if errors.Is(err, errNoConnection) || !time.Now().Before(connectBy) {
-				failure = outcomeUnused // the request's time is over, which is no failure of the upstream
+				failure = outcomeUnused // the request's deadline has passed, which is not a failure of the upstream
 			}
 			pool.finish(pl, failure)
 			return &result{outcome: failure, notExecuted: true, err: err}
@@ -158,7 +158,7 @@
 }
 
 // failureOutcome returns the outcome of an attempt that failed with err. A failure caused by the
-// client, which disconnected or broke off its body, is not held against the upstream.
+// client, which disconnected or did not complete its body, does not count against the upstream.
 func failureOutcome(conn *upstreamConn, err error) outcome {
 	switch {
 	case conn.cancellation.cancelled():
--- a/internal/proxy/attempts_test.go
+++ b/internal/proxy/attempts_test.go
@@ -36,14 +36,14 @@
 			}
 			w := sendRequest(s, c.method, c.path, "")
 			if n := a.count() + b.count(); n != 1 {
-				t.Errorf("got %d after %d arrivals, want one", w.Code, n)
+				t.Errorf("got %d after %d arrivals, want 1 arrival", w.Code, n)
 			}
 		})
 	}
 }
 
-// A hedge carries the request as it was when the hedge was decided, even if its goroutine starts
-// only after the first response has been counted. The race detector reports a violation.
+// A hedged attempt works on a copy of the exchange made before its goroutine starts, so counting
+// the first response meanwhile is no data race. The race detector reports a violation.
 func TestHedgeConcurrentWithResponse(t *testing.T) {
 	answer := func(n int, r *http.Request) (string, bool) {
 		time.Sleep(time.Millisecond + time.Duration(n%40)*25*time.Microsecond)
--- a/internal/proxy/clientheader.go
+++ b/internal/proxy/clientheader.go
@@ -17,7 +17,7 @@
 	startedAt time.Time // when the header time limit began to run; zero while the connection is idle
 }
 
-// headerReadAhead is what the byte count may exceed the header limit by, since the server
+// headerReadAhead is by how much the byte count may exceed the header limit, since the server
 // reads ahead into a body or a pipelined request. The exact size of complete headers is
 // checked when the request is matched.
 const headerReadAhead = 4 << 10 // bytes
--- a/internal/proxy/conn.go
+++ b/internal/proxy/conn.go
@@ -24,7 +24,7 @@
 	idleAt      time.Time
 	idleTimeout time.Duration
 
-	cancellation *cancellation // of the current request; nil if that is never cancelled
+	cancellation *cancellation // of the current request; nil if the request must not be cancelled
 }
 
 // boundedReader limits how much may be read until a response's headers are complete.
@@ -119,7 +119,8 @@
 	}
 }
 
-// readResponse reads the readResponse's headers.
+// readResponse reads the headers of the final response and skips informational responses. It
+// returns an error if the status is invalid or the response belongs to another attempt.
 func (conn *upstreamConn) readResponse(method, attempt string) (*http.Response, error) {
 	for {
 		conn.reader.remaining = constants.HeaderBytes
@@ -150,7 +151,7 @@
 }
 
 // unframed reports whether a body is delimited only by the end of its connection, so that a
-// truncated body cannot be told from a complete one.
+// truncated body cannot be distinguished from a complete one.
 func unframed(resp *http.Response) bool {
 	return resp.ContentLength < 0 && len(resp.TransferEncoding) == 0 && resp.Body != http.NoBody
 }
--- a/internal/proxy/connections.go
+++ b/internal/proxy/connections.go
@@ -17,8 +17,8 @@
 }
 
 // connect returns an idle connection, or dials a new one before the deadline. With fresh it
-// always dials: the request has no attempt ID, so that only the connection can tie the
-// response to it.
+// always dials: the request has no attempt ID, so only the connection can associate the
+// response with it.
 func (u *Upstream) connect(ctx context.Context, fresh bool, deadline time.Time) (conn *upstreamConn, reused bool, err error) {
 	pool := u.pool
 	now := time.Now()
--- a/internal/proxy/daemon.go
+++ b/internal/proxy/daemon.go
@@ -108,7 +108,7 @@
 	return max(1, int(constants.ConnShare*float64(cfg.Services[service].MaxConnections))/proxies)
 }
 
-// coldBound returns the limit on what a service's upstreams may be sent while they are cold.
+// coldBound returns the limit on requests to a service's cold upstreams.
 func (d *Daemon) coldBound(service string) ColdBound {
 	if bounds := d.coldBounds.Load(); bounds != nil {
 		return (*bounds)[service]
@@ -116,7 +116,7 @@
 	return ColdBound{}
 }
 
-// computeColdBounds returns the limits on cold upstreams by service for a configuration.
+// computeColdBounds returns the limits on requests to cold upstreams, by service.
 func (d *Daemon) computeColdBounds(cfg *config.Config) map[string]ColdBound {
 	coldBounds := map[string]ColdBound{}
 	bounds := d.nodeSettings.Load().Bounds
@@ -129,7 +129,7 @@
 	return coldBounds
 }
 
-// apply puts changes received from the control plane in force.
+// apply puts changes received from the control plane into effect.
 func (d *Daemon) apply(changes distribution.Changes) {
 	now := d.now()
 	if changes.Config != nil {
@@ -166,7 +166,7 @@
 	d.clock.Observe(changes.From, changes.Wall, now)
 	d.scalingHolder.Store(&changes.ScalingHolder)
 	if old := d.usageHolder.Swap(&changes.UsageHolder); d.meter != nil && (old == nil || *old != changes.UsageHolder) {
-		go d.reportUsage() // a new holder starts without any usage
+		go d.reportUsage() // a new holder has no usage data yet
 	}
 	if changes.PendingLimits != nil {
 		d.limiter.SetShadowQuotas(now, changes.PendingLimits)
--- a/internal/proxy/delay.go
+++ b/internal/proxy/delay.go
@@ -17,9 +17,9 @@
 	return usual + (u.delay-usual)*fade
 }
 
-// medianDelay returns the median of the learned delays of some upstreams, in seconds. One
-// upstream that is stuck does not make the others look fast, however long the service's work
-// takes.
+// medianDelay returns the median of the learned delays of some upstreams, in seconds. A
+// median, unlike a mean, is hardly affected by a single upstream that is stuck, so the others do
+// not look fast by comparison, whatever the latency of the service.
 func medianDelay(upstreams []*Upstream) float64 {
 	delays := make([]float64, 0, len(upstreams))
 	for _, u := range upstreams {
--- a/internal/proxy/dial_test.go
+++ b/internal/proxy/dial_test.go
@@ -44,18 +44,18 @@
 func TestConnectTimeoutLeavesTimeForAnotherUpstream(t *testing.T) {
 	const usual, budget = 20 * time.Millisecond, 200 * time.Millisecond
 	responsive := newRawUpstream(t, func(_ int, r *http.Request) (string, bool) { return okResponse(r, "x"), false })
-	unresponsive := discovery.Instance{ID: "i-dark", Service: "svc", Address: unresponsiveAddress(t), Zone: "z", Slots: 2}
+	unresponsive := discovery.Instance{ID: "i-unresponsive", Service: "svc", Address: unresponsiveAddress(t), Zone: "z", Slots: 2}
 	for _, path := range []string{"/a/", "/once/"} {
-		s := newProxyWithLatency(t, usual, unresponsive, responsive.instance("i-free"))
+		s := newProxyWithLatency(t, usual, unresponsive, responsive.instance("i-responsive"))
 		s.pool.mu.Lock()
-		s.pool.upstreams["i-free"].delay = 5 * usual.Seconds() // the unresponsive upstream is tried first
+		s.pool.upstreams["i-responsive"].delay = 5 * usual.Seconds() // the unresponsive upstream is tried first
 		s.pool.mu.Unlock()
 		w, took := timedGet(s, path, budget)
 		if w.Code != http.StatusOK {
 			t.Errorf("%s: got %d after %v", path, w.Code, took)
 		}
 		s.pool.mu.Lock()
-		if u := s.pool.upstreams["i-dark"]; u.consecutiveFailures > 0 {
+		if u := s.pool.upstreams["i-unresponsive"]; u.consecutiveFailures > 0 {
 			t.Errorf("%s: a connect cut short by the time budget counts as a failure", path)
 		}
 		s.pool.mu.Unlock()
--- a/internal/proxy/disconnect_test.go
+++ b/internal/proxy/disconnect_test.go
@@ -237,7 +237,7 @@
 	}
 }
 
-// An attempt whose hedge responded first is cancelled like a request whose client left.
+// An attempt whose hedge responded first is cancelled like a request whose client disconnected.
 func TestLosingHedgeIsCancelled(t *testing.T) {
 	slow, quick := newSlowUpstream(t, "", ""), newRawUpstream(t, func(_ int, r *http.Request) (string, bool) { return okResponse(r, "x"), false })
 	d, front := newTestDaemon(t, slow.instance("i-1", 2))
@@ -306,8 +306,8 @@
 	}
 }
 
-// Nothing is sent for a client that has disconnected: neither a request that waits for
-// capacity, nor a retry, a hedge or a pipelined request.
+// Nothing is sent for a client that has disconnected, neither a request that waits for
+// capacity nor a retry, a hedge or a pipelined request.
 func TestNothingIsSentAfterDisconnect(t *testing.T) {
 	t.Run("waiting for capacity", func(t *testing.T) {
 		u := newSlowUpstream(t, "", "")
@@ -550,7 +550,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	d.lag.tick(time.Now()) // the last heartbeat before the pause
+	d.lag.tick(time.Now()) // the last tick before the pause
 	resumed := newFrontend(listener, d.Proxy, func() config.Limits { return config.Limits{} }, time.Second)
 	t.Cleanup(resumed.close)
 	for i := range 30 {
--- a/internal/proxy/ejection.go
+++ b/internal/proxy/ejection.go
@@ -20,7 +20,7 @@
 	return ejected*2 > all
 }
 
-// outcome is the result of an attempt, as evidence about the upstream.
+// outcome classifies the result of an attempt by what it shows about the upstream.
 type outcome int
 
 const (
@@ -40,7 +40,7 @@
 	u.ejectedUntil = now.Add(min(constants.EjectFirst<<min(u.consecutiveFailures-1, 5), constants.EjectMax))
 }
 
-// finish ends an attempt, releases its place and updates the upstream's statistics.
+// finish ends an attempt, releases its placement and updates the upstream's statistics.
 func (pool *Pool) finish(p *placement, result outcome) {
 	pool.mu.Lock()
 	defer pool.mu.Unlock()
--- a/internal/proxy/exchange.go
+++ b/internal/proxy/exchange.go
@@ -36,7 +36,7 @@
 	executedAt        time.Time // when the attempt that counts as usage was sent
 	usageRun          *usage.Run
 	account           *accounts.Request // nil if the tenant has no objective
-	executedResponses int               // responses from upstreams that executed the request
+	executedResponses int               // responses that confirm an execution of the request
 }
 
 // newExchange returns the exchange for a request that arrived at the given time and matches a
@@ -131,8 +131,8 @@
 	return pl
 }
 
-// dispatch makes one attempt, hedged by a second one if the route is idempotent and the body can
-// be sent again.
+// dispatch sends the request to an upstream. The attempt is hedged by a second one if the route
+// is idempotent and the body can be sent again.
 func (p *exchange) dispatch(pl *placement, skip map[*Upstream]bool) *result {
 	if p.route.Idempotent && p.streamedBody == nil {
 		return p.hedged(pl, skip)
@@ -208,6 +208,7 @@
 	return t
 }
 
+// countAttempt counts an attempt that has ended, and its possible execution.
 func (p *exchange) countAttempt(res *result) {
 	p.recordResponse(res)
 	if res.sent {
--- a/internal/proxy/grants.go
+++ b/internal/proxy/grants.go
@@ -34,8 +34,8 @@
 }
 
 // requestTokens requests tokens from a key's tracker. It waits as long as a reply is useful to
-// the caller and the delay is not unusual for the tracker. Only an unusual delay counts against
-// the tracker, so that later callers need not wait for it.
+// the caller and the delay is not unusual for the tracker. Only an unusual delay is recorded as
+// unanswered, which spares later callers the wait.
 func (d *Daemon) requestTokens(key string, until time.Time) {
 	sentAt := d.now()
 	callerTime := time.Until(until)
@@ -70,8 +70,8 @@
 	return d.trackerEchoes[tracker].time
 }
 
-// sendGrantRequest sends a tracker wants that were computed against its echoed time, and waits
-// for the reply.
+// sendGrantRequest sends key requests to a tracker, together with the tracker time that they
+// refer to, and waits for the reply.
 func (d *Daemon) sendGrantRequest(tracker string, sentAt time.Duration, echo admission.TrackerTime, wants []admission.KeyRequest, timeout time.Duration) (admission.Grants, error) {
 	reply, err := d.subscriber.Call(tracker, admission.GrantRequest{
 		Proxy:   d.nodeSettings.Load().IPAddress,
@@ -118,7 +118,7 @@
 }
 
 // recordTrackerReply records a tracker's reply for some shards. If the tracker has restarted or
-// has started tracking anew, the reports of all its shards are sent again.
+// has started tracking again, the reports of all its shards are sent again.
 func (d *Daemon) recordTrackerReply(tracker string, reported admission.TrackerTime, shards ...int) {
 	now := d.now()
 	d.trackerEchoesMu.Lock()
@@ -174,7 +174,7 @@
 				d.resendReports(shards[tracker])
 				return
 			}
-			if !grants.Refused { // a machine that is not the tracker borrows nothing, so its reply is not recorded
+			if !grants.Refused { // a machine that is not the tracker accepts no loans, so its reply is not recorded
 				d.recordTrackerReply(tracker, grants.Stamp, shards[tracker]...)
 			}
 			d.applyGrants(sentAt, grants)
@@ -185,7 +185,7 @@
 	}
 }
 
-// resendReports has the reports of some shards sent again, because their tracker may not have
+// resendReports schedules the reports of some shards to be sent again, because their tracker may not have
 // received them.
 func (d *Daemon) resendReports(shards []int) {
 	for _, i := range shards {
--- a/internal/proxy/hedge.go
+++ b/internal/proxy/hedge.go
@@ -4,9 +4,9 @@
 	"time"
 )
 
-// hedged sends a repeatable request to one upstream and, if that does not respond for unusually
-// long, to a second one as well. The first good response is returned; the other attempt is left
-// to finish.
+// hedged sends an idempotent request with a buffered body to one upstream and, if the response
+// takes unusually long, to a second one as well. It returns the first response that can be
+// delivered and need not be retried; the other attempt is left to finish.
 func (p *exchange) hedged(pl *placement, skip map[*Upstream]bool) *result {
 	results := make(chan *result, 2)
 	start := func(pl *placement) {
--- a/internal/proxy/lag.go
+++ b/internal/proxy/lag.go
@@ -7,9 +7,9 @@
 	"slateridge/internal/constants"
 )
 
-// lagDetector detects when this process runs late: it was suspended, or has more work than its
-// processor can do. Data that is read then may have waited for long. Without any tick it reports
-// lagging.
+// lagDetector detects when this process runs late, because it was suspended or its processor is
+// overloaded. Data read at such a time may have been waiting for long. Before the first tick the
+// process counts as lagging.
 type lagDetector struct {
 	startedAt    time.Time
 	lastTick     atomic.Int64 // nanoseconds since startedAt; 0 before the first tick
--- a/internal/proxy/lag_test.go
+++ b/internal/proxy/lag_test.go
@@ -7,8 +7,8 @@
 	"slateridge/internal/constants"
 )
 
-// A process lags from the moment at which a tick is missing, even if it is asked before the
-// first tick after a suspension, and for some time afterwards.
+// A process counts as lagging as soon as a tick is overdue, even before the first tick after a
+// suspension, and for LagMemory after that tick.
 func TestLagDetector(t *testing.T) {
 	const step = constants.StepEvery
 	began := time.Now()
@@ -27,7 +27,7 @@
 	}
 	resumedAt := at.Add(3 * time.Second)
 	if !detector.lagging(resumedAt) {
-		t.Error("a suspension is not noticed before the next tick")
+		t.Error("a suspension is not detected before the next tick")
 	}
 	detector.tick(resumedAt)
 	if !detector.lagging(resumedAt.Add(step)) {
--- a/internal/proxy/placement_test.go
+++ b/internal/proxy/placement_test.go
@@ -19,9 +19,9 @@
 {"resourceKind":"routes","metadata":{"name":"home"},"spec":{"host":"h.example","pathPrefix":"/home/","routeType":"idempotent","timeout":"2s","targetLatency":"40ms","targetService":"svc","maxAttempts":3,"allowedRegions":["r","r2"]}},
 {"resourceKind":"routes","metadata":{"name":"any"},"spec":{"host":"h.example","pathPrefix":"/any/","routeType":"non_idempotent","timeout":"2s","targetLatency":"40ms","targetService":"svc","maxAttempts":3,"allowedRegions":[]}},
 {"resourceKind":"services","metadata":{"name":"svc"},"spec":{"maxConnections":100,"warmup":"3s","warmupPerS":5.2}},
-{"resourceKind":"tenants","metadata":{"name":"free"},"spec":{"apiKeys":["k1"]}},
-{"resourceKind":"tenants","metadata":{"name":"bound"},"spec":{"apiKeys":["k2"],"allowedRegions":["r2","r3"]}},
-{"resourceKind":"tenants","metadata":{"name":"lost"},"spec":{"apiKeys":["k3"],"allowedRegions":["nowhere"]}}]}`
+{"resourceKind":"tenants","metadata":{"name":"unrestricted"},"spec":{"apiKeys":["k1"]}},
+{"resourceKind":"tenants","metadata":{"name":"restricted"},"spec":{"apiKeys":["k2"],"allowedRegions":["r2","r3"]}},
+{"resourceKind":"tenants","metadata":{"name":"unroutable"},"spec":{"apiKeys":["k3"],"allowedRegions":["nowhere"]}}]}`
 
 // TestPlacementRestrictions runs seeded fleets whose upstreams fail and reject requests, which
 // causes retries and hedged attempts, while zones are evacuated and restored. Every request
--- a/internal/proxy/pool.go
+++ b/internal/proxy/pool.go
@@ -27,7 +27,7 @@
 	latencies        map[string]*serviceLatency // by service
 	waiting          map[string][]*waiter       // by service, most urgent first
 	waiterSeq        uint64                     // sequence number of the latest waiter, which keeps equal waiters in arrival order
-	nextQueueCheck   map[string]time.Time       // by service: when the waiters are next scheduled to be reconsidered
+	nextQueueCheck   map[string]time.Time       // by service: when the queue is next served by a timer
 	shutdownAt       time.Time                  // when this process exits; zero while no exit is planned
 	connCap          func(service string) int   // this proxy's share of the connections to one upstream
 	connectTime      [3]latencyWindow           // of new connections, by Upstream.distance; measures one round trip
--- a/internal/proxy/pool_test.go
+++ b/internal/proxy/pool_test.go
@@ -117,7 +117,7 @@
 	t.mu.Unlock()
 }
 
-// faults are the faults that a request may be subject to. The first one, none, is the most likely.
+// faults lists the faults that an upstream injects. The first, none, is the most likely.
 var faults = []string{"none", "closed after response", "reset after response", "duplicate response", "delayed duplicate response", "delayed rejection follows", "delayed failure follows",
 	"delayed success follows", "corrupted header", "invalid status", "truncated header", "truncated body", "missing seal", "no length, truncated", "response to another attempt", "reset before execution",
 	"reset after execution", "reset during upload", "stalled during upload", "no response", "delayed response", "rejected", "rejected without ID", "server error", "sealed failure", "sealed rejection", "server error without ID", "success marked not executed",
@@ -155,7 +155,7 @@
 			fault = faults[rng.IntN(len(faults))]
 		}
 		if instance := u.instanceID(); r.Header.Get(headerExpectedInstance) != instance {
-			// Another instance has taken over the address. It never executes the request.
+			// Another instance now has this address. It never executes the request.
 			io.Copy(io.Discard, r.Body)
 			u.truth.recordFault("wrong instance")
 			id := attempt
@@ -356,7 +356,7 @@
 				}
 				callsDone := make(chan bool)
 				var churn sync.WaitGroup
-				churn.Go(func() { // instances are replaced and exchange addresses before the instance list is updated
+				churn.Go(func() { // replaces instances and swaps their addresses before the instance list is updated
 					rng := seededRand(seed, "lives")
 					for n := 2; ; n++ {
 						select {
@@ -368,7 +368,7 @@
 						upstreams[i].setInstanceID(fmt.Sprintf("%d-%d-%d", seed, i, n))
 						time.Sleep(time.Duration(rng.IntN(15)) * time.Millisecond)
 						if j := rng.IntN(4); rng.IntN(3) == 0 {
-							upstreams[i], upstreams[j] = upstreams[j], upstreams[i] // another service takes over the address
+							upstreams[i], upstreams[j] = upstreams[j], upstreams[i] // another service may get the address
 						}
 						s.pool.Apply(time.Now(), list())
 						s.pool.CloseExpiredIdle(time.Now())
--- a/internal/proxy/proxy.go
+++ b/internal/proxy/proxy.go
@@ -39,7 +39,7 @@
 	openRequests   atomic.Int64
 	lag            lagDetector
 	outcomeCounts  [len(countNames)]atomic.Uint64
-	keyTrustPeriod time.Duration    // how long a key is accepted without confirmation from the control plane; 0: forever
+	keyTrustPeriod time.Duration    // how long a key is accepted without confirmation from the control plane; 0 for no limit
 	readIndexAt    func() time.Time // when the configuration in force was last confirmed to be the newest
 
 	streams          atomic.Int64  // in progress
--- a/internal/proxy/proxy_test.go
+++ b/internal/proxy/proxy_test.go
@@ -221,8 +221,8 @@
 	}
 }
 
-// Maps what an upstream does to the status that the client may get: a status which guarantees
-// that the request was not executed only if that is certain.
+// The client gets a status that guarantees that its request was not executed only if that is
+// certain, whatever the upstream does.
 func TestAmbiguousOutcomeIsNotReportedAsUnexecuted(t *testing.T) {
 	plain := func(status string) script {
 		return func(_ int, _ *http.Request) (string, bool) {
--- a/internal/proxy/queue.go
+++ b/internal/proxy/queue.go
@@ -47,8 +47,8 @@
 	return pool.awaitGrant(ctx, w, latestStart)
 }
 
-// awaitGrant waits until the waiter is granted a placement or refused, or until waiting is of no
-// more use.
+// awaitGrant waits until the waiter is granted a placement or refused, or until waiting is no
+// longer useful.
 func (pool *Pool) awaitGrant(ctx context.Context, w *waiter, latestStart time.Time) *placement {
 	timer := time.NewTimer(time.Until(latestStart))
 	defer timer.Stop()
--- a/internal/proxy/reconfiguration_test.go
+++ b/internal/proxy/reconfiguration_test.go
@@ -51,7 +51,7 @@
 	return d, l.Addr().String()
 }
 
-// applyConfig applies a configuration and an instance list as an update from the control plane does.
+// applyConfig applies a configuration and an instance list, as if received from the control plane.
 func (d *Daemon) applyConfig(cfg string, version uint64, instances []discovery.Instance) {
 	d.apply(distribution.Changes{Config: &config.Doc{Raw: []byte(cfg), Version: version}, List: &discovery.List{Instances: instances}, Proxies: 1})
 }
--- a/internal/proxy/stream.go
+++ b/internal/proxy/stream.go
@@ -33,7 +33,7 @@
 
 // relayStream copies a stream to the client. Each chunk is written and flushed before the next
 // is read, so that a slow client slows its upstream and nothing accumulates in memory. A client
-// that accepts no data for StreamWriteTimeout is given up. If the stream does not end properly,
+// that accepts no data for StreamWriteTimeout is disconnected. If the stream does not end properly,
 // the client's connection is aborted.
 func (s *Proxy) relayStream(w http.ResponseWriter, r *http.Request, res *result) {
 	s.streams.Add(1)
--- a/internal/proxy/stream_test.go
+++ b/internal/proxy/stream_test.go
@@ -93,7 +93,7 @@
 			seen <- n
 		}
 		if _, err := body.ReadByte(); err != io.EOF {
-			t.Fatalf("round %d: the end: %v", round, err)
+			t.Fatalf("round %d: reading past the last event: %v", round, err)
 		}
 	}
 	if report, _ := s.meter.NextReport("p", 41); report.Windows[40]["ten"] != 2 || requests.Load() != 2 {
@@ -185,8 +185,8 @@
 	}
 }
 
-// A failure caused by a client that disconnects, or that breaks off its body, is not held
-// against the upstream.
+// A failure caused by a client that disconnects, or that does not complete its body, does not
+// count against the upstream.
 func TestClientDisconnectIsNotUpstreamFailure(t *testing.T) {
 	for name, c := range map[string]struct{ request, first string }{
 		"before the first event": {"POST /flow/x HTTP/1.1\r\nContent-Length: 2\r\n\r\nhi", ""},
@@ -221,7 +221,7 @@
 			s.pool.mu.Lock()
 			defer s.pool.mu.Unlock()
 			if u := s.pool.upstreams["i-1"]; u.consecutiveFailures > 0 || time.Now().Before(u.ejectedUntil) || s.streamsCut.Load() > 0 {
-				t.Errorf("%d failures and %d truncated streams are held against the upstream", u.consecutiveFailures, s.streamsCut.Load())
+				t.Errorf("%d failures and %d truncated streams are counted against the upstream", u.consecutiveFailures, s.streamsCut.Load())
 			}
 		})
 	}
@@ -341,7 +341,7 @@
 	}
 	setLoad(3, "i-007")
 	if u := a.pool.selectUpstream(target{service: "svc", regions: anyRegion, stream: true, prefix: "5"}, nil, time.Now()); u == nil || u.instance.ID != "i-007" {
-		t.Errorf("the only upstream with capacity is not found: %v", u)
+		t.Errorf("the only upstream with capacity is not selected: %v", u)
 	}
 	setLoad(3, "")
 	if w := sendRequest(a, "POST", "/flow/x", "hi"); w.Code != 503 || w.Header().Get("Retry-After") == "" {
--- a/internal/proxy/timing.go
+++ b/internal/proxy/timing.go
@@ -11,8 +11,8 @@
 // refusal. It depends only on the time the caller has and on the latency of the service: earlier
 // attempts and other settings of the route change nothing.
 type timing struct {
-	responseDeadline time.Time // until when a response, or a stream's first chunk, is of use
-	callerDeadline   time.Time // until when the caller retries elsewhere
+	responseDeadline time.Time // when a response, or a stream's first chunk, stops being useful
+	callerDeadline   time.Time // when the caller stops retrying elsewhere
 	latency          latencyEstimate
 }
 
@@ -21,20 +21,20 @@
 	return timing{responseDeadline: p.responseDeadline(), callerDeadline: p.callerDeadline, latency: p.proxy.pool.latencyEstimate(p.service)}
 }
 
-// responseDeadline returns until when the caller waits for the response or for a stream's first
-// chunk: clients give up a stream that stays silent.
+// responseDeadline returns the time until which the caller waits for the response, or for the
+// first chunk of a stream: clients abandon a stream that delivers nothing for long.
 func (p *exchange) responseDeadline() time.Time {
 	if !p.route.Streaming {
 		return p.deadline
 	}
 	patience := max(constants.StreamPatience, constants.StreamPatienceTargets*p.route.TargetLatency)
-	if silentUntil := p.arrived.Add(patience); silentUntil.Before(p.deadline) {
-		return silentUntil
+	if abandonedAt := p.arrived.Add(patience); abandonedAt.Before(p.deadline) {
+		return abandonedAt
 	}
 	return p.deadline
 }
 
-// latestStart returns until when it is useful to wait for capacity here: the request is still
+// latestStart returns the time until which it is useful to wait for capacity here: the request is still
 // likely to complete in time, and a caller that is refused instead can still be served
 // elsewhere, even if it first waits for the part of its time that Retry-After may ask for. A
 // caller that can no longer be served elsewhere loses nothing by waiting here.
@@ -57,8 +57,8 @@
 	return remaining <= constants.AnswerReturn || remaining < t.latency.decayedLow(now)
 }
 
-// connectDeadline returns until when to wait for a connection to one upstream: as long as
-// another upstream can still be tried, or until the response deadline if there is no time for
+// connectDeadline returns the time until which to wait for a connection to one upstream: as long
+// as another upstream can still be tried, or until the response deadline if there is no time for
 // that anyway.
 func (t timing) connectDeadline(now time.Time) time.Time {
 	if tryAnotherBy := t.latestStart(now); tryAnotherBy.After(now) {
@@ -67,9 +67,9 @@
 	return t.responseDeadline
 }
 
-// hedgeAt returns when to ask a second upstream if one that was asked at the given time has not
-// responded: once the delay is unusual, or earlier if too little time would be left for the
-// second, but never before most responses have arrived.
+// hedgeAt returns when to send the request to a second upstream if the first, to which it was
+// sent at the given time, has not responded: once the delay is unusual, or earlier if too little
+// time would be left for the second, but not before most responses usually arrive.
 func (t timing) hedgeAt(sentAt time.Time) time.Time {
 	slowAt := sentAt.Add(t.latency.slowThreshold())
 	latest := t.responseDeadline.Add(-t.latency.high)
@@ -89,7 +89,7 @@
 }
 
 // configRetryAfter returns the Retry-After of a refusal for lack of a configuration or of a
-// recent confirmation of it: a proxy asks the control plane every SubscribeEvery.
+// recent confirmation of it: a proxy sends the control plane a heartbeat every SubscribeEvery.
 func configRetryAfter(arrived time.Time, r *http.Request) time.Duration {
 	return timing{callerDeadline: arrived.Add(clientTimeBudget(r))}.retryAfter(arrived, constants.SubscribeEvery)
 }
--- a/internal/proxy/timing_test.go
+++ b/internal/proxy/timing_test.go
@@ -170,8 +170,8 @@
 	})
 }
 
-// A second upstream is asked once the first is unusually slow for the service, or earlier if too
-// little of the caller's time would be left. The route's target latency makes no difference.
+// The request is hedged once the first upstream is unusually slow for the service, or earlier if
+// too little of the caller's time would be left. The route's target latency makes no difference.
 func TestHedgeDelayDependsOnServiceLatency(t *testing.T) {
 	arrived := time.Now()
 	for _, c := range []struct{ usual, budget, hedgeDelay time.Duration }{
@@ -193,7 +193,7 @@
 	}
 }
 
-// If both upstreams stay silent, the second is asked while the caller still has time.
+// If the first upstream does not respond, the second is tried while the caller still has time.
 func TestSecondUpstreamIsAskedBeforeDeadline(t *testing.T) {
 	const usual, budget = 30 * time.Millisecond, 2 * time.Second
 	for _, path := range equalTimingPaths {
@@ -209,7 +209,7 @@
 		timedGet(s, path, budget)
 		<-requestTimes
 		if hedgeDelay := (<-requestTimes).Sub(began); hedgeDelay < 3*usual || hedgeDelay > budget/2 {
-			t.Errorf("%s: the second upstream is asked after %v of %v; want a hedge after %v", path, hedgeDelay, budget, 3*usual)
+			t.Errorf("%s: the second upstream is tried after %v of %v; want a hedge after %v", path, hedgeDelay, budget, 3*usual)
 		}
 	}
 }
@@ -237,8 +237,8 @@
 	}
 }
 
-// Among requests of one priority, the one that must start soonest gets the capacity, whichever
-// arrived first.
+// Among requests of the same priority, the one with the earliest latest start gets the capacity,
+// in whatever order they arrived.
 func TestCapacityGoesToEarliestLatestStart(t *testing.T) {
 	const caller = "X-Caller"
 	var mu sync.Mutex
@@ -327,8 +327,8 @@
 	})
 }
 
-// A few very slow responses neither keep requests from waiting that have far more time than most
-// responses take, nor delay the second upstream.
+// A few very slow responses do not delay hedges, and do not shorten the wait for capacity of
+// requests that have far more time than most responses take.
 func TestOutliersDoNotRaiseLatencyEstimate(t *testing.T) {
 	s := newProxyWithLatency(t, 5*time.Millisecond, newFastUpstream(t))
 	s.pool.latencies["svc"].responses.observe(time.Now(), 2)
--- a/internal/proxy/upstream.go
+++ b/internal/proxy/upstream.go
@@ -35,7 +35,7 @@
 	responses           uint64
 }
 
-// placement is the place that a request occupies at an upstream.
+// placement is the capacity that a request occupies at an upstream.
 type placement struct {
 	upstream        *Upstream
 	timeToFirstByte float64 // of a stream's body, in seconds; 0 until it arrives
