--- a/internal/proxy/attempt.go
+++ b/internal/proxy/attempt.go
@@ -124,7 +124,7 @@
 	if load := resp.Header.Get(headerLoad); load != "" {
 		u.recordLoad(load)
 	}
-	// Without this attempt's id, a response on a connection that has carried other requests may
+	// Without this attempt's ID, a response on a connection that has carried other requests may
 	// be a late one to an earlier request. It is not relayed, and it is no evidence that this
 	// request was not executed.
 	unverified := conn.exchanges > 0 && resp.Header.Get(headerAttemptID) == ""
--- a/internal/proxy/daemon.go
+++ b/internal/proxy/daemon.go
@@ -172,7 +172,7 @@
 		d.limiter.SetShadowQuotas(now, changes.PendingLimits)
 	}
 	if old := d.trackers.Swap(&changes.Trackers); !slices.Equal(*old, changes.Trackers) {
-		go d.renewGrants() // a new tracker has to learn the grants held here
+		go d.renewGrants() // a new tracker needs to be informed of the grants held here
 	}
 }
 
--- a/internal/proxy/delay.go
+++ b/internal/proxy/delay.go
@@ -7,7 +7,7 @@
 	"slateridge/internal/constants"
 )
 
-// expectedDelay returns the delay expected of an upstream, in seconds: the learned delay, which
+// expectedDelay returns the delay expected of an upstream, in seconds: the measured delay, which
 // decays toward the usual delay of the service as it ages.
 func (u *Upstream) expectedDelay(now time.Time, usual float64) float64 {
 	if u.delay == 0 {
@@ -17,7 +17,7 @@
 	return usual + (u.delay-usual)*fade
 }
 
-// medianDelay returns the median of the learned delays of some upstreams, in seconds. A
+// medianDelay returns the median of the measured delays of some upstreams, in seconds. A
 // median, unlike a mean, is hardly affected by a single upstream that is stuck, so the others do
 // not look fast by comparison, whatever the latency of the service.
 func medianDelay(upstreams []*Upstream) float64 {
--- a/internal/proxy/disconnect_test.go
+++ b/internal/proxy/disconnect_test.go
@@ -31,7 +31,7 @@
 	abandoned bool      // the connection was closed while in progress
 }
 
-// slowUpstream is a fake upstream that takes as long to respond as the request's path says
+// slowUpstream is a fake upstream that takes as long to respond as the request's path specifies
 // (/safe/300ms), and abandons a request when its connection is closed.
 type slowUpstream struct {
 	listener   net.Listener
--- a/internal/proxy/ejection.go
+++ b/internal/proxy/ejection.go
@@ -28,7 +28,7 @@
 	outcomeAtCapacity                    // the upstream rejected the request for lack of capacity
 	outcomeTransportError                // connection refused, reset or cut off, or an invalid response
 	outcomeTimeout                       // no response in time
-	outcomeUnused                        // the attempt ended for a reason that says nothing about the upstream
+	outcomeUnused                        // the attempt ended for a reason that is unrelated to the upstream
 	outcomeServerError                   // the upstream responded with a server error
 	outcomeCancelled                     // this proxy closed the connection because nobody was waiting for the response
 )
--- a/internal/proxy/frontend.go
+++ b/internal/proxy/frontend.go
@@ -38,8 +38,8 @@
 	replacedAt time.Time
 }
 
-// newFrontend returns a frontend for a listener. Clients know a configuration no later than
-// configApply after it was acknowledged.
+// newFrontend returns a frontend for a listener. A client may rely on the previous configuration
+// for up to configApply after the new one was acknowledged.
 func newFrontend(listener net.Listener, handler http.Handler, limits func() config.Limits, configApply time.Duration) *frontend {
 	f := &frontend{listener: listener, limits: limits, overlap: configApply, conns: map[net.Conn]time.Time{}, done: make(chan struct{})}
 	// Each clientConn enforces the limits on header size and header read time.
@@ -117,7 +117,7 @@
 }
 
 // idleTimeoutLocked returns the idle timeout in force. After the timeout was lowered, the
-// longer value stays in force while clients may not know of the change.
+// longer value stays in force while clients may still rely on it.
 func (f *frontend) idleTimeoutLocked(now time.Time) time.Duration {
 	overlaps := now.Sub(f.previousIdle.replacedAt) < f.overlap
 	current := orDefault(f.limits().IdleTimeout, constants.IdleTimeout)
--- a/internal/proxy/frontend_test.go
+++ b/internal/proxy/frontend_test.go
@@ -69,7 +69,7 @@
 
 // A connection is closed once it exceeds the idle timeout in force, including one opened
 // under a longer timeout. After the timeout was lowered, the longer one stays in force while
-// clients may not know of the change.
+// clients may still rely on it.
 func TestIdleConnectionsAreClosed(t *testing.T) {
 	const s, spare, configApply = time.Second, constants.IdleSpare, 3 * time.Second
 	var idleTimeout atomic.Int64
@@ -106,7 +106,7 @@
 	short := open(10 * s)
 	idleTimeout.Store(int64(2 * s))
 	if !isOpen(long, 11*s) { // the timeout was just lowered, and the idle period exceeds it by far
-		t.Error("closed by a lowered timeout that its client may not know")
+		t.Error("closed by a lowered timeout while its client may still rely on the longer one")
 	}
 	closesAt("opened under a longer timeout, long idle", long, 11*s+configApply-1)
 	closesAt("opened under a longer timeout, briefly idle", short, 10*s+2*s+spare)
--- a/internal/proxy/proxy_test.go
+++ b/internal/proxy/proxy_test.go
@@ -450,7 +450,7 @@
 	}
 }
 
-// A refusal without the attempt's id may be a late response to an earlier request on the
+// A refusal without the attempt's ID may be a late response to an earlier request on the
 // connection: it does not prove that this request was not executed. On a new connection there is
 // no earlier request.
 func TestUnverifiedRefusalIsNotTrusted(t *testing.T) {
@@ -533,7 +533,7 @@
 }
 
 // A response that may belong to an earlier request on the connection is not relayed, whatever
-// its status. A request without an id, whose response only the connection identifies, gets a
+// its status. A request without an ID, whose response only the connection identifies, gets a
 // connection of its own.
 func TestStaleResponseIsNotRelayed(t *testing.T) {
 	for _, c := range []struct {
@@ -578,7 +578,7 @@
 	}
 }
 
-// An instance that is listed under the same id at another address, or for another service, is a
+// An instance that is listed under the same ID at another address, or for another service, is a
 // new upstream: nothing is sent over connections to the previous one.
 func TestMovedInstanceIsNewUpstream(t *testing.T) {
 	a := newRawUpstream(t, func(_ int, r *http.Request) (string, bool) { return okResponse(r, "a"), false })
--- a/internal/proxy/result.go
+++ b/internal/proxy/result.go
@@ -11,8 +11,8 @@
 	sentAt          time.Time // when the request was sent
 	sent            bool      // at least one byte of the request was sent
 	notExecuted     bool      // the upstream declared it, or nothing was sent
-	unverified      bool      // the response has no attempt id, and its connection has carried other requests
-	abandoned       bool      // the request may not be sent any more because of its deadline, route or key
+	unverified      bool      // the response has no attempt ID, and its connection has carried other requests
+	abandoned       bool      // the request must not be sent any more because of its deadline, route or key
 	resp            *http.Response
 	body            []byte
 	conn            *upstreamConn // set if the body has not been read to its end
