--- a/internal/proxy/accounting.go
+++ b/internal/proxy/accounting.go
@@ -14,8 +14,8 @@
 	if objectives == nil {
 		return
 	}
-	set := d.nodeSettings.Load()
-	d.accountsAgent = accounts.NewAgent(accounts.AgentOptions{Node: set.NodeName, Objectives: objectives, ControlNodes: set.SeedIPs(),
+	nodeSettings := d.nodeSettings.Load()
+	d.accountsAgent = accounts.NewAgent(accounts.AgentOptions{Node: nodeSettings.NodeName, Objectives: objectives, ControlNodes: nodeSettings.SeedIPs(),
 		SendReport: d.reportAccounts, RecordEvent: d.events.Record})
 	d.accounts = d.accountsAgent.Meter
 }
@@ -28,7 +28,7 @@
 	}
 	ack, ok := response.(accounts.ReportAck)
 	if !ok {
-		ack.Refused = "the node does not keep accounts"
+		ack.Refused = "accounts are not kept there"
 	}
 	return ack, nil
 }
--- a/internal/proxy/attempts_test.go
+++ b/internal/proxy/attempts_test.go
@@ -36,14 +36,14 @@
 			}
 			w := sendRequest(s, c.method, c.path, "")
 			if n := a.count() + b.count(); n != 1 {
-				t.Errorf("got %d after %d arrivals, want one", w.Code, n)
+				t.Errorf("got %d after %d arrivals, want 1 arrival", w.Code, n)
 			}
 		})
 	}
 }
 
-// A hedge carries the request as it was when the hedge was decided, even if its goroutine starts
-// only after the first response has been counted. The race detector reports a violation.
+// A hedged attempt works on a copy of the exchange made before its goroutine starts, so counting
+// the first response meanwhile is no data race. The race detector reports a violation.
 func TestHedgeConcurrentWithResponse(t *testing.T) {
 	answer := func(n int, r *http.Request) (string, bool) {
 		time.Sleep(time.Millisecond + time.Duration(n%40)*25*time.Microsecond)
@@ -56,7 +56,7 @@
 	}
 	for range 400 {
 		s.pool.mu.Lock()
-		s.pool.times["svc"] = &serviceLatency{responses: *uniformLatency(500 * time.Microsecond)} // so that hedges start at about the time responses arrive
+		s.pool.latencies["svc"] = &serviceLatency{responses: *uniformLatency(500 * time.Microsecond)} // so that hedges start at about the time responses arrive
 		s.pool.mu.Unlock()
 		if w := sendRequest(s, "GET", "/safe/", ""); w.Code != http.StatusOK {
 			t.Fatalf("got %d", w.Code)
--- a/internal/proxy/daemon.go
+++ b/internal/proxy/daemon.go
@@ -37,7 +37,7 @@
 	nodeSettings        atomic.Pointer[settings.Settings]
 	settingsPath        string
 	subscriber          *distribution.Subscriber
-	reader              config.Parser // used only by apply, whose calls are serialized
+	parser              config.Parser // used only by apply, whose calls are serialized
 	trackers            atomic.Pointer[[]string]
 	coldBounds          atomic.Pointer[map[string]ColdBound] // by service, from the configuration in force
 	ready               atomic.Bool
@@ -50,7 +50,7 @@
 	members             *membership.Agent
 	trackerEchoesMu     sync.Mutex
 	trackerEchoes       map[string]trackerEcho    // by tracker
-	trackerAnswerTimes  map[string]*latencyWindow // by tracker; under trackerEchoesMu
+	trackerLatencies    map[string]*latencyWindow // by tracker; under trackerEchoesMu
 	clock               *clock.Clock              // the fleet's agreed time, from control-plane updates
 	usageHolder         atomic.Pointer[string]
 	scalingHolder       atomic.Pointer[string]
@@ -60,7 +60,7 @@
 
 // NewDaemon creates a proxy process from its settings, which it reloads from path.
 func NewDaemon(nodeSettings *settings.Settings, path string, events *eventlog.Log) *Daemon {
-	d := &Daemon{settingsPath: path, trackerEchoes: map[string]trackerEcho{}, trackerAnswerTimes: map[string]*latencyWindow{}, source: discovery.NewSource(nodeSettings.CloudAPI.Address)}
+	d := &Daemon{settingsPath: path, trackerEchoes: map[string]trackerEcho{}, trackerLatencies: map[string]*latencyWindow{}, source: discovery.NewSource(nodeSettings.CloudAPI.Address)}
 	d.nodeSettings.Store(nodeSettings)
 	d.settingsFingerprint.Store(d.readSettingsFingerprint()) // only later changes cause a reload
 	bounds := nodeSettings.Bounds
@@ -108,7 +108,7 @@
 	return max(1, int(constants.ConnShare*float64(cfg.Services[service].MaxConnections))/proxies)
 }
 
-// coldBound returns the limit on what a service's upstreams may be sent while they are cold.
+// coldBound returns the limit on requests to a service's cold upstreams.
 func (d *Daemon) coldBound(service string) ColdBound {
 	if bounds := d.coldBounds.Load(); bounds != nil {
 		return (*bounds)[service]
@@ -116,7 +116,7 @@
 	return ColdBound{}
 }
 
-// computeColdBounds returns the limits on cold upstreams by service for a configuration.
+// computeColdBounds returns the limits on requests to cold upstreams, by service.
 func (d *Daemon) computeColdBounds(cfg *config.Config) map[string]ColdBound {
 	coldBounds := map[string]ColdBound{}
 	bounds := d.nodeSettings.Load().Bounds
@@ -129,11 +129,11 @@
 	return coldBounds
 }
 
-// apply puts changes received from the control plane in force.
+// apply puts changes received from the control plane into effect.
 func (d *Daemon) apply(changes distribution.Changes) {
 	now := d.now()
 	if changes.Config != nil {
-		cfg, err := d.reader.Parse(changes.Config.Raw)
+		cfg, err := d.parser.Parse(changes.Config.Raw)
 		if err != nil {
 			d.events.Record("config_unreadable", err.Error()) // unexpected: the control plane validates configurations
 		} else {
@@ -166,13 +166,13 @@
 	d.clock.Observe(changes.From, changes.Wall, now)
 	d.scalingHolder.Store(&changes.ScalingHolder)
 	if old := d.usageHolder.Swap(&changes.UsageHolder); d.meter != nil && (old == nil || *old != changes.UsageHolder) {
-		go d.reportUsage() // a new holder starts without any usage
+		go d.reportUsage() // a new holder has no usage data yet
 	}
 	if changes.PendingLimits != nil {
 		d.limiter.SetShadowQuotas(now, changes.PendingLimits)
 	}
 	if old := d.trackers.Swap(&changes.Trackers); !slices.Equal(*old, changes.Trackers) {
-		go d.renewGrants() // a new tracker has to learn the grants held here
+		go d.renewGrants() // a new tracker needs to be informed of the grants held here
 	}
 }
 
--- a/internal/proxy/ejection.go
+++ b/internal/proxy/ejection.go
@@ -20,7 +20,7 @@
 	return ejected*2 > all
 }
 
-// outcome is the result of an attempt, as evidence about the upstream.
+// outcome classifies the result of an attempt by what it shows about the upstream.
 type outcome int
 
 const (
@@ -28,7 +28,7 @@
 	outcomeAtCapacity                    // the upstream rejected the request for lack of capacity
 	outcomeTransportError                // connection refused, reset or cut off, or an invalid response
 	outcomeTimeout                       // no response in time
-	outcomeUnused                        // the attempt ended for a reason that says nothing about the upstream
+	outcomeUnused                        // the attempt ended for a reason that is unrelated to the upstream
 	outcomeServerError                   // the upstream responded with a server error
 	outcomeCancelled                     // this proxy closed the connection because nobody was waiting for the response
 )
@@ -40,7 +40,7 @@
 	u.ejectedUntil = now.Add(min(constants.EjectFirst<<min(u.consecutiveFailures-1, 5), constants.EjectMax))
 }
 
-// finish ends an attempt, releases its place and updates the upstream's statistics.
+// finish ends an attempt, releases its placement and updates the upstream's statistics.
 func (pool *Pool) finish(p *placement, result outcome) {
 	pool.mu.Lock()
 	defer pool.mu.Unlock()
@@ -67,15 +67,15 @@
 		}
 		u.delayUpdatedAt = now
 	}
-	times := pool.serviceLatencyLocked(u.instance.Service)
+	latency := pool.serviceLatencyLocked(u.instance.Service)
 	if result != outcomeAtCapacity && result != outcomeUnused {
-		times.occupancy.observe(now, now.Sub(startedAt).Seconds())
+		latency.occupancy.observe(now, now.Sub(startedAt).Seconds())
 	}
 	switch result {
 	case outcomeServed:
 		u.consecutiveFailures = 0
 		u.responses++
-		times.observeResponse(now, responseTime)
+		latency.observeResponse(now, responseTime)
 		updateDelay(responseTime)
 	case outcomeServerError:
 		// Healthy upstreams rarely return server errors, so a single one is sufficient
--- a/internal/proxy/lag_test.go
+++ b/internal/proxy/lag_test.go
@@ -7,36 +7,36 @@
 	"slateridge/internal/constants"
 )
 
-// A process lags from the moment at which a tick is missing, even if it is asked before the
-// first tick after a suspension, and for some time afterwards.
+// A process counts as lagging as soon as a tick is overdue, even before the first tick after a
+// suspension, and for LagMemory after that tick.
 func TestLagDetector(t *testing.T) {
 	const step = constants.StepEvery
 	began := time.Now()
-	m := &lagDetector{startedAt: began}
-	if !m.lagging(began.Add(step)) {
+	detector := &lagDetector{startedAt: began}
+	if !detector.lagging(began.Add(step)) {
 		t.Error("not lagging without a tick")
 	}
 	at := began.Add(10 * time.Second)
-	m.tick(at)
+	detector.tick(at)
 	for range 20 {
 		at = at.Add(step)
-		m.tick(at)
+		detector.tick(at)
 	}
-	if m.lagging(at.Add(step)) {
+	if detector.lagging(at.Add(step)) {
 		t.Error("lagging with regular ticks")
 	}
-	woken := at.Add(3 * time.Second)
-	if !m.lagging(woken) {
-		t.Error("a suspension is not noticed before the next tick")
+	resumedAt := at.Add(3 * time.Second)
+	if !detector.lagging(resumedAt) {
+		t.Error("a suspension is not detected before the next tick")
 	}
-	m.tick(woken)
-	if !m.lagging(woken.Add(step)) {
+	detector.tick(resumedAt)
+	if !detector.lagging(resumedAt.Add(step)) {
 		t.Error("a suspension is forgotten at the next tick")
 	}
-	for at = woken; at.Before(woken.Add(constants.LagMemory)); at = at.Add(step) {
-		m.tick(at)
+	for at = resumedAt; at.Before(resumedAt.Add(constants.LagMemory)); at = at.Add(step) {
+		detector.tick(at)
 	}
-	if m.lagging(at.Add(step)) {
+	if detector.lagging(at.Add(step)) {
 		t.Error("lagging forever")
 	}
 }
--- a/internal/proxy/proxy.go
+++ b/internal/proxy/proxy.go
@@ -39,7 +39,7 @@
 	openRequests   atomic.Int64
 	lag            lagDetector
 	outcomeCounts  [len(countNames)]atomic.Uint64
-	keyTrustPeriod time.Duration    // how long a key is accepted without confirmation from the control plane; 0: forever
+	keyTrustPeriod time.Duration    // how long a key is accepted without confirmation from the control plane; 0 for no limit
 	readIndexAt    func() time.Time // when the configuration in force was last confirmed to be the newest
 
 	streams          atomic.Int64  // in progress
@@ -69,7 +69,7 @@
 	countOverQuota
 	countNoCapacity
 	countFailed
-	countKeyUnsure
+	countKeyUnconfirmed
 	countClientLeft
 )
 
@@ -176,7 +176,7 @@
 func (s *Proxy) admit(w http.ResponseWriter, p *exchange) bool {
 	if s.keyTrustPeriod > 0 && p.arrived.Sub(s.readIndexAt()) > s.keyTrustPeriod {
 		// The key may have been revoked without this proxy having learned of it.
-		s.outcomeCounts[countKeyUnsure].Add(1)
+		s.outcomeCounts[countKeyUnconfirmed].Add(1)
 		s.refuse(w, p.request, http.StatusServiceUnavailable, configRetryAfter(p.arrived, p.request))
 		return false
 	}
--- a/internal/proxy/proxy_test.go
+++ b/internal/proxy/proxy_test.go
@@ -221,8 +221,8 @@
 	}
 }
 
-// Maps what an upstream does to the status that the client may get: a status which guarantees
-// that the request was not executed only if that is certain.
+// The client gets a status that guarantees that its request was not executed only if that is
+// certain, whatever the upstream does.
 func TestAmbiguousOutcomeIsNotReportedAsUnexecuted(t *testing.T) {
 	plain := func(status string) script {
 		return func(_ int, _ *http.Request) (string, bool) {
@@ -348,9 +348,9 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	g := newFrontend(l, s, func() config.Limits { return config.Limits{} }, time.Second)
+	frontend := newFrontend(l, s, func() config.Limits { return config.Limits{} }, time.Second)
 	served := make(chan struct{})
-	go func() { g.serve(); close(served) }()
+	go func() { frontend.serve(); close(served) }()
 	got := make(chan string, 1)
 	go func() {
 		r, _ := http.NewRequest("GET", "http://"+l.Addr().String()+"/open/", nil)
@@ -366,7 +366,7 @@
 	}()
 	<-started
 	drained := make(chan struct{})
-	go func() { g.drain(context.Background()); close(drained) }()
+	go func() { frontend.drain(context.Background()); close(drained) }()
 	for { // the listener is closed
 		c, err := net.Dial("tcp4", l.Addr().String())
 		if err != nil {
@@ -384,7 +384,7 @@
 		t.Fatalf("client got %q", b)
 	}
 	<-drained
-	g.close()
+	frontend.close()
 	<-served
 }
 
@@ -450,18 +450,18 @@
 	}
 }
 
-// A refusal without the attempt's id may be a late response to an earlier request on the
+// A refusal without the attempt's ID may be a late response to an earlier request on the
 // connection: it does not prove that this request was not executed. On a new connection there is
 // no earlier request.
 func TestUnverifiedRefusalIsNotTrusted(t *testing.T) {
-	const shed = "HTTP/1.1 503 Full\r\nX-Slateridge-Not-Executed: 1\r\nContent-Length: 0\r\n\r\n"
+	const rejection = "HTTP/1.1 503 Full\r\nX-Slateridge-Not-Executed: 1\r\nContent-Length: 0\r\n\r\n"
 	u := newRawUpstream(t, func(n int, r *http.Request) (string, bool) {
 		if n == 1 {
 			return okResponse(r, "b"), false
 		}
-		return shed, false
+		return rejection, false
 	})
-	other := newRawUpstream(t, func(_ int, _ *http.Request) (string, bool) { return shed, false })
+	other := newRawUpstream(t, func(_ int, _ *http.Request) (string, bool) { return rejection, false })
 	s := newProxy(t, u.instance("i-1"))
 	sendRequest(s, "POST", "/once/", "")
 	s.pool.Apply(time.Now(), []discovery.Instance{u.instance("i-1"), other.instance("i-2")})
@@ -533,7 +533,7 @@
 }
 
 // A response that may belong to an earlier request on the connection is not relayed, whatever
-// its status. A request without an id, whose response only the connection identifies, gets a
+// its status. A request without an ID, whose response only the connection identifies, gets a
 // connection of its own.
 func TestStaleResponseIsNotRelayed(t *testing.T) {
 	for _, c := range []struct {
@@ -578,7 +578,7 @@
 	}
 }
 
-// An instance that is listed under the same id at another address, or for another service, is a
+// An instance that is listed under the same ID at another address, or for another service, is a
 // new upstream: nothing is sent over connections to the previous one.
 func TestMovedInstanceIsNewUpstream(t *testing.T) {
 	a := newRawUpstream(t, func(_ int, r *http.Request) (string, bool) { return okResponse(r, "a"), false })
