--- a/internal/distribution/peers.go
+++ b/internal/distribution/peers.go
@@ -36,8 +36,8 @@
 }
 
 // updatePeersLocked records the control nodes that an update lists. Addresses are added from
-// any update, but only a node in contact with a majority (current) can tell which nodes have
-// left the control plane.
+// any update, but only a node in contact with a majority (current) can determine which nodes
+// have left the control plane.
 func (s *Subscriber) updatePeersLocked(peers []Peer, current bool) {
 	if len(peers) == 0 {
 		return
--- a/internal/distribution/publisher.go
+++ b/internal/distribution/publisher.go
@@ -156,7 +156,7 @@
 func NewPublisher(snapshot func() Snapshot, hasShare func(node string) bool) *Publisher {
 	return &Publisher{conns: map[*transport.Conn]*subscriberConn{}, snapshot: snapshot, hasShare: hasShare,
 		configs: history[config.Doc, config.Delta]{number: func(doc *config.Doc) uint64 { return doc.Version },
-			diff: func(base, doc *config.Doc) *config.Delta { packed := config.NewDelta(base, doc); return &packed }},
+			diff: func(base, doc *config.Doc) *config.Delta { delta := config.NewDelta(base, doc); return &delta }},
 		lists: history[discovery.List, discovery.Change]{number: func(list *discovery.List) uint64 { return list.Num }, diff: discovery.Diff}}
 }
 
--- a/internal/distribution/receive.go
+++ b/internal/distribution/receive.go
@@ -8,7 +8,7 @@
 	"slateridge/internal/discovery"
 )
 
-// recordReadIndex records what a reply says about the committed versions, and returns
+// recordReadIndex records what a reply states about the committed versions, and returns
 // ReadIndexAt. The reply was made after the request was sent, so its age is counted from
 // sentAt, regardless of how long it was in transit.
 func (s *Subscriber) recordReadIndex(update Update, sentAt time.Time) time.Time {
@@ -29,8 +29,8 @@
 }
 
 // receive puts an update in force. No subscription is sent until that is done, because a
-// subscription acknowledges the versions in force; calls on behalf of requests are not held
-// up. The update was not made before notBefore.
+// subscription acknowledges the versions in force; calls on behalf of requests are not
+// blocked. The update was not made before notBefore.
 func (s *Subscriber) receive(addr string, update Update, notBefore time.Time) {
 	s.receiveMu.Lock()
 	defer s.receiveMu.Unlock()
@@ -52,9 +52,9 @@
 		update.List = nil
 	}
 	s.mu.Unlock()
-	if packed := update.Config; packed != nil && packed.Version > s.version {
-		if unpacked, err := packed.Apply(s.doc, constants.ConfigMax); err == nil {
-			doc = unpacked
+	if delta := update.Config; delta != nil && delta.Version > s.version {
+		if applied, err := delta.Apply(s.doc, constants.ConfigMax); err == nil {
+			doc = applied
 		} else {
 			mismatch = true
 		}
--- a/internal/distribution/subscriber.go
+++ b/internal/distribution/subscriber.go
@@ -33,7 +33,7 @@
 	apply          func(Changes)
 	version        uint64
 	appliedVersion uint64 // like version, but set only after the configuration is in force
-	pendingVersion uint64 // version of the quotas last handed on for evaluation
+	pendingVersion uint64 // version of the quotas last passed on for evaluation
 	listNum        uint64
 	listCurrentAt  time.Time // when the held list was last known to be current
 	readIndexAt    time.Time
@@ -42,7 +42,7 @@
 	firstUpdateAt  time.Time
 	acceptStale    bool // no node in contact with a majority was found in time: accept possibly stale contents
 	liveCount      int
-	liveCountAt    time.Time // when the live count was last handed on
+	liveCountAt    time.Time // when a live count was last put in force
 	stateNum       uint64
 	evacuated      []string
 	usageHolder    string
--- a/internal/distribution/subscriber_test.go
+++ b/internal/distribution/subscriber_test.go
@@ -222,9 +222,9 @@
 func TestStartIgnoresContentsOutOfContact(t *testing.T) {
 	subscriber, recorder := newOfflineSubscriber(t, "127.0.0.41")
 	update := func(current bool) Update {
-		packed := config.NewDelta(nil, &config.Doc{Version: 3, Raw: []byte("3")})
+		delta := config.NewDelta(nil, &config.Doc{Version: 3, Raw: []byte("3")})
 		return Update{Current: current, Version: 3, ListNum: 5, Proxies: 3, StateNum: 4, Evacuated: []string{"y"},
-			Config: &packed, List: discovery.Diff(nil, &discovery.List{Num: 5}), ComingVer: 6, Coming: map[string]admission.Quota{"k": {}}}
+			Config: &delta, List: discovery.Diff(nil, &discovery.List{Num: 5}), ComingVer: 6, Coming: map[string]admission.Quota{"k": {}}}
 	}
 	subscriber.receive("127.0.0.41", update(false), time.Now())
 	if versions, lists, changes := recorder.recorded(); len(versions)+len(lists) > 0 || changes.StateNum != 0 || changes.Proxies != 0 || changes.PendingLimits != nil {
@@ -250,9 +250,9 @@
 	subscriber.listNum = 8
 	before := subscriber.State(now)
 	late := now.Add(-20 * time.Second)
-	packed := config.NewDelta(nil, &config.Doc{Version: 3, Raw: []byte("3")})
+	delta := config.NewDelta(nil, &config.Doc{Version: 3, Raw: []byte("3")})
 	subscriber.version = 6
-	subscriber.receive("127.0.0.41", Update{Current: true, Version: 3, Config: &packed, ListNum: 8, StateNum: 5, Evacuated: []string{"y"}, Proxies: 40,
+	subscriber.receive("127.0.0.41", Update{Current: true, Version: 3, Config: &delta, ListNum: 8, StateNum: 5, Evacuated: []string{"y"}, Proxies: 40,
 		Wall: 6e18, Trackers: []string{"a"}, Metered: "a", Scaler: "a"}, late)
 	versions, _, changes := recorder.recorded()
 	if len(versions) > 0 || changes.StateNum != 9 || len(changes.Evacuated) > 0 {
@@ -274,7 +274,7 @@
 }
 
 // TestLateUpdateDoesNotRestoreLiveCount checks that a proxy that was paused for long, and then
-// reads the updates sent before, does not hand on the live count it held. Other proxies may use
+// reads the updates sent before, does not put the live count it held in force. Other proxies may use
 // its share of the split quotas by then, and the live count would put the share in use here
 // again. The first update made after the pause restores the count.
 func TestLateUpdateDoesNotRestoreLiveCount(t *testing.T) {
@@ -292,7 +292,7 @@
 	subscriber.receive("127.0.0.41", Update{Current: true, Proxies: 4, StateNum: 9, Evacuated: []string{"y"}}, pausedAt)
 	_, _, changes := recorder.recorded()
 	if changes.Proxies != 0 {
-		t.Errorf("a late update handed on live count %d", changes.Proxies)
+		t.Errorf("a late update put live count %d in force", changes.Proxies)
 	}
 	if changes.StateNum != 9 || len(changes.Evacuated) != 1 {
 		t.Errorf("the numbered state of the late update was not taken: %+v", changes)
