--- a/internal/usage/loss_test.go
+++ b/internal/usage/loss_test.go
@@ -72,7 +72,7 @@
 	seed        uint64
 	machines    map[string]*simMachine
 	holder      string // holds the lease
-	knownHolder string // as far as the proxies know
+	knownHolder string // last holder known to the proxies
 	proxies     map[string]*simProxy
 	killed      []*simProxy
 	requests    []sentRequest
--- a/internal/usage/persister.go
+++ b/internal/usage/persister.go
@@ -7,12 +7,12 @@
 )
 
 type (
-	// Save asks for a value on the machine's disk to be replaced.
+	// Save is the action of replacing a value on the machine's disk.
 	Save struct {
 		Key     string
 		Reports []Report
 	}
-	// SendHandover asks for a handover to be sent to the duty holder, which may be this machine.
+	// SendHandover is the action of sending a handover to the duty holder, which may be this machine.
 	SendHandover struct {
 		To string
 		Handover
@@ -34,7 +34,7 @@
 	pending     []Report // to hand over to the next holder
 	held        bool     // the duty was held at the previous step
 	handoverDue bool     // a handover is due, even if it has no reports
-	turn        int      // number of saves since the latest snapshot
+	turn        int      // position in the cycle of constants.UsageSaves saves; 0 is the full snapshot
 }
 
 // NewPersister returns the persister of a tally. get reads a value from the machine's disk, which
@@ -52,8 +52,8 @@
 }
 
 // Step returns the actions to take, of type Save and SendHandover. It is called every
-// constants.UsageSave. held indicates whether this machine holds the duty, and holder is the duty's
-// holder as far as this machine knows.
+// constants.UsageSave. held indicates whether this machine holds the duty, and holder is the last
+// known holder of the duty.
 func (p *Persister) Step(held bool, holder string) []any {
 	if p.held && !held {
 		p.pending = append(p.pending, p.tally.Snapshot()...)
