--- a/internal/autoscale/autoscale.go
+++ b/internal/autoscale/autoscale.go
@@ -176,7 +176,7 @@
 	reason     string // of the last change
 }
 
-// Controller is the control loop of one duty holder. It remembers only the recent load; the counts
+// Controller is the control loop of one duty holder. It keeps only the recent load; the counts
 // ordered so far are stored in the chain and passed to Step.
 type Controller struct {
 	mu        sync.Mutex
--- a/internal/autoscale/autoscale_test.go
+++ b/internal/autoscale/autoscale_test.go
@@ -154,7 +154,7 @@
 // However short a load peak is, the upstreams ordered for it are kept until the effect of the order
 // is visible. A service whose upstreams boot quickly therefore scales in sooner than one whose
 // upstreams boot slowly.
-func TestOrderStandsUntilItsEffectIsVisible(t *testing.T) {
+func TestOrderIsKeptUntilItsEffectIsVisible(t *testing.T) {
 	timeToScaleIn := func(bootTime time.Duration) time.Duration {
 		z := &zoneSim{ready: 20, bootTime: bootTime}
 		load := func(now time.Duration) float64 {
