--- a/internal/config/ledger.go
+++ b/internal/config/ledger.go
@@ -12,8 +12,8 @@
 type LedgerEntry struct{ Version, Sum uint64 }
 
 // Ledger records which content was accepted under each version, including versions that were
-// superseded by a higher one before they arrived. By it a repeated submission is recognized,
-// and different content under a version in use is never acknowledged. Its size is bounded: for
+// superseded by a higher one before they arrived. It is used to recognize a repeated submission,
+// and to never acknowledge different content under a version in use. Its size is bounded: for
 // versions at or below Floor that are not listed, the content is no longer known. Sum
 // distinguishes ledgers whose list is omitted.
 type Ledger struct {
--- a/internal/config/state.go
+++ b/internal/config/state.go
@@ -19,7 +19,7 @@
 func (r Revision) Num() uint64 { return r.View<<32 | r.Seq&(1<<32-1) }
 
 // Evacuation is the latest evacuation order for a zone. Num counts the orders for the zone. IDs
-// holds the IDs of the most recent orders, so that their senders can tell that they were
+// holds the IDs of the most recent orders, so that their senders can see that they were
 // accepted.
 type Evacuation struct {
 	On  bool
