--- a/internal/settings/settings.go
+++ b/internal/settings/settings.go
@@ -116,7 +116,7 @@
 	Address  string   `json:"address" validate:"omitempty,hostname_port"`
 	RatePerS float64  `json:"ratePerS" validate:"gte=0"`
 	MaxLag   Duration `json:"maxLag"`
-	// Duties are the kinds of calls that only one daemon at a time may make.
+	// Duties are the kinds of calls that only one process at a time may make.
 	Duties     []string `json:"duties" validate:"dive,required"`
 	DutiesPerS float64  `json:"dutiesPerS" validate:"gte=0"`
 }
--- a/internal/settings/settings_test.go
+++ b/internal/settings/settings_test.go
@@ -12,12 +12,12 @@
 "internalPorts":[7560,7575],"seedNodes":["10.2.0.13:8381","10.1.0.13:8381"],"unknown":{"a":1},
 "bounds":{"drain":"2500ms","grace":"6s","configApply":"2500ms","retryBudgetRatio":0.2,"retryWindow":"10s","retryBudgetSlack":62,"quotaWindow":"5s","quotaSlack":20}}`
 
-func load(t *testing.T, text string, needs ...string) (*Settings, error) {
+func load(t *testing.T, text string, listeners ...string) (*Settings, error) {
 	p := filepath.Join(t.TempDir(), "boot.json")
 	if err := os.WriteFile(p, []byte(text), 0o600); err != nil {
 		t.Fatal(err)
 	}
-	return Load(p, needs...)
+	return Load(p, listeners...)
 }
 
 // Load accepts a valid file, and rejects each corrupted copy of it with a single-line error that
