--- a/internal/clock/clock_test.go
+++ b/internal/clock/clock_test.go
@@ -33,8 +33,8 @@
 				c.Observe(fmt.Sprint(i), epoch.Add(now+offset).UnixNano(), now)
 			}
 			at, ok := c.Now(now)
-			if err := at.Sub(epoch.Add(now)); !ok || err < -2*spread || err > 3*spread {
-				t.Fatalf("seed %d at %v: the agreed time is off by %v", seed, now, err)
+			if deviation := at.Sub(epoch.Add(now)); !ok || deviation < -2*spread || deviation > 3*spread {
+				t.Fatalf("seed %d at %v: the agreed time is off by %v", seed, now, deviation)
 			}
 			if at.Before(last) {
 				t.Fatalf("seed %d at %v: the agreed time went back", seed, now)
