--- a/internal/accounts/agent.go
+++ b/internal/accounts/agent.go
@@ -106,7 +106,8 @@
 }
 
 // reportShard sends all pending changes of a shard. If a new leader lacks changes that its
-// predecessor had received, its response says so, and the second attempt resends from there.
+// predecessor had received, its response contains the version that it has, and the second
+// attempt resends from there.
 func (a *Agent) reportShard(shard int) {
 	accepted := a.sendPending(shard)
 	if !accepted {
--- a/internal/accounts/objectives.go
+++ b/internal/accounts/objectives.go
@@ -14,7 +14,7 @@
 const (
 	minTarget        = 0.5                 // a lower target is most likely a typing error
 	maxLatencyTarget = 10 * time.Minute    // the longest latency that a sketch records
-	minWindow        = time.Hour           // longBurnWindow
+	minWindow        = time.Hour           // not shorter than longBurnWindow
 	maxWindow        = 90 * 24 * time.Hour // about three months
 	defaultShards    = 16
 	maxShards        = 256
