--- a/internal/transport/names.go
+++ b/internal/transport/names.go
@@ -2,10 +2,10 @@
 
 import "encoding/gob"
 
-// The names of the messages on the wire. Builds of different versions identify messages
-// by these names, so they must not change when a Go type is renamed or moved. They are
-// the package and type names of the first build that sent each message. The names of the
-// messages' exported fields must not change either.
+// The names of the messages on the wire. They are what builds know each other's
+// messages by, so none may change, whatever becomes of the Go types: they are those
+// under which the first builds sent them, after the packages and types of then. The
+// same holds for the names of the messages' exported fields.
 const (
 	NameHeartbeat           = "slateridge/internal/headworks.Gauge"
 	NamePrepare             = "slateridge/internal/headworks.Prepare"
