--- a/internal/constants/constants.go
+++ b/internal/constants/constants.go
@@ -15,7 +15,7 @@
 
 // Messages between own processes.
 const (
-	FrameMax         = 4 << 20                 // bytes; far over any configuration seen, far under a process's memory
+	MaxFrameBytes    = 4 << 20                 // bytes; far over any configuration seen, far under a process's memory
 	DialTimeout      = 150 * time.Millisecond  // several round trips between zones; a dead machine is silent, not refusing
 	CallTimeout      = 800 * time.Millisecond  // longer than a slow disk's sync, shorter than a caller's second of patience
 	LinkSilence      = 1500 * time.Millisecond // unacknowledged bytes this long close a held connection (TCP_USER_TIMEOUT)
--- a/internal/transport/fuzz_test.go
+++ b/internal/transport/fuzz_test.go
@@ -37,7 +37,7 @@
 		f.Add(bytes.Clone(all))
 	}
 	f.Add(all[:len(all)-3])
-	f.Add(binary.BigEndian.AppendUint32(nil, constants.FrameMax+1))
+	f.Add(binary.BigEndian.AppendUint32(nil, constants.MaxFrameBytes+1))
 	f.Add(append([]byte{0, 0, 0, 9}, "not a gob"...))
 	f.Add(append([]byte{0, 0, 0, 6}, 0xfc, 0x3f, 0xff, 0xff, 0xff, 0)) // a gob whose length prefix is one gigabyte
 	f.Add(make([]byte, 64))
--- a/internal/transport/transport.go
+++ b/internal/transport/transport.go
@@ -166,7 +166,7 @@
 		for batch := conn.drainQueue(); len(batch) > 0; batch = conn.drainQueue() {
 			for _, e := range batch {
 				buf.Reset()
-				if err := enc.Encode(e); err != nil || buf.Len() > constants.FrameMax {
+				if err := enc.Encode(e); err != nil || buf.Len() > constants.MaxFrameBytes {
 					return
 				}
 				var size [4]byte
@@ -211,7 +211,7 @@
 		f.remaining = binary.BigEndian.Uint32(size[:])
 		Traffic.In.Add(1)
 		Traffic.InBytes.Add(uint64(f.remaining) + 4)
-		if f.remaining > constants.FrameMax {
+		if f.remaining > constants.MaxFrameBytes {
 			Malformed.Add(1)
 			return 0, errors.New("frame exceeds the maximum size")
 		}
--- a/internal/transport/transport_test.go
+++ b/internal/transport/transport_test.go
@@ -40,7 +40,7 @@
 	}
 	defer good.Close()
 	tooLong := make([]byte, 4)
-	binary.BigEndian.PutUint32(tooLong, constants.FrameMax+1)
+	binary.BigEndian.PutUint32(tooLong, constants.MaxFrameBytes+1)
 	notGob := append([]byte{0, 0, 0, 9}, "not a gob"...)
 	for _, input := range [][]byte{tooLong, notGob} {
 		before := Malformed.Load()
