--- a/internal/transport/transport.go
+++ b/internal/transport/transport.go
@@ -308,12 +308,12 @@
 func setUserTimeout(_, _ string, rc syscall.RawConn) error {
 	const tcpUserTimeout = 18
 	rc.Control(func(fd uintptr) {
-		syscall.SetsockoptInt(int(fd), syscall.IPPROTO_TCP, tcpUserTimeout, int(constants.LinkSilence/time.Millisecond))
+		syscall.SetsockoptInt(int(fd), syscall.IPPROTO_TCP, tcpUserTimeout, int(constants.TCPUserTimeout/time.Millisecond))
 	})
 	return nil
 }
 
-var keepAlive = net.KeepAliveConfig{Enable: true, Idle: constants.LinkSilence, Interval: time.Second, Count: 2}
+var keepAlive = net.KeepAliveConfig{Enable: true, Idle: constants.TCPUserTimeout, Interval: time.Second, Count: 2}
 
 // Dial opens a connection from the local IP address localAddr, by which the peer identifies
 // this machine. h handles the messages of the peer that are not replies.
