--- a/internal/constants/constants.go
+++ b/internal/constants/constants.go
@@ -19,7 +19,7 @@
 	DialTimeout      = 150 * time.Millisecond  // several round trips between zones; a dead machine is silent, not refusing
 	CallTimeout      = 800 * time.Millisecond  // longer than a slow disk's sync, shorter than a caller's second of patience
 	TCPUserTimeout   = 1500 * time.Millisecond // unacknowledged bytes this long close a held connection (TCP_USER_TIMEOUT)
-	SendQueue        = 256                     // messages; a peer that does not read loses its connection, not our memory
+	SendQueueLength  = 256                     // messages; a peer that does not read loses its connection, not our memory
 	ConnBuffer       = 2 << 10                 // bytes each way; most messages are a tenth, and long ones pass by the buffer
 	EncodeBufferKept = 16 << 10                // bytes of an encoding buffer kept between messages
 	RedialPause      = 50 * time.Millisecond   // between attempts at a peer that does not answer
--- a/internal/transport/transport.go
+++ b/internal/transport/transport.go
@@ -91,7 +91,7 @@
 	default:
 	}
 	conn.queueMu.Lock()
-	full := len(conn.queue) >= constants.SendQueue
+	full := len(conn.queue) >= constants.SendQueueLength
 	if !full {
 		conn.queue = append(conn.queue, e)
 	}
--- a/internal/transport/transport_test.go
+++ b/internal/transport/transport_test.go
@@ -78,7 +78,7 @@
 		t.Fatal(err)
 	}
 	large := testMessage{strings.Repeat("x", 64<<10)}
-	for range 100 * constants.SendQueue {
+	for range 100 * constants.SendQueueLength {
 		if conn.Send(large) != nil {
 			<-conn.Done()
 			return
