--- a/internal/transport/transport.go
+++ b/internal/transport/transport.go
@@ -156,7 +156,7 @@
 	defer conn.Close()
 	var buf bytes.Buffer
 	enc := gob.NewEncoder(&buf)
-	w := bufio.NewWriterSize(conn.netConn, constants.ConnBuffer)
+	w := bufio.NewWriterSize(conn.netConn, constants.ConnBufferBytes)
 	for {
 		select {
 		case <-conn.done:
@@ -241,7 +241,7 @@
 }
 
 func newDecoder(r io.Reader) *decoder {
-	f := &frameReader{r: bufio.NewReaderSize(r, constants.ConnBuffer)}
+	f := &frameReader{r: bufio.NewReaderSize(r, constants.ConnBufferBytes)}
 	return &decoder{f, gob.NewDecoder(f)}
 }
 
