--- a/internal/constants/constants.go
+++ b/internal/constants/constants.go
@@ -15,16 +15,16 @@
 
 // Messages between own processes.
 const (
-	MaxFrameBytes    = 4 << 20                 // bytes; far over any configuration seen, far under a process's memory
-	DialTimeout      = 150 * time.Millisecond  // several round trips between zones; a dead machine is silent, not refusing
-	CallTimeout      = 800 * time.Millisecond  // longer than a slow disk's sync, shorter than a caller's second of patience
-	TCPUserTimeout   = 1500 * time.Millisecond // unacknowledged bytes this long close a held connection (TCP_USER_TIMEOUT)
-	SendQueueLength  = 256                     // messages; a peer that does not read loses its connection, not our memory
-	ConnBufferBytes  = 2 << 10                 // bytes each way; most messages are a tenth, and long ones pass by the buffer
-	EncodeBufferKept = 16 << 10                // bytes of an encoding buffer kept between messages
-	RedialPause      = 50 * time.Millisecond   // between attempts at a peer that does not answer
-	MemoryPart       = 0.7                     // of the machine's limit, from which the collector works harder; the rest is for what it does not count
-	JournalEvents    = 256                     // kept events in a process's journal; enough for a trouble's story
+	MaxFrameBytes            = 4 << 20                 // bytes; far over any configuration seen, far under a process's memory
+	DialTimeout              = 150 * time.Millisecond  // several round trips between zones; a dead machine is silent, not refusing
+	CallTimeout              = 800 * time.Millisecond  // longer than a slow disk's sync, shorter than a caller's second of patience
+	TCPUserTimeout           = 1500 * time.Millisecond // unacknowledged bytes this long close a held connection (TCP_USER_TIMEOUT)
+	SendQueueLength          = 256                     // messages; a peer that does not read loses its connection, not our memory
+	ConnBufferBytes          = 2 << 10                 // bytes each way; most messages are a tenth, and long ones pass by the buffer
+	MaxKeptEncodeBufferBytes = 16 << 10                // bytes of an encoding buffer kept between messages
+	RedialPause              = 50 * time.Millisecond   // between attempts at a peer that does not answer
+	MemoryPart               = 0.7                     // of the machine's limit, from which the collector works harder; the rest is for what it does not count
+	JournalEvents            = 256                     // kept events in a process's journal; enough for a trouble's story
 )
 
 // Chain and view.
--- a/internal/transport/transport.go
+++ b/internal/transport/transport.go
@@ -180,7 +180,7 @@
 		if w.Flush() != nil || conn.closeAfterFlush.Load() {
 			return
 		}
-		if buf.Cap() > constants.EncodeBufferKept {
+		if buf.Cap() > constants.MaxKeptEncodeBufferBytes {
 			buf = bytes.Buffer{} // do not keep the memory of one large message for the life of the connection
 		}
 	}
