--- a/internal/constants/constants.go
+++ b/internal/constants/constants.go
@@ -22,7 +22,7 @@
 	SendQueueLength          = 256                     // messages; a peer that does not read loses its connection, not our memory
 	ConnBufferBytes          = 2 << 10                 // bytes each way; most messages are a tenth, and long ones pass by the buffer
 	MaxKeptEncodeBufferBytes = 16 << 10                // bytes of an encoding buffer kept between messages
-	RedialPause              = 50 * time.Millisecond   // between attempts at a peer that does not answer
+	RedialDelay              = 50 * time.Millisecond   // between attempts at a peer that does not answer
 	MemoryPart               = 0.7                     // of the machine's limit, from which the collector works harder; the rest is for what it does not count
 	JournalEvents            = 256                     // kept events in a process's journal; enough for a trouble's story
 )
@@ -251,7 +251,7 @@
 	GrantEvery       = 250 * time.Millisecond  // proxies report demand and renew
 	TrackerBusy      = 80 * time.Millisecond   // a tracker that answers at all does so within this, or within what is usual for it: other work of its machine may come first
 	RetryMost        = time.Minute             // the longest that a refused client is told to wait
-	AskRetryPause    = RedialPause             // after a question that brought no answer, for a key that its tracker alone carries
+	AskRetryPause    = RedialDelay             // after a question that brought no answer, for a key that its tracker alone carries
 	GrantHeadroom    = 1.3                     // asked over the demand seen
 	FastBucketTime   = time.Second             // the second bucket holds this much of the key's rate
 	FastBucketRate   = 2.0                     // and fills this many times faster than the rate
--- a/internal/distribution/publish_order_test.go
+++ b/internal/distribution/publish_order_test.go
@@ -44,7 +44,7 @@
 		if _, err = peer.Call(Subscription{Node: "p", Full: true}, constants.CallTimeout); err == nil {
 			break
 		}
-		time.Sleep(constants.RedialPause)
+		time.Sleep(constants.RedialDelay)
 	}
 	if err != nil {
 		t.Fatal(err)
--- a/internal/proxy/grants_test.go
+++ b/internal/proxy/grants_test.go
@@ -27,7 +27,7 @@
 		if n > 100 {
 			t.Fatal("no connection to the tracker")
 		}
-		time.Sleep(constants.RedialPause)
+		time.Sleep(constants.RedialDelay)
 	}
 	return d
 }
--- a/internal/transport/transport.go
+++ b/internal/transport/transport.go
@@ -344,7 +344,7 @@
 			if errors.Is(err, net.ErrClosed) {
 				return nil
 			}
-			time.Sleep(constants.RedialPause)
+			time.Sleep(constants.RedialDelay)
 			continue
 		}
 		conn := newConn(c, h)
@@ -403,7 +403,7 @@
 			conn, err := Dial(peer.addr, peer.localAddr, peer.handler)
 			peer.mu.Lock()
 			defer peer.mu.Unlock()
-			peer.dialing, peer.nextDial = false, time.Now().Add(constants.RedialPause)
+			peer.dialing, peer.nextDial = false, time.Now().Add(constants.RedialDelay)
 			peer.dialRefused = errors.Is(err, syscall.ECONNREFUSED)
 			if err == nil {
 				peer.conn = conn
