--- a/cmd/slateridge/main.go
+++ b/cmd/slateridge/main.go
@@ -79,7 +79,7 @@
 // machine's limit, over which it would be ended.
 func boundMemory(set *settings.Settings) {
 	if mb := set.Limits.MemoryMb; mb > 0 {
-		debug.SetMemoryLimit(int64(float64(mb) * constants.MemoryPart * (1 << 20)))
+		debug.SetMemoryLimit(int64(float64(mb) * constants.MemoryLimitFraction * (1 << 20)))
 	}
 }
 
--- a/internal/constants/constants.go
+++ b/internal/constants/constants.go
@@ -23,7 +23,7 @@
 	ConnBufferBytes          = 2 << 10                 // bytes each way; most messages are a tenth, and long ones pass by the buffer
 	MaxKeptEncodeBufferBytes = 16 << 10                // bytes of an encoding buffer kept between messages
 	RedialDelay              = 50 * time.Millisecond   // between attempts at a peer that does not answer
-	MemoryPart               = 0.7                     // of the machine's limit, from which the collector works harder; the rest is for what it does not count
+	MemoryLimitFraction      = 0.7                     // of the machine's limit, from which the collector works harder; the rest is for what it does not count
 	JournalEvents            = 256                     // kept events in a process's journal; enough for a trouble's story
 )
 
