--- a/internal/constants/constants.go
+++ b/internal/constants/constants.go
@@ -24,7 +24,7 @@
 	MaxKeptEncodeBufferBytes = 16 << 10                // bytes of an encoding buffer kept between messages
 	RedialDelay              = 50 * time.Millisecond   // between attempts at a peer that does not answer
 	MemoryLimitFraction      = 0.7                     // of the machine's limit, from which the collector works harder; the rest is for what it does not count
-	JournalEvents            = 256                     // kept events in a process's journal; enough for a trouble's story
+	EventLogCapacity         = 256                     // kept events in a process's journal; enough for a trouble's story
 )
 
 // Chain and view.
--- a/internal/eventlog/eventlog.go
+++ b/internal/eventlog/eventlog.go
@@ -40,7 +40,7 @@
 	defer l.mu.Unlock()
 	l.counts[kind]++
 	e := Event{time.Now(), kind, about}
-	if len(l.ring) < constants.JournalEvents {
+	if len(l.ring) < constants.EventLogCapacity {
 		l.ring = append(l.ring, e)
 	} else {
 		l.ring[l.next] = e
--- a/internal/proxy/audit.go
+++ b/internal/proxy/audit.go
@@ -46,7 +46,7 @@
 			recordChange(key)
 		}
 	}
-	if n := len(a.entries) - constants.JournalEvents; n > 0 {
+	if n := len(a.entries) - constants.EventLogCapacity; n > 0 {
 		a.entries = append([]AuditEntry(nil), a.entries[n:]...)
 	}
 }
