--- a/internal/constants/constants.go
+++ b/internal/constants/constants.go
@@ -30,7 +30,7 @@
 // Chain and view.
 const (
 	ChainTick         = 50 * time.Millisecond   // the machine's step: well under every span below
-	HeartbeatEvery    = 250 * time.Millisecond  // control machines send each other their state
+	HeartbeatInterval = 250 * time.Millisecond  // control machines send each other their state
 	RelayEvery        = 500 * time.Millisecond  // a relay asks one control machine after the other
 	RelayFresh        = 3 * time.Second         // and sends nobody to one whose answer is older: six questions, so that several may be lost
 	MemberSilence     = 1000 * time.Millisecond // four heartbeats missed, and longer than a slow disk holds a sync
--- a/internal/controlplane/chain/catchup.go
+++ b/internal/controlplane/chain/catchup.go
@@ -172,7 +172,7 @@
 			c.commit(*c.held)
 		} else if c.now >= c.nextFetchAt {
 			if c.inContact(from) { // a request that may not arrive must not delay one to another peer
-				c.nextFetchAt = c.now + constants.HeartbeatEvery
+				c.nextFetchAt = c.now + constants.HeartbeatInterval
 			}
 			c.send(from, Fetch{revisionOf(c.committed)})
 		}
--- a/internal/controlplane/chain/chain_test.go
+++ b/internal/controlplane/chain/chain_test.go
@@ -713,7 +713,7 @@
 		}
 	}
 	heartbeats := 0
-	for _, o := range c.chains["b"].Tick(c.network.Now + constants.HeartbeatEvery) {
+	for _, o := range c.chains["b"].Tick(c.network.Now + constants.HeartbeatInterval) {
 		if _, ok := o.(Send).Msg.(Heartbeat); ok {
 			heartbeats++
 		}
@@ -746,7 +746,7 @@
 	for i, n := range []string{"a", "c", "b"} {
 		c.network.After(time.Duration(1+i)*300*time.Millisecond, func() { c.start(n, false) })
 	}
-	c.network.Run(7*time.Second+900*time.Millisecond+2*constants.HeartbeatEvery, nil)
+	c.network.Run(7*time.Second+900*time.Millisecond+2*constants.HeartbeatInterval, nil)
 	for _, n := range threeMachines {
 		if VersionOf(c.committedStates[n]) != 9 {
 			t.Errorf("%s has r%d committed", n, VersionOf(c.committedStates[n]))
--- a/internal/controlplane/chain/electorate.go
+++ b/internal/controlplane/chain/electorate.go
@@ -217,7 +217,7 @@
 	c.now = now
 	if !c.Relay {
 		c.leaving, c.round = true, nil
-		c.nextHeartbeatAt = now + constants.HeartbeatEvery
+		c.nextHeartbeatAt = now + constants.HeartbeatInterval
 		c.forEachPeer(c.sendHeartbeat)
 	}
 	return c.takeEffects()
--- a/internal/controlplane/chain/electorate_test.go
+++ b/internal/controlplane/chain/electorate_test.go
@@ -523,7 +523,7 @@
 		c.checkAllMembers()
 		c.checkReads("after it caught up")
 	}
-	if elapsed[1] > elapsed[0]+2*constants.HeartbeatEvery {
+	if elapsed[1] > elapsed[0]+2*constants.HeartbeatInterval {
 		t.Errorf("caught up in %v after one change, in %v after 300", elapsed[0], elapsed[1])
 	}
 }
--- a/internal/controlplane/chain/receive.go
+++ b/internal/controlplane/chain/receive.go
@@ -22,7 +22,7 @@
 		return c.takeEffects()
 	}
 	if now >= c.nextHeartbeatAt {
-		c.nextHeartbeatAt = now + constants.HeartbeatEvery
+		c.nextHeartbeatAt = now + constants.HeartbeatInterval
 		c.forgetStalePeers()
 		c.forEachPeer(c.sendHeartbeat)
 	}
--- a/internal/controlplane/step_bench_test.go
+++ b/internal/controlplane/step_bench_test.go
@@ -47,7 +47,7 @@
 	now := time.Duration(0)
 	for i := 0; b.Loop(); i++ {
 		now += constants.ChainTick
-		if i%int(constants.HeartbeatEvery/constants.ChainTick) == 0 {
+		if i%int(constants.HeartbeatInterval/constants.ChainTick) == 0 {
 			b.StopTimer()
 			receiveHeartbeats(now)
 			b.StartTimer()
