--- a/internal/controlplane/chain/catchup.go
+++ b/internal/controlplane/chain/catchup.go
@@ -75,7 +75,7 @@
 	if c.now < c.nextHeartbeatAt {
 		return
 	}
-	c.nextHeartbeatAt = c.now + constants.RelayEvery
+	c.nextHeartbeatAt = c.now + constants.RelayHeartbeatInterval
 	for range c.peers {
 		c.lastPolledPeer++
 		if p := c.peers[c.lastPolledPeer%len(c.peers)]; p != c.Me.Addr {
--- a/internal/controlplane/daemon.go
+++ b/internal/controlplane/daemon.go
@@ -302,7 +302,7 @@
 func (d *Daemon) addLoops(group *rungroup.Group) {
 	group.Every(membership.TickInterval, d.members.Tick)
 	if d.replica.relay {
-		group.Every(constants.RelayEvery, d.replica.tick)
+		group.Every(constants.RelayHeartbeatInterval, d.replica.tick)
 		return
 	}
 	group.Every(constants.ChainTick, d.replica.tickAndReport)
