--- a/internal/controlplane/chain/catchup.go
+++ b/internal/controlplane/chain/catchup.go
@@ -88,7 +88,7 @@
 // RedirectTarget returns the voter that was heard from last, for a relay to redirect its
 // callers to; ok is false if none was heard from recently.
 func (c *Chain) RedirectTarget() (addr string, ok bool) {
-	last := c.now - constants.RelayFresh
+	last := c.now - constants.RelayHeartbeatMaxAge
 	for p, s := range c.peerStates {
 		if s.heartbeat.Joined && !s.heartbeat.Relay && s.receivedAt > last {
 			addr, last, ok = p, s.receivedAt, true
