--- a/internal/controlplane/chain/catchup.go
+++ b/internal/controlplane/chain/catchup.go
@@ -146,7 +146,7 @@
 		p = &peerState{lastReachedAt: -1}
 		c.peerStates[from] = p
 	}
-	if !p.everSeen || c.now-p.receivedAt > constants.MemberSilence || p.heartbeat.Me != hb.Me {
+	if !p.everSeen || c.now-p.receivedAt > constants.MemberTimeout || p.heartbeat.Me != hb.Me {
 		p.receivingSince, unproven = c.now, true
 		if p.heartbeat.Me != hb.Me {
 			p.lastReachedAt = -1
--- a/internal/controlplane/chain/chain_test.go
+++ b/internal/controlplane/chain/chain_test.go
@@ -585,7 +585,7 @@
 		c.fail("%d orders acknowledged and %d reads answered in 6 s without faults: %+v", c.acks-before, c.readsAnswered-read, c.chains[c.names[0]].Status())
 	}
 	for _, n := range c.names {
-		if at, ok := c.chains[n].ReadIndexAt(); !ok || c.network.Now-at > constants.MemberSilence {
+		if at, ok := c.chains[n].ReadIndexAt(); !ok || c.network.Now-at > constants.MemberTimeout {
 			c.fail("%s has a read index of %v only", n, at)
 		}
 		v := c.chains[n].View()
--- a/internal/controlplane/chain/electorate_test.go
+++ b/internal/controlplane/chain/electorate_test.go
@@ -227,7 +227,7 @@
 						// The next member proposes a view without it. If two disks may be
 						// lost, the proposer loses its disk during the round.
 						c.wipe(pick)
-						c.network.Run(c.network.Now+constants.MemberSilence, nil)
+						c.network.Run(c.network.Now+constants.MemberTimeout, nil)
 						for end := c.network.Now + 2*time.Second; f.maxFailures > 1 && c.network.Now < end; {
 							c.network.Run(c.network.Now+5*time.Millisecond, nil)
 							p := slices.IndexFunc(c.running(), func(n string) bool { return c.chains[n].round != nil })
@@ -276,7 +276,7 @@
 						cutAt := c.network.Now
 						views := len(c.views)
 						rest := slices.DeleteFunc(slices.Clone(c.names), func(n string) bool { return n == x })
-						c.network.Run(cutAt+constants.ContactFresh+constants.MemberSilence+2*time.Second, nil)
+						c.network.Run(cutAt+constants.ContactFresh+constants.MemberTimeout+2*time.Second, nil)
 						ackedBefore := len(c.ackedConfigs)
 						for i := 0; c.network.Now < cutAt+20*time.Second; i++ {
 							if i == 3 && restart > 0 && (restart == 1 || f.maxFailures > 1) {
--- a/internal/controlplane/chain/lease_handover_test.go
+++ b/internal/controlplane/chain/lease_handover_test.go
@@ -195,7 +195,7 @@
 			l.fail("%s had no holder for %v, more than %v, while %s was down", d, l.longestGap[d], bound, x)
 		}
 	}
-	if n := len(l.views) - views; !graceful && downtime < constants.MemberSilence-constants.HeartbeatInterval-2*delay && n > 0 {
+	if n := len(l.views) - views; !graceful && downtime < constants.MemberTimeout-constants.HeartbeatInterval-2*delay && n > 0 {
 		l.fail("a restart of %v caused %d views", downtime, n)
 	}
 	return worst
--- a/internal/controlplane/chain/receive.go
+++ b/internal/controlplane/chain/receive.go
@@ -27,7 +27,7 @@
 		c.forEachPeer(c.sendHeartbeat)
 	}
 	if c.store.Failed() && now >= c.nextRecoveryAt {
-		c.nextRecoveryAt = now + constants.MemberSilence
+		c.nextRecoveryAt = now + constants.MemberTimeout
 		c.store.Recover()
 	}
 	c.retransmit()
