--- a/internal/controlplane/chain/view.go
+++ b/internal/controlplane/chain/view.go
@@ -205,7 +205,7 @@
 	if c.nextRoundAt == 0 {
 		// The first eligible member proposes with the next step, the others after a
 		// delay that grows with their rank.
-		c.nextRoundAt = c.now + time.Duration(c.rank())*constants.ProposeStagger + 1
+		c.nextRoundAt = c.now + time.Duration(c.rank())*constants.ProposalStagger + 1
 	}
 	if c.now < c.nextRoundAt {
 		return
@@ -268,13 +268,13 @@
 // outbid each other forever.
 func (c *Chain) backOff() {
 	c.round = nil
-	c.nextRoundAt = c.now + constants.RoundLimit + time.Duration(c.rng.Int64N(int64(constants.ProposeStagger)))
+	c.nextRoundAt = c.now + constants.RoundLimit + time.Duration(c.rng.Int64N(int64(constants.ProposalStagger)))
 }
 
 func (c *Chain) driveRound(r *round) {
 	if c.now-r.startedAt > constants.RoundLimit {
 		c.round = nil
-		c.nextRoundAt = c.now + time.Duration(c.rng.Int64N(int64(constants.ProposeStagger))) + 1
+		c.nextRoundAt = c.now + time.Duration(c.rng.Int64N(int64(constants.ProposalStagger))) + 1
 		return
 	}
 	if r.members == nil && r.proposed == nil {
