--- a/internal/constants/constants.go
+++ b/internal/constants/constants.go
@@ -35,7 +35,7 @@
 	RelayHeartbeatMaxAge   = 3 * time.Second         // and sends nobody to one whose answer is older: six questions, so that several may be lost
 	MemberTimeout          = 1000 * time.Millisecond // four heartbeats missed, and longer than a slow disk holds a sync
 	ProposalStagger        = 300 * time.Millisecond  // a later member waits this much longer, so proposals seldom clash
-	PromiseWait            = 120 * time.Millisecond  // for the third promise once two are in
+	PromiseTimeout         = 120 * time.Millisecond  // for the third promise once two are in
 	RoundLimit             = 700 * time.Millisecond  // one round of agreement; then a higher ballot
 	JoinReport             = 20 * time.Second        // a machine that waits to be taken in says so every so often: far longer than that takes
 	JoinPause              = 400 * time.Millisecond  // a returned machine must have sent heartbeats this long before it is taken in
--- a/internal/controlplane/chain/view.go
+++ b/internal/controlplane/chain/view.go
@@ -333,7 +333,7 @@
 // earlier round may have decided, if there is one, and otherwise syncs the members for a new
 // view. It waits up to PromiseWait for the remaining voters.
 func (c *Chain) chooseMembers(r *round) {
-	if len(r.promises) < c.majority() || len(r.promises) < len(c.agreement.View.Voters) && c.now-r.startedAt < constants.PromiseWait {
+	if len(r.promises) < c.majority() || len(r.promises) < len(c.agreement.View.Voters) && c.now-r.startedAt < constants.PromiseTimeout {
 		return
 	}
 	var best Promise
