--- a/internal/constants/constants.go
+++ b/internal/constants/constants.go
@@ -36,7 +36,7 @@
 	MemberTimeout          = 1000 * time.Millisecond // four heartbeats missed, and longer than a slow disk holds a sync
 	ProposalStagger        = 300 * time.Millisecond  // a later member waits this much longer, so proposals seldom clash
 	PromiseTimeout         = 120 * time.Millisecond  // for the third promise once two are in
-	RoundLimit             = 700 * time.Millisecond  // one round of agreement; then a higher ballot
+	RoundTimeout           = 700 * time.Millisecond  // one round of agreement; then a higher ballot
 	JoinReport             = 20 * time.Second        // a machine that waits to be taken in says so every so often: far longer than that takes
 	JoinPause              = 400 * time.Millisecond  // a returned machine must have sent heartbeats this long before it is taken in
 	PassRetry              = 300 * time.Millisecond  // a pass down the chain that brought no acknowledgement is sent again
--- a/internal/controlplane/chain/view.go
+++ b/internal/controlplane/chain/view.go
@@ -268,11 +268,11 @@
 // outbid each other forever.
 func (c *Chain) backOff() {
 	c.round = nil
-	c.nextRoundAt = c.now + constants.RoundLimit + time.Duration(c.rng.Int64N(int64(constants.ProposalStagger)))
+	c.nextRoundAt = c.now + constants.RoundTimeout + time.Duration(c.rng.Int64N(int64(constants.ProposalStagger)))
 }
 
 func (c *Chain) driveRound(r *round) {
-	if c.now-r.startedAt > constants.RoundLimit {
+	if c.now-r.startedAt > constants.RoundTimeout {
 		c.round = nil
 		c.nextRoundAt = c.now + time.Duration(c.rng.Int64N(int64(constants.ProposalStagger))) + 1
 		return
