--- a/internal/constants/constants.go
+++ b/internal/constants/constants.go
@@ -37,7 +37,7 @@
 	ProposalStagger        = 300 * time.Millisecond  // a later member waits this much longer, so proposals seldom clash
 	PromiseTimeout         = 120 * time.Millisecond  // for the third promise once two are in
 	RoundTimeout           = 700 * time.Millisecond  // one round of agreement; then a higher ballot
-	JoinReport             = 20 * time.Second        // a machine that waits to be taken in says so every so often: far longer than that takes
+	JoinReportInterval     = 20 * time.Second        // a machine that waits to be taken in says so every so often: far longer than that takes
 	JoinPause              = 400 * time.Millisecond  // a returned machine must have sent heartbeats this long before it is taken in
 	PassRetry              = 300 * time.Millisecond  // a pass down the chain that brought no acknowledgement is sent again
 	SubmitWait             = 900 * time.Millisecond  // an operator moves on after a second of silence; answer before it
--- a/internal/controlplane/replica.go
+++ b/internal/controlplane/replica.go
@@ -129,7 +129,7 @@
 		r.events.Count("stood_still", 1)
 	}
 	r.tick()
-	if state := r.viewState.Load(); !state.joined && now-r.joinReportedAt > constants.JoinReport {
+	if state := r.viewState.Load(); !state.joined && now-r.joinReportedAt > constants.JoinReportInterval {
 		r.joinReportedAt = now
 		r.events.Record("waiting", fmt.Sprintf("this machine is not a voter of any view yet; newest known view: %d with %d voters; contacting: %v. If no control machine has a view, the initial bootstrap was interrupted before a majority of the seeds wrote their state: restart the seeds with empty disks and bootstrap true",
 			state.view, len(state.voters), r.peers()))
