--- a/internal/constants/constants.go
+++ b/internal/constants/constants.go
@@ -38,7 +38,7 @@
 	PromiseTimeout         = 120 * time.Millisecond  // for the third promise once two are in
 	RoundTimeout           = 700 * time.Millisecond  // one round of agreement; then a higher ballot
 	JoinReportInterval     = 20 * time.Second        // a machine that waits to be taken in says so every so often: far longer than that takes
-	JoinPause              = 400 * time.Millisecond  // a returned machine must have sent heartbeats this long before it is taken in
+	JoinDelay              = 400 * time.Millisecond  // a returned machine must have sent heartbeats this long before it is taken in
 	PassRetry              = 300 * time.Millisecond  // a pass down the chain that brought no acknowledgement is sent again
 	SubmitWait             = 900 * time.Millisecond  // an operator moves on after a second of silence; answer before it
 	StartQuiet             = 2500 * time.Millisecond // processes start unevenly; silence before this is no verdict
--- a/internal/controlplane/chain/view.go
+++ b/internal/controlplane/chain/view.go
@@ -146,7 +146,7 @@
 	c.forEachPeer(func(p string) {
 		s := c.peerStates[p]
 		if s == nil || !c.isEligible(p) || s.heartbeat.Relay || c.agreement.View.HasMember(s.heartbeat.Me) || s.echoedAt < s.receivingSince ||
-			c.now-s.receivingSince < constants.JoinPause || s.receivedAt-s.receivingSince < constants.JoinPause-constants.HeartbeatInterval {
+			c.now-s.receivingSince < constants.JoinDelay || s.receivedAt-s.receivingSince < constants.JoinDelay-constants.HeartbeatInterval {
 			return
 		}
 		for _, m := range c.agreement.View.Members {
