--- a/internal/constants/constants.go
+++ b/internal/constants/constants.go
@@ -29,35 +29,35 @@
 
 // Chain and view.
 const (
-	ChainTick              = 50 * time.Millisecond   // the machine's step: well under every span below
-	HeartbeatInterval      = 250 * time.Millisecond  // control machines send each other their state
-	RelayHeartbeatInterval = 500 * time.Millisecond  // a relay asks one control machine after the other
-	RelayHeartbeatMaxAge   = 3 * time.Second         // and sends nobody to one whose answer is older: six questions, so that several may be lost
-	MemberTimeout          = 1000 * time.Millisecond // four heartbeats missed, and longer than a slow disk holds a sync
-	ProposalStagger        = 300 * time.Millisecond  // a later member waits this much longer, so proposals seldom clash
-	PromiseTimeout         = 120 * time.Millisecond  // for the third promise once two are in
-	RoundTimeout           = 700 * time.Millisecond  // one round of agreement; then a higher ballot
-	JoinReportInterval     = 20 * time.Second        // a machine that waits to be taken in says so every so often: far longer than that takes
-	JoinDelay              = 400 * time.Millisecond  // a returned machine must have sent heartbeats this long before it is taken in
-	PassRetry              = 300 * time.Millisecond  // a pass down the chain that brought no acknowledgement is sent again
-	SubmitWait             = 900 * time.Millisecond  // an operator moves on after a second of silence; answer before it
-	StartQuiet             = 2500 * time.Millisecond // processes start unevenly; silence before this is no verdict
-	InterfaceTimeout       = 30 * time.Second        // a request to our own interfaces is read, and its answer taken, within this: a configuration of ConfigMax takes 12 s over 2 Mbit/s
-	ConfigMax              = 3 << 20                 // bytes of a configuration; fits a frame between own processes
-	ReadBatch              = 8                       // items of a configuration read before other work of the process has its turn: a fraction of a millisecond
-	PassBytes              = 4 << 20                 // bytes a second that a state moves down the chain, sync and coding included
-	OrderIDs               = 16                      // latest orders remembered by zone: twice the eight that may be under way; whoever sent one asks within SubmitWait
-	OrdersNoted            = 256                     // evacuations whose coming a head remembers in a view: many times those under way, 4 KB
-	LedgerKept             = 1024                    // configurations whose number and sum are remembered: a quarter of a day at 4,300 changes a day, 12 KB
-	ContactFresh           = 2 * time.Second         // another's report that it received from this machine so long ago still proves a path both ways: a question and an answer of HeartbeatEvery each, over links of 250 ms, with two of them lost
-	ContactWait            = 300 * time.Millisecond  // an order is let wait so long before a machine out of contact sends its caller on: a view may be changing
-	RetireAfter            = 60 * time.Second        // a voter out of the view so long leaves the electorate: longer than a machine takes to start, and a change of electorate costs a second without leases
-	LeaveWait              = 1500 * time.Millisecond // a leaver waits so long for the view without it: a silence and a round, well inside any grace
-	StallGap               = 600 * time.Millisecond  // between two steps: the process stood still; twelve steps, and over a slow disk's sync
-	StallQuiet             = 1000 * time.Millisecond // after that its picture of the others is old: it proposes nothing, and takes no order whose caller may have gone long ago
-	CallerCheck            = 20 * time.Millisecond   // an evacuation waits so long to see whether its caller is still there: an end that came with it is read by then
-	PeerForget             = 60 * time.Second        // a control machine that is no voter and silent so long is sent nothing more
-	RetireRequestLife      = 10 * time.Second        // an operator's request to retire a voter is tried so long
+	ChainTick               = 50 * time.Millisecond   // the machine's step: well under every span below
+	HeartbeatInterval       = 250 * time.Millisecond  // control machines send each other their state
+	RelayHeartbeatInterval  = 500 * time.Millisecond  // a relay asks one control machine after the other
+	RelayHeartbeatMaxAge    = 3 * time.Second         // and sends nobody to one whose answer is older: six questions, so that several may be lost
+	MemberTimeout           = 1000 * time.Millisecond // four heartbeats missed, and longer than a slow disk holds a sync
+	ProposalStagger         = 300 * time.Millisecond  // a later member waits this much longer, so proposals seldom clash
+	PromiseTimeout          = 120 * time.Millisecond  // for the third promise once two are in
+	RoundTimeout            = 700 * time.Millisecond  // one round of agreement; then a higher ballot
+	JoinReportInterval      = 20 * time.Second        // a machine that waits to be taken in says so every so often: far longer than that takes
+	JoinDelay               = 400 * time.Millisecond  // a returned machine must have sent heartbeats this long before it is taken in
+	ChainRetransmitInterval = 300 * time.Millisecond  // a pass down the chain that brought no acknowledgement is sent again
+	SubmitWait              = 900 * time.Millisecond  // an operator moves on after a second of silence; answer before it
+	StartQuiet              = 2500 * time.Millisecond // processes start unevenly; silence before this is no verdict
+	InterfaceTimeout        = 30 * time.Second        // a request to our own interfaces is read, and its answer taken, within this: a configuration of ConfigMax takes 12 s over 2 Mbit/s
+	ConfigMax               = 3 << 20                 // bytes of a configuration; fits a frame between own processes
+	ReadBatch               = 8                       // items of a configuration read before other work of the process has its turn: a fraction of a millisecond
+	PassBytes               = 4 << 20                 // bytes a second that a state moves down the chain, sync and coding included
+	OrderIDs                = 16                      // latest orders remembered by zone: twice the eight that may be under way; whoever sent one asks within SubmitWait
+	OrdersNoted             = 256                     // evacuations whose coming a head remembers in a view: many times those under way, 4 KB
+	LedgerKept              = 1024                    // configurations whose number and sum are remembered: a quarter of a day at 4,300 changes a day, 12 KB
+	ContactFresh            = 2 * time.Second         // another's report that it received from this machine so long ago still proves a path both ways: a question and an answer of HeartbeatEvery each, over links of 250 ms, with two of them lost
+	ContactWait             = 300 * time.Millisecond  // an order is let wait so long before a machine out of contact sends its caller on: a view may be changing
+	RetireAfter             = 60 * time.Second        // a voter out of the view so long leaves the electorate: longer than a machine takes to start, and a change of electorate costs a second without leases
+	LeaveWait               = 1500 * time.Millisecond // a leaver waits so long for the view without it: a silence and a round, well inside any grace
+	StallGap                = 600 * time.Millisecond  // between two steps: the process stood still; twelve steps, and over a slow disk's sync
+	StallQuiet              = 1000 * time.Millisecond // after that its picture of the others is old: it proposes nothing, and takes no order whose caller may have gone long ago
+	CallerCheck             = 20 * time.Millisecond   // an evacuation waits so long to see whether its caller is still there: an end that came with it is read by then
+	PeerForget              = 60 * time.Second        // a control machine that is no voter and silent so long is sent nothing more
+	RetireRequestLife       = 10 * time.Second        // an operator's request to retire a voter is tried so long
 )
 
 // Leases of single duties.
--- a/internal/controlplane/chain/orders.go
+++ b/internal/controlplane/chain/orders.go
@@ -272,7 +272,7 @@
 	if c.now < c.nextRetransmitAt {
 		return
 	}
-	c.nextRetransmitAt = c.now + constants.PassRetry
+	c.nextRetransmitAt = c.now + constants.ChainRetransmitInterval
 	if c.held != nil {
 		// A large state takes longer to replicate.
 		if !c.held.SameBulk(c.committed) {
@@ -306,7 +306,7 @@
 		}
 	}
 	for _, r := range c.reads {
-		if len(r.confirmed) < c.majority() && c.now-r.sentAt >= constants.PassRetry {
+		if len(r.confirmed) < c.majority() && c.now-r.sentAt >= constants.ChainRetransmitInterval {
 			r.sentAt = c.now
 			c.forEachPeer(func(p string) { c.send(p, Confirm{c.agreement.View.Num, r.nonce}) })
 		}
