--- a/internal/controlplane/api.go
+++ b/internal/controlplane/api.go
@@ -137,7 +137,7 @@
 // caller has disconnected, or when this machine has lost contact with a majority: it cannot
 // complete the call then, while another machine may be able to.
 func (d *Daemon) await(ctx context.Context, done <-chan struct{}) bool {
-	timeout := time.NewTimer(constants.SubmitWait)
+	timeout := time.NewTimer(constants.SubmitTimeout)
 	defer timeout.Stop()
 	contactCheck := time.NewTicker(constants.ContactWait)
 	defer contactCheck.Stop()
--- a/internal/controlplane/chain/chain_test.go
+++ b/internal/controlplane/chain/chain_test.go
@@ -248,7 +248,7 @@
 	}
 	d := config.Doc{Version: o.version, Raw: []byte(o.content)}
 	c.step(n, generation, func(ch *Chain) []Effect { return ch.Submit(c.network.Now, d) })
-	c.network.After(constants.SubmitWait, func() {
+	c.network.After(constants.SubmitTimeout, func() {
 		if c.generation[n] == generation {
 			delete(c.pendingConfigs[n], k)
 		}
@@ -321,7 +321,7 @@
 	}
 	c.pendingEvacuations[n][id] = o
 	c.step(n, generation, func(ch *Chain) []Effect { return ch.Evacuate(c.network.Now, id, o.zone, o.on) })
-	c.network.After(constants.SubmitWait, func() {
+	c.network.After(constants.SubmitTimeout, func() {
 		if c.generation[n] == generation {
 			delete(c.pendingEvacuations[n], id)
 		}
--- a/internal/controlplane/chain/electorate_test.go
+++ b/internal/controlplane/chain/electorate_test.go
@@ -593,7 +593,7 @@
 			sent = append(sent, sentConfig{c.lastVersion + 1 + uint64(k), fmt.Sprintf("one of eight %d", k)})
 			c.submit(c.names[i%3], sent[i])
 		}
-		c.network.Run(c.network.Now+constants.SubmitWait, nil)
+		c.network.Run(c.network.Now+constants.SubmitTimeout, nil)
 		for _, o := range sent {
 			if !slices.Contains(c.ackedConfigs, o.key()) {
 				t.Errorf("seed %d: r%d is not acknowledged", seed, o.version)
--- a/internal/controlplane/chain/evacuation_contention_test.go
+++ b/internal/controlplane/chain/evacuation_contention_test.go
@@ -30,7 +30,7 @@
 						pending[id] = n
 						c.step(n, c.generation[n], func(ch *Chain) []Effect { return ch.Evacuate(c.network.Now, id, zones[i%len(zones)], i%3 == 0) })
 					}
-					c.network.Run(submittedAt+constants.SubmitWait, func() {
+					c.network.Run(submittedAt+constants.SubmitTimeout, func() {
 						for id, n := range pending {
 							if d := c.committedStates[n]; slices.Contains(d.Evac["y"].IDs, id) || slices.Contains(d.Evac["z"].IDs, id) {
 								slowest = max(slowest, c.network.Now-submittedAt)
@@ -42,7 +42,7 @@
 				}
 				t.Logf("%d of 160 not acknowledged in time; the slowest of the others took %v", missed, slowest)
 				if missed > 0 {
-					t.Errorf("%d of 160 not acknowledged within %v", missed, constants.SubmitWait)
+					t.Errorf("%d of 160 not acknowledged within %v", missed, constants.SubmitTimeout)
 				}
 			})
 		}
--- a/internal/controlplane/chain/forwarding_test.go
+++ b/internal/controlplane/chain/forwarding_test.go
@@ -34,20 +34,20 @@
 						for _, attempt := range []string{"first", "second"} {
 							acks := c.acks
 							c.submit(x, o)
-							c.network.Run(c.network.Now+constants.SubmitWait, nil)
+							c.network.Run(c.network.Now+constants.SubmitTimeout, nil)
 							if c.acks == acks {
 								c.fail("r%d is not acknowledged on the %s attempt at %s", o.version, attempt, x)
 							}
 						}
 						refusals := c.refusals
 						c.submit(x, sentConfig{o.version, "another content"})
-						c.network.Run(c.network.Now+constants.SubmitWait, nil)
+						c.network.Run(c.network.Now+constants.SubmitTimeout, nil)
 						if c.refusals != refusals+1 {
 							c.fail("another content under r%d is not refused at %s", o.version, x)
 						}
 						id := c.network.Rng.Uint64()
 						c.step(x, c.generation[x], func(ch *Chain) []Effect { return ch.Evacuate(c.network.Now, id, "y", true) })
-						c.network.Run(c.network.Now+constants.SubmitWait, nil)
+						c.network.Run(c.network.Now+constants.SubmitTimeout, nil)
 						if d := c.committedStates[x]; !slices.Contains(d.Evac["y"].IDs, id) {
 							c.fail("an evacuation is not acknowledged at %s", x)
 						}
--- a/internal/controlplane/chain/orders.go
+++ b/internal/controlplane/chain/orders.go
@@ -81,13 +81,13 @@
 // expirePending stops resending orders that are settled or whose caller has been answered.
 func (c *Chain) expirePending() {
 	for k, at := range c.pendingConfigSince {
-		if Settled(c.committed, k.Version) || c.now-at > constants.SubmitWait {
+		if Settled(c.committed, k.Version) || c.now-at > constants.SubmitTimeout {
 			delete(c.pendingConfigs, k)
 			delete(c.pendingConfigSince, k)
 		}
 	}
 	for id, since := range c.pendingEvacuationSince {
-		if c.now-since > constants.SubmitWait || c.committed != nil && slices.Contains(c.committed.Evac[c.pendingEvacuations[id].Zone].IDs, id) {
+		if c.now-since > constants.SubmitTimeout || c.committed != nil && slices.Contains(c.committed.Evac[c.pendingEvacuations[id].Zone].IDs, id) {
 			delete(c.pendingEvacuations, id)
 			delete(c.pendingEvacuationSince, id)
 		}
@@ -311,7 +311,7 @@
 			c.forEachPeer(func(p string) { c.send(p, Confirm{c.agreement.View.Num, r.nonce}) })
 		}
 	}
-	c.reads = slices.DeleteFunc(c.reads, func(r *pendingRead) bool { return c.now-r.startedAt > constants.SubmitWait })
+	c.reads = slices.DeleteFunc(c.reads, func(r *pendingRead) bool { return c.now-r.startedAt > constants.SubmitTimeout })
 	c.answerReads()
 }
 
--- a/internal/modelcheck/chainmodel/quiet.go
+++ b/internal/modelcheck/chainmodel/quiet.go
@@ -59,7 +59,7 @@
 		until := m.world.Now + m.Serve
 		for m.err == nil && !confirmed() && m.world.Now < until {
 			m.order(n, o)
-			m.world.Run(m.world.Now+constants.SubmitWait, nil, func() bool { return m.healthy() && !confirmed() })
+			m.world.Run(m.world.Now+constants.SubmitTimeout, nil, func() bool { return m.healthy() && !confirmed() })
 		}
 		if m.err == nil && !confirmed() {
 			m.broken(RuleServes, "%s: nothing confirmed in %v of quiet and %v: %s", n, m.Settle, m.Serve, m.describe())
@@ -69,7 +69,7 @@
 		was, until := m.answers, m.world.Now+m.Serve
 		for m.err == nil && m.answers == was && m.world.Now < until {
 			m.read(n)
-			m.world.Run(m.world.Now+constants.SubmitWait, nil, func() bool { return m.healthy() && m.answers == was })
+			m.world.Run(m.world.Now+constants.SubmitTimeout, nil, func() bool { return m.healthy() && m.answers == was })
 		}
 		if m.err == nil && m.answers == was {
 			m.broken(RuleAnswers, "%s: no read answered in %v of quiet and %v: %s", n, m.Settle, m.Serve, m.describe())
--- a/internal/modelcheck/chainmodel/rules.go
+++ b/internal/modelcheck/chainmodel/rules.go
@@ -44,7 +44,7 @@
 	if was, ok := m.confirmed[d.Version]; ok && was != string(d.Raw) {
 		m.broken(RuleOneContent, "%s has r%d %q in force, %q was confirmed", n, d.Version, d.Raw, was)
 	}
-	m.waiters[n] = slices.DeleteFunc(m.waiters[n], func(w waiting) bool { return m.world.Now-w.at > constants.SubmitWait })
+	m.waiters[n] = slices.DeleteFunc(m.waiters[n], func(w waiting) bool { return m.world.Now-w.at > constants.SubmitTimeout })
 	var left []waiting
 	for _, w := range m.waiters[n] {
 		if !Confirms(&d, w.Order) {
@@ -82,7 +82,7 @@
 func (m *Model) commitEvacuation(n, zone string, e config.Evacuation) {
 	for i, id := range e.IDs {
 		for _, before := range e.IDs[:i] {
-			if end := m.evacSent[id] + constants.SubmitWait; end < m.evacSent[before] {
+			if end := m.evacSent[id] + constants.SubmitTimeout; end < m.evacSent[before] {
 				m.broken(RuleLateOrder, "%s: zone %s: the order of %v, answered for by %v, takes effect after that of %v", n, zone, m.evacSent[id], end, m.evacSent[before])
 			}
 		}
@@ -116,7 +116,7 @@
 func (m *Model) readDone(n string, o chain.ReadDone) {
 	r, ok := m.reads[n][o.ID]
 	delete(m.reads[n], o.ID)
-	if !ok || m.world.Now-r.began > constants.SubmitWait {
+	if !ok || m.world.Now-r.began > constants.SubmitTimeout {
 		return // its caller has gone
 	}
 	m.answers++
