--- a/internal/constants/constants.go
+++ b/internal/constants/constants.go
@@ -41,7 +41,7 @@
 	JoinDelay               = 400 * time.Millisecond  // a returned machine must have sent heartbeats this long before it is taken in
 	ChainRetransmitInterval = 300 * time.Millisecond  // a pass down the chain that brought no acknowledgement is sent again
 	SubmitTimeout           = 900 * time.Millisecond  // an operator moves on after a second of silence; answer before it
-	StartQuiet              = 2500 * time.Millisecond // processes start unevenly; silence before this is no verdict
+	ViewStartupDelay        = 2500 * time.Millisecond // processes start unevenly; silence before this is no verdict
 	InterfaceTimeout        = 30 * time.Second        // a request to our own interfaces is read, and its answer taken, within this: a configuration of ConfigMax takes 12 s over 2 Mbit/s
 	ConfigMax               = 3 << 20                 // bytes of a configuration; fits a frame between own processes
 	ReadBatch               = 8                       // items of a configuration read before other work of the process has its turn: a fraction of a millisecond
--- a/internal/controlplane/chain/view.go
+++ b/internal/controlplane/chain/view.go
@@ -123,7 +123,7 @@
 // be retired, or this machine has sealed the view. It returns false while a recent start or
 // pause of this process leaves too little information about the peers.
 func (c *Chain) needsViewChange() bool {
-	if c.now-c.startedAt < constants.StartQuiet || c.now < c.staleUntil {
+	if c.now-c.startedAt < constants.ViewStartupDelay || c.now < c.staleUntil {
 		return false // too early for heartbeats to have arrived since the start or the pause
 	}
 	for _, m := range c.agreement.View.Members {
