--- a/internal/rungroup/rungroup.go
+++ b/internal/rungroup/rungroup.go
@@ -57,7 +57,7 @@
 
 // Serve adds an HTTP server with the limits and timeouts for the internal interfaces.
 func (group *Group) Serve(l net.Listener, h http.Handler) {
-	group.serveWithTimeout(l, h, constants.InterfaceTimeout)
+	group.serveWithTimeout(l, h, constants.APIRequestTimeout)
 }
 
 // serveWithTimeout adds an HTTP server that limits the time for reading a request and for
