--- a/internal/controlplane/api.go
+++ b/internal/controlplane/api.go
@@ -82,11 +82,11 @@
 }
 
 func (d *Daemon) replaceConfig(w http.ResponseWriter, r *http.Request) {
-	raw, err := io.ReadAll(http.MaxBytesReader(w, r.Body, constants.ConfigMax))
+	raw, err := io.ReadAll(http.MaxBytesReader(w, r.Body, constants.MaxConfigBytes))
 	if err != nil {
 		var tooLarge *http.MaxBytesError
 		if errors.As(err, &tooLarge) {
-			writeError(w, http.StatusRequestEntityTooLarge, errorBody(fmt.Sprintf("a configuration has at most %d bytes", constants.ConfigMax)))
+			writeError(w, http.StatusRequestEntityTooLarge, errorBody(fmt.Sprintf("a configuration has at most %d bytes", constants.MaxConfigBytes)))
 			return
 		}
 		writeError(w, http.StatusBadRequest, errorBody("the body did not come whole: "+err.Error()))
--- a/internal/distribution/receive.go
+++ b/internal/distribution/receive.go
@@ -53,7 +53,7 @@
 	}
 	s.mu.Unlock()
 	if packed := update.Config; packed != nil && packed.Version > s.version {
-		if unpacked, err := packed.Apply(s.doc, constants.ConfigMax); err == nil {
+		if unpacked, err := packed.Apply(s.doc, constants.MaxConfigBytes); err == nil {
 			doc = unpacked
 		} else {
 			mismatch = true
