--- a/internal/config/parse.go
+++ b/internal/config/parse.go
@@ -33,7 +33,7 @@
 // configuration. On a fraction of a core, parsing hundreds of items without a pause would delay
 // every request in the process.
 func yieldProcessor(parsed int) {
-	if parsed%constants.ReadBatch == 0 {
+	if parsed%constants.ConfigParseBatch == 0 {
 		runtime.Gosched()
 	}
 }
