--- a/internal/constants/constants.go
+++ b/internal/constants/constants.go
@@ -45,7 +45,7 @@
 	APIRequestTimeout       = 30 * time.Second        // a request to our own interfaces is read, and its answer taken, within this: a configuration of ConfigMax takes 12 s over 2 Mbit/s
 	MaxConfigBytes          = 3 << 20                 // bytes of a configuration; fits a frame between own processes
 	ConfigParseBatch        = 8                       // items of a configuration read before other work of the process has its turn: a fraction of a millisecond
-	PassBytes               = 4 << 20                 // bytes a second that a state moves down the chain, sync and coding included
+	ChainBytesPerSecond     = 4 << 20                 // bytes a second that a state moves down the chain, sync and coding included
 	OrderIDs                = 16                      // latest orders remembered by zone: twice the eight that may be under way; whoever sent one asks within SubmitWait
 	OrdersNoted             = 256                     // evacuations whose coming a head remembers in a view: many times those under way, 4 KB
 	LedgerKept              = 1024                    // configurations whose number and sum are remembered: a quarter of a day at 4,300 changes a day, 12 KB
--- a/internal/controlplane/chain/orders.go
+++ b/internal/controlplane/chain/orders.go
@@ -276,7 +276,7 @@
 	if c.held != nil {
 		// A large state takes longer to replicate.
 		if !c.held.SameBulk(c.committed) {
-			c.nextRetransmitAt += time.Duration(len(c.held.Raw)*len(c.agreement.View.Members)) * time.Second / constants.PassBytes
+			c.nextRetransmitAt += time.Duration(len(c.held.Raw)*len(c.agreement.View.Members)) * time.Second / constants.ChainBytesPerSecond
 		}
 	}
 	if c.isActiveMember() && revisionOf(c.committed).Less(revisionOf(c.held)) {
