--- a/internal/controlplane/chain/orders.go
+++ b/internal/controlplane/chain/orders.go
@@ -246,7 +246,7 @@
 		evac[z] = e
 	}
 	ids := append(slices.Clone(cur.IDs), o.ID)
-	evac[o.Zone] = config.Evacuation{On: o.On, Num: cur.Num + 1, IDs: ids[max(0, len(ids)-constants.OrderIDs):]}
+	evac[o.Zone] = config.Evacuation{On: o.On, Num: cur.Num + 1, IDs: ids[max(0, len(ids)-constants.MaxEvacuationIDs):]}
 	d := c.nextState()
 	d.Evac, d.Ordered = evac, d.Stamp
 	c.admit(&d)
