--- a/internal/controlplane/chain/orders.go
+++ b/internal/controlplane/chain/orders.go
@@ -179,7 +179,7 @@
 // recordReceipt records the first receipt of an order.
 func (c *Chain) recordReceipt(id uint64) {
 	r := &c.receipts
-	if r.view != c.agreement.View.Num || len(r.position) > constants.OrdersNoted {
+	if r.view != c.agreement.View.Num || len(r.position) > constants.MaxTrackedEvacuations {
 		r.view, r.position = c.agreement.View.Num, map[uint64]uint64{}
 	}
 	if _, known := r.position[id]; !known {
