--- a/internal/config/ledger.go
+++ b/internal/config/ledger.go
@@ -59,7 +59,7 @@
 		return l
 	}
 	out := Ledger{Floor: l.Floor, Taken: slices.Insert(slices.Clone(l.Taken), i, LedgerEntry{version, sum})}
-	if n := len(out.Taken) - constants.LedgerKept; n > 0 {
+	if n := len(out.Taken) - constants.MaxLedgerEntries; n > 0 {
 		out.Floor = out.Taken[n-1].Version
 		out.Taken = out.Taken[n:]
 	}
--- a/internal/controlplane/chain/electorate_test.go
+++ b/internal/controlplane/chain/electorate_test.go
@@ -605,13 +605,13 @@
 func TestLedgerIsBounded(t *testing.T) {
 	var l config.Ledger
 	r := rand.New(rand.NewPCG(1, 1))
-	for v := uint64(1); v <= 3*constants.LedgerKept; v++ {
+	for v := uint64(1); v <= 3*constants.MaxLedgerEntries; v++ {
 		l = l.With(v, r.Uint64())
 	}
-	if len(l.Taken) != constants.LedgerKept || l.Floor != 2*constants.LedgerKept {
+	if len(l.Taken) != constants.MaxLedgerEntries || l.Floor != 2*constants.MaxLedgerEntries {
 		t.Fatalf("%d versions kept, none up to r%d", len(l.Taken), l.Floor)
 	}
-	if !l.Settled(5) || l.Settled(3*constants.LedgerKept+1) {
+	if !l.Settled(5) || l.Settled(3*constants.MaxLedgerEntries+1) {
 		t.Fatal("wrong versions are settled")
 	}
 	if _, ok := l.Find(5); ok {
