--- a/internal/controlplane/chain/electorate_test.go
+++ b/internal/controlplane/chain/electorate_test.go
@@ -276,7 +276,7 @@
 						cutAt := c.network.Now
 						views := len(c.views)
 						rest := slices.DeleteFunc(slices.Clone(c.names), func(n string) bool { return n == x })
-						c.network.Run(cutAt+constants.ContactFresh+constants.MemberTimeout+2*time.Second, nil)
+						c.network.Run(cutAt+constants.ContactMaxAge+constants.MemberTimeout+2*time.Second, nil)
 						ackedBefore := len(c.ackedConfigs)
 						for i := 0; c.network.Now < cutAt+20*time.Second; i++ {
 							if i == 3 && restart > 0 && (restart == 1 || f.maxFailures > 1) {
@@ -301,7 +301,7 @@
 								t.Fatalf("seed %d: %s is cut off but acknowledged or refused r%d, or answered a read", seed, x, o.version)
 							}
 							if c.chains[x] != nil {
-								if at, ok := c.chains[x].MajorityContactAt(); ok && c.network.Now-at < constants.ContactFresh && c.network.Now-cutAt > constants.ContactFresh {
+								if at, ok := c.chains[x].MajorityContactAt(); ok && c.network.Now-at < constants.ContactMaxAge && c.network.Now-cutAt > constants.ContactMaxAge {
 									t.Fatalf("seed %d: %s is cut off but reports that it is in contact", seed, x)
 								}
 							}
--- a/internal/controlplane/chain/view.go
+++ b/internal/controlplane/chain/view.go
@@ -54,7 +54,7 @@
 		return true
 	}
 	p := c.peerStates[addr]
-	return p != nil && c.now-p.receivedAt <= constants.MemberTimeout && p.lastReachedAt >= 0 && c.now-p.lastReachedAt <= constants.ContactFresh
+	return p != nil && c.now-p.receivedAt <= constants.MemberTimeout && p.lastReachedAt >= 0 && c.now-p.lastReachedAt <= constants.ContactMaxAge
 }
 
 // isEligible reports whether a machine can be a member: it is in contact, its disk works,
--- a/internal/controlplane/replica.go
+++ b/internal/controlplane/replica.go
@@ -150,7 +150,7 @@
 // majority of the voters. Without it, its information may be outdated.
 func (r *replica) hasMajorityContact() bool {
 	at := time.Duration(r.contactAt.Load())
-	return at > 0 && r.now()-at <= constants.ContactFresh
+	return at > 0 && r.now()-at <= constants.ContactMaxAge
 }
 
 // contactAge returns the time since the last contact with a majority, or a negative value if
