--- a/internal/controlplane/api.go
+++ b/internal/controlplane/api.go
@@ -139,7 +139,7 @@
 func (d *Daemon) await(ctx context.Context, done <-chan struct{}) bool {
 	timeout := time.NewTimer(constants.SubmitTimeout)
 	defer timeout.Stop()
-	contactCheck := time.NewTicker(constants.ContactWait)
+	contactCheck := time.NewTicker(constants.ContactCheckInterval)
 	defer contactCheck.Stop()
 	for {
 		select {
