--- a/internal/controlplane/chain/electorate.go
+++ b/internal/controlplane/chain/electorate.go
@@ -102,7 +102,7 @@
 // absentTooLong reports whether a voter has been out of contact for so long that it is
 // retired.
 func (c *Chain) absentTooLong(m Member) bool {
-	return !c.inContact(m.Addr) && c.now-c.lastContact(m) >= constants.RetireAfter
+	return !c.inContact(m.Addr) && c.now-c.lastContact(m) >= constants.VoterRetireDelay
 }
 
 // overdueVoters returns the voters outside the current view that are to be retired by a new
@@ -297,7 +297,7 @@
 		case c.retirementRequested(m) && can:
 			x.WayOut = "an operator requested its removal"
 		case can:
-			x.WayOut = fmt.Sprintf("leaves with a successor, or after %v", max(0, constants.RetireAfter-x.Gone).Round(time.Second))
+			x.WayOut = fmt.Sprintf("leaves with a successor, or after %v", max(0, constants.VoterRetireDelay-x.Gone).Round(time.Second))
 		default:
 			x.WayOut = "leaves with a successor: too few voters to do without it"
 		}
--- a/internal/controlplane/chain/electorate_test.go
+++ b/internal/controlplane/chain/electorate_test.go
@@ -408,13 +408,13 @@
 	if v := c.chains["a"].View(); len(v.Voters) != 6 {
 		t.Fatalf("%d voters after ten seconds: a change of the electorate interrupts leases", len(v.Voters))
 	}
-	c.network.Run(c.network.Now+constants.RetireAfter, nil)
+	c.network.Run(c.network.Now+constants.VoterRetireDelay, nil)
 	if v := c.chains["a"].View(); len(v.Voters) != 5 {
 		t.Fatalf("%d voters after a minute", len(v.Voters))
 	}
 	// Five voters are the fewest that tolerate the loss of two: none is retired.
 	c.removeMachine("e", false)
-	c.network.Run(c.network.Now+2*constants.RetireAfter, nil)
+	c.network.Run(c.network.Now+2*constants.VoterRetireDelay, nil)
 	if v := c.chains["a"].View(); len(v.Voters) != 5 {
 		t.Fatalf("%d voters, fewer than tolerate the loss of two", len(v.Voters))
 	}
