--- a/internal/constants/constants.go
+++ b/internal/constants/constants.go
@@ -52,7 +52,7 @@
 	ContactMaxAge           = 2 * time.Second         // another's report that it received from this machine so long ago still proves a path both ways: a question and an answer of HeartbeatEvery each, over links of 250 ms, with two of them lost
 	ContactCheckInterval    = 300 * time.Millisecond  // an order is let wait so long before a machine out of contact sends its caller on: a view may be changing
 	VoterRetireDelay        = 60 * time.Second        // a voter out of the view so long leaves the electorate: longer than a machine takes to start, and a change of electorate costs a second without leases
-	LeaveWait               = 1500 * time.Millisecond // a leaver waits so long for the view without it: a silence and a round, well inside any grace
+	LeaveTimeout            = 1500 * time.Millisecond // a leaver waits so long for the view without it: a silence and a round, well inside any grace
 	StallGap                = 600 * time.Millisecond  // between two steps: the process stood still; twelve steps, and over a slow disk's sync
 	StallQuiet              = 1000 * time.Millisecond // after that its picture of the others is old: it proposes nothing, and takes no order whose caller may have gone long ago
 	CallerCheck             = 20 * time.Millisecond   // an evacuation waits so long to see whether its caller is still there: an end that came with it is read by then
--- a/internal/controlplane/chain/electorate_test.go
+++ b/internal/controlplane/chain/electorate_test.go
@@ -467,7 +467,7 @@
 		leftAt := c.network.Now
 		c.step(n, c.generation[n], func(ch *Chain) []Effect { return ch.Leave(c.network.Now) })
 		for !c.chains[n].HasLeft() {
-			if c.network.Now-leftAt > constants.LeaveWait/2 {
+			if c.network.Now-leftAt > constants.LeaveTimeout/2 {
 				t.Fatalf("seed %d: %s is still a member after %v", seed, n, c.network.Now-leftAt)
 			}
 			c.network.Run(c.network.Now+10*time.Millisecond, nil)
--- a/internal/controlplane/chain/lease_handover_test.go
+++ b/internal/controlplane/chain/lease_handover_test.go
@@ -126,7 +126,7 @@
 	l.sendLeases(n, l.leases[n].Resign(l.network.Now))
 	startedAt := l.network.Now
 	l.cluster.step(n, l.generation[n], func(ch *Chain) []Effect { return ch.Leave(l.network.Now) })
-	for end := startedAt + constants.LeaveWait; !l.chains[n].HasLeft() && l.chains[n].CanLeave() && l.network.Now < end; {
+	for end := startedAt + constants.LeaveTimeout; !l.chains[n].HasLeft() && l.chains[n].CanLeave() && l.network.Now < end; {
 		l.runUntil(l.network.Now + constants.ChainTick/2)
 	}
 	l.kill(n)
--- a/internal/controlplane/replica.go
+++ b/internal/controlplane/replica.go
@@ -226,7 +226,7 @@
 	startedAt := r.now()
 	left, canLeave := r.leaveState()
 	r.step(func() []chain.Effect { return r.chain.Leave(r.now()) })
-	for end := startedAt + constants.LeaveWait; !left && canLeave && r.now() < end; left, canLeave = r.leaveState() {
+	for end := startedAt + constants.LeaveTimeout; !left && canLeave && r.now() < end; left, canLeave = r.leaveState() {
 		time.Sleep(constants.ChainTick / 2)
 	}
 	switch {
@@ -235,7 +235,7 @@
 	case !canLeave:
 		r.events.Record("left_members", "too few others are there to go on without this machine: they wait for it or for a successor")
 	default:
-		r.events.Record("left_unanswered", fmt.Sprintf("no view without this machine within %v: the other machines have to detect that it stopped", constants.LeaveWait))
+		r.events.Record("left_unanswered", fmt.Sprintf("no view without this machine within %v: the other machines have to detect that it stopped", constants.LeaveTimeout))
 	}
 }
 
--- a/internal/modelcheck/chainmodel/machines.go
+++ b/internal/modelcheck/chainmodel/machines.go
@@ -84,7 +84,7 @@
 	if m.world.Life(n) != l.life || c == nil {
 		return // stopped before
 	}
-	late := m.world.Now-l.began >= constants.LeaveWait
+	late := m.world.Now-l.began >= constants.LeaveTimeout
 	if !c.HasLeft() && c.CanLeave() && !late || m.world.Frozen(n) {
 		m.world.After(constants.ChainTick/2, func() { m.awaitLeft(n, l) })
 		return
--- a/internal/modelcheck/chainmodel/quiet.go
+++ b/internal/modelcheck/chainmodel/quiet.go
@@ -19,7 +19,7 @@
 		m.disks[n].Refuse = false
 	}
 	if len(m.leaving) > 0 {
-		m.world.Run(m.world.Now+constants.LeaveWait+constants.ChainTick, nil, m.healthy)
+		m.world.Run(m.world.Now+constants.LeaveTimeout+constants.ChainTick, nil, m.healthy)
 	}
 	spared := true
 	down := 0
