--- a/internal/controlplane/api_test.go
+++ b/internal/controlplane/api_test.go
@@ -105,7 +105,7 @@
 		t.Fatalf("evacuations.start: status %d %s", w.Code, w.Body)
 	}
 	d.replica.tickAndReport()
-	time.Sleep(constants.StallGap + 100*time.Millisecond) // simulates a stall
+	time.Sleep(constants.StallThreshold + 100*time.Millisecond) // simulates a stall
 	if w, _ := callAPI(d, "evacuations.stop&of=there", ""); w.Code != 503 {
 		t.Errorf("before the first tick after the stall: status %d, want 503", w.Code)
 	}
--- a/internal/controlplane/chain/receive.go
+++ b/internal/controlplane/chain/receive.go
@@ -13,7 +13,7 @@
 // Tick advances time to now and carries out what is due.
 func (c *Chain) Tick(now time.Duration) []Effect {
 	c.now = now
-	if now-c.lastTick > constants.StallGap {
+	if now-c.lastTick > constants.StallThreshold {
 		c.staleUntil = now + constants.StallQuiet
 	}
 	c.lastTick = now
--- a/internal/controlplane/replica.go
+++ b/internal/controlplane/replica.go
@@ -124,7 +124,7 @@
 // process and periodically reports that the machine has not joined a view yet.
 func (r *replica) tickAndReport() {
 	now := r.now()
-	if previous := time.Duration(r.lastTickAt.Swap(int64(now))); previous > 0 && now-previous > constants.StallGap {
+	if previous := time.Duration(r.lastTickAt.Swap(int64(now))); previous > 0 && now-previous > constants.StallThreshold {
 		r.stalledAt.Store(int64(now))
 		r.events.Count("stood_still", 1)
 	}
@@ -167,7 +167,7 @@
 func (r *replica) recentlyStalled() bool {
 	now := r.now()
 	tickedAt, stalledAt := time.Duration(r.lastTickAt.Load()), time.Duration(r.stalledAt.Load())
-	return tickedAt > 0 && now-tickedAt > constants.StallGap || stalledAt > 0 && now-stalledAt < constants.StallQuiet
+	return tickedAt > 0 && now-tickedAt > constants.StallThreshold || stalledAt > 0 && now-stalledAt < constants.StallQuiet
 }
 
 // peers returns the addresses of the other voters of the known view, or of the other seeds
