--- a/internal/controlplane/api_test.go
+++ b/internal/controlplane/api_test.go
@@ -113,7 +113,7 @@
 	if w, _ := callAPI(d, "evacuations.stop&of=there", ""); w.Code != 503 {
 		t.Errorf("right after the stall: status %d, want 503", w.Code)
 	}
-	for end := time.Now().Add(constants.StallQuiet); time.Now().Before(end); time.Sleep(constants.ChainTick) {
+	for end := time.Now().Add(constants.StallRecoveryTime); time.Now().Before(end); time.Sleep(constants.ChainTick) {
 		d.replica.tickAndReport()
 	}
 	ctx, cancel := context.WithCancel(context.Background())
--- a/internal/controlplane/chain/receive.go
+++ b/internal/controlplane/chain/receive.go
@@ -14,7 +14,7 @@
 func (c *Chain) Tick(now time.Duration) []Effect {
 	c.now = now
 	if now-c.lastTick > constants.StallThreshold {
-		c.staleUntil = now + constants.StallQuiet
+		c.staleUntil = now + constants.StallRecoveryTime
 	}
 	c.lastTick = now
 	if c.Relay {
--- a/internal/controlplane/replica.go
+++ b/internal/controlplane/replica.go
@@ -167,7 +167,7 @@
 func (r *replica) recentlyStalled() bool {
 	now := r.now()
 	tickedAt, stalledAt := time.Duration(r.lastTickAt.Load()), time.Duration(r.stalledAt.Load())
-	return tickedAt > 0 && now-tickedAt > constants.StallThreshold || stalledAt > 0 && now-stalledAt < constants.StallQuiet
+	return tickedAt > 0 && now-tickedAt > constants.StallThreshold || stalledAt > 0 && now-stalledAt < constants.StallRecoveryTime
 }
 
 // peers returns the addresses of the other voters of the known view, or of the other seeds
