--- a/internal/controlplane/api.go
+++ b/internal/controlplane/api.go
@@ -188,7 +188,7 @@
 	// Evacuation orders have no version numbers. An order that is read late, after a stall
 	// of this process or a network partition, must not undo newer orders. Its caller has
 	// disconnected by then, so a short wait detects it.
-	time.Sleep(constants.CallerCheck)
+	time.Sleep(constants.CallerCheckDelay)
 	if d.replica.recentlyStalled() || r.Context().Err() != nil {
 		d.events.Count("order_too_late", 1)
 		writeUnavailable(w, "this machine stood still: the order may be an old one")
