--- a/internal/controlplane/chain/electorate.go
+++ b/internal/controlplane/chain/electorate.go
@@ -198,7 +198,7 @@
 // been silent, and retirement requests that have expired.
 func (c *Chain) forgetStalePeers() {
 	for p, s := range c.peerStates {
-		if c.now-s.receivedAt > constants.PeerForget && !slices.Contains(c.seeds, p) && c.agreement.View.voterIndex(p) < 0 {
+		if c.now-s.receivedAt > constants.PeerExpiry && !slices.Contains(c.seeds, p) && c.agreement.View.voterIndex(p) < 0 {
 			delete(c.peerStates, p)
 			delete(c.departures, p)
 			c.peers = slices.DeleteFunc(c.peers, func(o string) bool { return o == p })
