--- a/internal/constants/constants.go
+++ b/internal/constants/constants.go
@@ -57,7 +57,7 @@
 	StallRecoveryTime       = 1000 * time.Millisecond // after that its picture of the others is old: it proposes nothing, and takes no order whose caller may have gone long ago
 	CallerCheckDelay        = 20 * time.Millisecond   // an evacuation waits so long to see whether its caller is still there: an end that came with it is read by then
 	PeerExpiry              = 60 * time.Second        // a control machine that is no voter and silent so long is sent nothing more
-	RetireRequestLife       = 10 * time.Second        // an operator's request to retire a voter is tried so long
+	RetireRequestTimeout    = 10 * time.Second        // an operator's request to retire a voter is tried so long
 )
 
 // Leases of single duties.
--- a/internal/controlplane/admin.go
+++ b/internal/controlplane/admin.go
@@ -78,7 +78,7 @@
 		writeError(w, http.StatusConflict, errorBody(refusal))
 		return
 	}
-	for end := d.now() + constants.RetireRequestLife/2; d.now() < end; time.Sleep(constants.ChainTick) {
+	for end := d.now() + constants.RetireRequestTimeout/2; d.now() < end; time.Sleep(constants.ChainTick) {
 		if !slices.Contains(d.replica.viewState.Load().voters, addr) {
 			d.events.Record("retired", addr)
 			w.Header().Set("Content-Type", "application/json")
--- a/internal/controlplane/chain/electorate.go
+++ b/internal/controlplane/chain/electorate.go
@@ -96,7 +96,7 @@
 
 func (c *Chain) retirementRequested(m Member) bool {
 	at, ok := c.retireRequests[m.Addr]
-	return ok && c.now-at < constants.RetireRequestLife
+	return ok && c.now-at < constants.RetireRequestTimeout
 }
 
 // absentTooLong reports whether a voter has been out of contact for so long that it is
@@ -205,7 +205,7 @@
 		}
 	}
 	for p, at := range c.retireRequests {
-		if c.now-at >= constants.RetireRequestLife {
+		if c.now-at >= constants.RetireRequestTimeout {
 			delete(c.retireRequests, p)
 		}
 	}
