--- a/internal/lease/incarnations_test.go
+++ b/internal/lease/incarnations_test.go
@@ -34,7 +34,7 @@
 			if !sendRequest(manager, now, "b", Request{"x", 1, late + 1, true}) {
 				t.Fatal("not granted to the incarnation that reclaims")
 			}
-			held := now + constants.LeaseLength
+			held := now + constants.LeaseDuration
 			manager.Recv(now, "b", Request{"x", 1, early + 2, again})
 			manager.Recv(now, "b", Release{"x", early + 2, ""})
 			for ; now < held; now += 10 * time.Millisecond {
@@ -83,7 +83,7 @@
 		t.Fatal("it does not hold the duty although it is the only voter")
 	}
 	manager.SetElectorate(now, 2, []string{"b", "c"}, false)
-	end := now + constants.LeaseLength + constants.LeaseMargin
+	end := now + constants.LeaseDuration + constants.LeaseMargin
 	for ; now < 3*end; now += constants.LeaseTick {
 		if out := manager.Tick(now); len(out) > 0 {
 			t.Fatalf("removed from the electorate, it sends %v", out)
@@ -102,10 +102,10 @@
 		}
 	}
 	manager.SetElectorate(now, 5, []string{"a", "b", "c"}, false) // a voter again, two views later
-	if sendRequest(manager, now+constants.LeaseLength, "b", Request{"x", 5, 1, false}) {
+	if sendRequest(manager, now+constants.LeaseDuration, "b", Request{"x", 5, 1, false}) {
 		t.Error("a voter again, it grants at once")
 	}
-	if !sendRequest(manager, now+constants.LeaseLength+constants.LeaseMargin, "b", Request{"x", 5, 2, false}) {
+	if !sendRequest(manager, now+constants.LeaseDuration+constants.LeaseMargin, "b", Request{"x", 5, 2, false}) {
 		t.Error("a voter again, it does not grant after the wait")
 	}
 }
@@ -141,7 +141,7 @@
 	left := now
 	manager.Resign(now)
 	manager.SetElectorate(now, 2, []string{"a", "b"}, false)
-	for ; now < left+constants.LeaseLength*4; now += constants.LeaseTick {
+	for ; now < left+constants.LeaseDuration*4; now += constants.LeaseTick {
 		if out := manager.Tick(now); len(out) > 0 {
 			t.Fatalf("claimed %v after it was given up: %v", now-left, out)
 		}
--- a/internal/lease/lease.go
+++ b/internal/lease/lease.go
@@ -241,7 +241,7 @@
 				wait = 0
 			}
 			reclaim = now-manager.startedAt < 2*constants.LeaseRenew // reclaiming for longer would keep the duty from others
-			if !reclaim && (now-manager.startedAt < constants.LeaseLength+constants.LeaseMargin+wait || c.otherHeldAt > 0 && now-c.otherHeldAt < wait) {
+			if !reclaim && (now-manager.startedAt < constants.LeaseDuration+constants.LeaseMargin+wait || c.otherHeldAt > 0 && now-c.otherHeldAt < wait) {
 				continue
 			}
 		}
@@ -258,7 +258,7 @@
 	manager.nonce++
 	c.nonce = manager.nonce
 	c.rounds = append(c.rounds, round{manager.nonce, reclaim, now, map[string]bool{}})
-	c.rounds = c.rounds[max(0, len(c.rounds)-int(constants.LeaseLength/constants.LeaseRenew)):]
+	c.rounds = c.rounds[max(0, len(c.rounds)-int(constants.LeaseDuration/constants.LeaseRenew)):]
 	c.nextRequestAt = now + constants.LeaseRenew
 	for _, p := range manager.peers {
 		manager.send(p, Request{duty, manager.epoch, c.nonce, reclaim}, now)
@@ -268,7 +268,7 @@
 // acceptHandover claims a duty whose holder has shut down and named this machine.
 func (manager *Manager) acceptHandover(now time.Duration, duty string) {
 	c := manager.claims[duty]
-	if c.until > now || now < c.notBefore || now-manager.startedAt < constants.LeaseLength+constants.LeaseMargin {
+	if c.until > now || now < c.notBefore || now-manager.startedAt < constants.LeaseDuration+constants.LeaseMargin {
 		return
 	}
 	c.reservedUntil = now + constants.LeaseReserve
@@ -315,7 +315,7 @@
 	if renewal && sameIncarnation(m.Nonce, g.nonce) && m.Nonce < g.nonce {
 		return // superseded by a later request
 	}
-	ok := (g.until <= now || g.holder == from) && now-manager.startedAt >= constants.LeaseLength+constants.LeaseMargin
+	ok := (g.until <= now || g.holder == from) && now-manager.startedAt >= constants.LeaseDuration+constants.LeaseMargin
 	if m.Again && (g.until <= now || g.holder != from) {
 		return
 	}
@@ -329,7 +329,7 @@
 				otherUntil = max(otherUntil, g.until)
 			}
 		}
-		g = grant{from, m.Nonce, now + constants.LeaseLength + constants.LeaseMargin, otherUntil}
+		g = grant{from, m.Nonce, now + constants.LeaseDuration + constants.LeaseMargin, otherUntil}
 		manager.grants[m.Duty] = g
 	}
 	manager.send(from, Grant{m.Duty, manager.epoch, m.Nonce, ok, g.holder}, now)
@@ -400,7 +400,7 @@
 	if r.reclaim {
 		needed = (len(manager.peers) + 1) / 2
 	}
-	until := r.requestedAt + constants.LeaseLength
+	until := r.requestedAt + constants.LeaseDuration
 	if len(r.granted) < needed || until <= now || until <= c.until {
 		return
 	}
@@ -423,7 +423,7 @@
 		successor := ""
 		if stopping {
 			successor = manager.successor(i)
-			manager.claims[d].notBefore = now + constants.LeaseLength*4
+			manager.claims[d].notBefore = now + constants.LeaseDuration*4
 		}
 		if manager.claims[d].until > now {
 			manager.releaseDuty(now, d, successor)
@@ -437,7 +437,7 @@
 // releaseDuty gives up a lease and sends a Release to the electorate.
 func (manager *Manager) releaseDuty(now time.Duration, duty, successor string) {
 	c := manager.claims[duty]
-	c.until, c.since, c.notBefore = 0, 0, now+constants.LeaseLength*4
+	c.until, c.since, c.notBefore = 0, 0, now+constants.LeaseDuration*4
 	for _, p := range manager.peers {
 		manager.send(p, Release{duty, c.nonce, successor}, now)
 	}
--- a/internal/lease/lease_test.go
+++ b/internal/lease/lease_test.go
@@ -120,14 +120,14 @@
 // granted the duty before a restart.
 func TestRestartedGrantorWaits(t *testing.T) {
 	manager := withPeers(New(0, 1, "a", []string{"x"}), []string{"a", "b", "c"})
-	for _, at := range []time.Duration{0, constants.LeaseLength} {
+	for _, at := range []time.Duration{0, constants.LeaseDuration} {
 		for _, s := range manager.Recv(at, "b", Request{"x", 1, 1, false}) {
 			if g := s.Msg.(Grant); g.OK {
 				t.Fatalf("granted %v after its start", at)
 			}
 		}
 	}
-	out := manager.Recv(constants.LeaseLength+constants.LeaseMargin, "b", Request{"x", 1, 2, false})
+	out := manager.Recv(constants.LeaseDuration+constants.LeaseMargin, "b", Request{"x", 1, 2, false})
 	if len(out) != 1 || !out[0].Msg.(Grant).OK {
 		t.Fatalf("not granted after the wait: %v", out)
 	}
