--- a/internal/controlplane/chain/lease_handover_test.go
+++ b/internal/controlplane/chain/lease_handover_test.go
@@ -181,7 +181,7 @@
 	if !graceful {
 		// The last observation of the holder before the kill may be up to a renewal old; the
 		// other machines wait for the grant to expire.
-		bound = constants.LeaseRenew/2 + exchange + min(downtime, constants.LeaseDuration+constants.LeaseMargin)
+		bound = constants.LeaseRenewInterval/2 + exchange + min(downtime, constants.LeaseDuration+constants.LeaseMargin)
 	}
 	for _, d := range l.duties {
 		if before[d] != x {
--- a/internal/lease/incarnations_test.go
+++ b/internal/lease/incarnations_test.go
@@ -171,7 +171,7 @@
 		if out := manager.Recv(now, tc.from, tc.msg); len(out) > 0 || manager.Dropped != 1 {
 			t.Errorf("%d, %#v: answered %v, %d dropped", i, tc.msg, out, manager.Dropped)
 		}
-		if out := manager.Tick(now + constants.LeaseRenew); len(out) == 0 {
+		if out := manager.Tick(now + constants.LeaseRenewInterval); len(out) == 0 {
 			t.Errorf("%d, %#v: it prevents the machine from claiming", i, tc.msg)
 		}
 	}
--- a/internal/lease/lease.go
+++ b/internal/lease/lease.go
@@ -240,7 +240,7 @@
 			if now < c.reservedUntil {
 				wait = 0
 			}
-			reclaim = now-manager.startedAt < 2*constants.LeaseRenew // reclaiming for longer would keep the duty from others
+			reclaim = now-manager.startedAt < 2*constants.LeaseRenewInterval // reclaiming for longer would keep the duty from others
 			if !reclaim && (now-manager.startedAt < constants.LeaseDuration+constants.LeaseMargin+wait || c.otherHeldAt > 0 && now-c.otherHeldAt < wait) {
 				continue
 			}
@@ -258,8 +258,8 @@
 	manager.nonce++
 	c.nonce = manager.nonce
 	c.rounds = append(c.rounds, round{manager.nonce, reclaim, now, map[string]bool{}})
-	c.rounds = c.rounds[max(0, len(c.rounds)-int(constants.LeaseDuration/constants.LeaseRenew)):]
-	c.nextRequestAt = now + constants.LeaseRenew
+	c.rounds = c.rounds[max(0, len(c.rounds)-int(constants.LeaseDuration/constants.LeaseRenewInterval)):]
+	c.nextRequestAt = now + constants.LeaseRenewInterval
 	for _, p := range manager.peers {
 		manager.send(p, Request{duty, manager.epoch, c.nonce, reclaim}, now)
 	}
@@ -384,7 +384,7 @@
 	if c.until > now || now < c.reservedUntil {
 		return
 	}
-	c.nextRequestAt = now + constants.LeaseRenew + constants.LeaseStagger*time.Duration(1+slices.Index(manager.peers, manager.self))
+	c.nextRequestAt = now + constants.LeaseRenewInterval + constants.LeaseStagger*time.Duration(1+slices.Index(manager.peers, manager.self))
 	for _, p := range manager.peers {
 		manager.send(p, Release{Duty: m.Duty, Nonce: c.nonce}, now)
 	}
