--- a/internal/lease/lease.go
+++ b/internal/lease/lease.go
@@ -271,7 +271,7 @@
 	if c.until > now || now < c.notBefore || now-manager.startedAt < constants.LeaseDuration+constants.LeaseMargin {
 		return
 	}
-	c.reservedUntil = now + constants.LeaseReserve
+	c.reservedUntil = now + constants.LeaseReservationTime
 	manager.startRound(now, duty, false)
 	c.nextRequestAt = now // a refusal by a grantor that has not received the Release yet costs only one tick
 }
@@ -349,7 +349,7 @@
 	if m.Successor == "" || g.until <= now || g.otherIncarnationUntil > now {
 		return
 	}
-	manager.grants[m.Duty] = grant{holder: m.Successor, until: now + constants.LeaseReserve}
+	manager.grants[m.Duty] = grant{holder: m.Successor, until: now + constants.LeaseReservationTime}
 	if m.Successor == manager.self {
 		manager.acceptHandover(now, m.Duty)
 	}
