--- a/internal/constants/constants.go
+++ b/internal/constants/constants.go
@@ -62,13 +62,13 @@
 
 // Leases of single duties.
 const (
-	LeaseDuration        = 800 * time.Millisecond // a successor must poll well inside the drain bound, and keys wait for their tracker
-	LeaseMargin          = 250 * time.Millisecond // a grant outlives the holder's own reckoning by this
-	LeaseTick            = 100 * time.Millisecond // the machine's step, a quarter of the renewal
-	LeaseRenewInterval   = 200 * time.Millisecond // four tries inside a lease, each several round trips between regions
-	LeaseStagger         = 200 * time.Millisecond // a later machine waits this much longer before it claims
-	LeaseReservationTime = 400 * time.Millisecond // a duty given up by a machine that stops is kept for its successor so long: two of its asks
-	TrackerDuty          = 3                      // shards of throttle keys for each machine that may be lost
+	LeaseDuration           = 800 * time.Millisecond // a successor must poll well inside the drain bound, and keys wait for their tracker
+	LeaseMargin             = 250 * time.Millisecond // a grant outlives the holder's own reckoning by this
+	LeaseTick               = 100 * time.Millisecond // the machine's step, a quarter of the renewal
+	LeaseRenewInterval      = 200 * time.Millisecond // four tries inside a lease, each several round trips between regions
+	LeaseStagger            = 200 * time.Millisecond // a later machine waits this much longer before it claims
+	LeaseReservationTime    = 400 * time.Millisecond // a duty given up by a machine that stops is kept for its successor so long: two of its asks
+	TrackerShardsPerFailure = 3                      // shards of throttle keys for each machine that may be lost
 )
 
 // Duties at the platform.
--- a/internal/settings/settings.go
+++ b/internal/settings/settings.go
@@ -239,7 +239,7 @@
 	if !s.HasContract("quota") {
 		return 0
 	}
-	return constants.TrackerDuty * max(1, s.FaultTolerance.MachineFailures)
+	return constants.TrackerShardsPerFailure * max(1, s.FaultTolerance.MachineFailures)
 }
 
 // InternalAddress returns the address of an internal port of this machine.
