--- a/internal/duty/duty_test.go
+++ b/internal/duty/duty_test.go
@@ -65,7 +65,7 @@
 	if out := h.Step(0, 0, own, noPlan); len(out) > 0 {
 		t.Fatalf("without the lease: %v", out)
 	}
-	if out := h.Step(0, constants.DutyMargin, own, noPlan); len(out) > 0 {
+	if out := h.Step(0, constants.DutyLeaseMargin, own, noPlan); len(out) > 0 {
 		t.Fatalf("with the lease about to end: %v", out)
 	}
 	other := own
--- a/internal/duty/holder.go
+++ b/internal/duty/holder.go
@@ -76,7 +76,7 @@
 // rec the newest committed record. plan returns what is to be decided next, once the
 // previous decision has been accepted or may be skipped.
 func (h *Holder) Step(now, until time.Duration, rec Record, plan func(after uint64) (key uint64, body []byte, ok bool)) []Effect {
-	if until <= now+constants.DutyMargin {
+	if until <= now+constants.DutyLeaseMargin {
 		h.fence = 0
 		return h.cancel()
 	}
@@ -94,7 +94,7 @@
 		out = h.cancel()
 		h.fence, h.heldSince, h.acceptedKey, h.nextOrderAt, h.consecutiveFailures, h.nextCallAt = rec.Fence, now, 0, 0, 0, 0
 	}
-	if rec.Back && now < h.heldSince+h.returnDelay+constants.DutyMargin {
+	if rec.Back && now < h.heldSince+h.returnDelay+constants.DutyLeaseMargin {
 		return out // back after another holder: waits, so that holders do not alternate within returnDelay
 	}
 	if h.activeCall != 0 {
