--- a/internal/constants/constants.go
+++ b/internal/constants/constants.go
@@ -73,18 +73,18 @@
 
 // Duties at the platform.
 const (
-	DutyLeaseMargin = 60 * time.Millisecond  // an act begins only with this much of the lease left: a slow step, a late timer
-	DutyTick        = 50 * time.Millisecond  // the machine's step
-	DutyOrderRetry  = 300 * time.Millisecond // an order whose effect is not seen is sent again: several passes down a chain of slow disks
-	DutySpacing     = 25 * time.Millisecond  // least time between two calls of one duty
-	DutyRatePart    = 0.4                    // of dutiesPerS for one duty; a successor's calls may fall into the same second
-	DutyTimeout     = 3 * time.Second        // a call without an answer is given up: the platform may be slow by dozens of times
-	DutyPause       = 150 * time.Millisecond // after a call that failed; doubles
-	DutyPauseMax    = 1200 * time.Millisecond
-	DutyGiveUp      = 60      // failures in a row, over a minute, after which the next act goes ahead of one the platform does not take
-	DutyRecent      = 8       // holders remembered, to see one that comes back
-	DutyBodyMax     = 1 << 20 // bytes of an act; 40,000 tenants with names of ten letters
-	NameMax         = 256     // bytes of a proxy's or tenant's name in own messages
+	DutyLeaseMargin        = 60 * time.Millisecond  // an act begins only with this much of the lease left: a slow step, a late timer
+	DutyTick               = 50 * time.Millisecond  // the machine's step
+	DutyOrderRetryInterval = 300 * time.Millisecond // an order whose effect is not seen is sent again: several passes down a chain of slow disks
+	DutySpacing            = 25 * time.Millisecond  // least time between two calls of one duty
+	DutyRatePart           = 0.4                    // of dutiesPerS for one duty; a successor's calls may fall into the same second
+	DutyTimeout            = 3 * time.Second        // a call without an answer is given up: the platform may be slow by dozens of times
+	DutyPause              = 150 * time.Millisecond // after a call that failed; doubles
+	DutyPauseMax           = 1200 * time.Millisecond
+	DutyGiveUp             = 60      // failures in a row, over a minute, after which the next act goes ahead of one the platform does not take
+	DutyRecent             = 8       // holders remembered, to see one that comes back
+	DutyBodyMax            = 1 << 20 // bytes of an act; 40,000 tenants with names of ten letters
+	NameMax                = 256     // bytes of a proxy's or tenant's name in own messages
 )
 
 // Usage.
--- a/internal/duty/holder.go
+++ b/internal/duty/holder.go
@@ -86,7 +86,7 @@
 		if now < h.nextOrderAt {
 			return out
 		}
-		h.nextOrderAt = now + constants.DutyOrderRetry
+		h.nextOrderAt = now + constants.DutyOrderRetryInterval
 		return append(out, Order{Duty: h.name, Base: rec.Fence, Holder: h.self})
 	}
 	var out []Effect
@@ -119,7 +119,7 @@
 		return out
 	}
 	if key, body, ok := plan(rec.Key); ok {
-		h.nextOrderAt = now + constants.DutyOrderRetry
+		h.nextOrderAt = now + constants.DutyOrderRetryInterval
 		return append(out, Order{Duty: h.name, Base: rec.Fence, Key: key, Body: body})
 	}
 	return out
