--- a/internal/controlplane/duties.go
+++ b/internal/controlplane/duties.go
@@ -155,7 +155,7 @@
 			return status
 		}
 		runner.accepted[subject] = string(parts[subject])
-		time.Sleep(constants.DutySpacing)
+		time.Sleep(constants.DutyCallSpacing)
 	}
 	return http.StatusOK
 }
--- a/internal/duty/holder.go
+++ b/internal/duty/holder.go
@@ -64,7 +64,7 @@
 // NewHolder returns a Holder. self is the node's name, returnDelay the time within which two
 // holders must not alternate, and callsPerSecond the platform's limit on calls.
 func NewHolder(name, self string, returnDelay time.Duration, callsPerSecond float64, rng *rand.Rand) *Holder {
-	h := &Holder{name: name, self: self, returnDelay: returnDelay, rng: rng, spacing: constants.DutySpacing}
+	h := &Holder{name: name, self: self, returnDelay: returnDelay, rng: rng, spacing: constants.DutyCallSpacing}
 	if callsPerSecond > 0 {
 		h.spacing = max(h.spacing, time.Duration(float64(time.Second)/(callsPerSecond*constants.DutyRatePart)))
 	}
