--- a/internal/constants/constants.go
+++ b/internal/constants/constants.go
@@ -77,7 +77,7 @@
 	DutyTick               = 50 * time.Millisecond  // the machine's step
 	DutyOrderRetryInterval = 300 * time.Millisecond // an order whose effect is not seen is sent again: several passes down a chain of slow disks
 	DutyCallSpacing        = 25 * time.Millisecond  // least time between two calls of one duty
-	DutyRatePart           = 0.4                    // of dutiesPerS for one duty; a successor's calls may fall into the same second
+	DutyRateFraction       = 0.4                    // of dutiesPerS for one duty; a successor's calls may fall into the same second
 	DutyTimeout            = 3 * time.Second        // a call without an answer is given up: the platform may be slow by dozens of times
 	DutyPause              = 150 * time.Millisecond // after a call that failed; doubles
 	DutyPauseMax           = 1200 * time.Millisecond
--- a/internal/duty/duty_test.go
+++ b/internal/duty/duty_test.go
@@ -117,7 +117,7 @@
 		for _, x := range h.Step(now, time.Hour, rec, func(uint64) (uint64, []byte, bool) { return 2, nil, true }) {
 			switch x := x.(type) {
 			case Call:
-				if n > 0 && now-lastCall < time.Duration(float64(time.Second)/(2*constants.DutyRatePart)) {
+				if n > 0 && now-lastCall < time.Duration(float64(time.Second)/(2*constants.DutyRateFraction)) {
 					t.Fatalf("calls %v apart", now-lastCall)
 				}
 				n, lastCall = n+1, now
--- a/internal/duty/holder.go
+++ b/internal/duty/holder.go
@@ -66,7 +66,7 @@
 func NewHolder(name, self string, returnDelay time.Duration, callsPerSecond float64, rng *rand.Rand) *Holder {
 	h := &Holder{name: name, self: self, returnDelay: returnDelay, rng: rng, spacing: constants.DutyCallSpacing}
 	if callsPerSecond > 0 {
-		h.spacing = max(h.spacing, time.Duration(float64(time.Second)/(callsPerSecond*constants.DutyRatePart)))
+		h.spacing = max(h.spacing, time.Duration(float64(time.Second)/(callsPerSecond*constants.DutyRateFraction)))
 	}
 	return h
 }
