--- a/internal/controlplane/duties.go
+++ b/internal/controlplane/duties.go
@@ -60,8 +60,8 @@
 
 func (d *Daemon) newDutyRunner(name, path string, plan func(time.Duration, uint64) (uint64, []byte, bool)) *dutyRunner {
 	runner := &dutyRunner{name: name, path: path, plan: plan, holder: duty.NewHolder(name, d.settings.NodeName, d.settings.Bounds.Lease.D(), d.settings.CloudAPI.DutiesPerS, rand.New(rand.NewPCG(rand.Uint64(), 1)))}
-	dial := net.Dialer{Timeout: constants.DutyTimeout}
-	runner.client = &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: 1, DisableCompression: true, IdleConnTimeout: constants.DutyTimeout,
+	dial := net.Dialer{Timeout: constants.DutyCallTimeout}
+	runner.client = &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: 1, DisableCompression: true, IdleConnTimeout: constants.DutyCallTimeout,
 		DialContext: func(ctx context.Context, _, addr string) (net.Conn, error) {
 			c, err := dial.DialContext(ctx, "tcp4", addr)
 			if err != nil {
@@ -113,7 +113,7 @@
 			d.events.Record("duty_refused", runner.name+": the platform has seen a higher fencing token")
 			d.leases.release(runner.name)
 		case duty.Call:
-			ctx, cancel := context.WithTimeout(context.Background(), constants.DutyTimeout)
+			ctx, cancel := context.WithTimeout(context.Background(), constants.DutyCallTimeout)
 			runner.mu.Lock()
 			runner.cancel, runner.callID = cancel, effect.ID
 			runner.mu.Unlock()
--- a/internal/duty/holder.go
+++ b/internal/duty/holder.go
@@ -98,7 +98,7 @@
 		return out // back after another holder: waits, so that holders do not alternate within returnDelay
 	}
 	if h.activeCall != 0 {
-		if now-h.activeSince > constants.DutyTimeout {
+		if now-h.activeSince > constants.DutyCallTimeout {
 			out = append(out, h.cancel()...)
 			h.recordFailure(now)
 		}
