--- a/internal/constants/constants.go
+++ b/internal/constants/constants.go
@@ -80,7 +80,7 @@
 	DutyRateFraction       = 0.4                    // of dutiesPerS for one duty; a successor's calls may fall into the same second
 	DutyCallTimeout        = 3 * time.Second        // a call without an answer is given up: the platform may be slow by dozens of times
 	DutyRetryDelay         = 150 * time.Millisecond // after a call that failed; doubles
-	DutyPauseMax           = 1200 * time.Millisecond
+	DutyMaxRetryDelay      = 1200 * time.Millisecond
 	DutyGiveUp             = 60      // failures in a row, over a minute, after which the next act goes ahead of one the platform does not take
 	DutyRecent             = 8       // holders remembered, to see one that comes back
 	DutyBodyMax            = 1 << 20 // bytes of an act; 40,000 tenants with names of ten letters
--- a/internal/duty/holder.go
+++ b/internal/duty/holder.go
@@ -137,7 +137,7 @@
 func (h *Holder) recordFailure(now time.Duration) {
 	h.consecutiveFailures++
 	h.Failed++
-	pause := min(constants.DutyRetryDelay<<min(h.consecutiveFailures-1, 5), constants.DutyPauseMax)
+	pause := min(constants.DutyRetryDelay<<min(h.consecutiveFailures-1, 5), constants.DutyMaxRetryDelay)
 	h.nextCallAt = max(h.nextCallAt, now+pause/2+time.Duration(h.rng.Int64N(int64(pause))))
 }
 
--- a/internal/usage/usage.go
+++ b/internal/usage/usage.go
@@ -70,5 +70,5 @@
 // even if reports are missing. It leaves time for one unanswered call to the platform and its
 // retry before the report is due, delay after the end of the window.
 func decisionAge(delay time.Duration) time.Duration {
-	return max(delay/2, delay-constants.DutyCallTimeout-constants.DutyPauseMax)
+	return max(delay/2, delay-constants.DutyCallTimeout-constants.DutyMaxRetryDelay)
 }
--- a/internal/usage/usage_test.go
+++ b/internal/usage/usage_test.go
@@ -269,7 +269,7 @@
 		}
 	}
 	for _, delay := range []time.Duration{10 * time.Second, time.Minute} {
-		if left := delay - decisionAge(delay); left < constants.DutyCallTimeout+constants.DutyPauseMax {
+		if left := delay - decisionAge(delay); left < constants.DutyCallTimeout+constants.DutyMaxRetryDelay {
 			t.Errorf("delay of %v: %v left for calls to the platform", delay, left)
 		}
 	}
