--- a/internal/constants/constants.go
+++ b/internal/constants/constants.go
@@ -81,7 +81,7 @@
 	DutyCallTimeout        = 3 * time.Second        // a call without an answer is given up: the platform may be slow by dozens of times
 	DutyRetryDelay         = 150 * time.Millisecond // after a call that failed; doubles
 	DutyMaxRetryDelay      = 1200 * time.Millisecond
-	DutyGiveUp             = 60      // failures in a row, over a minute, after which the next act goes ahead of one the platform does not take
+	DutyMaxFailures        = 60      // failures in a row, over a minute, after which the next act goes ahead of one the platform does not take
 	DutyRecent             = 8       // holders remembered, to see one that comes back
 	DutyBodyMax            = 1 << 20 // bytes of an act; 40,000 tenants with names of ten letters
 	NameMax                = 256     // bytes of a proxy's or tenant's name in own messages
--- a/internal/duty/duty_test.go
+++ b/internal/duty/duty_test.go
@@ -127,7 +127,7 @@
 			}
 		}
 	}
-	if !ordered || n < constants.DutyGiveUp || n > 100 {
+	if !ordered || n < constants.DutyMaxFailures || n > 100 {
 		t.Errorf("%d calls, next decided: %v", n, ordered)
 	}
 }
--- a/internal/duty/holder.go
+++ b/internal/duty/holder.go
@@ -111,7 +111,7 @@
 			h.nextCallAt = now + h.spacing
 			out = append(out, Call{h.lastCallID, rec.Fence, rec.Key, rec.Body})
 		}
-		if !h.LatestOnly && h.consecutiveFailures < constants.DutyGiveUp {
+		if !h.LatestOnly && h.consecutiveFailures < constants.DutyMaxFailures {
 			return out
 		}
 	}
