--- a/internal/duty/record.go
+++ b/internal/duty/record.go
@@ -50,7 +50,7 @@
 	case o.Holder != "":
 		if r.Holder != "" && r.Holder != o.Holder {
 			r.Recent = append(slices.Clone(r.Recent), r.Holder)
-			r.Recent = r.Recent[max(0, len(r.Recent)-constants.DutyRecent):]
+			r.Recent = r.Recent[max(0, len(r.Recent)-constants.DutyRecentHolders):]
 		}
 		r.Back = slices.Contains(r.Recent, o.Holder)
 		if r.Back {
