--- a/internal/constants/constants.go
+++ b/internal/constants/constants.go
@@ -83,7 +83,7 @@
 	DutyMaxRetryDelay      = 1200 * time.Millisecond
 	DutyMaxFailures        = 60      // failures in a row, over a minute, after which the next act goes ahead of one the platform does not take
 	DutyRecentHolders      = 8       // holders remembered, to see one that comes back
-	DutyBodyMax            = 1 << 20 // bytes of an act; 40,000 tenants with names of ten letters
+	MaxDutyBodyBytes       = 1 << 20 // bytes of an act; 40,000 tenants with names of ten letters
 	NameMax                = 256     // bytes of a proxy's or tenant's name in own messages
 )
 
--- a/internal/duty/duty_test.go
+++ b/internal/duty/duty_test.go
@@ -22,12 +22,12 @@
 		t.Fatalf("second holder: %+v", want)
 	}
 	for _, o := range []Order{
-		{Duty: "d", Holder: "a"},                                                  // a's first order repeated
-		{Duty: "d", Base: 1, Holder: "c"},                                         // lost the race with b
-		{Duty: "d", Base: 1, Key: 6, Body: []byte("a's")},                         // decided under an old fence
-		{Duty: "d", Base: 2, Key: 5, Body: []byte("other")},                       // key already decided
-		{Duty: "d", Base: 2, Key: 4, Body: []byte("four")},                        // key below the decided one
-		{Duty: "d", Base: 2, Key: 6, Body: make([]byte, constants.DutyBodyMax+1)}, // oversized
+		{Duty: "d", Holder: "a"},                                                       // a's first order repeated
+		{Duty: "d", Base: 1, Holder: "c"},                                              // lost the race with b
+		{Duty: "d", Base: 1, Key: 6, Body: []byte("a's")},                              // decided under an old fence
+		{Duty: "d", Base: 2, Key: 5, Body: []byte("other")},                            // key already decided
+		{Duty: "d", Base: 2, Key: 4, Body: []byte("four")},                             // key below the decided one
+		{Duty: "d", Base: 2, Key: 6, Body: make([]byte, constants.MaxDutyBodyBytes+1)}, // oversized
 		{Base: 2, Holder: "c"},
 	} {
 		if _, ok := rs.Apply(o); ok {
--- a/internal/duty/record.go
+++ b/internal/duty/record.go
@@ -43,7 +43,7 @@
 // Apply returns the records after an order, and whether the order changed any of them.
 func (rs Records) Apply(o Order) (Records, bool) {
 	r := rs[o.Duty]
-	if o.Base != r.Fence || o.Duty == "" || len(o.Body) > constants.DutyBodyMax {
+	if o.Base != r.Fence || o.Duty == "" || len(o.Body) > constants.MaxDutyBodyBytes {
 		return rs, false
 	}
 	switch {
