--- a/internal/constants/constants.go
+++ b/internal/constants/constants.go
@@ -84,7 +84,7 @@
 	DutyMaxFailures        = 60      // failures in a row, over a minute, after which the next act goes ahead of one the platform does not take
 	DutyRecentHolders      = 8       // holders remembered, to see one that comes back
 	MaxDutyBodyBytes       = 1 << 20 // bytes of an act; 40,000 tenants with names of ten letters
-	NameMax                = 256     // bytes of a proxy's or tenant's name in own messages
+	MaxNameBytes           = 256     // bytes of a proxy's or tenant's name in own messages
 )
 
 // Usage.
--- a/internal/usage/tally.go
+++ b/internal/usage/tally.go
@@ -62,7 +62,7 @@
 
 // valid reports whether a report is within the limits that every well-behaved proxy observes.
 func (report Report) valid(current uint64) bool {
-	if report.Proxy == "" || len(report.Proxy) > constants.NameMax || report.Closed > current+1 {
+	if report.Proxy == "" || len(report.Proxy) > constants.MaxNameBytes || report.Closed > current+1 {
 		return false
 	}
 	for _, windows := range []map[uint64]Counts{report.Windows, report.Running} {
@@ -84,7 +84,7 @@
 		return false
 	}
 	for tenant, n := range counts {
-		if tenant == "" || len(tenant) > constants.NameMax || n > constants.UsageMost {
+		if tenant == "" || len(tenant) > constants.MaxNameBytes || n > constants.UsageMost {
 			return false
 		}
 	}
--- a/internal/usage/usage_test.go
+++ b/internal/usage/usage_test.go
@@ -89,7 +89,7 @@
 // reports.
 func TestInvalidReportsAndMemoryBound(t *testing.T) {
 	tally := NewTally(1)
-	long := make([]byte, constants.NameMax+1)
+	long := make([]byte, constants.MaxNameBytes+1)
 	for _, report := range []Report{
 		{Life: 1},
 		{Proxy: string(long)},
