--- a/internal/usage/tally.go
+++ b/internal/usage/tally.go
@@ -266,7 +266,7 @@
 	t.mu.Lock()
 	handoverDone := now.Agreed.Add(-now.HeldFor).Before(time.Unix(0, int64(w)*int64(length))) || t.handoverAt > now.Monotonic-now.HeldFor
 	t.mu.Unlock()
-	if !(handoverDone && t.Complete(w, now.Monotonic-delay, live)) && (age < decisionAge(delay) || now.HeldFor < 2*constants.UsageEvery) {
+	if !(handoverDone && t.Complete(w, now.Monotonic-delay, live)) && (age < decisionAge(delay) || now.HeldFor < 2*constants.UsageSnapshotInterval) {
 		return 0, nil, false
 	}
 	return w, MarshalWindow(w, t.Sum(w)), true
