--- a/internal/constants/constants.go
+++ b/internal/constants/constants.go
@@ -90,7 +90,7 @@
 // Usage.
 const (
 	UsageSnapshotInterval = time.Second                        // the holder keeps on its disk all that it has gathered
-	UsageSave             = UsageSnapshotInterval / UsageSaves // the holder keeps on its disk the reports that have come since: what is lost with it and with their proxies is no more
+	UsageSaveInterval     = UsageSnapshotInterval / UsageSaves // the holder keeps on its disk the reports that have come since: what is lost with it and with their proxies is no more
 	UsageSaves            = 5                                  // to each that writes all anew: reports are few bytes, the whole is not
 	UsageWait             = 800 * time.Millisecond             // for the holder's answer
 	UsageKept             = 24                                 // windows a proxy keeps that nobody has settled: two minutes
--- a/internal/controlplane/daemon.go
+++ b/internal/controlplane/daemon.go
@@ -316,7 +316,7 @@
 	if len(d.dutyRunners) > 0 {
 		group.Every(constants.DutyTick, d.stepDuties)
 		if d.settings.HasDuty(settings.DutyUsage) {
-			group.Every(constants.UsageSave, d.saveUsage)
+			group.Every(constants.UsageSaveInterval, d.saveUsage)
 		}
 	}
 	position := max(0, slices.Index(d.replica.controlAddresses(), d.settings.IPAddress))
--- a/internal/usage/loss_test.go
+++ b/internal/usage/loss_test.go
@@ -384,4 +384,4 @@
 }
 
 // saveInterval is the time between two steps of a persister.
-const saveInterval = constants.UsageSave
+const saveInterval = constants.UsageSaveInterval
