--- a/internal/usage/persister.go
+++ b/internal/usage/persister.go
@@ -42,7 +42,7 @@
 func NewPersister(tally *Tally, get func(key string, v any) bool) *Persister {
 	p := &Persister{tally: tally}
 	get(StoreKey, &p.pending)
-	for turn := 1; turn < constants.UsageSaves; turn++ {
+	for turn := 1; turn < constants.UsageSavesPerSnapshot; turn++ {
 		var recent []Report
 		if get(recentKey(turn), &recent) {
 			p.pending = append(p.pending, recent...)
@@ -80,7 +80,7 @@
 // save returns the next value to store: a full snapshot once every constants.UsageSaves steps,
 // otherwise the reports merged since the previous step.
 func (p *Persister) save() (Save, bool) {
-	if p.turn = (p.turn + 1) % constants.UsageSaves; p.turn == 0 {
+	if p.turn = (p.turn + 1) % constants.UsageSavesPerSnapshot; p.turn == 0 {
 		reports, changed := p.tally.SnapshotIfChanged()
 		return Save{StoreKey, reports}, changed
 	}
