--- a/internal/proxy/reports.go
+++ b/internal/proxy/reports.go
@@ -32,7 +32,7 @@
 			report.Running[name] = d.pool.Outstanding(name)
 		}
 	}
-	reply, err := d.subscriber.Call(*holder, report, constants.UsageWait)
+	reply, err := d.subscriber.Call(*holder, report, constants.UsageReportTimeout)
 	if ack, ok := reply.(autoscale.Ack); err != nil || !ok || !ack.OK {
 		d.events.Count("load_untold", 1)
 	}
@@ -54,7 +54,7 @@
 		if !pending {
 			return
 		}
-		reply, err := d.subscriber.Call(*holder, report, constants.UsageWait)
+		reply, err := d.subscriber.Call(*holder, report, constants.UsageReportTimeout)
 		ack, ok := reply.(usage.Ack)
 		if err != nil || !ok || ack.Term == 0 {
 			d.events.Count("usage_untold", 1)
--- a/internal/usage/loss_test.go
+++ b/internal/usage/loss_test.go
@@ -21,7 +21,7 @@
 // noHolderLossBound is the same for a proxy that is killed while there is no duty holder. It adds the
 // time until another machine takes the duty, the time until the proxies know of it, and the timeout
 // of a report that is waiting for an answer meanwhile.
-const noHolderLossBound = lossBound + takeoverTime + 100*time.Millisecond + constants.UsageWait
+const noHolderLossBound = lossBound + takeoverTime + 100*time.Millisecond + constants.UsageReportTimeout
 
 const (
 	windowLength    = 5 * time.Second
@@ -201,12 +201,12 @@
 		return
 	}
 	answered := false
-	f.After(constants.UsageWait, func() {
+	f.After(constants.UsageReportTimeout, func() {
 		if !answered {
 			p.reporting = false
 		}
 	})
-	deadline := f.Now + constants.UsageWait
+	deadline := f.Now + constants.UsageReportTimeout
 	f.Send(p.name, m.name, func() {
 		if !m.up || f.holder != m.name {
 			return
