--- a/internal/usage/meter.go
+++ b/internal/usage/meter.go
@@ -127,7 +127,7 @@
 		report.Closed = min(report.Closed, w-1)
 	}
 	for w, tenants := range m.unreported {
-		if w+constants.UsageKept < current {
+		if w+constants.UsageMaxUnsettledWindows < current {
 			delete(m.windows, w) // no holder has settled the window within UsageKept windows
 			delete(m.unreported, w)
 			continue
--- a/internal/usage/tally.go
+++ b/internal/usage/tally.go
@@ -66,7 +66,7 @@
 		return false
 	}
 	for _, windows := range []map[uint64]Counts{report.Windows, report.Running} {
-		if len(windows) > constants.UsageKept+2 {
+		if len(windows) > constants.UsageMaxUnsettledWindows+2 {
 			return false
 		}
 		for w, counts := range windows {
@@ -187,7 +187,7 @@
 				delete(r.running, w)
 			}
 		}
-		if len(r.windows) == 0 && len(r.running) == 0 && r.closed+constants.UsageKept < t.settled {
+		if len(r.windows) == 0 && len(r.running) == 0 && r.closed+constants.UsageMaxUnsettledWindows < t.settled {
 			delete(t.reporters, incarnation)
 		}
 	}
@@ -253,7 +253,7 @@
 		t.mu.Unlock()
 	}
 	t.Settle(after)
-	w := max(after+1, current-min(current, constants.UsageKept))
+	w := max(after+1, current-min(current, constants.UsageMaxUnsettledWindows))
 	if w >= current {
 		return 0, nil, false
 	}
--- a/internal/usage/usage_test.go
+++ b/internal/usage/usage_test.go
@@ -110,7 +110,7 @@
 		m.Count(w, "x")
 		m.NextReport("p", w)
 	}
-	if report, _ := m.NextReport("p", 1000); len(report.Windows) > constants.UsageKept+1 {
+	if report, _ := m.NextReport("p", 1000); len(report.Windows) > constants.UsageMaxUnsettledWindows+1 {
 		t.Errorf("%d windows kept", len(report.Windows))
 	}
 }
@@ -148,7 +148,7 @@
 	at := func(s float64) Timing {
 		return Timing{Monotonic: time.Duration(s * 1e9), Agreed: time.Unix(1000, 0).Add(time.Duration(s * 1e9)), HeldFor: time.Hour}
 	}
-	if w, _, ok := tally.NextWindow(at(30), 900, length, delay, nil); !ok || w != 1030-constants.UsageKept {
+	if w, _, ok := tally.NextWindow(at(30), 900, length, delay, nil); !ok || w != 1030-constants.UsageMaxUnsettledWindows {
 		t.Fatalf("window after 900: %d, %v", w, ok)
 	}
 	if w, _, ok := tally.NextWindow(at(30), 1020, length, delay, nil); !ok || w != 1021 {
