--- a/internal/usage/persister.go
+++ b/internal/usage/persister.go
@@ -62,8 +62,8 @@
 	p.held = held
 	var actions []any
 	if (p.handoverDue || len(p.pending) > 0) && holder != "" {
-		for i := 0; i == 0 || i < len(p.pending); i += constants.UsageBatch {
-			end := min(i+constants.UsageBatch, len(p.pending))
+		for i := 0; i == 0 || i < len(p.pending); i += constants.UsageHandoverBatch {
+			end := min(i+constants.UsageHandoverBatch, len(p.pending))
 			actions = append(actions, SendHandover{holder, Handover{Words: p.pending[i:end], Last: end == len(p.pending)}})
 		}
 		p.pending, p.handoverDue = nil, false
