--- a/internal/usage/tally.go
+++ b/internal/usage/tally.go
@@ -80,7 +80,7 @@
 
 // validCounts reports whether the counts of one window are within their limits.
 func validCounts(counts Counts) bool {
-	if len(counts) > constants.UsageTenants {
+	if len(counts) > constants.UsageMaxTenants {
 		return false
 	}
 	for tenant, n := range counts {
