--- a/internal/constants/constants.go
+++ b/internal/constants/constants.go
@@ -96,7 +96,7 @@
 	UsageMaxUnsettledWindows = 24                                            // windows a proxy keeps that nobody has settled: two minutes
 	UsageHandoverBatch       = 200                                           // incarnations in one message when a holder hands on what it knows
 	UsageMaxTenants          = 200_000                                       // tenants in one report
-	UsageMost                = 1 << 40                                       // requests of one tenant in a window; more is garbage
+	UsageMaxCount            = 1 << 40                                       // requests of one tenant in a window; more is garbage
 	UsageSilent              = 2500 * time.Millisecond                       // a proxy silent so long is not waited for: it has missed two heartbeats
 )
 
--- a/internal/usage/tally.go
+++ b/internal/usage/tally.go
@@ -84,7 +84,7 @@
 		return false
 	}
 	for tenant, n := range counts {
-		if tenant == "" || len(tenant) > constants.MaxNameBytes || n > constants.UsageMost {
+		if tenant == "" || len(tenant) > constants.MaxNameBytes || n > constants.UsageMaxCount {
 			return false
 		}
 	}
--- a/internal/usage/usage_test.go
+++ b/internal/usage/usage_test.go
@@ -94,7 +94,7 @@
 		{Life: 1},
 		{Proxy: string(long)},
 		{Proxy: "p", Closed: 1000},
-		{Proxy: "p", Windows: map[uint64]Counts{9: {"x": constants.UsageMost + 1}}},
+		{Proxy: "p", Windows: map[uint64]Counts{9: {"x": constants.UsageMaxCount + 1}}},
 		{Proxy: "p", Windows: map[uint64]Counts{1 << 60: {"x": 1}}},
 		{Proxy: "p", Windows: map[uint64]Counts{9: {"": 1}}},
 	} {
@@ -250,7 +250,7 @@
 	if got := tally.Sum(7); len(got) > 0 || len(m.running) > 0 {
 		t.Errorf("kept after settling: %v, %v", got, m.running)
 	}
-	invalid := Report{Proxy: "p", Life: 5, Seq: 99, Running: map[uint64]Counts{7: {"x": constants.UsageMost + 1}}}
+	invalid := Report{Proxy: "p", Life: 5, Seq: 99, Running: map[uint64]Counts{7: {"x": constants.UsageMaxCount + 1}}}
 	if _, ok := tally.Merge(0, 8, invalid); ok || tally.Rejected != 1 {
 		t.Error("an invalid report was accepted")
 	}
