--- a/internal/constants/constants.go
+++ b/internal/constants/constants.go
@@ -97,7 +97,7 @@
 	UsageHandoverBatch       = 200                                           // incarnations in one message when a holder hands on what it knows
 	UsageMaxTenants          = 200_000                                       // tenants in one report
 	UsageMaxCount            = 1 << 40                                       // requests of one tenant in a window; more is garbage
-	UsageSilent              = 2500 * time.Millisecond                       // a proxy silent so long is not waited for: it has missed two heartbeats
+	UsageProxyTimeout        = 2500 * time.Millisecond                       // a proxy silent so long is not waited for: it has missed two heartbeats
 )
 
 // Scaling; the law stands in package autoscale.
--- a/internal/controlplane/roster.go
+++ b/internal/controlplane/roster.go
@@ -104,7 +104,7 @@
 	defer r.mu.Unlock()
 	var out []string
 	for a, e := range r.entries {
-		if time.Since(e.seenAt) < constants.UsageSilent {
+		if time.Since(e.seenAt) < constants.UsageProxyTimeout {
 			out = append(out, a)
 		}
 	}
