--- a/internal/autoscale/autoscale.go
+++ b/internal/autoscale/autoscale.go
@@ -122,7 +122,7 @@
 // report the requests running there, and the reports are averaged. It covers ScaleRise, the time
 // over which a rise of the load is measured.
 func (b Bounds) hold() time.Duration {
-	return max(b.BootTime, constants.ScaleRise) + constants.ScaleEvery + constants.ScaleSmooth
+	return max(b.BootTime, constants.ScaleRise) + constants.ScaleReportInterval + constants.ScaleSmooth
 }
 
 // Orders is a list of ordered counts, as it is stored and sent.
--- a/internal/proxy/daemon.go
+++ b/internal/proxy/daemon.go
@@ -227,7 +227,7 @@
 	group.Every(constants.StepEvery, d.step)
 	group.Every(constants.GrantEvery, d.renewGrants)
 	if nodeSettings.HasDuty(settings.DutyScaling) {
-		group.Every(constants.ScaleEvery, d.reportLoad)
+		group.Every(constants.ScaleReportInterval, d.reportLoad)
 	}
 	if d.meter != nil {
 		interval := usage.ReportInterval(nodeSettings.Bounds.UsageWindow.D(), nodeSettings.Bounds.UsageTolerance)
