--- a/internal/autoscale/autoscale.go
+++ b/internal/autoscale/autoscale.go
@@ -92,7 +92,7 @@
 	defer a.mu.Unlock()
 	sum, complete = map[Subject]float64{}, len(live) > 0
 	for proxy, received := range a.byProxy {
-		if now-received.at > constants.ScaleFresh {
+		if now-received.at > constants.ScaleReportMaxAge {
 			if now-received.at > constants.ProxyForget {
 				delete(a.byProxy, proxy)
 			}
@@ -103,7 +103,7 @@
 		}
 	}
 	for _, proxy := range live {
-		if received, ok := a.byProxy[proxy]; !ok || now-received.at > constants.ScaleFresh {
+		if received, ok := a.byProxy[proxy]; !ok || now-received.at > constants.ScaleReportMaxAge {
 			complete = false
 		}
 	}
--- a/internal/autoscale/autoscale_test.go
+++ b/internal/autoscale/autoscale_test.go
@@ -193,7 +193,7 @@
 	if _, complete := a.Sum(time.Second, []string{"p", "q"}); complete {
 		t.Error("complete without a report from q")
 	}
-	if sum, complete := a.Sum(constants.ScaleFresh+1, []string{"p"}); sum[subject] != 0 || complete {
+	if sum, complete := a.Sum(constants.ScaleReportMaxAge+1, []string{"p"}); sum[subject] != 0 || complete {
 		t.Errorf("sum %v, complete %v from an outdated report", sum, complete)
 	}
 }
--- a/internal/constants/constants.go
+++ b/internal/constants/constants.go
@@ -103,7 +103,7 @@
 // Scaling; the law stands in package autoscale.
 const (
 	ScaleReportInterval = time.Second             // a proxy's report of what runs
-	ScaleFresh          = 2500 * time.Millisecond // a report older than two and a half of them counts for nothing
+	ScaleReportMaxAge   = 2500 * time.Millisecond // a report older than two and a half of them counts for nothing
 	ScaleRise           = 3 * time.Second         // over which a rise is measured
 	ScaleAhead          = 0.5                     // part of the rise until a boot ends that is believed: noise rises too
 	ScaleTaken          = 0.5                     // part of all places to be taken: a burst of half as much again fits without an order
