--- a/internal/autoscale/autoscale.go
+++ b/internal/autoscale/autoscale.go
@@ -122,7 +122,7 @@
 // report the requests running there, and the reports are averaged. It covers ScaleRise, the time
 // over which a rise of the load is measured.
 func (b Bounds) hold() time.Duration {
-	return max(b.BootTime, constants.ScaleRise) + constants.ScaleReportInterval + constants.ScaleSmooth
+	return max(b.BootTime, constants.ScaleTrendWindow) + constants.ScaleReportInterval + constants.ScaleSmooth
 }
 
 // Orders is a list of ordered counts, as it is stored and sent.
@@ -256,8 +256,8 @@
 	if peak == 0 || !ok {
 		return previous, false // without requests there is no measurement of the load they would cause
 	}
-	if before, ok := mean(now - constants.ScaleRise); ok && before > 0 && last > before {
-		peak = max(peak, last+(last-before)*b.BootTime.Seconds()/constants.ScaleRise.Seconds()*constants.ScaleAhead)
+	if before, ok := mean(now - constants.ScaleTrendWindow); ok && before > 0 && last > before {
+		peak = max(peak, last+(last-before)*b.BootTime.Seconds()/constants.ScaleTrendWindow.Seconds()*constants.ScaleAhead)
 	}
 	needed := int(math.Ceil(peak / (constants.ScaleTaken * float64(b.Slots))))
 	utilization := peak / float64(max(1, previous)*b.Slots)
