--- a/internal/autoscale/autoscale.go
+++ b/internal/autoscale/autoscale.go
@@ -257,7 +257,7 @@
 		return previous, false // without requests there is no measurement of the load they would cause
 	}
 	if before, ok := mean(now - constants.ScaleTrendWindow); ok && before > 0 && last > before {
-		peak = max(peak, last+(last-before)*b.BootTime.Seconds()/constants.ScaleTrendWindow.Seconds()*constants.ScaleAhead)
+		peak = max(peak, last+(last-before)*b.BootTime.Seconds()/constants.ScaleTrendWindow.Seconds()*constants.ScaleTrendWeight)
 	}
 	needed := int(math.Ceil(peak / (constants.ScaleTaken * float64(b.Slots))))
 	utilization := peak / float64(max(1, previous)*b.Slots)
--- a/internal/constants/constants.go
+++ b/internal/constants/constants.go
@@ -105,7 +105,7 @@
 	ScaleReportInterval = time.Second             // a proxy's report of what runs
 	ScaleReportMaxAge   = 2500 * time.Millisecond // a report older than two and a half of them counts for nothing
 	ScaleTrendWindow    = 3 * time.Second         // over which a rise is measured
-	ScaleAhead          = 0.5                     // part of the rise until a boot ends that is believed: noise rises too
+	ScaleTrendWeight    = 0.5                     // part of the rise until a boot ends that is believed: noise rises too
 	ScaleTaken          = 0.5                     // part of all places to be taken: a burst of half as much again fits without an order
 	ScaleHigh           = 0.62                    // part taken from which more are ordered: load that wavers by less than a quarter orders nothing
 	ScaleLow            = 0.40                    // and below which fewer are
