--- a/internal/autoscale/autoscale.go
+++ b/internal/autoscale/autoscale.go
@@ -259,7 +259,7 @@
 	if before, ok := mean(now - constants.ScaleTrendWindow); ok && before > 0 && last > before {
 		peak = max(peak, last+(last-before)*b.BootTime.Seconds()/constants.ScaleTrendWindow.Seconds()*constants.ScaleTrendWeight)
 	}
-	needed := int(math.Ceil(peak / (constants.ScaleTaken * float64(b.Slots))))
+	needed := int(math.Ceil(peak / (constants.ScaleTargetUtilization * float64(b.Slots))))
 	utilization := peak / float64(max(1, previous)*b.Slots)
 	if utilization > constants.ScaleHigh {
 		h.reason, h.lastChange = "load", now
--- a/internal/autoscale/autoscale_test.go
+++ b/internal/autoscale/autoscale_test.go
@@ -76,7 +76,7 @@
 		return 40
 	}
 	simulate(NewController(), z, 0, 39*time.Second, load, always, nil)
-	want := int(math.Ceil(40 / (4 * constants.ScaleTaken)))
+	want := int(math.Ceil(40 / (4 * constants.ScaleTargetUtilization)))
 	if z.ready < want || z.ready > want+3 {
 		t.Fatalf("%d upstreams for 40 concurrent requests, want %d; counts: %v", z.ready, want, z.counts)
 	}
