--- a/internal/autoscale/autoscale.go
+++ b/internal/autoscale/autoscale.go
@@ -261,7 +261,7 @@
 	}
 	needed := int(math.Ceil(peak / (constants.ScaleTargetUtilization * float64(b.Slots))))
 	utilization := peak / float64(max(1, previous)*b.Slots)
-	if utilization > constants.ScaleHigh {
+	if utilization > constants.ScaleUpUtilization {
 		h.reason, h.lastChange = "load", now
 		return needed, true
 	}
--- a/internal/constants/constants.go
+++ b/internal/constants/constants.go
@@ -107,7 +107,7 @@
 	ScaleTrendWindow       = 3 * time.Second         // over which a rise is measured
 	ScaleTrendWeight       = 0.5                     // part of the rise until a boot ends that is believed: noise rises too
 	ScaleTargetUtilization = 0.5                     // part of all places to be taken: a burst of half as much again fits without an order
-	ScaleHigh              = 0.62                    // part taken from which more are ordered: load that wavers by less than a quarter orders nothing
+	ScaleUpUtilization     = 0.62                    // part taken from which more are ordered: load that wavers by less than a quarter orders nothing
 	ScaleLow               = 0.40                    // and below which fewer are
 	ScaleSmooth            = time.Second             // over which the load is averaged: single requests come and go
 	ScaleDown              = 0.25                    // at most this part is given up at a time
