--- a/internal/autoscale/autoscale.go
+++ b/internal/autoscale/autoscale.go
@@ -122,7 +122,7 @@
 // report the requests running there, and the reports are averaged. It covers ScaleRise, the time
 // over which a rise of the load is measured.
 func (b Bounds) hold() time.Duration {
-	return max(b.BootTime, constants.ScaleTrendWindow) + constants.ScaleReportInterval + constants.ScaleSmooth
+	return max(b.BootTime, constants.ScaleTrendWindow) + constants.ScaleReportInterval + constants.ScaleSmoothingWindow
 }
 
 // Orders is a list of ordered counts, as it is stored and sent.
@@ -238,7 +238,7 @@
 	mean := func(until time.Duration) (sum float64, ok bool) { // over the ScaleSmooth interval that ends at until
 		n := 0.0
 		for _, p := range h.raw {
-			if p.at <= until && until-p.at < constants.ScaleSmooth {
+			if p.at <= until && until-p.at < constants.ScaleSmoothingWindow {
 				sum, n = sum+p.n, n+1
 			}
 		}
--- a/internal/constants/constants.go
+++ b/internal/constants/constants.go
@@ -109,7 +109,7 @@
 	ScaleTargetUtilization = 0.5                     // part of all places to be taken: a burst of half as much again fits without an order
 	ScaleUpUtilization     = 0.62                    // part taken from which more are ordered: load that wavers by less than a quarter orders nothing
 	ScaleDownUtilization   = 0.40                    // and below which fewer are
-	ScaleSmooth            = time.Second             // over which the load is averaged: single requests come and go
+	ScaleSmoothingWindow   = time.Second             // over which the load is averaged: single requests come and go
 	ScaleDown              = 0.25                    // at most this part is given up at a time
 	ScalePause             = 1500 * time.Millisecond // between two times
 	ScaleServices          = 1024                    // services in one report
