--- a/internal/autoscale/autoscale.go
+++ b/internal/autoscale/autoscale.go
@@ -269,7 +269,7 @@
 		return previous, true
 	}
 	h.reason, h.lastChange = "idle", now
-	return max(needed, int(math.Ceil(float64(previous)*(1-constants.ScaleDown)))), true
+	return max(needed, int(math.Ceil(float64(previous)*(1-constants.ScaleDownMaxFraction)))), true
 }
 
 // Reason returns the reason for the last change of a subject's count.
