--- a/internal/autoscale/autoscale.go
+++ b/internal/autoscale/autoscale.go
@@ -265,7 +265,7 @@
 		h.reason, h.lastChange = "load", now
 		return needed, true
 	}
-	if !complete || now-h.smooth[0].at < b.hold()*3/4 || now-h.lastChange < constants.ScalePause || utilization >= constants.ScaleDownUtilization {
+	if !complete || now-h.smooth[0].at < b.hold()*3/4 || now-h.lastChange < constants.ScaleDownCooldown || utilization >= constants.ScaleDownUtilization {
 		return previous, true
 	}
 	h.reason, h.lastChange = "idle", now
