--- a/internal/autoscale/autoscale.go
+++ b/internal/autoscale/autoscale.go
@@ -73,7 +73,7 @@
 func (a *LoadAggregator) Record(now time.Duration, report Report) bool {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	invalid := report.Proxy == "" || len(report.Proxy) > constants.MaxNameBytes || len(report.Zone) > constants.MaxNameBytes || len(report.Running) > constants.ScaleServices
+	invalid := report.Proxy == "" || len(report.Proxy) > constants.MaxNameBytes || len(report.Zone) > constants.MaxNameBytes || len(report.Running) > constants.ScaleMaxServices
 	for _, n := range report.Running {
 		invalid = invalid || n < 0 || n > constants.ScaleMost
 	}
--- a/internal/constants/constants.go
+++ b/internal/constants/constants.go
@@ -112,7 +112,7 @@
 	ScaleSmoothingWindow   = time.Second             // over which the load is averaged: single requests come and go
 	ScaleDownMaxFraction   = 0.25                    // at most this part is given up at a time
 	ScaleDownCooldown      = 1500 * time.Millisecond // between two times
-	ScaleServices          = 1024                    // services in one report
+	ScaleMaxServices       = 1024                    // services in one report
 	ScaleMost              = 1 << 20                 // requests of a service at one proxy; more is garbage
 )
 
