--- a/internal/autoscale/autoscale.go
+++ b/internal/autoscale/autoscale.go
@@ -75,7 +75,7 @@
 	defer a.mu.Unlock()
 	invalid := report.Proxy == "" || len(report.Proxy) > constants.MaxNameBytes || len(report.Zone) > constants.MaxNameBytes || len(report.Running) > constants.ScaleMaxServices
 	for _, n := range report.Running {
-		invalid = invalid || n < 0 || n > constants.ScaleMost
+		invalid = invalid || n < 0 || n > constants.ScaleMaxRequests
 	}
 	if invalid {
 		a.Rejected++
--- a/internal/constants/constants.go
+++ b/internal/constants/constants.go
@@ -113,7 +113,7 @@
 	ScaleDownMaxFraction   = 0.25                    // at most this part is given up at a time
 	ScaleDownCooldown      = 1500 * time.Millisecond // between two times
 	ScaleMaxServices       = 1024                    // services in one report
-	ScaleMost              = 1 << 20                 // requests of a service at one proxy; more is garbage
+	ScaleMaxRequests       = 1 << 20                 // requests of a service at one proxy; more is garbage
 )
 
 // Time of day.
