--- a/internal/clock/clock.go
+++ b/internal/clock/clock.go
@@ -44,7 +44,7 @@
 	c.samples[from] = sample{time.Duration(wall) - monotonic, monotonic}
 	var offsets []time.Duration
 	for name, s := range c.samples {
-		if monotonic-s.at > constants.ClockFresh {
+		if monotonic-s.at > constants.ClockSampleMaxAge {
 			delete(c.samples, name)
 			continue
 		}
--- a/internal/clock/clock_test.go
+++ b/internal/clock/clock_test.go
@@ -43,7 +43,7 @@
 		}
 	}
 	c := New()
-	c.Observe("expired", epoch.Add(time.Hour).UnixNano(), -constants.ClockFresh)
+	c.Observe("expired", epoch.Add(time.Hour).UnixNano(), -constants.ClockSampleMaxAge)
 	c.Observe("current", epoch.Add(time.Second).UnixNano(), time.Second)
 	if at, _ := c.Now(time.Second); at.Sub(epoch) != time.Second {
 		t.Errorf("an expired sample was used: the agreed time is %v after the epoch", at.Sub(epoch))
