--- a/internal/clock/clock.go
+++ b/internal/clock/clock.go
@@ -52,7 +52,7 @@
 	}
 	slices.Sort(offsets)
 	median := offsets[(len(offsets)-1)/2]
-	if !c.set || monotonic < constants.ClockSettle {
+	if !c.set || monotonic < constants.ClockSettlingTime {
 		c.offset, c.set, c.last = median, true, 0
 	} else {
 		maxStep := time.Duration(float64(monotonic-c.adjustedAt) * constants.ClockSlew)
