--- a/internal/clock/clock.go
+++ b/internal/clock/clock.go
@@ -55,7 +55,7 @@
 	if !c.set || monotonic < constants.ClockSettlingTime {
 		c.offset, c.set, c.last = median, true, 0
 	} else {
-		maxStep := time.Duration(float64(monotonic-c.adjustedAt) * constants.ClockSlew)
+		maxStep := time.Duration(float64(monotonic-c.adjustedAt) * constants.ClockMaxSlewRate)
 		c.offset += min(max(median-c.offset, -maxStep), maxStep)
 	}
 	c.adjustedAt = monotonic
--- a/internal/constants/constants.go
+++ b/internal/constants/constants.go
@@ -120,7 +120,7 @@
 const (
 	ClockSampleMaxAge = 5 * time.Second // a clock last received longer ago does not count in the median
 	ClockSettlingTime = 3 * time.Second // a process so young takes over what others have agreed on
-	ClockSlew         = 0.002           // of the time that passes, by which the agreed time is drawn at most: far over what steady clocks drift, and 20 ms while clocks are off for ten seconds
+	ClockMaxSlewRate  = 0.002           // of the time that passes, by which the agreed time is drawn at most: far over what steady clocks drift, and 20 ms while clocks are off for ten seconds
 	MinWallClock      = 1e18            // nanoseconds since 1970, 2001: a clock before it is no clock
 )
 
