--- a/internal/constants/constants.go
+++ b/internal/constants/constants.go
@@ -126,7 +126,7 @@
 
 // News to the data plane.
 const (
-	SubscribeEvery      = 400 * time.Millisecond  // heartbeat on the held connection in the own zone
+	SubscribeInterval   = 400 * time.Millisecond  // heartbeat on the held connection in the own zone
 	SubscribeEveryFar   = 1200 * time.Millisecond // on the others: changes are pushed on them at once, and a heartbeat only shows that the connection stands
 	SubscriptionCount   = 3                       // control machines a proxy subscribes to that are in contact with a majority; more cost messages, fewer leave a gap when one goes
 	KeptStates          = 8                       // configurations and lists kept to send differences from: several polls
--- a/internal/distribution/publisher_test.go
+++ b/internal/distribution/publisher_test.go
@@ -134,7 +134,7 @@
 		}
 		return 0
 	}
-	time.Sleep(2 * constants.SubscribeEvery) // long enough for another subscription to be sent
+	time.Sleep(2 * constants.SubscribeInterval) // long enough for another subscription to be sent
 	if v := acknowledged(); v != 0 {
 		t.Errorf("version %d was acknowledged before it was in force", v)
 	}
--- a/internal/distribution/subscriber.go
+++ b/internal/distribution/subscriber.go
@@ -130,7 +130,7 @@
 		}
 		interval := constants.SubscribeEveryFar
 		if addr == s.contentSource || !conn.hasUpdate {
-			interval = constants.SubscribeEvery
+			interval = constants.SubscribeInterval
 		}
 		behind := s.behindLocked(conn)
 		if addr != s.contentSource && behind && conn.pullAt.IsZero() {
--- a/internal/proxy/timing_test.go
+++ b/internal/proxy/timing_test.go
@@ -308,8 +308,8 @@
 	if short := retryAfter(300 * time.Millisecond); short > 100*time.Millisecond {
 		t.Errorf("with 300 ms: Retry-After is %v", short)
 	}
-	if long := retryAfter(10 * time.Second); long != constants.SubscribeEvery {
-		t.Errorf("with 10 s: Retry-After is %v, want the subscription interval %v", long, constants.SubscribeEvery)
+	if long := retryAfter(10 * time.Second); long != constants.SubscribeInterval {
+		t.Errorf("with 10 s: Retry-After is %v, want the subscription interval %v", long, constants.SubscribeInterval)
 	}
 }
 
