--- a/internal/constants/constants.go
+++ b/internal/constants/constants.go
@@ -126,32 +126,32 @@
 
 // News to the data plane.
 const (
-	SubscribeInterval   = 400 * time.Millisecond  // heartbeat on the held connection in the own zone
-	SubscribeEveryFar   = 1200 * time.Millisecond // on the others: changes are pushed on them at once, and a heartbeat only shows that the connection stands
-	SubscriptionCount   = 3                       // control machines a proxy subscribes to that are in contact with a majority; more cost messages, fewer leave a gap when one goes
-	KeptStates          = 8                       // configurations and lists kept to send differences from: several polls
-	SubscriptionSilence = 1800 * time.Millisecond // a connection that answered nothing so long is dropped
-	ProxyForget         = 60 * time.Second        // a proxy silent so long leaves the live count
-	UpdateCurrent       = 3 * time.Second         // news older than this is not "known to be current" at start
-	RosterEvery         = time.Second             // control machines send each other the proxies they know
-	RosterRefresh       = 2 * time.Second         // a proxy of which nothing is new is reported so often: well inside the time after which the directory drops it
-	RosterWhole         = 5                       // turns between the names of all that share, when none has changed
-	RosterFar           = 3                       // times as long between reports to other regions: narrow links, and still inside PlaceFresh
-	RosterQuiet         = 3 * time.Second         // at the very first start the count is sent only after all had time to come
-	PollShare           = 0.25                    // of the drain bound, between two readings of the platform's list: one may be lost and the next be slow, and all proxies be told within it
-	ListStride          = 1 << 32                 // a new reader of the list begins in the next such span, at a number drawn by lot
-	BootStagger         = 300 * time.Millisecond  // control machines that start together and know no list read it one after the other, so far apart: about what a long list takes at the platform's rate
-	BootRetry           = time.Second             // after such a reading that failed: the platform may be at its rate, or away
-	BootCheckEvery      = 50 * time.Millisecond   // whether the list has come, or the turn
-	SelfPollPart        = 0.25                    // of the platform's rate that proxies out of touch use together
-	PollPage            = 50                      // entries reckoned for a call; only paces reading
-	ListPagesMax        = 1000                    // pages of the platform's list; more is a list without an end
-	ListPageMax         = 4 << 20                 // bytes of a page; far over any
-	PollTimeout         = 1200 * time.Millisecond // two polls
-	StartSearch         = time.Second             // from the first message on, a proxy that starts looks so long for a control machine in contact with a majority before it takes what may be old; several dials and questions, well inside contact and configApply
-	PullAfter           = 120 * time.Millisecond  // a change announced elsewhere is fetched there if it has not come so long after
-	SelfPollAfter       = 4 * time.Second         // a proxy that receives nothing from a control machine in contact so long polls for itself
-	SelfPollEvery       = 3 * time.Second         // slowly: the call rate is shared by all
+	SubscribeInterval          = 400 * time.Millisecond  // heartbeat on the held connection in the own zone
+	SubscribeIntervalOtherZone = 1200 * time.Millisecond // on the others: changes are pushed on them at once, and a heartbeat only shows that the connection stands
+	SubscriptionCount          = 3                       // control machines a proxy subscribes to that are in contact with a majority; more cost messages, fewer leave a gap when one goes
+	KeptStates                 = 8                       // configurations and lists kept to send differences from: several polls
+	SubscriptionSilence        = 1800 * time.Millisecond // a connection that answered nothing so long is dropped
+	ProxyForget                = 60 * time.Second        // a proxy silent so long leaves the live count
+	UpdateCurrent              = 3 * time.Second         // news older than this is not "known to be current" at start
+	RosterEvery                = time.Second             // control machines send each other the proxies they know
+	RosterRefresh              = 2 * time.Second         // a proxy of which nothing is new is reported so often: well inside the time after which the directory drops it
+	RosterWhole                = 5                       // turns between the names of all that share, when none has changed
+	RosterFar                  = 3                       // times as long between reports to other regions: narrow links, and still inside PlaceFresh
+	RosterQuiet                = 3 * time.Second         // at the very first start the count is sent only after all had time to come
+	PollShare                  = 0.25                    // of the drain bound, between two readings of the platform's list: one may be lost and the next be slow, and all proxies be told within it
+	ListStride                 = 1 << 32                 // a new reader of the list begins in the next such span, at a number drawn by lot
+	BootStagger                = 300 * time.Millisecond  // control machines that start together and know no list read it one after the other, so far apart: about what a long list takes at the platform's rate
+	BootRetry                  = time.Second             // after such a reading that failed: the platform may be at its rate, or away
+	BootCheckEvery             = 50 * time.Millisecond   // whether the list has come, or the turn
+	SelfPollPart               = 0.25                    // of the platform's rate that proxies out of touch use together
+	PollPage                   = 50                      // entries reckoned for a call; only paces reading
+	ListPagesMax               = 1000                    // pages of the platform's list; more is a list without an end
+	ListPageMax                = 4 << 20                 // bytes of a page; far over any
+	PollTimeout                = 1200 * time.Millisecond // two polls
+	StartSearch                = time.Second             // from the first message on, a proxy that starts looks so long for a control machine in contact with a majority before it takes what may be old; several dials and questions, well inside contact and configApply
+	PullAfter                  = 120 * time.Millisecond  // a change announced elsewhere is fetched there if it has not come so long after
+	SelfPollAfter              = 4 * time.Second         // a proxy that receives nothing from a control machine in contact so long polls for itself
+	SelfPollEvery              = 3 * time.Second         // slowly: the call rate is shared by all
 )
 
 // Forwarding.
--- a/internal/distribution/subscriber.go
+++ b/internal/distribution/subscriber.go
@@ -128,7 +128,7 @@
 		if !conn.subscribed {
 			continue
 		}
-		interval := constants.SubscribeEveryFar
+		interval := constants.SubscribeIntervalOtherZone
 		if addr == s.contentSource || !conn.hasUpdate {
 			interval = constants.SubscribeInterval
 		}
