--- a/internal/distribution/publisher.go
+++ b/internal/distribution/publisher.go
@@ -133,7 +133,7 @@
 func (h *history[S, D]) diffFrom(newest *S, have uint64) *D {
 	if n := len(h.states); n == 0 || h.number(h.states[n-1]) != h.number(newest) {
 		h.states = append(h.states, newest)
-		h.states = h.states[max(0, len(h.states)-constants.KeptStates):]
+		h.states = h.states[max(0, len(h.states)-constants.StateHistoryLength):]
 		h.diffs = map[uint64]*D{}
 	}
 	var base *S
