--- a/cmd/slateridge/status.go
+++ b/cmd/slateridge/status.go
@@ -177,7 +177,7 @@
 		fmt.Fprintf(t, "    %s\t%s\t%s\tpresent %d\t%s\n", s.Service, s.Zone, ordered, s.Present, s.Why)
 	}
 	rows(t, all, r.Proxies, func(p distribution.ProxyState) bool {
-		return p.Version < r.Chain.Version || p.ListNum < r.ListNum || !p.Ready || p.Silent > constants.SubscriptionSilence
+		return p.Version < r.Chain.Version || p.ListNum < r.ListNum || !p.Ready || p.Silent > constants.SubscriptionTimeout
 	}, func(p distribution.ProxyState) {
 		fmt.Fprintf(t, "    %s\tr%d\tlist %d\tready %v\theard %s ago\n", p.Name, p.Version, p.ListNum, p.Ready, ago(p.Silent))
 	})
--- a/internal/admission/contacts.go
+++ b/internal/admission/contacts.go
@@ -52,7 +52,7 @@
 			delete(t.contacts, n) // all its grants have expired
 			continue
 		}
-		if now-c.lastRequestAt <= constants.SubscriptionSilence {
+		if now-c.lastRequestAt <= constants.SubscriptionTimeout {
 			t.proxyCount = max(t.proxyCount, c.proxies)
 		}
 		if now+constants.ContactScanEvery-c.echoedAt > constants.StandbyRoom {
--- a/internal/controlplane/roster.go
+++ b/internal/controlplane/roster.go
@@ -280,7 +280,7 @@
 	sameRegion, otherRegions = RosterUpdate{Words: map[string]ProxyStatus{}}, RosterUpdate{Words: map[string]ProxyStatus{}}
 	for a, e := range r.entries {
 		age := time.Since(e.seenHereAt)
-		if age >= constants.SubscriptionSilence {
+		if age >= constants.SubscriptionTimeout {
 			continue // another control machine reports this proxy
 		}
 		status := ProxyStatus{age, e.count, e.location}
--- a/internal/directory/directory.go
+++ b/internal/directory/directory.go
@@ -99,7 +99,7 @@
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	e := d.proxies[node]
-	if e == nil || e.disconnected || !local && now-e.directReportAt < constants.SubscriptionSilence {
+	if e == nil || e.disconnected || !local && now-e.directReportAt < constants.SubscriptionTimeout {
 		return false
 	}
 	e.disconnected = true
--- a/internal/distribution/publisher.go
+++ b/internal/distribution/publisher.go
@@ -265,7 +265,7 @@
 	defer p.mu.Unlock()
 	snapshot := p.snapshot()
 	for conn, c := range p.conns {
-		if time.Since(c.receivedAt) > constants.SubscriptionSilence {
+		if time.Since(c.receivedAt) > constants.SubscriptionTimeout {
 			continue // it subscribes elsewhere now or is gone; a later subscription gets a reply
 		}
 		config, list := c.contentsToSend(snapshot)
--- a/internal/distribution/receive.go
+++ b/internal/distribution/receive.go
@@ -39,7 +39,7 @@
 	mismatch := false
 	// A paused node may send an update long after it was made. Only the numbered parts of such
 	// an update are used, since the rest may have changed in the meantime.
-	late := time.Since(notBefore) > constants.SubscriptionSilence
+	late := time.Since(notBefore) > constants.SubscriptionTimeout
 	if late {
 		update.Current, update.Metered, update.Scaler, update.Coming = false, "", "", nil
 	}
@@ -139,7 +139,7 @@
 // node out of contact with a majority is used only if no node in contact has been heard from
 // recently.
 func (s *Subscriber) recordDutyHoldersLocked(update Update, now time.Time) {
-	if !update.Current && now.Sub(s.currentAt) <= constants.SubscriptionSilence {
+	if !update.Current && now.Sub(s.currentAt) <= constants.SubscriptionTimeout {
 		return
 	}
 	if update.Metered != "" {
@@ -170,7 +170,7 @@
 	var updates []*Update
 	for _, addr := range s.order {
 		conn := s.conns[addr]
-		if conn.hasUpdate && now.Sub(conn.lastUpdateAt) < constants.SubscriptionSilence && conn.lastUpdate.Current == current {
+		if conn.hasUpdate && now.Sub(conn.lastUpdateAt) < constants.SubscriptionTimeout && conn.lastUpdate.Current == current {
 			updates = append(updates, &conn.lastUpdate)
 		}
 	}
--- a/internal/distribution/selection.go
+++ b/internal/distribution/selection.go
@@ -14,7 +14,7 @@
 	for _, addr := range s.order {
 		conn := s.conns[addr]
 		conn.subscribed = healthy < constants.SubscriptionCount && (healthy == 0 || !s.removedLocked(addr))
-		if conn.hasUpdate && now.Sub(conn.lastUpdateAt) <= constants.SubscriptionSilence && conn.lastUpdate.Current {
+		if conn.hasUpdate && now.Sub(conn.lastUpdateAt) <= constants.SubscriptionTimeout && conn.lastUpdate.Current {
 			healthy++
 		}
 	}
@@ -25,7 +25,7 @@
 // then nodes in this proxy's zone. Among equals it keeps the current source.
 func (s *Subscriber) selectContentSourceLocked(now time.Time) {
 	responsive := func(conn *controlConn) bool {
-		return conn != nil && conn.subscribed && conn.hasUpdate && now.Sub(conn.lastUpdateAt) <= constants.SubscriptionSilence
+		return conn != nil && conn.subscribed && conn.hasUpdate && now.Sub(conn.lastUpdateAt) <= constants.SubscriptionTimeout
 	}
 	rank := func(addr string) int {
 		conn := s.conns[addr]
--- a/internal/distribution/subscriber.go
+++ b/internal/distribution/subscriber.go
@@ -120,7 +120,7 @@
 		return
 	}
 	s.self.Ready = ready
-	s.acceptStale = !s.firstUpdateAt.IsZero() && now.Sub(s.firstUpdateAt) > constants.StartSearch && now.Sub(s.currentAt) > constants.SubscriptionSilence
+	s.acceptStale = !s.firstUpdateAt.IsZero() && now.Sub(s.firstUpdateAt) > constants.StartSearch && now.Sub(s.currentAt) > constants.SubscriptionTimeout
 	s.selectSubscriptionsLocked(now)
 	s.selectContentSourceLocked(now)
 	for _, addr := range s.order {
@@ -172,7 +172,7 @@
 	conn.inFlight = false
 	conn.timedOut = errors.Is(err, transport.ErrTimeout)
 	if err != nil {
-		silent := time.Since(conn.lastUpdateAt) > constants.SubscriptionSilence && conn.hasUpdate
+		silent := time.Since(conn.lastUpdateAt) > constants.SubscriptionTimeout && conn.hasUpdate
 		if errors.Is(err, transport.ErrClosed) || errors.Is(err, transport.ErrRefused) {
 			conn.subscribedAt = time.Time{} // not connected yet: retry in the next Step
 		}
--- a/internal/distribution/subscriber_test.go
+++ b/internal/distribution/subscriber_test.go
@@ -231,7 +231,7 @@
 		t.Errorf("taken from a node out of contact: versions %v, lists %v, %+v", versions, lists, changes)
 	}
 	// A late update that claims to be in contact is ignored too.
-	subscriber.receive("127.0.0.41", update(true), time.Now().Add(-2*constants.SubscriptionSilence))
+	subscriber.receive("127.0.0.41", update(true), time.Now().Add(-2*constants.SubscriptionTimeout))
 	if versions, lists, _ := recorder.recorded(); len(versions)+len(lists) > 0 {
 		t.Errorf("taken from a late update: versions %v, lists %v", versions, lists)
 	}
@@ -381,7 +381,7 @@
 	receive(isolated, false, 30, "old", "also")
 	check("the node out of contact again", 20, "new")
 	// While no node in contact responds, the count may rise but not fall.
-	subscriber.conns[connected].lastUpdateAt, subscriber.currentAt = now.Add(-2*constants.SubscriptionSilence), now.Add(-2*constants.SubscriptionSilence)
+	subscriber.conns[connected].lastUpdateAt, subscriber.currentAt = now.Add(-2*constants.SubscriptionTimeout), now.Add(-2*constants.SubscriptionTimeout)
 	receive(isolated, false, 10, "old", "also")
 	check("no node in contact, smaller count", 20, "old")
 	receive(isolated, false, 25, "old", "also")
@@ -491,7 +491,7 @@
 		t.Errorf("subscribed after an update of a node out of contact: %v", got)
 	}
 	subscriber.mu.Lock()
-	subscriber.conns[a].lastUpdateAt = time.Now().Add(-2 * constants.SubscriptionSilence)
+	subscriber.conns[a].lastUpdateAt = time.Now().Add(-2 * constants.SubscriptionTimeout)
 	subscriber.mu.Unlock()
 	if got := subscribed(); !slices.Contains(got, removed) || got[len(got)-1] != removed && got[len(got)-1] != "127.0.0.44" {
 		t.Errorf("subscribed without a node in contact: %v", got)
--- a/internal/modelcheck/admissionmodel/proxy.go
+++ b/internal/modelcheck/admissionmodel/proxy.go
@@ -18,7 +18,7 @@
 
 func (m *Model) takeNews(n string, x news) {
 	p := m.proxies[n]
-	if m.clock(n)-x.Heard > constants.SubscriptionSilence {
+	if m.clock(n)-x.Heard > constants.SubscriptionTimeout {
 		return // long under way: no longer believed
 	}
 	p.tracker = x.Tracker
