--- a/internal/autoscale/autoscale.go
+++ b/internal/autoscale/autoscale.go
@@ -93,7 +93,7 @@
 	sum, complete = map[Subject]float64{}, len(live) > 0
 	for proxy, received := range a.byProxy {
 		if now-received.at > constants.ScaleReportMaxAge {
-			if now-received.at > constants.ProxyForget {
+			if now-received.at > constants.ProxyExpiry {
 				delete(a.byProxy, proxy)
 			}
 			continue
--- a/internal/controlplane/admin.go
+++ b/internal/controlplane/admin.go
@@ -203,7 +203,7 @@
 func (r Report) LaggingProxies() []string {
 	var out []string
 	for _, p := range r.Proxies {
-		if p.Version < r.Chain.Version && p.Silent < constants.ProxyForget {
+		if p.Version < r.Chain.Version && p.Silent < constants.ProxyExpiry {
 			out = append(out, p.Name)
 		}
 	}
--- a/internal/controlplane/roster.go
+++ b/internal/controlplane/roster.go
@@ -265,7 +265,7 @@
 func (r *roster) dropSilent() bool {
 	dropped := false
 	for a, e := range r.entries {
-		if time.Since(e.seenAt) > constants.ProxyForget {
+		if time.Since(e.seenAt) > constants.ProxyExpiry {
 			delete(r.entries, a)
 			dropped = true
 		}
--- a/internal/directory/directory.go
+++ b/internal/directory/directory.go
@@ -82,7 +82,7 @@
 func (d *Directory) update(at time.Duration, node string, location Location) bool {
 	e := d.proxies[node]
 	if e == nil {
-		e = &entry{directReportAt: -constants.ProxyForget, validFor: constants.PlaceFresh}
+		e = &entry{directReportAt: -constants.ProxyExpiry, validFor: constants.PlaceFresh}
 		d.proxies[node] = e
 	}
 	changed := e.Location != location || e.disconnected || at-e.reportedAt > e.validFor
@@ -179,7 +179,7 @@
 func (d *Directory) candidates(now time.Duration, zone, region string) (out []candidate, known int) {
 	includeStale := d.noneFresh(now)
 	for node, e := range d.proxies {
-		if now-e.reportedAt > constants.ProxyForget {
+		if now-e.reportedAt > constants.ProxyExpiry {
 			delete(d.proxies, node)
 			continue
 		}
--- a/internal/directory/directory_test.go
+++ b/internal/directory/directory_test.go
@@ -69,7 +69,7 @@
 			got, ok := d.Lookup(now, zone, zones[zone])
 			known, fresh, freshInZone := 0, 0, 0
 			for _, p := range proxies {
-				if now-p.reportedAt < constants.ProxyForget {
+				if now-p.reportedAt < constants.ProxyExpiry {
 					known++
 				}
 				if p.up && !p.disconnected && now-p.reportedAt < constants.PlaceFresh-time.Second {
@@ -97,7 +97,7 @@
 			}
 			total, outside := 0, 0
 			for _, p := range proxies {
-				if p.Zone == zone && now-p.reportedAt < constants.ProxyForget {
+				if p.Zone == zone && now-p.reportedAt < constants.ProxyExpiry {
 					total++
 				}
 			}
--- a/internal/membership/detector.go
+++ b/internal/membership/detector.go
@@ -231,7 +231,7 @@
 		}
 	}
 	for addr, m := range d.members {
-		if m.fact.State == Dead && now-m.stateSince > constants.ProxyForget {
+		if m.fact.State == Dead && now-m.stateSince > constants.ProxyExpiry {
 			delete(d.members, addr)
 		}
 	}
--- a/internal/modelcheck/admissionmodel/choices.go
+++ b/internal/modelcheck/admissionmodel/choices.go
@@ -170,7 +170,7 @@
 	}
 	m.world.Run(m.world.Now+m.Settle, nil, m.healthy)
 	if m.waitsForTheGone() {
-		m.world.Run(m.world.Now+constants.ProxyForget, nil, m.healthy)
+		m.world.Run(m.world.Now+constants.ProxyExpiry, nil, m.healthy)
 	}
 	before := m.served
 	m.pressAll(true)
--- a/internal/modelcheck/admissionmodel/config.go
+++ b/internal/modelcheck/admissionmodel/config.go
@@ -89,7 +89,7 @@
 	// powerVacancy is how much longer it is vacant after all processes were stopped.
 	powerVacancy = 2 * time.Second
 	// longAgo is beyond the longest time that anybody here waits for anything.
-	longAgo = constants.ProxyForget + 2*time.Second
+	longAgo = constants.ProxyExpiry + 2*time.Second
 	// grain is the part of a token, or of a rate, that does not distinguish states.
 	grain = 0.01
 )
--- a/internal/modelcheck/admissionmodel/control.go
+++ b/internal/modelcheck/admissionmodel/control.go
@@ -32,7 +32,7 @@
 // controlTick forgets silent proxies, sends trackers the live count and fills the duty.
 func (m *Model) controlTick() {
 	for n, e := range m.roster {
-		if m.world.Now-e.at > constants.ProxyForget {
+		if m.world.Now-e.at > constants.ProxyExpiry {
 			delete(m.roster, n)
 		}
 	}
