--- a/internal/constants/constants.go
+++ b/internal/constants/constants.go
@@ -132,7 +132,7 @@
 	StateHistoryLength         = 8                       // configurations and lists kept to send differences from: several polls
 	SubscriptionTimeout        = 1800 * time.Millisecond // a connection that answered nothing so long is dropped
 	ProxyExpiry                = 60 * time.Second        // a proxy silent so long leaves the live count
-	UpdateCurrent              = 3 * time.Second         // news older than this is not "known to be current" at start
+	StartupUpdateMaxAge        = 3 * time.Second         // news older than this is not "known to be current" at start
 	RosterEvery                = time.Second             // control machines send each other the proxies they know
 	RosterRefresh              = 2 * time.Second         // a proxy of which nothing is new is reported so often: well inside the time after which the directory drops it
 	RosterWhole                = 5                       // turns between the names of all that share, when none has changed
--- a/internal/proxy/lists.go
+++ b/internal/proxy/lists.go
@@ -16,7 +16,7 @@
 	d.lag.tick(now)
 	d.subscriber.Step(now, d.ready.Load() && !d.shuttingDown.Load())
 	state := d.subscriber.State(now)
-	if !d.ready.Load() && d.config.Load() != nil && d.hasUpstreamList.Load() && state.ListAge < constants.UpdateCurrent && state.Current < constants.UpdateCurrent {
+	if !d.ready.Load() && d.config.Load() != nil && d.hasUpstreamList.Load() && state.ListAge < constants.StartupUpdateMaxAge && state.Current < constants.StartupUpdateMaxAge {
 		d.ready.Store(true)
 		d.events.Record("ready", "configuration and upstreams known")
 	}
