--- a/internal/controlplane/daemon.go
+++ b/internal/controlplane/daemon.go
@@ -324,7 +324,7 @@
 	go d.upstreamList.readAtBoot(group.Context())
 	pollEvery := time.Duration(constants.PollShare * float64(d.settings.Bounds.Drain.D()))
 	group.Every(pollEvery, func() { d.upstreamList.poll(group.Context()) })
-	group.Every(constants.RosterEvery, d.roster.broadcast)
+	group.Every(constants.RosterInterval, d.roster.broadcast)
 }
 
 // Leave releases all duties before a planned stop and waits for a view without this machine.
--- a/internal/usage/tally.go
+++ b/internal/usage/tally.go
@@ -258,7 +258,7 @@
 		return 0, nil, false
 	}
 	age := now.Agreed.Sub(time.Unix(0, int64(w+1)*int64(length)))
-	if age < constants.RosterEvery { // other machines may know of proxies that are not in live yet
+	if age < constants.RosterInterval { // other machines may know of proxies that are not in live yet
 		return 0, nil, false
 	}
 	// If the window began under a previous holder, that holder may have reports of incarnations
