--- a/internal/constants/constants.go
+++ b/internal/constants/constants.go
@@ -134,7 +134,7 @@
 	ProxyExpiry                = 60 * time.Second        // a proxy silent so long leaves the live count
 	StartupUpdateMaxAge        = 3 * time.Second         // news older than this is not "known to be current" at start
 	RosterInterval             = time.Second             // control machines send each other the proxies they know
-	RosterRefresh              = 2 * time.Second         // a proxy of which nothing is new is reported so often: well inside the time after which the directory drops it
+	RosterRefreshInterval      = 2 * time.Second         // a proxy of which nothing is new is reported so often: well inside the time after which the directory drops it
 	RosterWhole                = 5                       // turns between the names of all that share, when none has changed
 	RosterFar                  = 3                       // times as long between reports to other regions: narrow links, and still inside PlaceFresh
 	RosterQuiet                = 3 * time.Second         // at the very first start the count is sent only after all had time to come
--- a/internal/controlplane/roster.go
+++ b/internal/controlplane/roster.go
@@ -286,7 +286,7 @@
 		status := ProxyStatus{age, e.count, e.location}
 		otherRegions.Words[a] = status
 		sent := e.sentStatus
-		if sent.Count != status.Count || sent.Place != status.Place || time.Since(e.sentAt) >= constants.RosterRefresh {
+		if sent.Count != status.Count || sent.Place != status.Place || time.Since(e.sentAt) >= constants.RosterRefreshInterval {
 			sameRegion.Words[a], e.sentStatus, e.sentAt = status, status, time.Now()
 		}
 	}
