--- a/internal/controlplane/roster.go
+++ b/internal/controlplane/roster.go
@@ -229,7 +229,7 @@
 	changed := r.dropSilent()
 	sameRegion, otherRegions := r.statuses()
 	shares := r.shareHolders()
-	if r.round%constants.RosterWhole == 0 || !slices.Equal(shares, r.sharesSent) {
+	if r.round%constants.RosterSharesRounds == 0 || !slices.Equal(shares, r.sharesSent) {
 		sameRegion.Shares, otherRegions.Shares, r.sharesSent = shares, shares, shares
 	}
 	sendOtherRegions := r.round%constants.RosterFar == 0 || otherRegions.Shares != nil
