--- a/internal/controlplane/roster.go
+++ b/internal/controlplane/roster.go
@@ -232,7 +232,7 @@
 	if r.round%constants.RosterSharesRounds == 0 || !slices.Equal(shares, r.sharesSent) {
 		sameRegion.Shares, otherRegions.Shares, r.sharesSent = shares, shares, shares
 	}
-	sendOtherRegions := r.round%constants.RosterFar == 0 || otherRegions.Shares != nil
+	sendOtherRegions := r.round%constants.RosterOtherRegionRounds == 0 || otherRegions.Shares != nil
 	changed = r.grantShares() || changed
 	r.mu.Unlock()
 	if changed {
