--- a/internal/controlplane/roster.go
+++ b/internal/controlplane/roster.go
@@ -172,7 +172,7 @@
 func (r *roster) grantShares() bool {
 	if !r.complete {
 		// At the first bootstrap no proxy has been sent a count yet.
-		if !r.settings.Bootstrap || time.Since(r.startedAt) < constants.RosterQuiet || len(r.entries) == 0 {
+		if !r.settings.Bootstrap || time.Since(r.startedAt) < constants.RosterStartupDelay || len(r.entries) == 0 {
 			return false
 		}
 		r.complete = true
