--- a/internal/constants/constants.go
+++ b/internal/constants/constants.go
@@ -138,7 +138,7 @@
 	RosterSharesRounds         = 5                       // turns between the names of all that share, when none has changed
 	RosterOtherRegionRounds    = 3                       // times as long between reports to other regions: narrow links, and still inside PlaceFresh
 	RosterStartupDelay         = 3 * time.Second         // at the very first start the count is sent only after all had time to come
-	PollShare                  = 0.25                    // of the drain bound, between two readings of the platform's list: one may be lost and the next be slow, and all proxies be told within it
+	PollDrainFraction          = 0.25                    // of the drain bound, between two readings of the platform's list: one may be lost and the next be slow, and all proxies be told within it
 	ListStride                 = 1 << 32                 // a new reader of the list begins in the next such span, at a number drawn by lot
 	BootStagger                = 300 * time.Millisecond  // control machines that start together and know no list read it one after the other, so far apart: about what a long list takes at the platform's rate
 	BootRetry                  = time.Second             // after such a reading that failed: the platform may be at its rate, or away
--- a/internal/controlplane/daemon.go
+++ b/internal/controlplane/daemon.go
@@ -322,7 +322,7 @@
 	position := max(0, slices.Index(d.replica.controlAddresses(), d.settings.IPAddress))
 	d.upstreamList.delayBootRead(time.Duration(position) * constants.BootStagger)
 	go d.upstreamList.readAtBoot(group.Context())
-	pollEvery := time.Duration(constants.PollShare * float64(d.settings.Bounds.Drain.D()))
+	pollEvery := time.Duration(constants.PollDrainFraction * float64(d.settings.Bounds.Drain.D()))
 	group.Every(pollEvery, func() { d.upstreamList.poll(group.Context()) })
 	group.Every(constants.RosterInterval, d.roster.broadcast)
 }
