--- a/internal/controlplane/upstreamlist.go
+++ b/internal/controlplane/upstreamlist.go
@@ -195,11 +195,11 @@
 // highest, the highest number seen, and differs from that of another holder that has seen the
 // same number.
 func firstNumber(highest, random uint64) uint64 {
-	return (highest/constants.ListStride+1)*constants.ListStride + random%(constants.ListStride/2)
+	return (highest/constants.ListNumberStride+1)*constants.ListNumberStride + random%(constants.ListNumberStride/2)
 }
 
 // bootNumber returns the number of a list that was read without the duty.
-func bootNumber(random uint64) uint64 { return 1 + random%(constants.ListStride-1) }
+func bootNumber(random uint64) uint64 { return 1 + random%(constants.ListNumberStride-1) }
 
 // applyUpdate applies another machine's update. It returns false if the list here is still
 // older than the update, so that the full list must be requested.
