--- a/internal/constants/constants.go
+++ b/internal/constants/constants.go
@@ -140,7 +140,7 @@
 	RosterStartupDelay         = 3 * time.Second         // at the very first start the count is sent only after all had time to come
 	PollDrainFraction          = 0.25                    // of the drain bound, between two readings of the platform's list: one may be lost and the next be slow, and all proxies be told within it
 	ListNumberStride           = 1 << 32                 // a new reader of the list begins in the next such span, at a number drawn by lot
-	BootStagger                = 300 * time.Millisecond  // control machines that start together and know no list read it one after the other, so far apart: about what a long list takes at the platform's rate
+	BootReadStagger            = 300 * time.Millisecond  // control machines that start together and know no list read it one after the other, so far apart: about what a long list takes at the platform's rate
 	BootRetry                  = time.Second             // after such a reading that failed: the platform may be at its rate, or away
 	BootCheckEvery             = 50 * time.Millisecond   // whether the list has come, or the turn
 	SelfPollPart               = 0.25                    // of the platform's rate that proxies out of touch use together
--- a/internal/controlplane/daemon.go
+++ b/internal/controlplane/daemon.go
@@ -320,7 +320,7 @@
 		}
 	}
 	position := max(0, slices.Index(d.replica.controlAddresses(), d.settings.IPAddress))
-	d.upstreamList.delayBootRead(time.Duration(position) * constants.BootStagger)
+	d.upstreamList.delayBootRead(time.Duration(position) * constants.BootReadStagger)
 	go d.upstreamList.readAtBoot(group.Context())
 	pollEvery := time.Duration(constants.PollDrainFraction * float64(d.settings.Bounds.Drain.D()))
 	group.Every(pollEvery, func() { d.upstreamList.poll(group.Context()) })
