--- a/internal/controlplane/upstreamlist.go
+++ b/internal/controlplane/upstreamlist.go
@@ -147,7 +147,7 @@
 func (u *upstreamList) rescheduleBootRead() {
 	u.mu.Lock()
 	defer u.mu.Unlock()
-	u.bootReadDone, u.bootReadAt = false, u.now()+constants.BootRetry
+	u.bootReadDone, u.bootReadAt = false, u.now()+constants.BootReadRetryDelay
 }
 
 // install stores a list that was read from the platform, either under a hold of the duty or as
