--- a/internal/constants/constants.go
+++ b/internal/constants/constants.go
@@ -142,7 +142,7 @@
 	ListNumberStride           = 1 << 32                 // a new reader of the list begins in the next such span, at a number drawn by lot
 	BootReadStagger            = 300 * time.Millisecond  // control machines that start together and know no list read it one after the other, so far apart: about what a long list takes at the platform's rate
 	BootReadRetryDelay         = time.Second             // after such a reading that failed: the platform may be at its rate, or away
-	BootCheckEvery             = 50 * time.Millisecond   // whether the list has come, or the turn
+	BootReadCheckInterval      = 50 * time.Millisecond   // whether the list has come, or the turn
 	SelfPollPart               = 0.25                    // of the platform's rate that proxies out of touch use together
 	PollPage                   = 50                      // entries reckoned for a call; only paces reading
 	ListPagesMax               = 1000                    // pages of the platform's list; more is a list without an end
--- a/internal/controlplane/upstreamlist.go
+++ b/internal/controlplane/upstreamlist.go
@@ -93,7 +93,7 @@
 		if list, _ := u.current(); list != nil || ctx.Err() != nil {
 			return
 		}
-		time.Sleep(constants.BootCheckEvery)
+		time.Sleep(constants.BootReadCheckInterval)
 	}
 }
 
