--- a/internal/constants/constants.go
+++ b/internal/constants/constants.go
@@ -143,7 +143,7 @@
 	BootReadStagger            = 300 * time.Millisecond  // control machines that start together and know no list read it one after the other, so far apart: about what a long list takes at the platform's rate
 	BootReadRetryDelay         = time.Second             // after such a reading that failed: the platform may be at its rate, or away
 	BootReadCheckInterval      = 50 * time.Millisecond   // whether the list has come, or the turn
-	SelfPollPart               = 0.25                    // of the platform's rate that proxies out of touch use together
+	SelfPollRateFraction       = 0.25                    // of the platform's rate that proxies out of touch use together
 	PollPage                   = 50                      // entries reckoned for a call; only paces reading
 	ListPagesMax               = 1000                    // pages of the platform's list; more is a list without an end
 	ListPageMax                = 4 << 20                 // bytes of a page; far over any
--- a/internal/proxy/lists.go
+++ b/internal/proxy/lists.go
@@ -56,5 +56,5 @@
 	if rate <= 0 {
 		return constants.SelfPollEvery
 	}
-	return max(constants.SelfPollEvery, time.Duration(calls/(rate*constants.SelfPollPart)*float64(time.Second)))
+	return max(constants.SelfPollEvery, time.Duration(calls/(rate*constants.SelfPollRateFraction)*float64(time.Second)))
 }
