--- a/cmd/scalerun/platform.go
+++ b/cmd/scalerun/platform.go
@@ -36,14 +36,14 @@
 		out["z0"] = append(out["z0"], inst{"instanceId": fmt.Sprintf("echo-%d", i), "targetService": "echo", "zone": "z0",
 			"address": echoAddr(i), "capacitySlots": 16, "state": "ready", "warmupLeft": "0ms"})
 	}
-	for i := from; i < min(from+constants.PollPage, cli.Upstreams); i++ {
+	for i := from; i < min(from+constants.PollPageSize, cli.Upstreams); i++ {
 		z := fmt.Sprintf("z%d", i%4)
 		out[z] = append(out[z], inst{"instanceId": fmt.Sprintf("i-%08d", i), "targetService": fmt.Sprintf("svc%04d", i%cli.Services), "zone": z,
 			"address": fmt.Sprintf("127.30.%d.%d:8080", i/250%250, i%250), "capacitySlots": 2, "state": "ready", "warmupLeft": "0ms"})
 	}
 	var next any
-	if from+constants.PollPage < cli.Upstreams {
-		next = strconv.Itoa(from + constants.PollPage)
+	if from+constants.PollPageSize < cli.Upstreams {
+		next = strconv.Itoa(from + constants.PollPageSize)
 	}
 	json.NewEncoder(w).Encode(map[string]any{"instances": out, "nextPageToken": next})
 }
--- a/internal/constants/constants.go
+++ b/internal/constants/constants.go
@@ -144,7 +144,7 @@
 	BootReadRetryDelay         = time.Second             // after such a reading that failed: the platform may be at its rate, or away
 	BootReadCheckInterval      = 50 * time.Millisecond   // whether the list has come, or the turn
 	SelfPollRateFraction       = 0.25                    // of the platform's rate that proxies out of touch use together
-	PollPage                   = 50                      // entries reckoned for a call; only paces reading
+	PollPageSize               = 50                      // entries reckoned for a call; only paces reading
 	ListPagesMax               = 1000                    // pages of the platform's list; more is a list without an end
 	ListPageMax                = 4 << 20                 // bytes of a page; far over any
 	PollTimeout                = 1200 * time.Millisecond // two polls
--- a/internal/proxy/lists.go
+++ b/internal/proxy/lists.go
@@ -52,7 +52,7 @@
 // list. All proxies together use only a part of the platform's rate limit, which leaves the
 // rest to the control-plane node that polls for the fleet.
 func selfPollInterval(upstreams, proxies int, rate float64) time.Duration {
-	calls := float64(upstreams/constants.PollPage+1) * float64(max(1, proxies))
+	calls := float64(upstreams/constants.PollPageSize+1) * float64(max(1, proxies))
 	if rate <= 0 {
 		return constants.SelfPollEvery
 	}
--- a/internal/proxy/retrybudget_test.go
+++ b/internal/proxy/retrybudget_test.go
@@ -79,7 +79,7 @@
 func TestSelfPollRateOfDisconnectedProxies(t *testing.T) {
 	for _, c := range []struct{ upstreams, proxies int }{{25, 11}, {809, 300}, {5000, 2000}} {
 		interval := selfPollInterval(c.upstreams, c.proxies, 50)
-		calls := float64(c.proxies*(c.upstreams/constants.PollPage+1)) / interval.Seconds()
+		calls := float64(c.proxies*(c.upstreams/constants.PollPageSize+1)) / interval.Seconds()
 		if calls > 50*constants.SelfPollRateFraction*1.01 || interval < constants.SelfPollEvery {
 			t.Errorf("%v: each polls every %v, %.0f calls per second in total", c, interval, calls)
 		}
