--- a/internal/discovery/discovery.go
+++ b/internal/discovery/discovery.go
@@ -143,7 +143,7 @@
 	defer cancel()
 	var all []Instance
 	token := ""
-	for range constants.ListPagesMax {
+	for range constants.MaxListPages {
 		p, err := s.fetch(ctx, token)
 		if err != nil {
 			return nil, err
