--- a/internal/constants/constants.go
+++ b/internal/constants/constants.go
@@ -146,7 +146,7 @@
 	SelfPollRateFraction       = 0.25                    // of the platform's rate that proxies out of touch use together
 	PollPageSize               = 50                      // entries reckoned for a call; only paces reading
 	MaxListPages               = 1000                    // pages of the platform's list; more is a list without an end
-	ListPageMax                = 4 << 20                 // bytes of a page; far over any
+	MaxListPageBytes           = 4 << 20                 // bytes of a page; far over any
 	PollTimeout                = 1200 * time.Millisecond // two polls
 	StartSearch                = time.Second             // from the first message on, a proxy that starts looks so long for a control machine in contact with a majority before it takes what may be old; several dials and questions, well inside contact and configApply
 	PullAfter                  = 120 * time.Millisecond  // a change announced elsewhere is fetched there if it has not come so long after
--- a/internal/discovery/discovery.go
+++ b/internal/discovery/discovery.go
@@ -173,7 +173,7 @@
 	if err != nil {
 		return nil, err
 	}
-	body, err := io.ReadAll(io.LimitReader(resp.Body, constants.ListPageMax))
+	body, err := io.ReadAll(io.LimitReader(resp.Body, constants.MaxListPageBytes))
 	resp.Body.Close()
 	switch {
 	case err != nil:
