--- a/internal/distribution/subscriber.go
+++ b/internal/distribution/subscriber.go
@@ -120,7 +120,7 @@
 		return
 	}
 	s.self.Ready = ready
-	s.acceptStale = !s.firstUpdateAt.IsZero() && now.Sub(s.firstUpdateAt) > constants.StartSearch && now.Sub(s.currentAt) > constants.SubscriptionTimeout
+	s.acceptStale = !s.firstUpdateAt.IsZero() && now.Sub(s.firstUpdateAt) > constants.StartupSearchTime && now.Sub(s.currentAt) > constants.SubscriptionTimeout
 	s.selectSubscriptionsLocked(now)
 	s.selectContentSourceLocked(now)
 	for _, addr := range s.order {
--- a/internal/distribution/subscriber_test.go
+++ b/internal/distribution/subscriber_test.go
@@ -114,7 +114,7 @@
 		versions, lists, _ := recorder.recorded()
 		return len(versions) > 0 && len(lists) > 0
 	})
-	if took := time.Since(startedAt); took < constants.StartSearch {
+	if took := time.Since(startedAt); took < constants.StartupSearchTime {
 		t.Errorf("possibly stale contents taken after %v, before the end of the search", took)
 	}
 	if _, _, changes := recorder.recorded(); changes.Proxies != 3 {
