--- a/internal/constants/constants.go
+++ b/internal/constants/constants.go
@@ -149,7 +149,7 @@
 	MaxListPageBytes           = 4 << 20                 // bytes of a page; far over any
 	PollTimeout                = 1200 * time.Millisecond // two polls
 	StartupSearchTime          = time.Second             // from the first message on, a proxy that starts looks so long for a control machine in contact with a majority before it takes what may be old; several dials and questions, well inside contact and configApply
-	PullAfter                  = 120 * time.Millisecond  // a change announced elsewhere is fetched there if it has not come so long after
+	PullDelay                  = 120 * time.Millisecond  // a change announced elsewhere is fetched there if it has not come so long after
 	SelfPollAfter              = 4 * time.Second         // a proxy that receives nothing from a control machine in contact so long polls for itself
 	SelfPollEvery              = 3 * time.Second         // slowly: the call rate is shared by all
 )
--- a/internal/distribution/subscriber.go
+++ b/internal/distribution/subscriber.go
@@ -134,7 +134,7 @@
 		}
 		behind := s.behindLocked(conn)
 		if addr != s.contentSource && behind && conn.pullAt.IsZero() {
-			conn.pullAt = now.Add(constants.PullAfter) // the content source may be sending the contents already
+			conn.pullAt = now.Add(constants.PullDelay) // the content source may be sending the contents already
 		}
 		if !behind {
 			conn.pullAt = time.Time{}
