--- a/internal/proxy/lists.go
+++ b/internal/proxy/lists.go
@@ -45,7 +45,7 @@
 // control-plane nodes in contact with a majority count: the others may still send updates,
 // but their list dates from before they lost contact.
 func (d *Daemon) outOfContact(state distribution.State, now time.Time) bool {
-	return min(state.Current, now.Sub(d.startedAt)) > constants.SelfPollAfter
+	return min(state.Current, now.Sub(d.startedAt)) > constants.SelfPollDelay
 }
 
 // selfPollInterval returns the interval at which a proxy without contact polls the instance
