--- a/internal/constants/constants.go
+++ b/internal/constants/constants.go
@@ -151,7 +151,7 @@
 	StartupSearchTime          = time.Second             // from the first message on, a proxy that starts looks so long for a control machine in contact with a majority before it takes what may be old; several dials and questions, well inside contact and configApply
 	PullDelay                  = 120 * time.Millisecond  // a change announced elsewhere is fetched there if it has not come so long after
 	SelfPollDelay              = 4 * time.Second         // a proxy that receives nothing from a control machine in contact so long polls for itself
-	SelfPollEvery              = 3 * time.Second         // slowly: the call rate is shared by all
+	SelfPollInterval           = 3 * time.Second         // slowly: the call rate is shared by all
 )
 
 // Forwarding.
--- a/internal/proxy/lists.go
+++ b/internal/proxy/lists.go
@@ -23,7 +23,7 @@
 	if d.outOfContact(state, now) && now.After(d.nextSelfPoll) && d.config.Load() != nil {
 		interval := selfPollInterval(d.pool.Len(), d.limiter.Proxies(), d.nodeSettings.Load().CloudAPI.RatePerS)
 		first := d.nextSelfPoll.IsZero()
-		if d.nextSelfPoll = now.Add(interval/2 + rand.N(interval)); first && rand.Float64() > float64(constants.SelfPollEvery)/float64(interval) {
+		if d.nextSelfPoll = now.Add(interval/2 + rand.N(interval)); first && rand.Float64() > float64(constants.SelfPollInterval)/float64(interval) {
 			return // keeps a large fleet within the platform's rate limit from the first round on
 		}
 		go func() {
@@ -54,7 +54,7 @@
 func selfPollInterval(upstreams, proxies int, rate float64) time.Duration {
 	calls := float64(upstreams/constants.PollPageSize+1) * float64(max(1, proxies))
 	if rate <= 0 {
-		return constants.SelfPollEvery
+		return constants.SelfPollInterval
 	}
-	return max(constants.SelfPollEvery, time.Duration(calls/(rate*constants.SelfPollRateFraction)*float64(time.Second)))
+	return max(constants.SelfPollInterval, time.Duration(calls/(rate*constants.SelfPollRateFraction)*float64(time.Second)))
 }
--- a/internal/proxy/retrybudget_test.go
+++ b/internal/proxy/retrybudget_test.go
@@ -80,7 +80,7 @@
 	for _, c := range []struct{ upstreams, proxies int }{{25, 11}, {809, 300}, {5000, 2000}} {
 		interval := selfPollInterval(c.upstreams, c.proxies, 50)
 		calls := float64(c.proxies*(c.upstreams/constants.PollPageSize+1)) / interval.Seconds()
-		if calls > 50*constants.SelfPollRateFraction*1.01 || interval < constants.SelfPollEvery {
+		if calls > 50*constants.SelfPollRateFraction*1.01 || interval < constants.SelfPollInterval {
 			t.Errorf("%v: each polls every %v, %.0f calls per second in total", c, interval, calls)
 		}
 	}
