--- a/internal/proxy/proxy.go
+++ b/internal/proxy/proxy.go
@@ -239,7 +239,7 @@
 		body = http.MaxBytesReader(w, r.Body, limit)
 	}
 	body = newTimedBody(w, body, p.deadline)
-	start, err := io.ReadAll(io.LimitReader(body, constants.BodyBuffer))
+	start, err := io.ReadAll(io.LimitReader(body, constants.RequestBufferBytes))
 	if err != nil {
 		if errors.Is(err, os.ErrDeadlineExceeded) {
 			w.Header().Set("Connection", "close") // the rest of the body may still arrive
@@ -250,7 +250,7 @@
 		}
 		return http.StatusBadRequest
 	}
-	if len(start) < constants.BodyBuffer {
+	if len(start) < constants.RequestBufferBytes {
 		p.bufferedBody, p.bodyLength = start, int64(len(start))
 		return 0
 	}
