--- a/internal/proxy/attempt.go
+++ b/internal/proxy/attempt.go
@@ -139,7 +139,7 @@
 		pool.finish(pl, outcomeTransportError)
 		return &result{outcome: outcomeTransportError, sentAt: sentAt, sent: true, err: errUnframed}
 	}
-	body, err := readUpTo(resp.Body, constants.AnswerBuffer)
+	body, err := readUpTo(resp.Body, constants.ResponseBufferBytes)
 	res := &result{outcome: outcomeServed, sentAt: sentAt, sent: true, resp: resp, body: body, unverified: unverified}
 	switch {
 	case err == nil:
