--- a/internal/constants/constants.go
+++ b/internal/constants/constants.go
@@ -159,7 +159,7 @@
 	RequestBufferBytes  = 64 << 10                // bytes held so a request can be offered again; longer bodies stream
 	ResponseBufferBytes = 256 << 10               // bytes held so a cut answer can be replaced before the client sees any
 	ConnectTimeout      = 250 * time.Millisecond  // many round trips; the machine is gone or cut off when it takes longer
-	IdleDefault         = 4 * time.Second         // idle upstream connections when no Keep-Alive header states more
+	UpstreamIdleTimeout = 4 * time.Second         // idle upstream connections when no Keep-Alive header states more
 	IdleSafety          = 1500 * time.Millisecond // retire this long before the upstream would close
 	ConnShare           = 0.8                     // part of maxConnections used by all proxies together
 	FewUpstreams        = 16                      // of a service, near ones first, that a proxy turns to before any other: with few requests over many upstreams every one would cost a new connection, and nothing learned would last
--- a/internal/proxy/conn.go
+++ b/internal/proxy/conn.go
@@ -57,7 +57,7 @@
 
 func newUpstreamConn(u *Upstream, netConn net.Conn) *upstreamConn {
 	reader := &boundedReader{conn: netConn}
-	return &upstreamConn{upstream: u, netConn: netConn, reader: reader, buffered: bufio.NewReaderSize(reader, 4<<10), idleAt: time.Now(), idleTimeout: constants.IdleDefault}
+	return &upstreamConn{upstream: u, netConn: netConn, reader: reader, buffered: bufio.NewReaderSize(reader, 4<<10), idleAt: time.Now(), idleTimeout: constants.UpstreamIdleTimeout}
 }
 
 // reusable reports whether the connection is open and has no unread data: bytes that arrive
