--- a/internal/constants/constants.go
+++ b/internal/constants/constants.go
@@ -160,7 +160,7 @@
 	ResponseBufferBytes = 256 << 10               // bytes held so a cut answer can be replaced before the client sees any
 	ConnectTimeout      = 250 * time.Millisecond  // many round trips; the machine is gone or cut off when it takes longer
 	UpstreamIdleTimeout = 4 * time.Second         // idle upstream connections when no Keep-Alive header states more
-	IdleSafety          = 1500 * time.Millisecond // retire this long before the upstream would close
+	UpstreamIdleMargin  = 1500 * time.Millisecond // retire this long before the upstream would close
 	ConnShare           = 0.8                     // part of maxConnections used by all proxies together
 	FewUpstreams        = 16                      // of a service, near ones first, that a proxy turns to before any other: with few requests over many upstreams every one would cost a new connection, and nothing learned would last
 	UpstreamCap         = 2                       // requests one proxy has at one upstream at least, while it answers at its usual speed; twice its share of the places where proxies are few
--- a/internal/proxy/conn.go
+++ b/internal/proxy/conn.go
@@ -163,7 +163,7 @@
 		return
 	}
 	if timeout, ok := keepAliveTimeout(resp.Header); ok {
-		conn.idleTimeout = max(timeout-constants.IdleSafety, timeout/4)
+		conn.idleTimeout = max(timeout-constants.UpstreamIdleMargin, timeout/4)
 	}
 	conn.upstream.releaseConn(conn, true)
 }
