--- a/internal/proxy/daemon.go
+++ b/internal/proxy/daemon.go
@@ -105,7 +105,7 @@
 		return constants.UpstreamCap * 2
 	}
 	proxies := max(1, d.limiter.Proxies())
-	return max(1, int(constants.ConnShare*float64(cfg.Services[service].MaxConnections))/proxies)
+	return max(1, int(constants.MaxConnectionsFraction*float64(cfg.Services[service].MaxConnections))/proxies)
 }
 
 // coldBound returns the limit on what a service's upstreams may be sent while they are cold.
