--- a/internal/proxy/selection.go
+++ b/internal/proxy/selection.go
@@ -62,8 +62,8 @@
 			return x.distance < z.distance || x.distance == z.distance && (x.rank < z.rank || x.rank == z.rank && x.instance.ID < z.instance.ID)
 		})
 		set.preferred = set.all
-		if len(set.all) > constants.FewUpstreams*3/2 {
-			set.preferred = set.all[:constants.FewUpstreams]
+		if len(set.all) > constants.PreferredUpstreams*3/2 {
+			set.preferred = set.all[:constants.PreferredUpstreams]
 		}
 		pool.candidateSets[t] = set
 	}
