--- a/internal/constants/constants.go
+++ b/internal/constants/constants.go
@@ -163,7 +163,7 @@
 	UpstreamIdleMargin     = 1500 * time.Millisecond // retire this long before the upstream would close
 	MaxConnectionsFraction = 0.8                     // part of maxConnections used by all proxies together
 	PreferredUpstreams     = 16                      // of a service, near ones first, that a proxy turns to before any other: with few requests over many upstreams every one would cost a new connection, and nothing learned would last
-	UpstreamCap            = 2                       // requests one proxy has at one upstream at least, while it answers at its usual speed; twice its share of the places where proxies are few
+	UpstreamConcurrency    = 2                       // requests one proxy has at one upstream at least, while it answers at its usual speed; twice its share of the places where proxies are few
 	UpstreamCapSlow        = 1                       // and while it does not; its share where proxies are few
 	SlowFactor             = 2.5                     // times the usual delay that count as slow
 	FirstDelay             = 80 * time.Millisecond   // assumed delay of an upstream nobody has asked
--- a/internal/proxy/daemon.go
+++ b/internal/proxy/daemon.go
@@ -102,7 +102,7 @@
 func (d *Daemon) connCap(service string) int {
 	cfg := d.config.Load()
 	if cfg == nil || cfg.Services[service] == nil || cfg.Services[service].MaxConnections == 0 {
-		return constants.UpstreamCap * 2
+		return constants.UpstreamConcurrency * 2
 	}
 	proxies := max(1, d.limiter.Proxies())
 	return max(1, int(constants.MaxConnectionsFraction*float64(cfg.Services[service].MaxConnections))/proxies)
--- a/internal/proxy/selection.go
+++ b/internal/proxy/selection.go
@@ -159,7 +159,7 @@
 	if delay > usual*constants.SlowFactor || oldest > usual*constants.SlowFactor {
 		return max(constants.UpstreamCapSlow, share)
 	}
-	return max(constants.UpstreamCap, 2*share) // one request queued at the upstream for each one being processed
+	return max(constants.UpstreamConcurrency, 2*share) // one request queued at the upstream for each one being processed
 }
 
 // cost returns the expected delay in seconds of one more request to the upstream, increased
