--- a/internal/proxy/selection.go
+++ b/internal/proxy/selection.go
@@ -157,7 +157,7 @@
 func (u *Upstream) activeLimit(delay, oldest, usual float64) int {
 	share := u.slotShare()
 	if delay > usual*constants.SlowFactor || oldest > usual*constants.SlowFactor {
-		return max(constants.UpstreamCapSlow, share)
+		return max(constants.SlowUpstreamConcurrency, share)
 	}
 	return max(constants.UpstreamConcurrency, 2*share) // one request queued at the upstream for each one being processed
 }
