--- a/internal/constants/constants.go
+++ b/internal/constants/constants.go
@@ -166,7 +166,7 @@
 	UpstreamConcurrency     = 2                       // requests one proxy has at one upstream at least, while it answers at its usual speed; twice its share of the places where proxies are few
 	SlowUpstreamConcurrency = 1                       // and while it does not; its share where proxies are few
 	SlowFactor              = 2.5                     // times the usual delay that count as slow
-	FirstDelay              = 80 * time.Millisecond   // assumed delay of an upstream nobody has asked
+	DefaultUpstreamDelay    = 80 * time.Millisecond   // assumed delay of an upstream nobody has asked
 	DelayWeight             = 0.2                     // weight of a new answer in the running mean
 	LoadFresh               = time.Second             // what an upstream reported of its load counts so long
 	DelayFade               = 6 * time.Second         // what was learned of an upstream's delay fades so fast
--- a/internal/proxy/delay.go
+++ b/internal/proxy/delay.go
@@ -28,7 +28,7 @@
 		}
 	}
 	if len(delays) == 0 {
-		return constants.FirstDelay.Seconds()
+		return constants.DefaultUpstreamDelay.Seconds()
 	}
 	return median(delays)
 }
--- a/internal/proxy/ejection.go
+++ b/internal/proxy/ejection.go
@@ -81,7 +81,7 @@
 		// Healthy upstreams rarely return server errors, so a single one is sufficient
 		// evidence to eject the upstream briefly, whatever its health check reports. Its
 		// connections remain usable.
-		updateDelay(max(responseTime, constants.FirstDelay.Seconds()))
+		updateDelay(max(responseTime, constants.DefaultUpstreamDelay.Seconds()))
 		u.eject(now)
 	case outcomeAtCapacity:
 		updateDelay(max(2*usual(), responseTime))
--- a/internal/proxy/latency.go
+++ b/internal/proxy/latency.go
@@ -53,7 +53,7 @@
 }
 
 // defaultLatency is assumed until the first response.
-var defaultLatency = latencyEstimate{median: constants.FirstDelay, high: 2 * constants.FirstDelay}
+var defaultLatency = latencyEstimate{median: constants.DefaultUpstreamDelay, high: 2 * constants.DefaultUpstreamDelay}
 
 // estimateLatency returns the estimate for response latencies in seconds, which it sorts.
 func estimateLatency(latencies []float64, updatedAt time.Time) latencyEstimate {
