--- a/internal/constants/constants.go
+++ b/internal/constants/constants.go
@@ -168,7 +168,7 @@
 	SlowFactor              = 2.5                     // times the usual delay that count as slow
 	DefaultUpstreamDelay    = 80 * time.Millisecond   // assumed delay of an upstream nobody has asked
 	DelayWeight             = 0.2                     // weight of a new answer in the running mean
-	LoadFresh               = time.Second             // what an upstream reported of its load counts so long
+	ReportedLoadMaxAge      = time.Second             // what an upstream reported of its load counts so long
 	DelayFade               = 6 * time.Second         // what was learned of an upstream's delay fades so fast
 	ChoiceNoise             = 0.15                    // proxies that know the same must not all choose the same
 	ColdRisk                = 1e-7                    // the chance, at each start of an upstream, that so many proxies draw it that they could break its bound
--- a/internal/proxy/selection.go
+++ b/internal/proxy/selection.go
@@ -171,8 +171,8 @@
 	if s.now.Before(u.warmupEnd) {
 		cost *= constants.WarmupFactor
 	}
-	if age := s.now.Sub(u.loadReportedAt); u.reportedLoad > 1 && age < constants.LoadFresh {
-		cost *= 1 + (u.reportedLoad-1)*(1-age.Seconds()/constants.LoadFresh.Seconds())
+	if age := s.now.Sub(u.loadReportedAt); u.reportedLoad > 1 && age < constants.ReportedLoadMaxAge {
+		cost *= 1 + (u.reportedLoad-1)*(1-age.Seconds()/constants.ReportedLoadMaxAge.Seconds())
 	}
 	cost += float64(u.distance) * s.spread
 	roundTrip := u.pool.connectTime[u.distance].median()
