--- a/internal/proxy/delay.go
+++ b/internal/proxy/delay.go
@@ -13,7 +13,7 @@
 	if u.delay == 0 {
 		return usual
 	}
-	fade := math.Exp(-now.Sub(u.delayUpdatedAt).Seconds() / constants.DelayFade.Seconds())
+	fade := math.Exp(-now.Sub(u.delayUpdatedAt).Seconds() / constants.DelayDecayTime.Seconds())
 	return usual + (u.delay-usual)*fade
 }
 
--- a/internal/proxy/latency.go
+++ b/internal/proxy/latency.go
@@ -71,7 +71,7 @@
 // of the estimate: otherwise an outdated estimate could keep every request from being sent, and
 // no response could ever correct it.
 func (e latencyEstimate) decayedLow(now time.Time) time.Duration {
-	age := now.Sub(e.updatedAt).Seconds() / constants.DelayFade.Seconds()
+	age := now.Sub(e.updatedAt).Seconds() / constants.DelayDecayTime.Seconds()
 	return time.Duration(float64(e.low) * math.Exp(-age))
 }
 
