--- a/internal/constants/constants.go
+++ b/internal/constants/constants.go
@@ -170,7 +170,7 @@
 	DelayWeight             = 0.2                     // weight of a new answer in the running mean
 	ReportedLoadMaxAge      = time.Second             // what an upstream reported of its load counts so long
 	DelayDecayTime          = 6 * time.Second         // what was learned of an upstream's delay fades so fast
-	ChoiceNoise             = 0.15                    // proxies that know the same must not all choose the same
+	SelectionNoise          = 0.15                    // proxies that know the same must not all choose the same
 	ColdRisk                = 1e-7                    // the chance, at each start of an upstream, that so many proxies draw it that they could break its bound
 	ColdEvery               = 1100 * time.Millisecond // between two requests of one of them: longer than the second in which they are counted
 	WarmupFactor            = 1.6                     // a fresh upstream is slow
--- a/internal/proxy/selection.go
+++ b/internal/proxy/selection.go
@@ -182,7 +182,7 @@
 	if len(u.idle) == 0 {
 		cost += roundTrip
 	}
-	return cost * (1 + constants.ChoiceNoise*rand.Float64())
+	return cost * (1 + constants.SelectionNoise*rand.Float64())
 }
 
 // Place reserves capacity at an upstream without waiting, or returns nil if there is none.
