--- a/internal/proxy/cold.go
+++ b/internal/proxy/cold.go
@@ -23,11 +23,11 @@
 // senders exceed limit would be above ColdRisk.
 func NewColdBound(duration time.Duration, perSecond, limit float64) ColdBound {
 	low, high := 0.0, perSecond*constants.ColdEvery.Seconds()
-	if poissonTail(high, limit) <= constants.ColdRisk {
+	if poissonTail(high, limit) <= constants.ColdOverloadProbability {
 		return ColdBound{duration, high}
 	}
 	for high-low > 0.01 {
-		if middle := (low + high) / 2; poissonTail(middle, limit) <= constants.ColdRisk {
+		if middle := (low + high) / 2; poissonTail(middle, limit) <= constants.ColdOverloadProbability {
 			low = middle
 		} else {
 			high = middle
--- a/internal/proxy/cold_test.go
+++ b/internal/proxy/cold_test.go
@@ -15,7 +15,7 @@
 	for _, c := range []struct{ perSecond, overage, slack float64 }{{0.5, 1, 0}, {1, 1.5, 2}, {5.2, 1.5, 8}, {20, 1.5, 8}, {200, 1.2, 10}} {
 		limit := c.perSecond*c.overage + c.slack
 		bound := NewColdBound(time.Second, c.perSecond, limit)
-		if risk := poissonTail(bound.meanSenders, limit); risk > constants.ColdRisk {
+		if risk := poissonTail(bound.meanSenders, limit); risk > constants.ColdOverloadProbability {
 			t.Errorf("%+v: %v senders exceed the limit with probability %v", c, bound.meanSenders, risk)
 		}
 		if sustained := c.perSecond * constants.ColdEvery.Seconds(); bound.meanSenders > sustained {
