--- a/internal/constants/constants.go
+++ b/internal/constants/constants.go
@@ -172,7 +172,7 @@
 	DelayDecayTime          = 6 * time.Second         // what was learned of an upstream's delay fades so fast
 	SelectionNoise          = 0.15                    // proxies that know the same must not all choose the same
 	ColdOverloadProbability = 1e-7                    // the chance, at each start of an upstream, that so many proxies draw it that they could break its bound
-	ColdEvery               = 1100 * time.Millisecond // between two requests of one of them: longer than the second in which they are counted
+	ColdRequestInterval     = 1100 * time.Millisecond // between two requests of one of them: longer than the second in which they are counted
 	WarmupFactor            = 1.6                     // a fresh upstream is slow
 	FullPause               = 80 * time.Millisecond   // an upstream that turned a request away is left alone so long
 	IdlePerUpstream         = 4                       // connections kept by
--- a/internal/proxy/cold.go
+++ b/internal/proxy/cold.go
@@ -22,7 +22,7 @@
 // use the rate that the upstream sustains, and is reduced where the probability that the
 // senders exceed limit would be above ColdRisk.
 func NewColdBound(duration time.Duration, perSecond, limit float64) ColdBound {
-	low, high := 0.0, perSecond*constants.ColdEvery.Seconds()
+	low, high := 0.0, perSecond*constants.ColdRequestInterval.Seconds()
 	if poissonTail(high, limit) <= constants.ColdOverloadProbability {
 		return ColdBound{duration, high}
 	}
@@ -54,5 +54,5 @@
 // while the proxies differ about that number.
 func (u *Upstream) admitsColdRequest(now time.Time, bound ColdBound) bool {
 	n := u.pool.proxyCount
-	return n > 0 && float64(u.rank)*float64(n) < bound.meanSenders*(1<<32) && now.Sub(u.lastColdRequest) >= constants.ColdEvery
+	return n > 0 && float64(u.rank)*float64(n) < bound.meanSenders*(1<<32) && now.Sub(u.lastColdRequest) >= constants.ColdRequestInterval
 }
--- a/internal/proxy/cold_test.go
+++ b/internal/proxy/cold_test.go
@@ -18,7 +18,7 @@
 		if risk := poissonTail(bound.meanSenders, limit); risk > constants.ColdOverloadProbability {
 			t.Errorf("%+v: %v senders exceed the limit with probability %v", c, bound.meanSenders, risk)
 		}
-		if sustained := c.perSecond * constants.ColdEvery.Seconds(); bound.meanSenders > sustained {
+		if sustained := c.perSecond * constants.ColdRequestInterval.Seconds(); bound.meanSenders > sustained {
 			t.Errorf("%+v: %v senders, want at most the %v whose rate the upstream sustains", c, bound.meanSenders, sustained)
 		}
 	}
