--- a/internal/proxy/ejection.go
+++ b/internal/proxy/ejection.go
@@ -85,7 +85,7 @@
 		u.eject(now)
 	case outcomeAtCapacity:
 		updateDelay(max(2*usual(), responseTime))
-		u.ejectedUntil = now.Add(constants.FullPause)
+		u.ejectedUntil = now.Add(constants.FullUpstreamBackoff)
 	case outcomeCancelled:
 		pool.Cancelled++
 		// Not a failure, but the elapsed time is a lower bound on the response time.
