--- a/internal/constants/constants.go
+++ b/internal/constants/constants.go
@@ -175,7 +175,7 @@
 	ColdRequestInterval     = 1100 * time.Millisecond // between two requests of one of them: longer than the second in which they are counted
 	WarmupFactor            = 1.6                     // a fresh upstream is slow
 	FullUpstreamBackoff     = 80 * time.Millisecond   // an upstream that turned a request away is left alone so long
-	IdlePerUpstream         = 4                       // connections kept by
+	MaxIdlePerUpstream      = 4                       // connections kept by
 	MaxDials                = 4                       // upstreams that could not be reached before a request is given up
 	AnswerReturn            = 15 * time.Millisecond   // an answer needs so long to reach its client: a link between zones, and a busy processor
 	AcceptPause             = 20 * time.Millisecond   // after a failed accept
--- a/internal/proxy/connections.go
+++ b/internal/proxy/connections.go
@@ -77,7 +77,7 @@
 	conn.cancellation = nil
 	u.pool.mu.Lock()
 	defer u.pool.mu.Unlock()
-	if u.removed || u.draining || len(u.idle) >= constants.IdlePerUpstream {
+	if u.removed || u.draining || len(u.idle) >= constants.MaxIdlePerUpstream {
 		conn.netConn.Close()
 		u.conns--
 		return
