--- a/internal/constants/constants.go
+++ b/internal/constants/constants.go
@@ -177,7 +177,7 @@
 	FullUpstreamBackoff     = 80 * time.Millisecond   // an upstream that turned a request away is left alone so long
 	MaxIdlePerUpstream      = 4                       // connections kept by
 	MaxDials                = 4                       // upstreams that could not be reached before a request is given up
-	AnswerReturn            = 15 * time.Millisecond   // an answer needs so long to reach its client: a link between zones, and a busy processor
+	ResponseReturnTime      = 15 * time.Millisecond   // an answer needs so long to reach its client: a link between zones, and a busy processor
 	AcceptPause             = 20 * time.Millisecond   // after a failed accept
 	SettingsEvery           = time.Second             // a changed settings file is looked for
 	StepEvery               = 100 * time.Millisecond  // a proxy's line and duties are driven
--- a/internal/proxy/timing.go
+++ b/internal/proxy/timing.go
@@ -54,7 +54,7 @@
 // sent, the caller could no longer be guaranteed that it was not executed.
 func (t timing) tooLate(now time.Time) bool {
 	remaining := t.responseDeadline.Sub(now)
-	return remaining <= constants.AnswerReturn || remaining < t.latency.decayedLow(now)
+	return remaining <= constants.ResponseReturnTime || remaining < t.latency.decayedLow(now)
 }
 
 // connectDeadline returns until when to wait for a connection to one upstream: as long as
