--- a/internal/proxy/frontend.go
+++ b/internal/proxy/frontend.go
@@ -64,7 +64,7 @@
 		if f.isClosed() {
 			return nil, net.ErrClosed
 		}
-		time.Sleep(constants.AcceptPause) // out of file descriptors, or the connection was aborted before it was accepted
+		time.Sleep(constants.AcceptRetryDelay) // out of file descriptors, or the connection was aborted before it was accepted
 	}
 }
 
