--- a/internal/proxy/daemon.go
+++ b/internal/proxy/daemon.go
@@ -201,7 +201,7 @@
 	group := rungroup.New(g)
 	group.Serve(readinessListener, http.HandlerFunc(d.serveReadiness))
 	group.Serve(adminListener, adminhttp.Handler(d.Report))
-	group.Every(constants.SettingsEvery, d.reloadIfChanged)
+	group.Every(constants.SettingsPollInterval, d.reloadIfChanged)
 	group.Every(constants.RetireEvery, func() { d.frontend.closeIdle(time.Now()) })
 	return d.AddBackground(g, group)
 }
