--- a/internal/constants/constants.go
+++ b/internal/constants/constants.go
@@ -180,7 +180,7 @@
 	ResponseReturnTime      = 15 * time.Millisecond   // an answer needs so long to reach its client: a link between zones, and a busy processor
 	AcceptRetryDelay        = 20 * time.Millisecond   // after a failed accept
 	SettingsPollInterval    = time.Second             // a changed settings file is looked for
-	StepEvery               = 100 * time.Millisecond  // a proxy's line and duties are driven
+	StepInterval            = 100 * time.Millisecond  // a proxy's line and duties are driven
 	RetireEvery             = 500 * time.Millisecond  // idle connections are looked through
 	EjectFirst              = 500 * time.Millisecond  // out after a failure; doubles
 	EjectMax                = 8 * time.Second         // longest time out before another trial
--- a/internal/distribution/publisher_test.go
+++ b/internal/distribution/publisher_test.go
@@ -75,7 +75,7 @@
 			if reached(subscriber.State(time.Now())) {
 				return
 			}
-			time.Sleep(constants.StepEvery / 4)
+			time.Sleep(constants.StepInterval / 4)
 		}
 		t.Fatalf("%s: not reached; state %+v", goal, subscriber.State(time.Now()))
 	}
--- a/internal/distribution/subscriber_test.go
+++ b/internal/distribution/subscriber_test.go
@@ -58,7 +58,7 @@
 // test after the timeout.
 func waitFor(t *testing.T, subscriber *Subscriber, goal string, timeout time.Duration, reached func() bool) {
 	t.Helper()
-	for end := time.Now().Add(timeout); time.Now().Before(end); time.Sleep(constants.StepEvery / 4) {
+	for end := time.Now().Add(timeout); time.Now().Before(end); time.Sleep(constants.StepInterval / 4) {
 		subscriber.Step(time.Now(), true)
 		if reached() {
 			return
--- a/internal/proxy/lag_test.go
+++ b/internal/proxy/lag_test.go
@@ -10,7 +10,7 @@
 // A process lags from the moment at which a tick is missing, even if it is asked before the
 // first tick after a suspension, and for some time afterwards.
 func TestLagDetector(t *testing.T) {
-	const step = constants.StepEvery
+	const step = constants.StepInterval
 	began := time.Now()
 	m := &lagDetector{startedAt: began}
 	if !m.lagging(began.Add(step)) {
--- a/internal/usage/usage.go
+++ b/internal/usage/usage.go
@@ -56,7 +56,7 @@
 // requests since its last report, which must not be a larger part of a window than the error
 // that the platform tolerates.
 func ReportInterval(window time.Duration, tolerance float64) time.Duration {
-	return max(constants.StepEvery, time.Duration(float64(window)*tolerance))
+	return max(constants.StepInterval, time.Duration(float64(window)*tolerance))
 }
 
 // ReportPhase returns the offset of a proxy's first report within the report interval, given a
--- a/internal/usage/usage_test.go
+++ b/internal/usage/usage_test.go
@@ -263,7 +263,7 @@
 		window    time.Duration
 		tolerance float64
 		interval  time.Duration
-	}{{5 * time.Second, 0.05, 250 * time.Millisecond}, {time.Minute, 0.01, 600 * time.Millisecond}, {5 * time.Second, 0, constants.StepEvery}} {
+	}{{5 * time.Second, 0.05, 250 * time.Millisecond}, {time.Minute, 0.01, 600 * time.Millisecond}, {5 * time.Second, 0, constants.StepInterval}} {
 		if interval := ReportInterval(c.window, c.tolerance); interval != c.interval {
 			t.Errorf("window of %v with a tolerance of %v: report interval %v, want %v", c.window, c.tolerance, interval, c.interval)
 		}
