--- a/internal/proxy/daemon.go
+++ b/internal/proxy/daemon.go
@@ -202,7 +202,7 @@
 	group.Serve(readinessListener, http.HandlerFunc(d.serveReadiness))
 	group.Serve(adminListener, adminhttp.Handler(d.Report))
 	group.Every(constants.SettingsPollInterval, d.reloadIfChanged)
-	group.Every(constants.RetireEvery, func() { d.frontend.closeIdle(time.Now()) })
+	group.Every(constants.IdleScanInterval, func() { d.frontend.closeIdle(time.Now()) })
 	return d.AddBackground(g, group)
 }
 
@@ -237,7 +237,7 @@
 		group.EveryAfter(rand.N(accounts.ReportInterval), accounts.ReportInterval, d.accountsAgent.SendReports)
 		group.Every(accounts.RetryInterval, d.accountsAgent.RetryReports)
 	}
-	group.Every(constants.RetireEvery, func() { d.pool.CloseExpiredIdle(time.Now()) })
+	group.Every(constants.IdleScanInterval, func() { d.pool.CloseExpiredIdle(time.Now()) })
 	group.Every(membership.TickInterval, d.members.Tick)
 	return nil
 }
