--- a/internal/constants/constants.go
+++ b/internal/constants/constants.go
@@ -182,7 +182,7 @@
 	SettingsPollInterval    = time.Second             // a changed settings file is looked for
 	StepInterval            = 100 * time.Millisecond  // a proxy's line and duties are driven
 	IdleScanInterval        = 500 * time.Millisecond  // idle connections are looked through
-	EjectFirst              = 500 * time.Millisecond  // out after a failure; doubles
+	BaseEjectionTime        = 500 * time.Millisecond  // out after a failure; doubles
 	EjectMax                = 8 * time.Second         // longest time out before another trial
 	CancelGrace             = 200 * time.Millisecond  // a repeatable request runs on so long when its client has left: one that ends by then leaves its connection for another, and a new one may take a slot; with HangupLook inside the half second in which the work has to end
 	LagLong                 = 250 * time.Millisecond  // without a step: the process runs late; two steps and a bit
