--- a/internal/constants/constants.go
+++ b/internal/constants/constants.go
@@ -183,7 +183,7 @@
 	StepInterval            = 100 * time.Millisecond  // a proxy's line and duties are driven
 	IdleScanInterval        = 500 * time.Millisecond  // idle connections are looked through
 	BaseEjectionTime        = 500 * time.Millisecond  // out after a failure; doubles
-	EjectMax                = 8 * time.Second         // longest time out before another trial
+	MaxEjectionTime         = 8 * time.Second         // longest time out before another trial
 	CancelGrace             = 200 * time.Millisecond  // a repeatable request runs on so long when its client has left: one that ends by then leaves its connection for another, and a new one may take a slot; with HangupLook inside the half second in which the work has to end
 	LagLong                 = 250 * time.Millisecond  // without a step: the process runs late; two steps and a bit
 	LagMemory               = time.Second             // after it ran late: what had come by then has been read
--- a/internal/proxy/ejection.go
+++ b/internal/proxy/ejection.go
@@ -37,7 +37,7 @@
 func (u *Upstream) eject(now time.Time) {
 	u.consecutiveFailures++
 	u.pool.Ejected++
-	u.ejectedUntil = now.Add(min(constants.BaseEjectionTime<<min(u.consecutiveFailures-1, 5), constants.EjectMax))
+	u.ejectedUntil = now.Add(min(constants.BaseEjectionTime<<min(u.consecutiveFailures-1, 5), constants.MaxEjectionTime))
 }
 
 // finish ends an attempt, releases its place and updates the upstream's statistics.
