--- a/internal/constants/constants.go
+++ b/internal/constants/constants.go
@@ -185,7 +185,7 @@
 	BaseEjectionTime        = 500 * time.Millisecond  // out after a failure; doubles
 	MaxEjectionTime         = 8 * time.Second         // longest time out before another trial
 	CancelGrace             = 200 * time.Millisecond  // a repeatable request runs on so long when its client has left: one that ends by then leaves its connection for another, and a new one may take a slot; with HangupLook inside the half second in which the work has to end
-	LagLong                 = 250 * time.Millisecond  // without a step: the process runs late; two steps and a bit
+	LagThreshold            = 250 * time.Millisecond  // without a step: the process runs late; two steps and a bit
 	LagMemory               = time.Second             // after it ran late: what had come by then has been read
 	HangupLook              = 100 * time.Millisecond  // a client's socket that nobody reads is looked at so often while its request is under way
 	AnswerGrace             = 30 * time.Millisecond   // after the deadline: the upstream's own 504 keeps the connection usable
--- a/internal/proxy/disconnect_test.go
+++ b/internal/proxy/disconnect_test.go
@@ -560,7 +560,7 @@
 	}
 	staying := dialFrontend(t, listener.Addr().String())
 	io.WriteString(staying, clientRequest("GET", "/safe/1ms", "stays", 0))
-	time.Sleep(constants.LagLong + 50*time.Millisecond)
+	time.Sleep(constants.LagThreshold + 50*time.Millisecond)
 	go resumed.serve()
 	if resp, err := http.ReadResponse(bufio.NewReader(staying), nil); err != nil || resp.StatusCode != http.StatusOK {
 		t.Fatal(resp, err)
--- a/internal/proxy/lag.go
+++ b/internal/proxy/lag.go
@@ -19,7 +19,7 @@
 // tick must be called every StepEvery.
 func (d *lagDetector) tick(now time.Time) {
 	at := int64(now.Sub(d.startedAt))
-	if last := d.lastTick.Swap(at); at-last > int64(constants.LagLong) {
+	if last := d.lastTick.Swap(at); at-last > int64(constants.LagThreshold) {
 		d.laggingUntil.Store(at + int64(constants.LagMemory))
 	}
 }
@@ -27,5 +27,5 @@
 // lagging reports whether the process runs late, or did so shortly before.
 func (d *lagDetector) lagging(now time.Time) bool {
 	at, last := int64(now.Sub(d.startedAt)), d.lastTick.Load()
-	return last == 0 || at-last > int64(constants.LagLong) || at < d.laggingUntil.Load()
+	return last == 0 || at-last > int64(constants.LagThreshold) || at < d.laggingUntil.Load()
 }
