--- a/internal/proxy/lag.go
+++ b/internal/proxy/lag.go
@@ -20,7 +20,7 @@
 func (d *lagDetector) tick(now time.Time) {
 	at := int64(now.Sub(d.startedAt))
 	if last := d.lastTick.Swap(at); at-last > int64(constants.LagThreshold) {
-		d.laggingUntil.Store(at + int64(constants.LagMemory))
+		d.laggingUntil.Store(at + int64(constants.LagRecoveryTime))
 	}
 }
 
--- a/internal/proxy/lag_test.go
+++ b/internal/proxy/lag_test.go
@@ -33,7 +33,7 @@
 	if !m.lagging(woken.Add(step)) {
 		t.Error("a suspension is forgotten at the next tick")
 	}
-	for at = woken; at.Before(woken.Add(constants.LagMemory)); at = at.Add(step) {
+	for at = woken; at.Before(woken.Add(constants.LagRecoveryTime)); at = at.Add(step) {
 		m.tick(at)
 	}
 	if m.lagging(at.Add(step)) {
