--- a/internal/constants/constants.go
+++ b/internal/constants/constants.go
@@ -187,7 +187,7 @@
 	CancelGrace             = 200 * time.Millisecond  // a repeatable request runs on so long when its client has left: one that ends by then leaves its connection for another, and a new one may take a slot; with HangupLook inside the half second in which the work has to end
 	LagThreshold            = 250 * time.Millisecond  // without a step: the process runs late; two steps and a bit
 	LagRecoveryTime         = time.Second             // after it ran late: what had come by then has been read
-	HangupLook              = 100 * time.Millisecond  // a client's socket that nobody reads is looked at so often while its request is under way
+	HangupCheckInterval     = 100 * time.Millisecond  // a client's socket that nobody reads is looked at so often while its request is under way
 	AnswerGrace             = 30 * time.Millisecond   // after the deadline: the upstream's own 504 keeps the connection usable
 	AnswerWriteGrace        = 5 * time.Second         // beyond its deadline an answer that its client doesn't take is given up: over any pause of a client that still reads
 	WriteUnbounded          = 16 << 10                // bytes of an answer written without a bound: they fit a socket's buffer
--- a/internal/proxy/attempt.go
+++ b/internal/proxy/attempt.go
@@ -42,7 +42,7 @@
 		return true
 	}
 	now := time.Now()
-	mayBeOld := now.Sub(p.arrived) > constants.HangupLook || p.proxy.lag.lagging(now)
+	mayBeOld := now.Sub(p.arrived) > constants.HangupCheckInterval || p.proxy.lag.lagging(now)
 	return mayBeOld && p.client.hungUp()
 }
 
--- a/internal/proxy/clientconn.go
+++ b/internal/proxy/clientconn.go
@@ -102,9 +102,9 @@
 			c.hangupTimer.Stop()
 		}
 	case c.hangupTimer == nil:
-		c.hangupTimer = time.AfterFunc(constants.HangupLook, c.checkHangup)
+		c.hangupTimer = time.AfterFunc(constants.HangupCheckInterval, c.checkHangup)
 	default:
-		c.hangupTimer.Reset(constants.HangupLook)
+		c.hangupTimer.Reset(constants.HangupCheckInterval)
 	}
 }
 
