--- a/internal/proxy/attempt.go
+++ b/internal/proxy/attempt.go
@@ -88,7 +88,7 @@
 		length := p.bodyLength
 		p.cancelOnDisconnect(conn)
 		head := formatRequestHeader(p.request, u.instance.ID, tenantName, remaining, length)
-		sent, err := conn.send(head, p.bufferedBody, p.streamedBody, length < 0, p.deadline.Add(constants.AnswerGrace))
+		sent, err := conn.send(head, p.bufferedBody, p.streamedBody, length < 0, p.deadline.Add(constants.UpstreamDeadlineGrace))
 		if err != nil && !sent && reused {
 			u.closeConn(conn)
 			continue // the reused connection had been closed and no byte was sent
