--- a/internal/constants/constants.go
+++ b/internal/constants/constants.go
@@ -189,7 +189,7 @@
 	LagRecoveryTime         = time.Second             // after it ran late: what had come by then has been read
 	HangupCheckInterval     = 100 * time.Millisecond  // a client's socket that nobody reads is looked at so often while its request is under way
 	UpstreamDeadlineGrace   = 30 * time.Millisecond   // after the deadline: the upstream's own 504 keeps the connection usable
-	AnswerWriteGrace        = 5 * time.Second         // beyond its deadline an answer that its client doesn't take is given up: over any pause of a client that still reads
+	ResponseWriteGrace      = 5 * time.Second         // beyond its deadline an answer that its client doesn't take is given up: over any pause of a client that still reads
 	WriteUnbounded          = 16 << 10                // bytes of an answer written without a bound: they fit a socket's buffer
 	BudgetShare             = 0.75                    // part of the retry ratio used, the rest covers windows that slide apart
 	BudgetSlack             = 0.5                     // part of the retry slack split among the proxies
--- a/internal/proxy/disconnect_test.go
+++ b/internal/proxy/disconnect_test.go
@@ -513,7 +513,7 @@
 			t.Fatal("request did not arrive at the upstream")
 		}
 	}
-	for end := time.Now().Add(constants.AnswerWriteGrace + 2*time.Second); d.openRequests.Load() > 0; time.Sleep(10 * time.Millisecond) {
+	for end := time.Now().Add(constants.ResponseWriteGrace + 2*time.Second); d.openRequests.Load() > 0; time.Sleep(10 * time.Millisecond) {
 		if time.Now().After(end) {
 			t.Fatal("response is still held for a client that does not read")
 		}
--- a/internal/proxy/proxy.go
+++ b/internal/proxy/proxy.go
@@ -342,7 +342,7 @@
 	}
 	// The deadline keeps a client that no longer reads from holding the response forever.
 	control := http.NewResponseController(w)
-	control.SetWriteDeadline(p.deadline.Add(constants.AnswerWriteGrace))
+	control.SetWriteDeadline(p.deadline.Add(constants.ResponseWriteGrace))
 	defer control.SetWriteDeadline(time.Time{})
 	p.writeLongBody(w, res)
 }
