--- a/internal/proxy/proxy.go
+++ b/internal/proxy/proxy.go
@@ -336,7 +336,7 @@
 		s.relayStream(w, p.request, res)
 		return
 	}
-	if len(res.body) <= constants.WriteUnbounded && res.conn == nil {
+	if len(res.body) <= constants.MaxBytesWithoutWriteDeadline && res.conn == nil {
 		w.Write(res.body)
 		return
 	}
