--- a/internal/proxy/retrybudget.go
+++ b/internal/proxy/retrybudget.go
@@ -83,7 +83,7 @@
 			}
 		}
 	}
-	allowed := requests * b.ratio * constants.BudgetShare
+	allowed := requests * b.ratio * constants.RetryRatioFraction
 	if b.proxies > 0 && now-b.startedAt >= b.window {
 		allowed += b.slack * constants.BudgetSlack / float64(b.proxies)
 	}
