--- a/internal/proxy/retrybudget.go
+++ b/internal/proxy/retrybudget.go
@@ -85,7 +85,7 @@
 	}
 	allowed := requests * b.ratio * constants.RetryRatioFraction
 	if b.proxies > 0 && now-b.startedAt >= b.window {
-		allowed += b.slack * constants.BudgetSlack / float64(b.proxies)
+		allowed += b.slack * constants.RetrySlackFraction / float64(b.proxies)
 	}
 	if retries+1 > allowed {
 		b.Denied++
