--- a/internal/constants/constants.go
+++ b/internal/constants/constants.go
@@ -193,7 +193,7 @@
 	MaxBytesWithoutWriteDeadline = 16 << 10                // bytes of an answer written without a bound: they fit a socket's buffer
 	RetryRatioFraction           = 0.75                    // part of the retry ratio used, the rest covers windows that slide apart
 	RetrySlackFraction           = 0.5                     // part of the retry slack split among the proxies
-	RecentAnswers                = 64                      // answers that a service's time is reckoned from: few enough to follow it, many enough for those that were stuck not to matter
+	LatencySamples               = 64                      // answers that a service's time is reckoned from: few enough to follow it, many enough for those that were stuck not to matter
 	LikelyPart                   = 0.9                     // of the answers come within the time that is called likely, and as many take more than the least
 	UnusualUsual                 = 3                       // times the usual time: a silence below it is usual however even the answers were
 	UnusualLikely                = 2                       // times the likely time: likewise however uneven
--- a/internal/proxy/latency.go
+++ b/internal/proxy/latency.go
@@ -20,7 +20,7 @@
 // observe records the latency of one more response, in seconds.
 func (w *latencyWindow) observe(now time.Time, seconds float64) {
 	w.updatedAt, w.medianStale = now, true
-	if len(w.samples) < constants.RecentAnswers {
+	if len(w.samples) < constants.LatencySamples {
 		w.samples = append(w.samples, seconds)
 		return
 	}
--- a/internal/proxy/timing_test.go
+++ b/internal/proxy/timing_test.go
@@ -31,7 +31,7 @@
 // uniformLatency returns the window of a peer whose recent responses all had the same latency.
 func uniformLatency(latency time.Duration) *latencyWindow {
 	w := &latencyWindow{}
-	for range constants.RecentAnswers {
+	for range constants.LatencySamples {
 		w.observe(time.Now(), latency.Seconds())
 	}
 	return w
