--- a/internal/proxy/latency.go
+++ b/internal/proxy/latency.go
@@ -64,7 +64,7 @@
 	at := func(part float64) time.Duration {
 		return seconds(latencies[int(math.Round(part*float64(len(latencies)-1)))])
 	}
-	return latencyEstimate{low: at(1 - constants.LikelyPart), median: at(0.5), high: at(constants.LikelyPart), updatedAt: updatedAt}
+	return latencyEstimate{low: at(1 - constants.LatencyQuantile), median: at(0.5), high: at(constants.LatencyQuantile), updatedAt: updatedAt}
 }
 
 // decayedLow returns the time within which hardly any response arrives. It decays with the age
