--- a/internal/proxy/latency.go
+++ b/internal/proxy/latency.go
@@ -78,7 +78,7 @@
 // slowThreshold returns the delay above which a response is unusually late, given how much
 // latencies vary.
 func (e latencyEstimate) slowThreshold() time.Duration {
-	return max(constants.SlowMedianFactor*e.median, constants.UnusualLikely*e.high)
+	return max(constants.SlowMedianFactor*e.median, constants.SlowQuantileFactor*e.high)
 }
 
 // spread returns by how much latencies usually vary.
