--- a/internal/constants/constants.go
+++ b/internal/constants/constants.go
@@ -197,7 +197,7 @@
 	LatencyQuantile              = 0.9                     // of the answers come within the time that is called likely, and as many take more than the least
 	SlowMedianFactor             = 3                       // times the usual time: a silence below it is usual however even the answers were
 	SlowQuantileFactor           = 2                       // times the likely time: likewise however uneven
-	WorkTimeEvery                = 100 * time.Millisecond  // a service's usual time is reckoned anew so often, not for each request
+	LatencyEstimateInterval      = 100 * time.Millisecond  // a service's usual time is reckoned anew so often, not for each request
 	RetryAfterPart               = 1.0 / 3                 // of the time that a client has left it waits as Retry-After asks
 	TermAccept                   = 2500 * time.Millisecond // after SIGTERM the platform may still send: two missed readiness checks and a bit
 	TermReserve                  = 700 * time.Millisecond  // of grace kept for leaving
--- a/internal/proxy/latency.go
+++ b/internal/proxy/latency.go
@@ -125,7 +125,7 @@
 // every WorkTimeEvery, not for each request.
 func (pool *Pool) latencyEstimateLocked(service string, now time.Time) latencyEstimate {
 	latency := pool.serviceLatencyLocked(service)
-	if now.Sub(latency.estimatedAt) >= constants.WorkTimeEvery {
+	if now.Sub(latency.estimatedAt) >= constants.LatencyEstimateInterval {
 		latency.estimatedAt, latency.estimate = now, latency.responses.estimate()
 	}
 	return latency.estimate
