--- a/internal/proxy/timing.go
+++ b/internal/proxy/timing.go
@@ -39,7 +39,7 @@
 // elsewhere, even if it first waits for the part of its time that Retry-After may ask for. A
 // caller that can no longer be served elsewhere loses nothing by waiting here.
 func (t timing) latestStart(now time.Time) time.Time {
-	elsewhere := t.callerDeadline.Add(-time.Duration(float64(t.latency.high) / (1 - constants.RetryAfterPart)))
+	elsewhere := t.callerDeadline.Add(-time.Duration(float64(t.latency.high) / (1 - constants.RetryAfterFraction)))
 	here := t.responseDeadline
 	if !t.latency.updatedAt.IsZero() { // without samples nothing shows that it would be too late
 		here = here.Add(-t.latency.high)
@@ -85,7 +85,7 @@
 // retryAfter returns the Retry-After of a refusal if the missing resource is expected to be
 // available after due. It never exceeds the part of its time that the caller is willing to wait.
 func (t timing) retryAfter(now time.Time, due time.Duration) time.Duration {
-	return max(0, min(due, time.Duration(float64(t.callerDeadline.Sub(now))*constants.RetryAfterPart)))
+	return max(0, min(due, time.Duration(float64(t.callerDeadline.Sub(now))*constants.RetryAfterFraction)))
 }
 
 // configRetryAfter returns the Retry-After of a refusal for lack of a configuration or of a
