--- a/internal/proxy/daemon.go
+++ b/internal/proxy/daemon.go
@@ -296,7 +296,7 @@
 	grace := nodeSettings.Bounds.Grace.D() - constants.TermReserve
 	d.pool.Drain(began.Add(grace))
 	// Clients that use a directory may hold cached lookups that still name this proxy.
-	accept := min(constants.TermAccept, grace/2)
+	accept := min(constants.ShutdownAcceptTime, grace/2)
 	if nodeSettings.EntryMode == "directory" {
 		accept = min(2*constants.LookupTTL, grace/2)
 	}
