--- a/internal/constants/constants.go
+++ b/internal/constants/constants.go
@@ -200,7 +200,7 @@
 	LatencyEstimateInterval      = 100 * time.Millisecond  // a service's usual time is reckoned anew so often, not for each request
 	RetryAfterFraction           = 1.0 / 3                 // of the time that a client has left it waits as Retry-After asks
 	ShutdownAcceptTime           = 2500 * time.Millisecond // after SIGTERM the platform may still send: two missed readiness checks and a bit
-	TermReserve                  = 700 * time.Millisecond  // of grace kept for leaving
+	ShutdownReserve              = 700 * time.Millisecond  // of grace kept for leaving
 	HeaderTimeout                = 3 * time.Second         // until a configuration says otherwise
 	RevokeReserve                = 400 * time.Millisecond  // of the bound on revoked keys kept for clocks that count unevenly and a slow step
 	IdleTimeout                  = 15 * time.Second        // likewise
--- a/internal/proxy/daemon.go
+++ b/internal/proxy/daemon.go
@@ -293,7 +293,7 @@
 	d.events.Record("leaving", "readiness fails from now on")
 	d.subscriber.Resubscribe()
 	nodeSettings := d.nodeSettings.Load()
-	grace := nodeSettings.Bounds.Grace.D() - constants.TermReserve
+	grace := nodeSettings.Bounds.Grace.D() - constants.ShutdownReserve
 	d.pool.Drain(began.Add(grace))
 	// Clients that use a directory may hold cached lookups that still name this proxy.
 	accept := min(constants.ShutdownAcceptTime, grace/2)
