--- a/internal/constants/constants.go
+++ b/internal/constants/constants.go
@@ -202,7 +202,7 @@
 	ShutdownAcceptTime           = 2500 * time.Millisecond // after SIGTERM the platform may still send: two missed readiness checks and a bit
 	ShutdownReserve              = 700 * time.Millisecond  // of grace kept for leaving
 	HeaderTimeout                = 3 * time.Second         // until a configuration says otherwise
-	RevokeReserve                = 400 * time.Millisecond  // of the bound on revoked keys kept for clocks that count unevenly and a slow step
+	RevocationMargin             = 400 * time.Millisecond  // of the bound on revoked keys kept for clocks that count unevenly and a slow step
 	IdleTimeout                  = 15 * time.Second        // likewise
 	IdleSpare                    = 5 * time.Second         // an idle connection is kept so much longer than its bound: a request that is on its way when it is closed is lost
 	HeaderBytes                  = 64 << 10                // until a configuration says otherwise
--- a/internal/proxy/daemon.go
+++ b/internal/proxy/daemon.go
@@ -92,7 +92,7 @@
 	}, d.apply)
 	d.subscriber.SetLiveCountFunc(func() int { return d.limiter.SettledProxies(d.now()) })
 	if bounds.RevocationStrict {
-		p.keyTrustPeriod, p.readIndexAt = bounds.Revoke.D()-constants.RevokeReserve, d.subscriber.ReadIndexAt
+		p.keyTrustPeriod, p.readIndexAt = bounds.Revoke.D()-constants.RevocationMargin, d.subscriber.ReadIndexAt
 	}
 	return d
 }
--- a/internal/settings/settings.go
+++ b/internal/settings/settings.go
@@ -179,8 +179,8 @@
 	if s.HasContract("quota") && s.Bounds.QuotaWindow <= 0 {
 		return nil, fmt.Errorf("settings file %s: bounds.quotaWindow: missing, required by contract quota", path)
 	}
-	if s.Bounds.RevocationStrict && s.Bounds.Revoke.D() <= 2*constants.RevokeReserve {
-		return nil, fmt.Errorf("settings file %s: bounds.revoke: must be greater than %v if revocationStrict is true, got %s", path, 2*constants.RevokeReserve, s.Bounds.Revoke)
+	if s.Bounds.RevocationStrict && s.Bounds.Revoke.D() <= 2*constants.RevocationMargin {
+		return nil, fmt.Errorf("settings file %s: bounds.revoke: must be greater than %v if revocationStrict is true, got %s", path, 2*constants.RevocationMargin, s.Bounds.Revoke)
 	}
 	if err := s.checkDuties(); err != nil {
 		return nil, fmt.Errorf("settings file %s: %w", path, err)
