--- a/internal/proxy/frontend.go
+++ b/internal/proxy/frontend.go
@@ -144,7 +144,7 @@
 		if conn, ok := c.(*clientConn); ok && conn.busy() {
 			continue // a pipelined request does not change the server's connection state
 		}
-		if !idleSince.IsZero() && now.Sub(idleSince) > timeout+constants.IdleSpare {
+		if !idleSince.IsZero() && now.Sub(idleSince) > timeout+constants.IdleCloseMargin {
 			delete(f.conns, c)
 			c.Close()
 		}
--- a/internal/proxy/frontend_test.go
+++ b/internal/proxy/frontend_test.go
@@ -71,7 +71,7 @@
 // under a longer timeout. After the timeout was lowered, the longer one stays in force while
 // clients may not know of the change.
 func TestIdleConnectionsAreClosed(t *testing.T) {
-	const s, spare, configApply = time.Second, constants.IdleSpare, 3 * time.Second
+	const s, spare, configApply = time.Second, constants.IdleCloseMargin, 3 * time.Second
 	var idleTimeout atomic.Int64
 	f := newFrontend(nil, nil, func() config.Limits { return config.Limits{IdleTimeout: time.Duration(idleTimeout.Load())} }, configApply)
 	began := time.Now()
