--- a/internal/controlplane/duties.go
+++ b/internal/controlplane/duties.go
@@ -174,7 +174,7 @@
 		return 0 // the caller counts the failure and retries
 	}
 	defer resp.Body.Close()
-	io.Copy(io.Discard, io.LimitReader(resp.Body, constants.HeaderBytes))
+	io.Copy(io.Discard, io.LimitReader(resp.Body, constants.MaxHeaderBytes))
 	return resp.StatusCode
 }
 
--- a/internal/proxy/clientheader.go
+++ b/internal/proxy/clientheader.go
@@ -67,7 +67,7 @@
 		c.header.startedAt = time.Now()
 	}
 	c.header.bytesRead += n
-	if c.header.bytesRead <= orDefault(c.limits().MaxHeaderBytes, constants.HeaderBytes)+headerReadAhead {
+	if c.header.bytesRead <= orDefault(c.limits().MaxHeaderBytes, constants.MaxHeaderBytes)+headerReadAhead {
 		return n, err
 	}
 	c.rejectHeaders()
--- a/internal/proxy/conn.go
+++ b/internal/proxy/conn.go
@@ -122,7 +122,7 @@
 // readResponse reads the readResponse's headers.
 func (conn *upstreamConn) readResponse(method, attempt string) (*http.Response, error) {
 	for {
-		conn.reader.remaining = constants.HeaderBytes
+		conn.reader.remaining = constants.MaxHeaderBytes
 		resp, err := http.ReadResponse(conn.buffered, &http.Request{Method: method})
 		if err != nil {
 			return nil, err
--- a/internal/rungroup/rungroup.go
+++ b/internal/rungroup/rungroup.go
@@ -70,7 +70,7 @@
 		ReadTimeout:       timeout,
 		WriteTimeout:      timeout,
 		IdleTimeout:       constants.IdleTimeout,
-		MaxHeaderBytes:    constants.HeaderBytes,
+		MaxHeaderBytes:    constants.MaxHeaderBytes,
 	}
 	group.group.Add(func() error {
 		if err := srv.Serve(l); !errors.Is(err, http.ErrServerClosed) && !errors.Is(err, net.ErrClosed) {
