--- a/internal/constants/constants.go
+++ b/internal/constants/constants.go
@@ -207,7 +207,7 @@
 	IdleCloseMargin              = 5 * time.Second         // an idle connection is kept so much longer than its bound: a request that is on its way when it is closed is lost
 	MaxHeaderBytes               = 64 << 10                // until a configuration says otherwise
 	RefusalLinger                = 500 * time.Millisecond  // a client that goes on sending headers that were refused is read for so long: several round trips, in which the refusal reaches it
-	BudgetDefault                = 30 * time.Second        // a client that names no budget
+	DefaultTimeBudget            = 30 * time.Second        // a client that names no budget
 )
 
 // Streams.
--- a/internal/proxy/match.go
+++ b/internal/proxy/match.go
@@ -36,8 +36,8 @@
 // header yields the default.
 func clientTimeBudget(r *http.Request) time.Duration {
 	ms, err := strconv.ParseInt(r.Header.Get(headerBudget), 10, 64)
-	if err != nil || ms < 0 || ms > constants.BudgetDefault.Milliseconds()*100 {
-		return constants.BudgetDefault
+	if err != nil || ms < 0 || ms > constants.DefaultTimeBudget.Milliseconds()*100 {
+		return constants.DefaultTimeBudget
 	}
 	return time.Duration(ms) * time.Millisecond
 }
