--- a/internal/constants/constants.go
+++ b/internal/constants/constants.go
@@ -212,7 +212,7 @@
 
 // Streams.
 const (
-	StreamBuffer          = 4 << 10                 // bytes of a stream read before they are passed on
+	StreamBufferBytes     = 4 << 10                 // bytes of a stream read before they are passed on
 	StreamPatience        = 2 * time.Second         // a client gives up a stream that is silent for so long
 	StreamPatienceTargets = 4                       // or for so many target latencies, where that is longer
 	StreamWriteTimeout    = 5 * time.Second         // a client that takes nothing for so long is given up
--- a/internal/proxy/stream.go
+++ b/internal/proxy/stream.go
@@ -11,7 +11,7 @@
 // awaitFirstChunk waits for the first bytes of a stream. Until they arrive the stream has not
 // begun to run, and nothing has been sent to the client.
 func (p *exchange) awaitFirstChunk(pl *placement, conn *upstreamConn, resp *http.Response, sentAt time.Time) *result {
-	buf := make([]byte, constants.StreamBuffer)
+	buf := make([]byte, constants.StreamBufferBytes)
 	n, err := resp.Body.Read(buf)
 	for n == 0 && err == nil {
 		n, err = resp.Body.Read(buf)
@@ -39,7 +39,7 @@
 	s.streams.Add(1)
 	defer s.streams.Add(-1)
 	rc := http.NewResponseController(w)
-	buf, chunk := make([]byte, constants.StreamBuffer), res.body
+	buf, chunk := make([]byte, constants.StreamBufferBytes), res.body
 	var readErr, writeErr error
 	lastRead := time.Now()
 	for writeErr == nil {
