--- a/internal/constants/constants.go
+++ b/internal/constants/constants.go
@@ -213,7 +213,7 @@
 // Streams.
 const (
 	StreamBufferBytes     = 4 << 10                 // bytes of a stream read before they are passed on
-	StreamPatience        = 2 * time.Second         // a client gives up a stream that is silent for so long
+	StreamIdleTimeout     = 2 * time.Second         // a client gives up a stream that is silent for so long
 	StreamPatienceTargets = 4                       // or for so many target latencies, where that is longer
 	StreamWriteTimeout    = 5 * time.Second         // a client that takes nothing for so long is given up
 	AffinityTop           = 3                       // upstreams that one prefix turns to, in an order all proxies agree on
