--- a/internal/constants/constants.go
+++ b/internal/constants/constants.go
@@ -212,16 +212,16 @@
 
 // Streams.
 const (
-	StreamBufferBytes     = 4 << 10                 // bytes of a stream read before they are passed on
-	StreamIdleTimeout     = 2 * time.Second         // a client gives up a stream that is silent for so long
-	StreamPatienceTargets = 4                       // or for so many target latencies, where that is longer
-	StreamWriteTimeout    = 5 * time.Second         // a client that takes nothing for so long is given up
-	AffinityTop           = 3                       // upstreams that one prefix turns to, in an order all proxies agree on
-	AffinityFull          = 0.7                     // of an upstream's slots, from which the next is asked
-	StreamFull            = 2.5                     // of an upstream's slots at work and waiting, from which it is sent no stream: it queues a few more than it works on, and may end what it cannot queue
-	ReportedLoadFade      = 1500 * time.Millisecond // what an upstream reported of its load fades so fast toward the service's mean
-	StreamFarMargin       = 0.3                     // of the slots: another zone has to be so much less busy
-	StreamNoise           = 0.1                     // of the slots: proxies that know the same must not all choose the same
+	StreamBufferBytes        = 4 << 10                 // bytes of a stream read before they are passed on
+	StreamIdleTimeout        = 2 * time.Second         // a client gives up a stream that is silent for so long
+	StreamIdleTimeoutTargets = 4                       // or for so many target latencies, where that is longer
+	StreamWriteTimeout       = 5 * time.Second         // a client that takes nothing for so long is given up
+	AffinityTop              = 3                       // upstreams that one prefix turns to, in an order all proxies agree on
+	AffinityFull             = 0.7                     // of an upstream's slots, from which the next is asked
+	StreamFull               = 2.5                     // of an upstream's slots at work and waiting, from which it is sent no stream: it queues a few more than it works on, and may end what it cannot queue
+	ReportedLoadFade         = 1500 * time.Millisecond // what an upstream reported of its load fades so fast toward the service's mean
+	StreamFarMargin          = 0.3                     // of the slots: another zone has to be so much less busy
+	StreamNoise              = 0.1                     // of the slots: proxies that know the same must not all choose the same
 )
 
 // Admission.
--- a/internal/proxy/timing.go
+++ b/internal/proxy/timing.go
@@ -27,7 +27,7 @@
 	if !p.route.Streaming {
 		return p.deadline
 	}
-	patience := max(constants.StreamIdleTimeout, constants.StreamPatienceTargets*p.route.TargetLatency)
+	patience := max(constants.StreamIdleTimeout, constants.StreamIdleTimeoutTargets*p.route.TargetLatency)
 	if silentUntil := p.arrived.Add(patience); silentUntil.Before(p.deadline) {
 		return silentUntil
 	}
