--- a/internal/proxy/affinity.go
+++ b/internal/proxy/affinity.go
@@ -135,7 +135,7 @@
 func (pool *Pool) selectByPrefix(near []streamCandidate) *Upstream {
 	slices.SortFunc(near, func(a, b streamCandidate) int { return cmp.Compare(a.rank, b.rank) })
 	for i, c := range near[:min(len(near), constants.AffinityUpstreams)] {
-		if c.load < constants.AffinityFull {
+		if c.load < constants.AffinityMaxLoad {
 			pool.StreamPlacements[min(i, 1)]++
 			return c.upstream
 		}
