--- a/internal/proxy/affinity.go
+++ b/internal/proxy/affinity.go
@@ -112,7 +112,7 @@
 			continue
 		}
 		candidate := streamCandidate{upstream: u, load: u.estimatedLoad(now, mean)}
-		if candidate.load >= constants.StreamFull {
+		if candidate.load >= constants.StreamMaxLoad {
 			continue // the upstream resets streams that it cannot queue, and a stream is sent only once
 		}
 		if now.Before(u.warmupEnd) {
