--- a/internal/proxy/affinity.go
+++ b/internal/proxy/affinity.go
@@ -51,7 +51,7 @@
 	if u.loadReportedAt.IsZero() {
 		return max(own, mean+own)
 	}
-	weight := math.Exp(-now.Sub(u.loadReportedAt).Seconds() / constants.ReportedLoadFade.Seconds())
+	weight := math.Exp(-now.Sub(u.loadReportedAt).Seconds() / constants.ReportedLoadDecayTime.Seconds())
 	reported := u.reportedLoad + float64(len(u.active)-u.activeAtReport)/slots
 	return max(own, mean+(reported-mean)*weight)
 }
@@ -62,7 +62,7 @@
 	sum, weights := 0.0, 0.0
 	for _, u := range upstreams {
 		if !u.loadReportedAt.IsZero() {
-			w := math.Exp(-now.Sub(u.loadReportedAt).Seconds() / (4 * constants.ReportedLoadFade.Seconds()))
+			w := math.Exp(-now.Sub(u.loadReportedAt).Seconds() / (4 * constants.ReportedLoadDecayTime.Seconds()))
 			sum, weights = sum+w*u.reportedLoad, weights+w
 		}
 	}
