--- a/internal/proxy/affinity.go
+++ b/internal/proxy/affinity.go
@@ -94,7 +94,7 @@
 	}
 	best, load := leastLoaded(near)
 	if best == nil || load > 1 {
-		if u, farLoad := leastLoaded(far); u != nil && farLoad+constants.StreamFarMargin < load {
+		if u, farLoad := leastLoaded(far); u != nil && farLoad+constants.StreamOtherZoneMargin < load {
 			best = u
 		}
 	}
