--- a/internal/constants/constants.go
+++ b/internal/constants/constants.go
@@ -221,7 +221,7 @@
 	StreamMaxLoad            = 2.5                     // of an upstream's slots at work and waiting, from which it is sent no stream: it queues a few more than it works on, and may end what it cannot queue
 	ReportedLoadDecayTime    = 1500 * time.Millisecond // what an upstream reported of its load fades so fast toward the service's mean
 	StreamOtherZoneMargin    = 0.3                     // of the slots: another zone has to be so much less busy
-	StreamNoise              = 0.1                     // of the slots: proxies that know the same must not all choose the same
+	StreamSelectionNoise     = 0.1                     // of the slots: proxies that know the same must not all choose the same
 )
 
 // Admission.
--- a/internal/proxy/affinity.go
+++ b/internal/proxy/affinity.go
@@ -149,7 +149,7 @@
 func leastLoaded(candidates []streamCandidate) (best *Upstream, load float64) {
 	load = math.Inf(1)
 	for _, c := range candidates {
-		if l := c.load + constants.StreamNoise*rand.Float64(); l < load {
+		if l := c.load + constants.StreamSelectionNoise*rand.Float64(); l < load {
 			best, load = c.upstream, l
 		}
 	}
