--- a/internal/admission/grants.go
+++ b/internal/admission/grants.go
@@ -73,7 +73,7 @@
 		}
 		return
 	}
-	fraction := min(1, grant.Loan*float64(l.proxies)/(constants.SplitPart*ks.quota.Rate))
+	fraction := min(1, grant.Loan*float64(l.proxies)/(constants.SplitFraction*ks.quota.Rate))
 	if fraction == ks.lentFraction {
 		return
 	}
--- a/internal/admission/keystate.go
+++ b/internal/admission/keystate.go
@@ -99,7 +99,7 @@
 // key is tracker-only: its share is lent whole, every request asks the tracker, and the
 // standby rate serves requests while the tracker does not answer.
 func ShareTooSmall(proxies int, slack float64, q Quota) bool {
-	return proxies > 0 && SplitFloor(proxies, slack) == 0 && constants.SplitPart*q.Burst/float64(proxies) < constants.TinyShare
+	return proxies > 0 && SplitFloor(proxies, slack) == 0 && constants.SplitFraction*q.Burst/float64(proxies) < constants.TinyShare
 }
 
 // updateMode decides whether a key is tracker-only. A share that becomes too small is given
@@ -137,7 +137,7 @@
 		ks.split.set(now, 0, 0)
 	} else {
 		n := float64(l.proxies)
-		rate, depth := constants.SplitPart*q.Rate/n, constants.SplitPart*q.Burst/n
+		rate, depth := constants.SplitFraction*q.Rate/n, constants.SplitFraction*q.Burst/n
 		if ks.initialFillFrom != 0 {
 			ks.split.filledAt, ks.initialFillFrom = ks.initialFillFrom, 0
 			ks.split.rate, ks.split.depth = rate, depth
--- a/internal/admission/pool.go
+++ b/internal/admission/pool.go
@@ -41,7 +41,7 @@
 
 // tracked returns the part of the quota that trackers grant.
 func (p *pool) tracked() (rate, burst float64) {
-	return (1 - constants.SplitPart) * p.quota.Rate, (1 - constants.SplitPart) * p.quota.Burst
+	return (1 - constants.SplitFraction) * p.quota.Rate, (1 - constants.SplitFraction) * p.quota.Burst
 }
 
 // available returns what can be granted in total: the tracked part and the loans. While
--- a/internal/admission/requests.go
+++ b/internal/admission/requests.go
@@ -78,7 +78,7 @@
 		ks.demand += constants.DemandWeight * (ks.arrivals/period - ks.demand)
 		ks.arrivals = 0
 		n := float64(l.proxies)
-		rate, depth := constants.SplitPart*ks.quota.Rate/n, constants.SplitPart*ks.quota.Burst/n
+		rate, depth := constants.SplitFraction*ks.quota.Rate/n, constants.SplitFraction*ks.quota.Burst/n
 		lend := 0.0
 		trackerOnly := ks.trackerOnly
 		releasing := trackerOnly && ks.releaseDeadline > 0
--- a/internal/admission/retry_test.go
+++ b/internal/admission/retry_test.go
@@ -53,7 +53,7 @@
 	}
 	for n, at := range due {
 		// No tracker grants tokens in this test, so allow for its part of the rate.
-		at = now + time.Duration(float64(at-now)/constants.SplitPart)
+		at = now + time.Duration(float64(at-now)/constants.SplitFraction)
 		if !l.Admit(at, "k", true).OK {
 			t.Errorf("client %d retried at the time given to it and was refused", n)
 		}
--- a/internal/admission/standby.go
+++ b/internal/admission/standby.go
@@ -65,7 +65,7 @@
 // for a new tracker to grant while it does not know which standby rates are in use. The
 // basic standby rates of all proxies fit within the limit.
 func (p *pool) maxStandby() float64 {
-	lent := min(p.loanTotals.wholeRate, constants.SplitPart*p.quota.Rate)
+	lent := min(p.loanTotals.wholeRate, constants.SplitFraction*p.quota.Rate)
 	return max(lent*constants.StandbyBasic, lent-constants.StandbyReserve*p.quota.Rate)
 }
 
@@ -149,7 +149,7 @@
 	l.updateStandby(ks, now) // before the bucket fills
 	rate := 0.0
 	if l.proxies > 0 && now-l.countReceivedAt <= constants.SplitHold {
-		rate = constants.SplitPart * constants.StandbyBasic * ks.quota.Rate / float64(l.proxies)
+		rate = constants.SplitFraction * constants.StandbyBasic * ks.quota.Rate / float64(l.proxies)
 	}
 	rate = max(rate, ks.heldRate(now))
 	ks.grant.set(now, rate, max(constants.StandbyDepth, rate))
--- a/internal/constants/constants.go
+++ b/internal/constants/constants.go
@@ -226,7 +226,7 @@
 
 // Admission.
 const (
-	SplitPart        = 0.8                     // of a key's rate split by live proxy count; the rest is granted by trackers
+	SplitFraction    = 0.8                     // of a key's rate split by live proxy count; the rest is granted by trackers
 	GrantLength      = time.Second             // a grant ends so long after it was asked for
 	GrantLong        = 10 * time.Second        // a standby rate ends so long after it was granted: longer than all control machines need to come back
 	StandbyReserve   = 0.1                     // part of a tracker-carried key's quota that is lent whole and never granted as standby: with the tracked part it serves while a new tracker does not know what stands
