--- a/internal/admission/leases.go
+++ b/internal/admission/leases.go
@@ -70,7 +70,7 @@
 	share = min(share, max(0, rate-p.leased(request.Proxy)))
 	l.reserved = maxInUse(l.reserved, l.requestSent, share, want)
 	l.rate, l.requestSent = share, request.Sent
-	l.expires = now + constants.GrantLength
+	l.expires = now + constants.GrantDuration
 	p.resize(now, t)
 	grant := KeyGrant{Key: want.Key, Rate: share, Depth: leaseDepth(share, p.quota), Lent: true}
 	return t.grantTokens(p, want, grant)
--- a/internal/admission/requests.go
+++ b/internal/admission/requests.go
@@ -30,7 +30,7 @@
 	if long {
 		return constants.GrantLong
 	}
-	return constants.GrantLength
+	return constants.GrantDuration
 }
 
 // lendLength returns the lifetime of a loan.
--- a/internal/admission/retry.go
+++ b/internal/admission/retry.go
@@ -21,7 +21,7 @@
 // timeToToken returns the time until a token is due, given the balance that is available
 // here now.
 func (l *Limiter) timeToToken(ks *keyState, now time.Duration, available float64) time.Duration {
-	local := constants.GrantLength // leases and shares are distributed again within this time
+	local := constants.GrantDuration // leases and shares are distributed again within this time
 	rate := ks.split.rate
 	if !ks.trackerOnly || ks.onStandby {
 		rate += ks.grant.rate
--- a/internal/admission/tracker.go
+++ b/internal/admission/tracker.go
@@ -126,10 +126,10 @@
 	}
 	t.trackerOnly[want.Key] = trackerOnly
 	changed, ok := t.modeChangedAt[want.Key]
-	if trackerOnly && want.Long && (!ok || now-changed >= constants.GrantLength) {
+	if trackerOnly && want.Long && (!ok || now-changed >= constants.GrantDuration) {
 		return constants.OneOffLife
 	}
-	return constants.GrantLength
+	return constants.GrantDuration
 }
 
 // handleKeyRequest processes a proxy's request for one key. If a newer report of the proxy
--- a/internal/constants/constants.go
+++ b/internal/constants/constants.go
@@ -227,7 +227,7 @@
 // Admission.
 const (
 	SplitFraction    = 0.8                     // of a key's rate split by live proxy count; the rest is granted by trackers
-	GrantLength      = time.Second             // a grant ends so long after it was asked for
+	GrantDuration    = time.Second             // a grant ends so long after it was asked for
 	GrantLong        = 10 * time.Second        // a standby rate ends so long after it was granted: longer than all control machines need to come back
 	StandbyReserve   = 0.1                     // part of a tracker-carried key's quota that is lent whole and never granted as standby: with the tracked part it serves while a new tracker does not know what stands
 	StandbyBasic     = 0.25                    // part of a share lent whole that its proxy uses, without a grant, while nothing comes from the tracker: after a loss of everything demand is not known, and the rest goes by demand
