--- a/internal/admission/contacts.go
+++ b/internal/admission/contacts.go
@@ -22,7 +22,7 @@
 func (t *Tracker) recordContact(now time.Duration, request GrantRequest) (late bool) {
 	c, ok := t.contacts[request.Proxy]
 	if !ok {
-		c.echoedAt = now - 2*constants.GrantLong
+		c.echoedAt = now - 2*constants.LongGrantDuration
 		t.outOfContact[request.Proxy] = true
 		t.contactScan++
 	}
@@ -48,7 +48,7 @@
 	clear(t.outOfContact)
 	t.proxyCount = 0
 	for n, c := range t.contacts {
-		if now-c.lastRequestAt > 2*constants.GrantLong {
+		if now-c.lastRequestAt > 2*constants.LongGrantDuration {
 			delete(t.contacts, n) // all its grants have expired
 			continue
 		}
--- a/internal/admission/keystate.go
+++ b/internal/admission/keystate.go
@@ -116,7 +116,7 @@
 	case tooSmall:
 		ks.releaseDeadline = 0
 	case ks.trackerOnly && ks.releaseDeadline == 0:
-		ks.releaseDeadline = now + constants.LendLong + constants.GrantLong
+		ks.releaseDeadline = now + constants.LendLong + constants.LongGrantDuration
 	}
 }
 
@@ -158,7 +158,7 @@
 
 // refresh expires the key's share, loan and grants as of now and fills its buckets.
 func (l *Limiter) refresh(ks *keyState, now time.Duration) {
-	if ks.trackerOnly && ks.releaseDeadline > 0 && now >= max(ks.releaseDeadline, ks.loanExpires+constants.GrantLong) {
+	if ks.trackerOnly && ks.releaseDeadline > 0 && now >= max(ks.releaseDeadline, ks.loanExpires+constants.LongGrantDuration) {
 		l.reclaimShare(ks, now)
 	}
 	if now-l.countReceivedAt > constants.SplitHold {
--- a/internal/admission/loans.go
+++ b/internal/admission/loans.go
@@ -51,7 +51,7 @@
 	if now < p.loanTotals.expires {
 		return
 	}
-	p.loanTotals = loan{expires: now + constants.GrantLong}
+	p.loanTotals = loan{expires: now + constants.LongGrantDuration}
 	for k, l := range p.loans {
 		if now >= l.expires {
 			delete(p.loans, k)
--- a/internal/admission/pool.go
+++ b/internal/admission/pool.go
@@ -111,7 +111,7 @@
 	}
 	p.bucket.filledAt = min(now, fillFrom)
 	p.bucket.rate, p.bucket.depth = p.tracked()
-	p.recoveryUntil = begun + constants.GrantLong
+	p.recoveryUntil = begun + constants.LongGrantDuration
 	t.pools[key] = p
 	return p
 }
--- a/internal/admission/requests.go
+++ b/internal/admission/requests.go
@@ -28,7 +28,7 @@
 // grantLength returns the lifetime of a lease.
 func grantLength(long bool) time.Duration {
 	if long {
-		return constants.GrantLong
+		return constants.LongGrantDuration
 	}
 	return constants.GrantDuration
 }
--- a/internal/admission/standby.go
+++ b/internal/admission/standby.go
@@ -28,7 +28,7 @@
 // use, because their proxies may be out of contact, and of the others.
 func (p *pool) standbyTotals(now time.Duration, tracker *Tracker) (inUse, idle float64) {
 	if now >= p.nextStandbyExpiry {
-		p.standbyReserved, p.standbyDemand, p.nextStandbyExpiry, p.contactScan = 0, 0, now+constants.GrantLong, 0
+		p.standbyReserved, p.standbyDemand, p.nextStandbyExpiry, p.contactScan = 0, 0, now+constants.LongGrantDuration, 0
 		for k, s := range p.standbys {
 			if now >= s.expires {
 				delete(p.standbys, k)
@@ -79,7 +79,7 @@
 		p.standbys[request.Proxy] = s
 	}
 	next := *s
-	next.expires = now + constants.GrantLong
+	next.expires = now + constants.LongGrantDuration
 	p.nextStandbyExpiry = min(p.nextStandbyExpiry, next.expires)
 	basic := p.loans[request.Proxy].rate * constants.StandbyBasic
 	switch {
--- a/internal/modelcheck/admissionmodel/proxy.go
+++ b/internal/modelcheck/admissionmodel/proxy.go
@@ -149,7 +149,7 @@
 	return m.trackers[n].state.HandleRequest(m.world.Now, a, func(int) (time.Duration, bool) {
 		since := m.since
 		if m.Planted == TrackerAtOnce {
-			since -= 2 * constants.GrantLong
+			since -= 2 * constants.LongGrantDuration
 		}
 		return since, m.holder == n
 	})
