--- a/internal/admission/standby.go
+++ b/internal/admission/standby.go
@@ -66,7 +66,7 @@
 // basic standby rates of all proxies fit within the limit.
 func (p *pool) maxStandby() float64 {
 	lent := min(p.loanTotals.wholeRate, constants.SplitFraction*p.quota.Rate)
-	return max(lent*constants.StandbyBasic, lent-constants.StandbyReserve*p.quota.Rate)
+	return max(lent*constants.StandbyBasic, lent-constants.StandbyReserveFraction*p.quota.Rate)
 }
 
 // grantStandby answers a proxy for which the key is tracker-only.
