--- a/internal/admission/pool.go
+++ b/internal/admission/pool.go
@@ -55,7 +55,7 @@
 		return min(rate+p.loanTotals.rate, p.quota.Rate), min(burst+p.loanTotals.depth, p.quota.Burst)
 	}
 	_, idle := p.standbyTotals(now, tracker)
-	guaranteed := min(constants.StandbyReserveFraction*p.quota.Rate, p.loanTotals.wholeRate*(1-constants.StandbyBasic))
+	guaranteed := min(constants.StandbyReserveFraction*p.quota.Rate, p.loanTotals.wholeRate*(1-constants.StandbyBasicFraction))
 	lent := p.loanTotals.rate - p.loanTotals.wholeRate + guaranteed
 	if p.loanTotals.rate > 0 {
 		burst += p.loanTotals.depth * lent / p.loanTotals.rate
--- a/internal/admission/standby.go
+++ b/internal/admission/standby.go
@@ -66,7 +66,7 @@
 // basic standby rates of all proxies fit within the limit.
 func (p *pool) maxStandby() float64 {
 	lent := min(p.loanTotals.wholeRate, constants.SplitFraction*p.quota.Rate)
-	return max(lent*constants.StandbyBasic, lent-constants.StandbyReserveFraction*p.quota.Rate)
+	return max(lent*constants.StandbyBasicFraction, lent-constants.StandbyReserveFraction*p.quota.Rate)
 }
 
 // grantStandby answers a proxy for which the key is tracker-only.
@@ -81,7 +81,7 @@
 	next := *s
 	next.expires = now + constants.LongGrantDuration
 	p.nextStandbyExpiry = min(p.nextStandbyExpiry, next.expires)
-	basic := p.loans[request.Proxy].rate * constants.StandbyBasic
+	basic := p.loans[request.Proxy].rate * constants.StandbyBasicFraction
 	switch {
 	case !want.Lend: // a request for one-off tokens leaves the rates unchanged
 	case now < p.recoveryUntil:
@@ -149,7 +149,7 @@
 	l.updateStandby(ks, now) // before the bucket fills
 	rate := 0.0
 	if l.proxies > 0 && now-l.countReceivedAt <= constants.SplitHold {
-		rate = constants.SplitFraction * constants.StandbyBasic * ks.quota.Rate / float64(l.proxies)
+		rate = constants.SplitFraction * constants.StandbyBasicFraction * ks.quota.Rate / float64(l.proxies)
 	}
 	rate = max(rate, ks.heldRate(now))
 	ks.grant.set(now, rate, max(constants.StandbyDepth, rate))
