--- a/internal/admission/retry.go
+++ b/internal/admission/retry.go
@@ -33,7 +33,7 @@
 	case ks.unansweredAt > 0 && ks.unansweredAt >= answeredAt:
 		// The tracker does not answer. After this time it answers again or the standby
 		// rate is used.
-		if untilStandby := answeredAt + constants.StandbyAfter - now; untilStandby > 0 {
+		if untilStandby := answeredAt + constants.StandbyDelay - now; untilStandby > 0 {
 			return min(local, untilStandby)
 		}
 		return local
--- a/internal/admission/retry_test.go
+++ b/internal/admission/retry_test.go
@@ -12,7 +12,7 @@
 	l = New(20, shards, 1)
 	l.SetProxies(0, proxies)
 	l.SetQuotas(0, map[string]Quota{"k": quota})
-	now = constants.StandbyAfter / 2
+	now = constants.StandbyDelay / 2
 	l.MarkTrackerAnswered(now, 0)
 	for l.Admit(now, "k", true).OK {
 	}
@@ -70,7 +70,7 @@
 		now += silent
 		l.MarkUnanswered(now, "k")
 		retries = append(retries, l.Admit(now, "k", true).RetryAfter)
-		if want := constants.StandbyAfter - silent; retries[len(retries)-1] < want/2 {
+		if want := constants.StandbyDelay - silent; retries[len(retries)-1] < want/2 {
 			t.Errorf("no answer for %v: retry after %v, but the standby rate takes effect in %v", silent, retries[len(retries)-1], want)
 		}
 	}
--- a/internal/admission/standby.go
+++ b/internal/admission/standby.go
@@ -165,7 +165,7 @@
 		// The previous incarnation was in contact until it ended at the latest.
 		answeredAt = -constants.RestartTime
 	}
-	if now-answeredAt < constants.StandbyAfter && !l.trackerDown[ks.shard] {
+	if now-answeredAt < constants.StandbyDelay && !l.trackerDown[ks.shard] {
 		if ks.onStandby {
 			ks.grant.tokens -= math.Floor(ks.grant.tokens)
 		}
