--- a/internal/admission/limiter_test.go
+++ b/internal/admission/limiter_test.go
@@ -568,7 +568,7 @@
 			}
 			for n, x := range p.standbys {
 				reserved, demand = reserved+x.reserved, demand+x.demand
-				if now-tracker.contacts[n].echoedAt > constants.StandbyRoom {
+				if now-tracker.contacts[n].echoedAt > constants.ContactTimeout {
 					inUse += x.reserved
 				}
 			}
