--- a/internal/admission/contacts.go
+++ b/internal/admission/contacts.go
@@ -43,7 +43,7 @@
 	if now < t.nextScanAt {
 		return late
 	}
-	t.nextScanAt = now + constants.ContactScanEvery
+	t.nextScanAt = now + constants.ContactScanInterval
 	t.contactScan++
 	clear(t.outOfContact)
 	t.proxyCount = 0
@@ -55,7 +55,7 @@
 		if now-c.lastRequestAt <= constants.SubscriptionTimeout {
 			t.proxyCount = max(t.proxyCount, c.proxies)
 		}
-		if now+constants.ContactScanEvery-c.echoedAt > constants.ContactTimeout {
+		if now+constants.ContactScanInterval-c.echoedAt > constants.ContactTimeout {
 			t.outOfContact[n] = true // it may start using its standby rate before the next scan
 		}
 	}
--- a/internal/constants/constants.go
+++ b/internal/constants/constants.go
@@ -233,7 +233,7 @@
 	StandbyBasicFraction   = 0.25                    // part of a share lent whole that its proxy uses, without a grant, while nothing comes from the tracker: after a loss of everything demand is not known, and the rest goes by demand
 	StandbyDelay           = 1200 * time.Millisecond // a proxy that receives nothing from a tracker so long uses its standby
 	ContactTimeout         = 1000 * time.Millisecond // and the tracker has left it out of its pool since this long after the tracker's time that reached it
-	ContactScanEvery       = 50 * time.Millisecond   // a tracker looks over whom it may have lost; it counts them as lost so much sooner
+	ContactScanInterval    = 50 * time.Millisecond   // a tracker looks over whom it may have lost; it counts them as lost so much sooner
 	StandbyHeadroom        = 1.5                     // standby over the demand seen, as far as there is so much
 	StandbyDepth           = 4.0                     // requests a standby bucket holds: what fills it is bounded by its rate, and one that holds less refuses what comes unevenly
 	ContactEvery           = 400 * time.Millisecond  // a tracker is sent a message at least so often
