--- a/internal/constants/constants.go
+++ b/internal/constants/constants.go
@@ -236,7 +236,7 @@
 	ContactScanInterval    = 50 * time.Millisecond   // a tracker looks over whom it may have lost; it counts them as lost so much sooner
 	StandbyHeadroom        = 1.5                     // standby over the demand seen, as far as there is so much
 	StandbyDepth           = 4.0                     // requests a standby bucket holds: what fills it is bounded by its rate, and one that holds less refuses what comes unevenly
-	ContactEvery           = 400 * time.Millisecond  // a tracker is sent a message at least so often
+	ContactInterval        = 400 * time.Millisecond  // a tracker is sent a message at least so often
 	OneOffLife             = 100 * time.Millisecond  // tokens granted for waiting requests end so soon: they may not add up
 	PoolPart               = 0.2                     // of a tracker's rate kept for sudden asks rather than leased
 	LeaseDepthTime         = 500 * time.Millisecond  // of its rate go with a lease as burst
--- a/internal/modelcheck/admissionmodel/proxy.go
+++ b/internal/modelcheck/admissionmodel/proxy.go
@@ -33,7 +33,7 @@
 	now := m.clock(n)
 	echo, heard := p.echo[p.tracker]
 	wants := p.limiter.BuildReports(now, func(string) (time.Duration, uint64, bool) { return echo.at, echo.time.Life, heard })
-	if p.tracker == "" || len(wants) == 0 && now-echo.at <= constants.ContactEvery {
+	if p.tracker == "" || len(wants) == 0 && now-echo.at <= constants.ContactInterval {
 		return
 	}
 	m.askTracker(n, wants, false)
--- a/internal/proxy/grants.go
+++ b/internal/proxy/grants.go
@@ -162,7 +162,7 @@
 	for i, tracker := range *d.trackers.Load() {
 		if tracker != "" {
 			shards[tracker] = append(shards[tracker], i)
-			if _, ok := wants[tracker]; !ok && sentAt-echoes[tracker].receivedAt > constants.ContactEvery {
+			if _, ok := wants[tracker]; !ok && sentAt-echoes[tracker].receivedAt > constants.ContactInterval {
 				wants[tracker] = nil // nothing to report: the message only confirms that the tracker's replies arrive
 			}
 		}
