--- a/internal/admission/grants.go
+++ b/internal/admission/grants.go
@@ -44,7 +44,7 @@
 	if grant.Lent && asked == ks.loanReportedAt && l.proxies > 0 {
 		l.applyLoan(ks, now, asked, grant)
 	}
-	if expires := asked + constants.OneOffLife; grant.Tokens > 0 && expires > now {
+	if expires := asked + constants.OneOffLifetime; grant.Tokens > 0 && expires > now {
 		if debt := max(0, -ks.split.tokens); ks.trackerOnly && debt > 0 {
 			paid := min(debt, max(0, grant.Tokens-1))
 			ks.split.tokens += paid
--- a/internal/admission/tracker.go
+++ b/internal/admission/tracker.go
@@ -127,7 +127,7 @@
 	t.trackerOnly[want.Key] = trackerOnly
 	changed, ok := t.modeChangedAt[want.Key]
 	if trackerOnly && want.Long && (!ok || now-changed >= constants.GrantDuration) {
-		return constants.OneOffLife
+		return constants.OneOffLifetime
 	}
 	return constants.GrantDuration
 }
--- a/internal/constants/constants.go
+++ b/internal/constants/constants.go
@@ -237,7 +237,7 @@
 	StandbyHeadroom        = 1.5                     // standby over the demand seen, as far as there is so much
 	StandbyDepth           = 4.0                     // requests a standby bucket holds: what fills it is bounded by its rate, and one that holds less refuses what comes unevenly
 	ContactInterval        = 400 * time.Millisecond  // a tracker is sent a message at least so often
-	OneOffLife             = 100 * time.Millisecond  // tokens granted for waiting requests end so soon: they may not add up
+	OneOffLifetime         = 100 * time.Millisecond  // tokens granted for waiting requests end so soon: they may not add up
 	PoolPart               = 0.2                     // of a tracker's rate kept for sudden asks rather than leased
 	LeaseDepthTime         = 500 * time.Millisecond  // of its rate go with a lease as burst
 	SplitHold              = 30 * time.Second        // a proxy cut off from all control so long gives its split share up; half of ProxyForget, after which others share it
--- a/internal/modelcheck/admissionmodel/rules.go
+++ b/internal/modelcheck/admissionmodel/rules.go
@@ -18,7 +18,7 @@
 		kept := constants.SplitFraction * m.Quota.Burst / float64(n) * (1 - constants.LendMost)
 		floors = max(floors, float64(n)*(admission.SplitFloor(n, m.Slack)-kept))
 	}
-	return floors + m.Quota.Rate*constants.OneOffLife.Seconds() + m.Tolerance
+	return floors + m.Quota.Rate*constants.OneOffLifetime.Seconds() + m.Tolerance
 }
 
 // promised is the most that may run in a window of the promise.
