--- a/internal/admission/leases.go
+++ b/internal/admission/leases.go
@@ -64,7 +64,7 @@
 		total += o.demand
 	}
 	share := l.demand
-	if leasable := rate * (1 - constants.PoolPart); total > leasable {
+	if leasable := rate * (1 - constants.UnleasedFraction); total > leasable {
 		share = l.demand * leasable / total
 	}
 	share = min(share, max(0, rate-p.leased(request.Proxy)))
--- a/internal/constants/constants.go
+++ b/internal/constants/constants.go
@@ -238,7 +238,7 @@
 	StandbyDepth           = 4.0                     // requests a standby bucket holds: what fills it is bounded by its rate, and one that holds less refuses what comes unevenly
 	ContactInterval        = 400 * time.Millisecond  // a tracker is sent a message at least so often
 	OneOffLifetime         = 100 * time.Millisecond  // tokens granted for waiting requests end so soon: they may not add up
-	PoolPart               = 0.2                     // of a tracker's rate kept for sudden asks rather than leased
+	UnleasedFraction       = 0.2                     // of a tracker's rate kept for sudden asks rather than leased
 	LeaseDepthTime         = 500 * time.Millisecond  // of its rate go with a lease as burst
 	SplitHold              = 30 * time.Second        // a proxy cut off from all control so long gives its split share up; half of ProxyForget, after which others share it
 	RestartTime            = 250 * time.Millisecond  // least time between the end of a process and the start of its next incarnation; buckets fill from there
