--- a/internal/admission/leases.go
+++ b/internal/admission/leases.go
@@ -33,7 +33,7 @@
 	if q.Rate <= 0 {
 		return 0
 	}
-	return rate * min(constants.LeaseDepthTime.Seconds(), q.Burst/q.Rate)
+	return rate * min(constants.LeaseBurstTime.Seconds(), q.Burst/q.Rate)
 }
 
 // grantLease answers a proxy that uses its split share. A request for one-off tokens
