--- a/internal/admission/keystate.go
+++ b/internal/admission/keystate.go
@@ -161,7 +161,7 @@
 	if ks.trackerOnly && ks.releaseDeadline > 0 && now >= max(ks.releaseDeadline, ks.loanExpires+constants.LongGrantDuration) {
 		l.reclaimShare(ks, now)
 	}
-	if now-l.countReceivedAt > constants.SplitHold {
+	if now-l.countReceivedAt > constants.SplitTimeout {
 		ks.split.set(now, 0, 0) // the control plane may have given the share to other proxies
 	} else if ks.lentFraction > 0 && now >= ks.loanExpires {
 		ks.lentFraction = 0 // the loan has expired because no report renewed it
--- a/internal/admission/limiter.go
+++ b/internal/admission/limiter.go
@@ -58,7 +58,7 @@
 func (l *Limiter) SetProxies(now time.Duration, n int) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	sharesExpired := now-l.countReceivedAt > constants.SplitHold
+	sharesExpired := now-l.countReceivedAt > constants.SplitTimeout
 	l.countReceivedAt = now
 	if n == l.proxies && !sharesExpired {
 		return
--- a/internal/admission/limiter_test.go
+++ b/internal/admission/limiter_test.go
@@ -326,9 +326,9 @@
 	if most := 10.0; r.SplitRate+r.GrantRate > most || r.Balance > most {
 		t.Fatalf("after lowering the quota: %+v", r)
 	}
-	late := 2*time.Second + constants.SplitHold
+	late := 2*time.Second + constants.SplitTimeout
 	if r := l.Reports(late)[0]; r.SplitRate != 0 || r.Balance > 0 {
-		t.Fatalf("after %v of silence: %+v", constants.SplitHold, r)
+		t.Fatalf("after %v of silence: %+v", constants.SplitTimeout, r)
 	}
 	l.SetProxies(late, 2)
 	if r := l.Reports(late + time.Second)[0]; r.SplitRate == 0 {
--- a/internal/admission/requests.go
+++ b/internal/admission/requests.go
@@ -70,7 +70,7 @@
 		return nil
 	}
 	l.periodStart = now
-	shareExpired := now-l.countReceivedAt > constants.SplitHold // other proxies may use the share now
+	shareExpired := now-l.countReceivedAt > constants.SplitTimeout // other proxies may use the share now
 	reportedShards := map[int]bool{}
 	var reports []KeyRequest
 	for k, ks := range l.keys {
--- a/internal/admission/standby.go
+++ b/internal/admission/standby.go
@@ -148,7 +148,7 @@
 func (l *Limiter) resizeStandby(ks *keyState, now time.Duration) {
 	l.updateStandby(ks, now) // before the bucket fills
 	rate := 0.0
-	if l.proxies > 0 && now-l.countReceivedAt <= constants.SplitHold {
+	if l.proxies > 0 && now-l.countReceivedAt <= constants.SplitTimeout {
 		rate = constants.SplitFraction * constants.StandbyBasicFraction * ks.quota.Rate / float64(l.proxies)
 	}
 	rate = max(rate, ks.heldRate(now))
--- a/internal/distribution/receive.go
+++ b/internal/distribution/receive.go
@@ -200,7 +200,7 @@
 	// none, for example because their roster is incomplete. After SplitHold this proxy has
 	// given up its share, and the held count must not bring it back.
 	responding := len(inContact)+len(outOfContact) > 0
-	if !received && (!responding || now.Sub(s.liveCountAt) > constants.SplitHold) {
+	if !received && (!responding || now.Sub(s.liveCountAt) > constants.SplitTimeout) {
 		return 0
 	}
 	s.liveCountAt = now
--- a/internal/distribution/subscriber_test.go
+++ b/internal/distribution/subscriber_test.go
@@ -285,7 +285,7 @@
 	if _, _, changes := recorder.recorded(); changes.Proxies != 4 {
 		t.Fatalf("live count %d, want 4", changes.Proxies)
 	}
-	pausedAt := now.Add(-2 * constants.SplitHold)
+	pausedAt := now.Add(-2 * constants.SplitTimeout)
 	for _, conn := range subscriber.conns {
 		conn.lastUpdateAt = pausedAt
 	}
@@ -314,7 +314,7 @@
 	if _, _, changes := recorder.recorded(); changes.Proxies != 4 {
 		t.Errorf("live count %d before SplitHold, want 4", changes.Proxies)
 	}
-	subscriber.liveCountAt = time.Now().Add(-2 * constants.SplitHold)
+	subscriber.liveCountAt = time.Now().Add(-2 * constants.SplitTimeout)
 	subscriber.receive("127.0.0.41", Update{Current: true}, time.Now())
 	if _, _, changes := recorder.recorded(); changes.Proxies != 0 {
 		t.Errorf("held live count %d used after SplitHold", changes.Proxies)
--- a/internal/modelcheck/admissionmodel/config.go
+++ b/internal/modelcheck/admissionmodel/config.go
@@ -64,7 +64,7 @@
 		Step:      500 * time.Millisecond,
 		Warm:      4 * time.Second,
 		Window:    5 * time.Second,
-		Long:      constants.SplitHold + time.Second,
+		Long:      constants.SplitTimeout + time.Second,
 		Settle:    12 * time.Second,
 	}
 }
