--- a/internal/admission/limiter.go
+++ b/internal/admission/limiter.go
@@ -99,7 +99,7 @@
 			ks.split.filledAt, ks.grant.filledAt, ks.peakRate.filledAt, ks.wholeQuota.filledAt = now, now, now, now
 			ks.lastAdmitted = now
 			if l.awaitingQuotas {
-				ks.initialFillFrom = -constants.RestartTime
+				ks.initialFillFrom = -constants.MinRestartTime
 				ks.peakRate.filledAt, ks.lastAdmitted = ks.initialFillFrom, ks.initialFillFrom
 			}
 			l.keys[k] = ks
--- a/internal/admission/limiter_test.go
+++ b/internal/admission/limiter_test.go
@@ -503,7 +503,7 @@
 		for i := range 80 {
 			f.start(fmt.Sprint("p", i))
 		}
-		f.network.Run(f.network.Now+constants.StandbyDelay-constants.RestartTime, nil)
+		f.network.Run(f.network.Now+constants.StandbyDelay-constants.MinRestartTime, nil)
 		if got := f.servedShare(2 * time.Second); got < 0.2 {
 			t.Errorf("seed %d: %.2f served without a tracker", seed, got)
 		}
--- a/internal/admission/standby.go
+++ b/internal/admission/standby.go
@@ -163,7 +163,7 @@
 	answeredAt, ok := l.trackerAnsweredAt[ks.shard]
 	if !ok {
 		// The previous incarnation was in contact until it ended at the latest.
-		answeredAt = -constants.RestartTime
+		answeredAt = -constants.MinRestartTime
 	}
 	if now-answeredAt < constants.StandbyDelay && !l.trackerDown[ks.shard] {
 		if ks.onStandby {
