--- a/internal/admission/limiter_test.go
+++ b/internal/admission/limiter_test.go
@@ -275,7 +275,7 @@
 	f.network.Run(5*time.Second, nil)
 	share := func() float64 { return f.proxies["p3"].Reports(f.clock("p3"))[0].SplitRate }
 	whole := constants.SplitFraction * 110 / 11
-	if share() > whole*(1.01-constants.LendMost) {
+	if share() > whole*(1.01-constants.MaxLentFraction) {
 		t.Fatalf("an idle proxy in contact keeps %.1f of %.1f a second", share(), whole)
 	}
 	for g := range f.trackers {
--- a/internal/admission/requests.go
+++ b/internal/admission/requests.go
@@ -84,7 +84,7 @@
 		releasing := trackerOnly && ks.releaseDeadline > 0
 		at, incarnation, ok := lastEcho(k)
 		if ok && now < at+lendLength(trackerOnly) && !shareExpired {
-			if lend = min(constants.LendMost, max(0, 1-ks.demand*constants.LendHeadroom/rate)); trackerOnly {
+			if lend = min(constants.MaxLentFraction, max(0, 1-ks.demand*constants.LendHeadroom/rate)); trackerOnly {
 				lend = 1
 			}
 		}
--- a/internal/modelcheck/admissionmodel/rules.go
+++ b/internal/modelcheck/admissionmodel/rules.go
@@ -15,7 +15,7 @@
 func (m *Model) extra() float64 {
 	floors := 0.0
 	for n := 1; n <= m.Proxies+m.Newcomers; n++ {
-		kept := constants.SplitFraction * m.Quota.Burst / float64(n) * (1 - constants.LendMost)
+		kept := constants.SplitFraction * m.Quota.Burst / float64(n) * (1 - constants.MaxLentFraction)
 		floors = max(floors, float64(n)*(admission.SplitFloor(n, m.Slack)-kept))
 	}
 	return floors + m.Quota.Rate*constants.OneOffLifetime.Seconds() + m.Tolerance
