--- a/internal/admission/keystate.go
+++ b/internal/admission/keystate.go
@@ -116,7 +116,7 @@
 	case tooSmall:
 		ks.releaseDeadline = 0
 	case ks.trackerOnly && ks.releaseDeadline == 0:
-		ks.releaseDeadline = now + constants.LendLong + constants.LongGrantDuration
+		ks.releaseDeadline = now + constants.LongLoanDuration + constants.LongGrantDuration
 	}
 }
 
--- a/internal/admission/limiter.go
+++ b/internal/admission/limiter.go
@@ -68,7 +68,7 @@
 		if now >= l.countIncrease.ends {
 			l.countIncrease.from = l.proxies
 		}
-		l.countIncrease.ends = now + constants.LendLong
+		l.countIncrease.ends = now + constants.LongLoanDuration
 	}
 	l.proxies = n
 	clear(l.loansReportAt)
--- a/internal/admission/livecount_test.go
+++ b/internal/admission/livecount_test.go
@@ -95,7 +95,7 @@
 // rosterRemovalDelay is the time after which the control plane removes an ended proxy from
 // the roster. As with constants.ProxyForget its loans have expired by then; it is shorter to
 // keep the runs short.
-const rosterRemovalDelay = constants.LendLong + time.Second
+const rosterRemovalDelay = constants.LongLoanDuration + time.Second
 
 // removeProxy ends a proxy. It stays on the roster for rosterRemovalDelay.
 func (g *changingFleet) removeProxy(n string) {
--- a/internal/admission/requests.go
+++ b/internal/admission/requests.go
@@ -36,7 +36,7 @@
 // lendLength returns the lifetime of a loan.
 func lendLength(long bool) time.Duration {
 	if long {
-		return constants.LendLong
+		return constants.LongLoanDuration
 	}
 	return constants.LendLength
 }
@@ -119,7 +119,7 @@
 		})
 	}
 	for shard := range reportedShards {
-		l.loansReportAt[shard] = now + constants.LendLong/4 + time.Duration(l.rng.Int64N(int64(constants.LendLong/8)))
+		l.loansReportAt[shard] = now + constants.LongLoanDuration/4 + time.Duration(l.rng.Int64N(int64(constants.LongLoanDuration/8)))
 	}
 	sort.Slice(reports, func(i, j int) bool { return reports[i].Key < reports[j].Key })
 	return reports
