--- a/internal/admission/keystate.go
+++ b/internal/admission/keystate.go
@@ -99,7 +99,7 @@
 // key is tracker-only: its share is lent whole, every request asks the tracker, and the
 // standby rate serves requests while the tracker does not answer.
 func ShareTooSmall(proxies int, slack float64, q Quota) bool {
-	return proxies > 0 && SplitFloor(proxies, slack) == 0 && constants.SplitFraction*q.Burst/float64(proxies) < constants.TinyShare
+	return proxies > 0 && SplitFloor(proxies, slack) == 0 && constants.SplitFraction*q.Burst/float64(proxies) < constants.MinShareBurst
 }
 
 // updateMode decides whether a key is tracker-only. A share that becomes too small is given
--- a/internal/constants/constants.go
+++ b/internal/constants/constants.go
@@ -245,7 +245,7 @@
 	LendHeadroom           = 1.2                     // times the demand seen that a proxy keeps of its split share; the rest is lent to the tracker
 	MaxLentFraction        = 0.8                     // part of the split share lent at most: what stays serves at once when the tracker is lost
 	LongLoanDuration       = 9 * time.Second         // likewise for a share that could not serve where it is: it is missed nowhere, and reporting it costs a message a key and proxy
-	TinyShare              = 8.0                     // requests: random arrivals empty a share that holds fewer while the quota has room; it is lent whole, where floors do not fit the slack
+	MinShareBurst          = 8.0                     // requests: random arrivals empty a share that holds fewer while the quota has room; it is lent whole, where floors do not fit the slack
 	LendLength             = 1500 * time.Millisecond // a loan ends so long after it was last reported; a proxy that is cut off has its share back by then
 	HotRate                = 8.0                     // requests a second at one proxy from which a key is hot and its rate leased
 	GrantEvery             = 250 * time.Millisecond  // proxies report demand and renew
