--- a/internal/admission/grants.go
+++ b/internal/admission/grants.go
@@ -78,7 +78,7 @@
 		return
 	}
 	if fraction > ks.lentFraction {
-		ks.loanExpires = max(ks.loanExpires, asked+constants.LendLength)
+		ks.loanExpires = max(ks.loanExpires, asked+constants.LoanDuration)
 	}
 	ks.lentFraction = max(0, fraction)
 	l.resizeBuckets(ks, now)
--- a/internal/admission/limiter_test.go
+++ b/internal/admission/limiter_test.go
@@ -282,9 +282,9 @@
 		f.network.Cut("p3", g, true)
 		f.network.Cut(g, "p3", true)
 	}
-	f.network.Run(f.network.Now+constants.LendLength+10*time.Millisecond, nil)
+	f.network.Run(f.network.Now+constants.LoanDuration+10*time.Millisecond, nil)
 	if share() < whole*0.999 {
-		t.Fatalf("partitioned for %v, the proxy has %.1f of %.1f a second", constants.LendLength, share(), whole)
+		t.Fatalf("partitioned for %v, the proxy has %.1f of %.1f a second", constants.LoanDuration, share(), whole)
 	}
 }
 
--- a/internal/admission/requests.go
+++ b/internal/admission/requests.go
@@ -38,7 +38,7 @@
 	if long {
 		return constants.LongLoanDuration
 	}
-	return constants.LendLength
+	return constants.LoanDuration
 }
 
 // demandBeyondShare returns the rate to request as a lease: for a hot key the demand that
--- a/internal/modelcheck/admissionmodel/proxy.go
+++ b/internal/modelcheck/admissionmodel/proxy.go
@@ -44,7 +44,7 @@
 	p := m.proxies[n]
 	echo := p.echo[p.tracker].time
 	if m.Planted == LoanOutlives && echo.Life > 0 {
-		echo.At += 2 * constants.LendLength
+		echo.At += 2 * constants.LoanDuration
 	}
 	m.ids++
 	id, life, wait := m.ids, m.world.Life(n), constants.CallTimeout
