--- a/internal/admission/requests.go
+++ b/internal/admission/requests.go
@@ -48,7 +48,7 @@
 	if ks.trackerOnly {
 		return ks.demand // sizes the standby rate
 	}
-	if ks.demand < constants.HotRate {
+	if ks.demand < constants.HotKeyRate {
 		return 0
 	}
 	return max(0, ks.demand*constants.GrantHeadroom-ks.split.rate)
