--- a/internal/admission/grants.go
+++ b/internal/admission/grants.go
@@ -90,7 +90,7 @@
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if ks := l.keys[key]; ks != nil {
-		ks.noTokensUntil = now + constants.GrantEvery
+		ks.noTokensUntil = now + constants.GrantInterval
 		if ks.trackerOnly {
 			ks.noTokensUntil = now + constants.AskRetryPause // the tracker is the only source of tokens
 			ks.unansweredAt = now
--- a/internal/admission/limiter_test.go
+++ b/internal/admission/limiter_test.go
@@ -128,7 +128,7 @@
 			}); !f.frozen[n] {
 				f.askTracker(n, reports, nil)
 			}
-			f.network.After(constants.GrantEvery, renew)
+			f.network.After(constants.GrantInterval, renew)
 		}
 		f.network.After(time.Duration(i)*time.Millisecond, renew)
 	}
@@ -532,7 +532,7 @@
 		limiters[i].SetQuotas(0, quotas)
 		limiters[i].SetProxies(0, proxies)
 	}
-	for now := 3 * time.Second; now < 33*time.Second; now += constants.GrantEvery {
+	for now := 3 * time.Second; now < 33*time.Second; now += constants.GrantInterval {
 		for i, l := range limiters {
 			if network.Rng.IntN(40) == 0 {
 				continue // the message is lost
@@ -581,7 +581,7 @@
 	lastEcho := func(string) (time.Duration, uint64, bool) { return 33 * time.Second, 1, true }
 	limiters[0].BuildReports(33*time.Second, lastEcho)
 	limiters[0].RequestFullReport(2)
-	if len(limiters[0].BuildReports(33*time.Second+constants.GrantEvery, lastEcho)) < 20 {
+	if len(limiters[0].BuildReports(33*time.Second+constants.GrantInterval, lastEcho)) < 20 {
 		t.Error("a lost report is not repeated in the next message")
 	}
 	if per := float64(messages) / proxies / shards; per > 5 {
--- a/internal/admission/livecount_test.go
+++ b/internal/admission/livecount_test.go
@@ -87,7 +87,7 @@
 			return g.echoAt[n], g.echo[n].Life, g.echo[n] != TrackerTime{}
 		})
 		g.askTracker(n, reports, nil)
-		g.network.After(constants.GrantEvery, renew)
+		g.network.After(constants.GrantInterval, renew)
 	}
 	g.network.After(time.Millisecond, renew)
 }
--- a/internal/admission/tracker.go
+++ b/internal/admission/tracker.go
@@ -183,7 +183,7 @@
 			t.Granted++
 		} else {
 			t.Exhausted++
-			grant.Dry = constants.GrantEvery
+			grant.Dry = constants.GrantInterval
 			if due := (want.Need - p.bucket.tokens) / p.bucket.rate; p.bucket.rate > 0 && due < grant.Dry.Seconds() {
 				grant.Dry = time.Duration(due * float64(time.Second))
 			}
--- a/internal/modelcheck/admissionmodel/admissionmodel.go
+++ b/internal/modelcheck/admissionmodel/admissionmodel.go
@@ -45,7 +45,7 @@
 
 // Reset goes back to the start, as package modelcheck asks.
 func (m *Model) Reset() {
-	m.world = modelcheck.NewWorld(constants.GrantEvery, m.tick, m.recv)
+	m.world = modelcheck.NewWorld(constants.GrantInterval, m.tick, m.recv)
 	m.grid, m.err, m.faults, m.came, m.lives, m.ids, m.served = m.Warm, nil, 0, 0, 0, 0, 0
 	m.stopped = map[string]time.Duration{}
 	m.proxies, m.trackers, m.roster = map[string]*proxy{}, map[string]*tracker{}, map[string]*rosterEntry{}
--- a/internal/proxy/daemon.go
+++ b/internal/proxy/daemon.go
@@ -225,7 +225,7 @@
 	g.Add(d.members.Serve, func(error) { d.members.Close() })
 	go d.step()
 	group.Every(constants.StepInterval, d.step)
-	group.Every(constants.GrantEvery, d.renewGrants)
+	group.Every(constants.GrantInterval, d.renewGrants)
 	if nodeSettings.HasDuty(settings.DutyScaling) {
 		group.Every(constants.ScaleReportInterval, d.reportLoad)
 	}
