--- a/internal/constants/constants.go
+++ b/internal/constants/constants.go
@@ -249,7 +249,7 @@
 	LoanDuration           = 1500 * time.Millisecond // a loan ends so long after it was last reported; a proxy that is cut off has its share back by then
 	HotKeyRate             = 8.0                     // requests a second at one proxy from which a key is hot and its rate leased
 	GrantInterval          = 250 * time.Millisecond  // proxies report demand and renew
-	TrackerBusy            = 80 * time.Millisecond   // a tracker that answers at all does so within this, or within what is usual for it: other work of its machine may come first
+	MinTrackerTimeout      = 80 * time.Millisecond   // a tracker that answers at all does so within this, or within what is usual for it: other work of its machine may come first
 	RetryMost              = time.Minute             // the longest that a refused client is told to wait
 	AskRetryPause          = RedialDelay             // after a question that brought no answer, for a key that its tracker alone carries
 	GrantHeadroom          = 1.3                     // asked over the demand seen
--- a/internal/modelcheck/admissionmodel/proxy.go
+++ b/internal/modelcheck/admissionmodel/proxy.go
@@ -49,7 +49,7 @@
 	m.ids++
 	id, life, wait := m.ids, m.world.Life(n), constants.CallTimeout
 	if request {
-		wait = constants.TrackerBusy
+		wait = constants.MinTrackerTimeout
 	}
 	p.open[id] = openQuestion{m.clock(n), p.tracker, request}
 	m.world.Send(n, p.tracker, question{id, admission.GrantRequest{Proxy: n, Wants: wants, Echo: echo, Proxies: p.limiter.Proxies(), Life: p.limiter.Incarnation(), Sent: m.clock(n)}})
--- a/internal/proxy/grants.go
+++ b/internal/proxy/grants.go
@@ -107,7 +107,7 @@
 	if latency := d.trackerAnswerTimes[tracker]; latency != nil {
 		estimate = latency.estimate()
 	}
-	return max(constants.TrackerBusy, estimate.slowThreshold())
+	return max(constants.MinTrackerTimeout, estimate.slowThreshold())
 }
 
 // applyGrants applies a tracker's reply to a request that was sent at the given time.
--- a/internal/proxy/grants_test.go
+++ b/internal/proxy/grants_test.go
@@ -23,7 +23,7 @@
 	go transport.Serve(listener, func(*transport.Conn, any) any { return nil })
 	all := slices.Repeat([]string{tracker}, d.nodeSettings.Load().TrackerShards())
 	d.trackers.Store(&all)
-	for n := 0; timeTokenRequest(d, "k", time.Second) < constants.TrackerBusy/2; n++ { // until the connection is established
+	for n := 0; timeTokenRequest(d, "k", time.Second) < constants.MinTrackerTimeout/2; n++ { // until the connection is established
 		if n > 100 {
 			t.Fatal("no connection to the tracker")
 		}
@@ -76,7 +76,7 @@
 		d.trackerEchoesMu.Unlock()
 	}
 	setUsual(2 * time.Millisecond)
-	assertDuration(t, "with a tracker that usually takes 2 ms", waited(time.Second), constants.TrackerBusy, constants.TrackerBusy+50*time.Millisecond)
+	assertDuration(t, "with a tracker that usually takes 2 ms", waited(time.Second), constants.MinTrackerTimeout, constants.MinTrackerTimeout+50*time.Millisecond)
 	setUsual(100 * time.Millisecond)
 	assertDuration(t, "with a tracker that usually takes 100 ms", waited(time.Second), 300*time.Millisecond, 380*time.Millisecond)
 	assertDuration(t, "with the same tracker and 200 ms", waited(200*time.Millisecond), 195*time.Millisecond, 260*time.Millisecond)
