--- a/internal/admission/retry.go
+++ b/internal/admission/retry.go
@@ -14,7 +14,7 @@
 	if ks.lastRetryAt > now {
 		due = max(due, ks.lastRetryAt+tokenTime(1, ks.quota.Rate))
 	}
-	ks.lastRetryAt = min(due, now+constants.RetryMost)
+	ks.lastRetryAt = min(due, now+constants.MaxRetryAfter)
 	return ks.lastRetryAt - now
 }
 
@@ -45,5 +45,5 @@
 
 // tokenTime returns how long a number of tokens takes to accrue at a rate.
 func tokenTime(tokens, rate float64) time.Duration {
-	return time.Duration(min(constants.RetryMost.Seconds(), tokens/rate) * float64(time.Second))
+	return time.Duration(min(constants.MaxRetryAfter.Seconds(), tokens/rate) * float64(time.Second))
 }
--- a/internal/constants/constants.go
+++ b/internal/constants/constants.go
@@ -250,7 +250,7 @@
 	HotKeyRate             = 8.0                     // requests a second at one proxy from which a key is hot and its rate leased
 	GrantInterval          = 250 * time.Millisecond  // proxies report demand and renew
 	MinTrackerTimeout      = 80 * time.Millisecond   // a tracker that answers at all does so within this, or within what is usual for it: other work of its machine may come first
-	RetryMost              = time.Minute             // the longest that a refused client is told to wait
+	MaxRetryAfter          = time.Minute             // the longest that a refused client is told to wait
 	AskRetryPause          = RedialDelay             // after a question that brought no answer, for a key that its tracker alone carries
 	GrantHeadroom          = 1.3                     // asked over the demand seen
 	FastBucketTime         = time.Second             // the second bucket holds this much of the key's rate
