--- a/internal/admission/grants.go
+++ b/internal/admission/grants.go
@@ -92,7 +92,7 @@
 	if ks := l.keys[key]; ks != nil {
 		ks.noTokensUntil = now + constants.GrantInterval
 		if ks.trackerOnly {
-			ks.noTokensUntil = now + constants.AskRetryPause // the tracker is the only source of tokens
+			ks.noTokensUntil = now + constants.TokenRetryDelay // the tracker is the only source of tokens
 			ks.unansweredAt = now
 		}
 	}
--- a/internal/constants/constants.go
+++ b/internal/constants/constants.go
@@ -251,7 +251,7 @@
 	GrantInterval          = 250 * time.Millisecond  // proxies report demand and renew
 	MinTrackerTimeout      = 80 * time.Millisecond   // a tracker that answers at all does so within this, or within what is usual for it: other work of its machine may come first
 	MaxRetryAfter          = time.Minute             // the longest that a refused client is told to wait
-	AskRetryPause          = RedialDelay             // after a question that brought no answer, for a key that its tracker alone carries
+	TokenRetryDelay        = RedialDelay             // after a question that brought no answer, for a key that its tracker alone carries
 	GrantHeadroom          = 1.3                     // asked over the demand seen
 	FastBucketTime         = time.Second             // the second bucket holds this much of the key's rate
 	FastBucketRate         = 2.0                     // and fills this many times faster than the rate
