--- a/internal/admission/keystate.go
+++ b/internal/admission/keystate.go
@@ -148,7 +148,7 @@
 			ks.split.set(now, rate*(1-ks.lentFraction), max(depth*(1-ks.lentFraction), SplitFloor(l.proxies, l.slack)))
 		}
 	}
-	ks.peakRate.set(now, constants.FastBucketRate*q.Rate, max(1, q.Rate*constants.PeakBurstTime.Seconds()))
+	ks.peakRate.set(now, constants.PeakRateFactor*q.Rate, max(1, q.Rate*constants.PeakBurstTime.Seconds()))
 	ks.wholeQuota.set(now, q.Rate, max(1, q.Burst))
 	if !ks.trackerOnly {
 		// A lowered quota reduces at once what was leased under the previous one.
--- a/internal/constants/constants.go
+++ b/internal/constants/constants.go
@@ -254,7 +254,7 @@
 	TokenRetryDelay        = RedialDelay             // after a question that brought no answer, for a key that its tracker alone carries
 	GrantHeadroom          = 1.3                     // asked over the demand seen
 	PeakBurstTime          = time.Second             // the second bucket holds this much of the key's rate
-	FastBucketRate         = 2.0                     // and fills this many times faster than the rate
+	PeakRateFactor         = 2.0                     // and fills this many times faster than the rate
 	SplitFloor             = 1.0                     // tokens: a share too small to hold one request holds one, while the quota's slack covers all
 	SlackUsed              = 0.9                     // part of the quota's slack that these floors may use together
 	DemandWeight           = 0.08                    // weight of the newest period in demand: a client's few quick requests are no trend
