--- a/internal/admission/keystate.go
+++ b/internal/admission/keystate.go
@@ -89,7 +89,7 @@
 // SplitFloor returns the minimum burst of a split share: one request, provided that the
 // floors of all proxies together fit in the quota's slack.
 func SplitFloor(proxies int, slack float64) float64 {
-	if float64(proxies)*constants.SplitFloor <= slack*constants.SlackUsed {
+	if float64(proxies)*constants.SplitFloor <= slack*constants.SplitFloorSlackFraction {
 		return constants.SplitFloor
 	}
 	return 0
--- a/internal/constants/constants.go
+++ b/internal/constants/constants.go
@@ -226,39 +226,39 @@
 
 // Admission.
 const (
-	SplitFraction          = 0.8                     // of a key's rate split by live proxy count; the rest is granted by trackers
-	GrantDuration          = time.Second             // a grant ends so long after it was asked for
-	LongGrantDuration      = 10 * time.Second        // a standby rate ends so long after it was granted: longer than all control machines need to come back
-	StandbyReserveFraction = 0.1                     // part of a tracker-carried key's quota that is lent whole and never granted as standby: with the tracked part it serves while a new tracker does not know what stands
-	StandbyBasicFraction   = 0.25                    // part of a share lent whole that its proxy uses, without a grant, while nothing comes from the tracker: after a loss of everything demand is not known, and the rest goes by demand
-	StandbyDelay           = 1200 * time.Millisecond // a proxy that receives nothing from a tracker so long uses its standby
-	ContactTimeout         = 1000 * time.Millisecond // and the tracker has left it out of its pool since this long after the tracker's time that reached it
-	ContactScanInterval    = 50 * time.Millisecond   // a tracker looks over whom it may have lost; it counts them as lost so much sooner
-	StandbyHeadroom        = 1.5                     // standby over the demand seen, as far as there is so much
-	StandbyDepth           = 4.0                     // requests a standby bucket holds: what fills it is bounded by its rate, and one that holds less refuses what comes unevenly
-	ContactInterval        = 400 * time.Millisecond  // a tracker is sent a message at least so often
-	OneOffLifetime         = 100 * time.Millisecond  // tokens granted for waiting requests end so soon: they may not add up
-	UnleasedFraction       = 0.2                     // of a tracker's rate kept for sudden asks rather than leased
-	LeaseBurstTime         = 500 * time.Millisecond  // of its rate go with a lease as burst
-	SplitTimeout           = 30 * time.Second        // a proxy cut off from all control so long gives its split share up; half of ProxyForget, after which others share it
-	MinRestartTime         = 250 * time.Millisecond  // least time between the end of a process and the start of its next incarnation; buckets fill from there
-	LendHeadroom           = 1.2                     // times the demand seen that a proxy keeps of its split share; the rest is lent to the tracker
-	MaxLentFraction        = 0.8                     // part of the split share lent at most: what stays serves at once when the tracker is lost
-	LongLoanDuration       = 9 * time.Second         // likewise for a share that could not serve where it is: it is missed nowhere, and reporting it costs a message a key and proxy
-	MinShareBurst          = 8.0                     // requests: random arrivals empty a share that holds fewer while the quota has room; it is lent whole, where floors do not fit the slack
-	LoanDuration           = 1500 * time.Millisecond // a loan ends so long after it was last reported; a proxy that is cut off has its share back by then
-	HotKeyRate             = 8.0                     // requests a second at one proxy from which a key is hot and its rate leased
-	GrantInterval          = 250 * time.Millisecond  // proxies report demand and renew
-	MinTrackerTimeout      = 80 * time.Millisecond   // a tracker that answers at all does so within this, or within what is usual for it: other work of its machine may come first
-	MaxRetryAfter          = time.Minute             // the longest that a refused client is told to wait
-	TokenRetryDelay        = RedialDelay             // after a question that brought no answer, for a key that its tracker alone carries
-	GrantHeadroom          = 1.3                     // asked over the demand seen
-	PeakBurstTime          = time.Second             // the second bucket holds this much of the key's rate
-	PeakRateFactor         = 2.0                     // and fills this many times faster than the rate
-	SplitFloor             = 1.0                     // tokens: a share too small to hold one request holds one, while the quota's slack covers all
-	SlackUsed              = 0.9                     // part of the quota's slack that these floors may use together
-	DemandWeight           = 0.08                    // weight of the newest period in demand: a client's few quick requests are no trend
-	NearlyAll              = 0.99                    // part of a quota that counts as the whole of it: sums of shares are not exact
+	SplitFraction           = 0.8                     // of a key's rate split by live proxy count; the rest is granted by trackers
+	GrantDuration           = time.Second             // a grant ends so long after it was asked for
+	LongGrantDuration       = 10 * time.Second        // a standby rate ends so long after it was granted: longer than all control machines need to come back
+	StandbyReserveFraction  = 0.1                     // part of a tracker-carried key's quota that is lent whole and never granted as standby: with the tracked part it serves while a new tracker does not know what stands
+	StandbyBasicFraction    = 0.25                    // part of a share lent whole that its proxy uses, without a grant, while nothing comes from the tracker: after a loss of everything demand is not known, and the rest goes by demand
+	StandbyDelay            = 1200 * time.Millisecond // a proxy that receives nothing from a tracker so long uses its standby
+	ContactTimeout          = 1000 * time.Millisecond // and the tracker has left it out of its pool since this long after the tracker's time that reached it
+	ContactScanInterval     = 50 * time.Millisecond   // a tracker looks over whom it may have lost; it counts them as lost so much sooner
+	StandbyHeadroom         = 1.5                     // standby over the demand seen, as far as there is so much
+	StandbyDepth            = 4.0                     // requests a standby bucket holds: what fills it is bounded by its rate, and one that holds less refuses what comes unevenly
+	ContactInterval         = 400 * time.Millisecond  // a tracker is sent a message at least so often
+	OneOffLifetime          = 100 * time.Millisecond  // tokens granted for waiting requests end so soon: they may not add up
+	UnleasedFraction        = 0.2                     // of a tracker's rate kept for sudden asks rather than leased
+	LeaseBurstTime          = 500 * time.Millisecond  // of its rate go with a lease as burst
+	SplitTimeout            = 30 * time.Second        // a proxy cut off from all control so long gives its split share up; half of ProxyForget, after which others share it
+	MinRestartTime          = 250 * time.Millisecond  // least time between the end of a process and the start of its next incarnation; buckets fill from there
+	LendHeadroom            = 1.2                     // times the demand seen that a proxy keeps of its split share; the rest is lent to the tracker
+	MaxLentFraction         = 0.8                     // part of the split share lent at most: what stays serves at once when the tracker is lost
+	LongLoanDuration        = 9 * time.Second         // likewise for a share that could not serve where it is: it is missed nowhere, and reporting it costs a message a key and proxy
+	MinShareBurst           = 8.0                     // requests: random arrivals empty a share that holds fewer while the quota has room; it is lent whole, where floors do not fit the slack
+	LoanDuration            = 1500 * time.Millisecond // a loan ends so long after it was last reported; a proxy that is cut off has its share back by then
+	HotKeyRate              = 8.0                     // requests a second at one proxy from which a key is hot and its rate leased
+	GrantInterval           = 250 * time.Millisecond  // proxies report demand and renew
+	MinTrackerTimeout       = 80 * time.Millisecond   // a tracker that answers at all does so within this, or within what is usual for it: other work of its machine may come first
+	MaxRetryAfter           = time.Minute             // the longest that a refused client is told to wait
+	TokenRetryDelay         = RedialDelay             // after a question that brought no answer, for a key that its tracker alone carries
+	GrantHeadroom           = 1.3                     // asked over the demand seen
+	PeakBurstTime           = time.Second             // the second bucket holds this much of the key's rate
+	PeakRateFactor          = 2.0                     // and fills this many times faster than the rate
+	SplitFloor              = 1.0                     // tokens: a share too small to hold one request holds one, while the quota's slack covers all
+	SplitFloorSlackFraction = 0.9                     // part of the quota's slack that these floors may use together
+	DemandWeight            = 0.08                    // weight of the newest period in demand: a client's few quick requests are no trend
+	NearlyAll               = 0.99                    // part of a quota that counts as the whole of it: sums of shares are not exact
 )
 
 // Directory.
