--- a/internal/admission/pool.go
+++ b/internal/admission/pool.go
@@ -90,7 +90,7 @@
 	rate, burst := p.available(now, tracker)
 	leased := p.leased("")
 	p.bucket.set(now, max(0, rate-leased-p.standbyRateInUse(now, tracker)), max(0, burst-leaseDepth(leased, p.quota)))
-	if p.refillPending && burst >= constants.NearlyAll*p.quota.Burst {
+	if p.refillPending && burst >= constants.FullQuotaFraction*p.quota.Burst {
 		p.refillPending = false // done once, after the shares have been lent
 		p.bucket.tokens = max(p.bucket.tokens, min(p.bucket.depth, p.quota.Rate*(now-p.lastAdmitted).Seconds()-p.tokensGranted))
 	}
--- a/internal/constants/constants.go
+++ b/internal/constants/constants.go
@@ -258,7 +258,7 @@
 	SplitFloor              = 1.0                     // tokens: a share too small to hold one request holds one, while the quota's slack covers all
 	SplitFloorSlackFraction = 0.9                     // part of the quota's slack that these floors may use together
 	DemandWeight            = 0.08                    // weight of the newest period in demand: a client's few quick requests are no trend
-	NearlyAll               = 0.99                    // part of a quota that counts as the whole of it: sums of shares are not exact
+	FullQuotaFraction       = 0.99                    // part of a quota that counts as the whole of it: sums of shares are not exact
 )
 
 // Directory.
