--- a/internal/directory/directory.go
+++ b/internal/directory/directory.go
@@ -129,7 +129,7 @@
 			d.cache[key] = addresses
 		}
 	}
-	if len(addresses) == 0 || now-d.startedAt < constants.DirectoryQuiet {
+	if len(addresses) == 0 || now-d.startedAt < constants.DirectoryStartupDelay {
 		d.unanswered++
 		return nil, false
 	}
--- a/internal/directory/directory_test.go
+++ b/internal/directory/directory_test.go
@@ -79,7 +79,7 @@
 					}
 				}
 			}
-			if now < constants.DirectoryQuiet {
+			if now < constants.DirectoryStartupDelay {
 				if ok {
 					t.Fatalf("seed %d: lookup answered %v after the start", seed, now)
 				}
