--- a/internal/directory/directory.go
+++ b/internal/directory/directory.go
@@ -59,7 +59,7 @@
 	defer d.mu.Unlock()
 	changed = d.update(now, node, location)
 	e := d.proxies[node]
-	e.directReportAt, e.validFor = now, constants.PlaceFresh
+	e.directReportAt, e.validFor = now, constants.LocationMaxAge
 	if frequent {
 		e.validFor = constants.PlaceOften
 	}
@@ -73,8 +73,8 @@
 	defer d.mu.Unlock()
 	if e := d.proxies[node]; e == nil || now-age > e.reportedAt {
 		d.update(now-age, node, location)
-		if e := d.proxies[node]; now-e.directReportAt > constants.PlaceFresh {
-			e.validFor = constants.PlaceFresh
+		if e := d.proxies[node]; now-e.directReportAt > constants.LocationMaxAge {
+			e.validFor = constants.LocationMaxAge
 		}
 	}
 }
@@ -82,7 +82,7 @@
 func (d *Directory) update(at time.Duration, node string, location Location) bool {
 	e := d.proxies[node]
 	if e == nil {
-		e = &entry{directReportAt: -constants.ProxyExpiry, validFor: constants.PlaceFresh}
+		e = &entry{directReportAt: -constants.ProxyExpiry, validFor: constants.LocationMaxAge}
 		d.proxies[node] = e
 	}
 	changed := e.Location != location || e.disconnected || at-e.reportedAt > e.validFor
