--- a/internal/constants/constants.go
+++ b/internal/constants/constants.go
@@ -266,7 +266,7 @@
 	LookupTTL             = 1000 * time.Millisecond // an answer is used up to three times as long; a leaving proxy takes new connections for two of them
 	DirectoryStartupDelay = 1500 * time.Millisecond // a process that has just started has not received all reports yet
 	LocationMaxAge        = 5 * time.Second         // a proxy silent so long leaves the answers: longer than the slowest way its report takes
-	PlaceOften            = 1200 * time.Millisecond // likewise of one that reports here every SubscribeEvery: three reports missed
+	DirectLocationMaxAge  = 1200 * time.Millisecond // likewise of one that reports here every SubscribeEvery: three reports missed
 	AnswerFresh           = 200 * time.Millisecond  // an answer is made anew after so long even if no report came
 	AnswersKept           = 256                     // zones are few; made-up ones must not fill memory
 	AnswerMost            = 64                      // addresses a client takes
--- a/internal/directory/directory.go
+++ b/internal/directory/directory.go
@@ -61,7 +61,7 @@
 	e := d.proxies[node]
 	e.directReportAt, e.validFor = now, constants.LocationMaxAge
 	if frequent {
-		e.validFor = constants.PlaceOften
+		e.validFor = constants.DirectLocationMaxAge
 	}
 	return changed
 }
