--- a/internal/constants/constants.go
+++ b/internal/constants/constants.go
@@ -267,7 +267,7 @@
 	DirectoryStartupDelay = 1500 * time.Millisecond // a process that has just started has not received all reports yet
 	LocationMaxAge        = 5 * time.Second         // a proxy silent so long leaves the answers: longer than the slowest way its report takes
 	DirectLocationMaxAge  = 1200 * time.Millisecond // likewise of one that reports here every SubscribeEvery: three reports missed
-	AnswerFresh           = 200 * time.Millisecond  // an answer is made anew after so long even if no report came
+	DirectoryCacheTTL     = 200 * time.Millisecond  // an answer is made anew after so long even if no report came
 	AnswersKept           = 256                     // zones are few; made-up ones must not fill memory
 	AnswerMost            = 64                      // addresses a client takes
 	AnswerLeast           = 2                       // addresses, so that one that fails leaves another
--- a/internal/directory/directory.go
+++ b/internal/directory/directory.go
@@ -116,7 +116,7 @@
 	d.lookups++
 	if now >= d.cacheExpiresAt {
 		clear(d.cache)
-		d.cacheExpiresAt = now + constants.AnswerFresh
+		d.cacheExpiresAt = now + constants.DirectoryCacheTTL
 	}
 	if r, ok := d.zones[zone]; ok {
 		region = r
--- a/internal/directory/directory_test.go
+++ b/internal/directory/directory_test.go
@@ -91,7 +91,7 @@
 			answered++
 			for _, address := range got {
 				p := proxies[address]
-				if limit := constants.LocationMaxAge + constants.AnswerFresh + 300*time.Millisecond; !p.up && now-p.downAt > limit && fresh > 0 {
+				if limit := constants.LocationMaxAge + constants.DirectoryCacheTTL + 300*time.Millisecond; !p.up && now-p.downAt > limit && fresh > 0 {
 					t.Fatalf("seed %d at %v: answer includes %s, down for %v, although %d proxies are fresh", seed, now, address, now-p.downAt, fresh)
 				}
 			}
