--- a/internal/directory/directory.go
+++ b/internal/directory/directory.go
@@ -125,7 +125,7 @@
 	addresses, ok := d.cache[key]
 	if !ok {
 		addresses = d.selectProxies(now, zone, region)
-		if len(d.cache) < constants.AnswersKept {
+		if len(d.cache) < constants.DirectoryCacheEntries {
 			d.cache[key] = addresses
 		}
 	}
