--- a/internal/constants/constants.go
+++ b/internal/constants/constants.go
@@ -270,7 +270,7 @@
 	DirectoryCacheTTL     = 200 * time.Millisecond  // an answer is made anew after so long even if no report came
 	DirectoryCacheEntries = 256                     // zones are few; made-up ones must not fill memory
 	MaxLookupAddresses    = 64                      // addresses a client takes
-	AnswerLeast           = 2                       // addresses, so that one that fails leaves another
+	MinLookupAddresses    = 2                       // addresses, so that one that fails leaves another
 	ZoneEnough            = 0.9                     // part of a zone's proxies below which others make up the number: until then the rest carry a ninth more each
 )
 
--- a/internal/directory/directory.go
+++ b/internal/directory/directory.go
@@ -146,7 +146,7 @@
 	spilled := false
 	want := int(math.Ceil(float64(known) * constants.ZoneEnough))
 	for _, c := range candidates {
-		if len(out) >= constants.MaxLookupAddresses || c.distance > 0 && len(out) >= max(want, constants.AnswerLeast) {
+		if len(out) >= constants.MaxLookupAddresses || c.distance > 0 && len(out) >= max(want, constants.MinLookupAddresses) {
 			break
 		}
 		spilled = spilled || c.distance > 0
--- a/internal/directory/directory_test.go
+++ b/internal/directory/directory_test.go
@@ -106,7 +106,7 @@
 					outside++
 				}
 			}
-			if freshInZone == total && freshInZone >= constants.AnswerLeast && outside > 0 {
+			if freshInZone == total && freshInZone >= constants.MinLookupAddresses && outside > 0 {
 				t.Fatalf("seed %d at %v: %d of %d proxies of zone %s are up, but the answer includes %d of other zones", seed, now, freshInZone, total, zone, outside)
 			}
 		}
