--- a/internal/constants/constants.go
+++ b/internal/constants/constants.go
@@ -271,7 +271,7 @@
 	DirectoryCacheEntries = 256                     // zones are few; made-up ones must not fill memory
 	MaxLookupAddresses    = 64                      // addresses a client takes
 	MinLookupAddresses    = 2                       // addresses, so that one that fails leaves another
-	ZoneEnough            = 0.9                     // part of a zone's proxies below which others make up the number: until then the rest carry a ninth more each
+	MinZoneFraction       = 0.9                     // part of a zone's proxies below which others make up the number: until then the rest carry a ninth more each
 )
 
 // Disk.
--- a/internal/directory/directory.go
+++ b/internal/directory/directory.go
@@ -144,7 +144,7 @@
 	candidates, known := d.candidates(now, zone, region)
 	var out []string
 	spilled := false
-	want := int(math.Ceil(float64(known) * constants.ZoneEnough))
+	want := int(math.Ceil(float64(known) * constants.MinZoneFraction))
 	for _, c := range candidates {
 		if len(out) >= constants.MaxLookupAddresses || c.distance > 0 && len(out) >= max(want, constants.MinLookupAddresses) {
 			break
