--- a/internal/storage/store.go
+++ b/internal/storage/store.go
@@ -122,7 +122,7 @@
 	if err != nil {
 		panic(fmt.Sprintf("storage: opening the in-memory database: %v", err)) // cannot happen: it opens no file
 	}
-	return &Store{db: db, compactMinSize: constants.StoreCompactAt}
+	return &Store{db: db, compactMinSize: constants.StoreCompactMinBytes}
 }
 
 // upgradeValues converts the values of a file without a header to the current
--- a/internal/storage/store_test.go
+++ b/internal/storage/store_test.go
@@ -93,7 +93,7 @@
 		if err := store.Put("held", large+string(rune('a'+i%26))); err != nil {
 			t.Fatal(err)
 		}
-		if fi, _ := os.Stat(filepath.Join(dir, fileName)); fi.Size() > constants.StoreCompactAt+1<<20 {
+		if fi, _ := os.Stat(filepath.Join(dir, fileName)); fi.Size() > constants.StoreCompactMinBytes+1<<20 {
 			t.Fatalf("the file has grown to %d bytes", fi.Size())
 		}
 	}
