--- a/internal/constants/constants.go
+++ b/internal/constants/constants.go
@@ -277,7 +277,7 @@
 // Disk.
 const (
 	StoreCompactMinBytes = 4 << 20 // bytes of the store's file up to which it is never compacted: there is little to gain
-	StoreCompactTimes    = 3       // the live state: beyond this too it is compacted, so at most half as much again is written as is put, and the file and the one made beside it take four times the live state at most
+	StoreCompactFactor   = 3       // the live state: beyond this too it is compacted, so at most half as much again is written as is put, and the file and the one made beside it take four times the live state at most
 )
 
 // Membership.
--- a/internal/storage/growth_test.go
+++ b/internal/storage/growth_test.go
@@ -108,7 +108,7 @@
 		}
 	}
 	rec := int64(len(docs[0])) + 100
-	if bound := max(constants.StoreCompactMinBytes, constants.StoreCompactTimes*store.liveSize) + rec; maxSize > bound {
+	if bound := max(constants.StoreCompactMinBytes, constants.StoreCompactFactor*store.liveSize) + rec; maxSize > bound {
 		t.Errorf("the file grew to %d bytes; the bound is %d", maxSize, bound)
 	}
 	if bound := store.liveSize + store.liveSize/4 + 256<<10; maxHeap > bound {
@@ -179,7 +179,7 @@
 			for j := range 10 {
 				store.Put("held", i*10+j)
 			}
-			if bound := max(constants.StoreCompactMinBytes, constants.StoreCompactTimes*store.liveSize) + store.liveSize/2 + 1<<10; d.files[fileName].n > bound {
+			if bound := max(constants.StoreCompactMinBytes, constants.StoreCompactFactor*store.liveSize) + store.liveSize/2 + 1<<10; d.files[fileName].n > bound {
 				t.Fatalf("live state of %d bytes: the file has %d bytes; the bound is %d", store.liveSize, d.files[fileName].n, bound)
 			}
 		}
--- a/internal/storage/store.go
+++ b/internal/storage/store.go
@@ -219,7 +219,7 @@
 	}
 	// The value is durable, so a failed compaction does not fail this Put. One that
 	// failed before the rename is retried later; after that point the store has failed.
-	if s.size > max(s.compactMinSize, constants.StoreCompactTimes*s.liveSize) && s.size >= s.compactRetrySize {
+	if s.size > max(s.compactMinSize, constants.StoreCompactFactor*s.liveSize) && s.size >= s.compactRetrySize {
 		if s.compact() != nil {
 			s.compactRetrySize = s.size + max(s.liveSize, s.compactMinSize/4)
 		}
