--- a/internal/membership/detector.go
+++ b/internal/membership/detector.go
@@ -108,7 +108,7 @@
 func New(now time.Duration, addr, name string, seeds []string, rng *rand.Rand) *Detector {
 	return &Detector{self: Fact{Addr: addr, Name: name}, seeds: slices.DeleteFunc(slices.Clone(seeds), func(s string) bool { return s == addr }),
 		rng: rng, members: map[string]*member{}, relayedProbes: map[uint64]relayedProbe{}, seq: rng.Uint64() >> 1,
-		nextProbeAt: now + time.Duration(rng.Int64N(int64(constants.ProbeEvery)))}
+		nextProbeAt: now + time.Duration(rng.Int64N(int64(constants.ProbeInterval)))}
 }
 
 // Members returns the facts of all known members, including this process, sorted by address.
@@ -176,7 +176,7 @@
 	d.checkProbe(now)
 	d.expire(now)
 	if now >= d.nextProbeAt && d.probe == nil {
-		d.nextProbeAt = now + constants.ProbeEvery
+		d.nextProbeAt = now + constants.ProbeInterval
 		if target := d.nextTarget(); target != "" {
 			d.seq++
 			d.probe = &probe{target: target, seq: d.seq, sentAt: now}
