--- a/internal/membership/detector.go
+++ b/internal/membership/detector.go
@@ -280,7 +280,7 @@
 	}
 	sort.Strings(out)
 	d.rng.Shuffle(len(out), func(i, j int) { out[i], out[j] = out[j], out[i] })
-	return out[:min(len(out), constants.ProbeHelpers)]
+	return out[:min(len(out), constants.IndirectProbes)]
 }
 
 // applyFact stores and gossips a fact that supersedes the known one. A fact that contradicts
