--- a/internal/constants/constants.go
+++ b/internal/constants/constants.go
@@ -282,10 +282,10 @@
 
 // Membership.
 const (
-	ProbeInterval  = time.Second            // one member in turn
-	ProbeTimeout   = 300 * time.Millisecond // then others are asked
-	IndirectProbes = 2                      // third parties asked
-	SuspectFor     = 8 * time.Second        // a suspect may refute it so long: its message takes several probes to reach all
-	OldFacts       = 2                      // of them old ones, taken at random
-	GossipFacts    = 6                      // facts carried along a probe
+	ProbeInterval    = time.Second            // one member in turn
+	ProbeTimeout     = 300 * time.Millisecond // then others are asked
+	IndirectProbes   = 2                      // third parties asked
+	SuspicionTimeout = 8 * time.Second        // a suspect may refute it so long: its message takes several probes to reach all
+	OldFacts         = 2                      // of them old ones, taken at random
+	GossipFacts      = 6                      // facts carried along a probe
 )
--- a/internal/membership/detector.go
+++ b/internal/membership/detector.go
@@ -224,7 +224,7 @@
 // members and relayed probes after their timeouts.
 func (d *Detector) expire(now time.Duration) {
 	for _, m := range d.members {
-		if m.fact.State == Suspect && now-m.stateSince > constants.SuspectFor {
+		if m.fact.State == Suspect && now-m.stateSince > constants.SuspicionTimeout {
 			f := m.fact
 			f.State = Dead
 			d.applyFact(now, f)
--- a/internal/membership/detector_test.go
+++ b/internal/membership/detector_test.go
@@ -105,7 +105,7 @@
 		// A stopped member is detected by all others.
 		c.detectors["m6"] = nil
 		c.incarnations["m6"]++
-		c.run(20*time.Second + constants.SuspectFor)
+		c.run(20*time.Second + constants.SuspicionTimeout)
 		if got := c.statesOf("m6"); got[Alive] != 0 || got[Suspect] != 0 {
 			t.Fatalf("seed %d: m6 is stopped, but has states %v at the others", seed, got)
 		}
