--- a/internal/constants/constants.go
+++ b/internal/constants/constants.go
@@ -286,6 +286,6 @@
 	ProbeTimeout     = 300 * time.Millisecond // then others are asked
 	IndirectProbes   = 2                      // third parties asked
 	SuspicionTimeout = 8 * time.Second        // a suspect may refute it so long: its message takes several probes to reach all
-	OldFacts         = 2                      // of them old ones, taken at random
+	GossipOldFacts   = 2                      // of them old ones, taken at random
 	GossipFacts      = 6                      // facts carried along a probe
 )
--- a/internal/membership/detector.go
+++ b/internal/membership/detector.go
@@ -154,7 +154,7 @@
 		}
 		sort.Strings(older)
 		d.rng.Shuffle(len(older), func(i, j int) { older[i], older[j] = older[j], older[i] })
-		for _, addr := range older[:min(len(older), room, constants.OldFacts)] {
+		for _, addr := range older[:min(len(older), room, constants.GossipOldFacts)] {
 			msg.Facts = append(msg.Facts, d.members[addr].fact)
 		}
 	}
