--- a/internal/admission/grants.go
+++ b/internal/admission/grants.go
@@ -13,7 +13,7 @@
 	Tokens      float64       // one-off tokens for a waiting request
 	Life        uint64        // incarnation of the tracker that grants the tokens
 	Keep        bool          // no new lease; what was granted before, by an earlier tracker too, is valid until it expires
-	Long        bool          // the lease lasts for GrantLong instead of GrantLength
+	Long        bool          // the lease lasts for LongGrantDuration instead of GrantDuration
 	Dry         time.Duration // no tokens will be available before this time has passed
 	Lent        bool          // the loan was reported, and Loan is the rate that the tracker recorded
 	Loan        float64       // requests a second
--- a/internal/admission/limiter.go
+++ b/internal/admission/limiter.go
@@ -54,7 +54,7 @@
 }
 
 // SetProxies sets the live proxy count. It must be called each time the control plane sends
-// the count, even if unchanged: the split shares expire if no count arrives for SplitHold.
+// the count, even if unchanged: the split shares expire if no count arrives for SplitTimeout.
 func (l *Limiter) SetProxies(now time.Duration, n int) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
--- a/internal/admission/livecount_test.go
+++ b/internal/admission/livecount_test.go
@@ -93,7 +93,7 @@
 }
 
 // rosterRemovalDelay is the time after which the control plane removes an ended proxy from
-// the roster. As with constants.ProxyForget its loans have expired by then; it is shorter to
+// the roster. As with constants.ProxyExpiry its loans have expired by then; it is shorter to
 // keep the runs short.
 const rosterRemovalDelay = constants.LongLoanDuration + time.Second
 
--- a/internal/admission/standby.go
+++ b/internal/admission/standby.go
@@ -61,7 +61,7 @@
 }
 
 // maxStandby returns the limit for the sum of a key's standby rates, derived from the
-// shares lent whole. It leaves the tracked part and StandbyReserve, a tenth of the quota,
+// shares lent whole. It leaves the tracked part and StandbyReserveFraction, a tenth of the quota,
 // for a new tracker to grant while it does not know which standby rates are in use. The
 // basic standby rates of all proxies fit within the limit.
 func (p *pool) maxStandby() float64 {
@@ -156,7 +156,7 @@
 }
 
 // updateStandby lets the standby bucket fill only while the proxy has received nothing from
-// the key's tracker for StandbyAfter; tokens then accrue from the last answer on. A bucket
+// the key's tracker for StandbyDelay; tokens then accrue from the last answer on. A bucket
 // starts with a random fraction of a token and keeps a fraction while it is not in use, so
 // that many proxies with a low rate together admit exactly the sum of their rates.
 func (l *Limiter) updateStandby(ks *keyState, now time.Duration) {
--- a/internal/autoscale/autoscale.go
+++ b/internal/autoscale/autoscale.go
@@ -119,7 +119,7 @@
 }
 
 // hold returns the time until the effect of an order is visible: new upstreams boot, proxies
-// report the requests running there, and the reports are averaged. It covers ScaleRise, the time
+// report the requests running there, and the reports are averaged. It covers ScaleTrendWindow, the time
 // over which a rise of the load is measured.
 func (b Bounds) hold() time.Duration {
 	return max(b.BootTime, constants.ScaleTrendWindow) + constants.ScaleReportInterval + constants.ScaleSmoothingWindow
@@ -171,7 +171,7 @@
 // history holds the recent load of one subject.
 type history struct {
 	raw        []loadPoint // as measured
-	smooth     []loadPoint // averaged over ScaleSmooth
+	smooth     []loadPoint // averaged over ScaleSmoothingWindow
 	lastChange time.Duration
 	reason     string // of the last change
 }
@@ -235,7 +235,7 @@
 	if len(h.raw) == 0 || b.Slots < 1 {
 		return previous, false
 	}
-	mean := func(until time.Duration) (sum float64, ok bool) { // over the ScaleSmooth interval that ends at until
+	mean := func(until time.Duration) (sum float64, ok bool) { // over the ScaleSmoothingWindow interval that ends at until
 		n := 0.0
 		for _, p := range h.raw {
 			if p.at <= until && until-p.at < constants.ScaleSmoothingWindow {
--- a/internal/config/ledger.go
+++ b/internal/config/ledger.go
@@ -52,7 +52,7 @@
 }
 
 // With returns the ledger with a content added under a version that is not settled; otherwise
-// it returns l unchanged. It drops the lowest versions beyond constants.LedgerKept entries.
+// it returns l unchanged. It drops the lowest versions beyond constants.MaxLedgerEntries entries.
 func (l Ledger) With(version, sum uint64) Ledger {
 	i, ok := l.search(version)
 	if ok || version <= l.Floor {
--- a/internal/config/parse.go
+++ b/internal/config/parse.go
@@ -29,7 +29,7 @@
 	return n, nil
 }
 
-// yieldProcessor yields to other goroutines after every constants.ReadBatch items of a
+// yieldProcessor yields to other goroutines after every constants.ConfigParseBatch items of a
 // configuration. On a fraction of a core, parsing hundreds of items without a pause would delay
 // every request in the process.
 func yieldProcessor(parsed int) {
--- a/internal/controlplane/admin.go
+++ b/internal/controlplane/admin.go
@@ -199,7 +199,7 @@
 }
 
 // LaggingProxies lists the proxies with an older configuration than the active one. Proxies
-// that have been silent for constants.ProxyForget or longer are left out.
+// that have been silent for constants.ProxyExpiry or longer are left out.
 func (r Report) LaggingProxies() []string {
 	var out []string
 	for _, p := range r.Proxies {
--- a/internal/controlplane/api.go
+++ b/internal/controlplane/api.go
@@ -133,7 +133,7 @@
 	writeError(w, http.StatusConflict, errorBody(fmt.Sprintf("r%d has been taken with another content: send this one under a higher number", version)))
 }
 
-// await waits until done is closed. It returns false after constants.SubmitWait, when the
+// await waits until done is closed. It returns false after constants.SubmitTimeout, when the
 // caller has disconnected, or when this machine has lost contact with a majority: it cannot
 // complete the call then, while another machine may be able to.
 func (d *Daemon) await(ctx context.Context, done <-chan struct{}) bool {
--- a/internal/controlplane/chain/chain_test.go
+++ b/internal/controlplane/chain/chain_test.go
@@ -387,7 +387,7 @@
 }
 
 // slowNetwork reports whether messages are lost or slower than on a link that counts as
-// healthy. A round that loses a message is restarted after RoundLimit, so adding a machine
+// healthy. A round that loses a message is restarted after RoundTimeout, so adding a machine
 // to the view may then take longer than catchUp.
 func (c *cluster) slowNetwork() bool {
 	return c.network.Delay > 40*time.Millisecond || c.network.Loss > 0
--- a/internal/controlplane/chain/lease_handover_test.go
+++ b/internal/controlplane/chain/lease_handover_test.go
@@ -136,7 +136,7 @@
 // soon after. No lease of another machine may lapse. A duty of a machine that stops gracefully
 // must pass to a successor within the few messages that this takes, whenever the view change
 // happens. A duty of a killed machine must be resumed by the restarted machine or, once the
-// lease has expired, by another. A restart shorter than MemberSilence must not change the view.
+// lease has expired, by another. A restart shorter than MemberTimeout must not change the view.
 func TestLeaseGapsWhenAMachineRestarts(t *testing.T) {
 	for _, f := range []struct{ n, maxFailures int }{{3, 1}, {6, 2}} {
 		for _, delay := range []time.Duration{5 * time.Millisecond, 60 * time.Millisecond} {
--- a/internal/controlplane/chain/view.go
+++ b/internal/controlplane/chain/view.go
@@ -331,7 +331,7 @@
 
 // chooseMembers continues a round once a majority has promised: it proposes the view that an
 // earlier round may have decided, if there is one, and otherwise syncs the members for a new
-// view. It waits up to PromiseWait for the remaining voters.
+// view. It waits up to PromiseTimeout for the remaining voters.
 func (c *Chain) chooseMembers(r *round) {
 	if len(r.promises) < c.majority() || len(r.promises) < len(c.agreement.View.Voters) && c.now-r.startedAt < constants.PromiseTimeout {
 		return
--- a/internal/controlplane/replica.go
+++ b/internal/controlplane/replica.go
@@ -220,7 +220,7 @@
 	return r.chain.Electorate()
 }
 
-// leave announces a planned stop and waits up to constants.LeaveWait for a view without this
+// leave announces a planned stop and waits up to constants.LeaveTimeout for a view without this
 // machine.
 func (r *replica) leave() {
 	startedAt := r.now()
--- a/internal/controlplane/roster.go
+++ b/internal/controlplane/roster.go
@@ -260,7 +260,7 @@
 	}
 }
 
-// dropSilent removes proxies not seen for constants.ProxyForget and reports whether there were
+// dropSilent removes proxies not seen for constants.ProxyExpiry and reports whether there were
 // any. The caller must hold mu.
 func (r *roster) dropSilent() bool {
 	dropped := false
--- a/internal/controlplane/upstreamlist.go
+++ b/internal/controlplane/upstreamlist.go
@@ -143,7 +143,7 @@
 	return due
 }
 
-// rescheduleBootRead allows another read without the duty after constants.BootRetry.
+// rescheduleBootRead allows another read without the duty after constants.BootReadRetryDelay.
 func (u *upstreamList) rescheduleBootRead() {
 	u.mu.Lock()
 	defer u.mu.Unlock()
--- a/internal/directory/directory.go
+++ b/internal/directory/directory.go
@@ -174,7 +174,7 @@
 
 // candidates returns the proxies that an answer may include, in order of preference, and the
 // number of proxies known in the zone. It deletes proxies that have not reported for
-// constants.ProxyForget. If no proxy has a fresh report, stale entries are included, because
+// constants.ProxyExpiry. If no proxy has a fresh report, stale entries are included, because
 // an outdated answer is better than none.
 func (d *Directory) candidates(now time.Duration, zone, region string) (out []candidate, known int) {
 	includeStale := d.noneFresh(now)
--- a/internal/distribution/receive.go
+++ b/internal/distribution/receive.go
@@ -197,7 +197,7 @@
 		s.liveCount = fallback
 	}
 	// Without a received count, the held one stays in use while control nodes respond but send
-	// none, for example because their roster is incomplete. After SplitHold this proxy has
+	// none, for example because their roster is incomplete. After SplitTimeout this proxy has
 	// given up its share, and the held count must not bring it back.
 	responding := len(inContact)+len(outOfContact) > 0
 	if !received && (!responding || now.Sub(s.liveCountAt) > constants.SplitTimeout) {
--- a/internal/distribution/subscriber_test.go
+++ b/internal/distribution/subscriber_test.go
@@ -312,12 +312,12 @@
 	subscriber.receive("127.0.0.41", Update{Current: true, Proxies: 4}, time.Now())
 	subscriber.receive("127.0.0.41", Update{Current: true}, time.Now())
 	if _, _, changes := recorder.recorded(); changes.Proxies != 4 {
-		t.Errorf("live count %d before SplitHold, want 4", changes.Proxies)
+		t.Errorf("live count %d before SplitTimeout, want 4", changes.Proxies)
 	}
 	subscriber.liveCountAt = time.Now().Add(-2 * constants.SplitTimeout)
 	subscriber.receive("127.0.0.41", Update{Current: true}, time.Now())
 	if _, _, changes := recorder.recorded(); changes.Proxies != 0 {
-		t.Errorf("held live count %d used after SplitHold", changes.Proxies)
+		t.Errorf("held live count %d used after SplitTimeout", changes.Proxies)
 	}
 	subscriber.receive("127.0.0.41", Update{Current: true, Proxies: 5}, time.Now())
 	if _, _, changes := recorder.recorded(); changes.Proxies != 5 {
--- a/internal/lease/lease.go
+++ b/internal/lease/lease.go
@@ -20,8 +20,8 @@
 //     grants nothing until it learns of a newer view, or has accepted another view in its
 //     place, which shows that the first was not decided. So any lease of the old
 //     electorate has a grantor that granted it before the decision, and it ends at most
-//     LeaseLength after the decision. Every grantor of the new electorate has learned of
-//     it after the decision and waits LeaseLength + LeaseMargin from then. The same holds
+//     LeaseDuration after the decision. Every grantor of the new electorate has learned of
+//     it after the decision and waits LeaseDuration + LeaseMargin from then. The same holds
 //     step by step for a machine that skips views. A view with the same electorate does
 //     not interrupt granting.
 //   - Electorates are identified by number, and messages of another electorate are
--- a/internal/proxy/cold.go
+++ b/internal/proxy/cold.go
@@ -18,9 +18,9 @@
 // while they are cold and fail beyond limit requests in any second.
 //
 // Each proxy decides by a hash whether it sends to a cold upstream, so the number of senders
-// has a Poisson distribution, and each sends one request every ColdEvery. The mean is set to
+// has a Poisson distribution, and each sends one request every ColdRequestInterval. The mean is set to
 // use the rate that the upstream sustains, and is reduced where the probability that the
-// senders exceed limit would be above ColdRisk.
+// senders exceed limit would be above ColdOverloadProbability.
 func NewColdBound(duration time.Duration, perSecond, limit float64) ColdBound {
 	low, high := 0.0, perSecond*constants.ColdRequestInterval.Seconds()
 	if poissonTail(high, limit) <= constants.ColdOverloadProbability {
--- a/internal/proxy/cold_test.go
+++ b/internal/proxy/cold_test.go
@@ -10,7 +10,7 @@
 // The mean number of proxies that send to a cold upstream follows from the rate that its
 // service sustains and from the contract's limit: it grows with the sustained rate, shrinks
 // as the limit gets closer to it, and keeps the probability of exceeding the limit below
-// ColdRisk.
+// ColdOverloadProbability.
 func TestColdSendersFollowFromLimit(t *testing.T) {
 	for _, c := range []struct{ perSecond, overage, slack float64 }{{0.5, 1, 0}, {1, 1.5, 2}, {5.2, 1.5, 8}, {20, 1.5, 8}, {200, 1.2, 10}} {
 		limit := c.perSecond*c.overage + c.slack
--- a/internal/proxy/disconnect_test.go
+++ b/internal/proxy/disconnect_test.go
@@ -498,7 +498,7 @@
 	}
 }
 
-// A response that its client does not read is aborted AnswerWriteGrace after the request's
+// A response that its client does not read is aborted ResponseWriteGrace after the request's
 // deadline.
 func TestUnreadResponseIsAborted(t *testing.T) {
 	t.Parallel()
--- a/internal/proxy/frontend.go
+++ b/internal/proxy/frontend.go
@@ -134,7 +134,7 @@
 	return current
 }
 
-// closeIdle closes connections that have exceeded the idle timeout by IdleSpare. The margin
+// closeIdle closes connections that have exceeded the idle timeout by IdleCloseMargin. The margin
 // lets the client close first: a request that is under way when the proxy closes is lost.
 func (f *frontend) closeIdle(now time.Time) {
 	f.mu.Lock()
--- a/internal/proxy/lag.go
+++ b/internal/proxy/lag.go
@@ -16,7 +16,7 @@
 	laggingUntil atomic.Int64 // likewise; by then everything that arrived during a lag has been read
 }
 
-// tick must be called every StepEvery.
+// tick must be called every StepInterval.
 func (d *lagDetector) tick(now time.Time) {
 	at := int64(now.Sub(d.startedAt))
 	if last := d.lastTick.Swap(at); at-last > int64(constants.LagThreshold) {
--- a/internal/proxy/latency.go
+++ b/internal/proxy/latency.go
@@ -122,7 +122,7 @@
 }
 
 // latencyEstimateLocked returns the latency estimate of a service. It is recomputed at most once
-// every WorkTimeEvery, not for each request.
+// every LatencyEstimateInterval, not for each request.
 func (pool *Pool) latencyEstimateLocked(service string, now time.Time) latencyEstimate {
 	latency := pool.serviceLatencyLocked(service)
 	if now.Sub(latency.estimatedAt) >= constants.LatencyEstimateInterval {
--- a/internal/proxy/timing.go
+++ b/internal/proxy/timing.go
@@ -89,7 +89,7 @@
 }
 
 // configRetryAfter returns the Retry-After of a refusal for lack of a configuration or of a
-// recent confirmation of it: a proxy asks the control plane every SubscribeEvery.
+// recent confirmation of it: a proxy asks the control plane every SubscribeInterval.
 func configRetryAfter(arrived time.Time, r *http.Request) time.Duration {
 	return timing{callerDeadline: arrived.Add(clientTimeBudget(r))}.retryAfter(arrived, constants.SubscribeInterval)
 }
--- a/internal/storage/store.go
+++ b/internal/storage/store.go
@@ -23,7 +23,7 @@
 //     learns anything from this machine that a power loss would undo.
 //   - Open rejects a file that no crash or power loss could have left, instead of
 //     starting with an empty store: the machine would forget its promises.
-//   - The size of the file is at most constants.StoreCompactAt or StoreCompactTimes
+//   - The size of the file is at most constants.StoreCompactMinBytes or StoreCompactFactor
 //     the size of the live state, whichever is larger, plus one record. During a
 //     compaction there is a second file of the size of the live state. Values are
 //     held in memory once.
--- a/internal/usage/loss_test.go
+++ b/internal/usage/loss_test.go
@@ -94,7 +94,7 @@
 	m.incarnation++
 }
 
-// step does what a control machine does every UsageSave: it saves, hands over and decides windows.
+// step does what a control machine does every UsageSaveInterval: it saves, hands over and decides windows.
 func (f *fleetSim) step(m *simMachine, incarnation int) {
 	if !m.up || m.incarnation != incarnation {
 		return
--- a/internal/usage/meter.go
+++ b/internal/usage/meter.go
@@ -128,7 +128,7 @@
 	}
 	for w, tenants := range m.unreported {
 		if w+constants.UsageMaxUnsettledWindows < current {
-			delete(m.windows, w) // no holder has settled the window within UsageKept windows
+			delete(m.windows, w) // no holder has settled the window within UsageMaxUnsettledWindows windows
 			delete(m.unreported, w)
 			continue
 		}
--- a/internal/usage/persister.go
+++ b/internal/usage/persister.go
@@ -52,7 +52,7 @@
 }
 
 // Step returns the actions to take, of type Save and SendHandover. It is called every
-// constants.UsageSave. held indicates whether this machine holds the duty, and holder is the duty's
+// constants.UsageSaveInterval. held indicates whether this machine holds the duty, and holder is the duty's
 // holder as far as this machine knows.
 func (p *Persister) Step(held bool, holder string) []any {
 	if p.held && !held {
@@ -77,7 +77,7 @@
 	return actions
 }
 
-// save returns the next value to store: a full snapshot once every constants.UsageSaves steps,
+// save returns the next value to store: a full snapshot once every constants.UsageSavesPerSnapshot steps,
 // otherwise the reports merged since the previous step.
 func (p *Persister) save() (Save, bool) {
 	if p.turn = (p.turn + 1) % constants.UsageSavesPerSnapshot; p.turn == 0 {
