--- a/cmd/scalerun/platform.go
+++ b/cmd/scalerun/platform.go
@@ -36,14 +36,14 @@
 		instances["z0"] = append(instances["z0"], instance{"instanceId": fmt.Sprintf("echo-%d", i), "targetService": "echo", "zone": "z0",
 			"address": echoAddr(i), "capacitySlots": 16, "state": "ready", "warmupLeft": "0ms"})
 	}
-	for i := first; i < min(first+constants.PollPage, cli.Upstreams); i++ {
+	for i := first; i < min(first+constants.PollPageSize, cli.Upstreams); i++ {
 		zone := fmt.Sprintf("z%d", i%4)
 		instances[zone] = append(instances[zone], instance{"instanceId": fmt.Sprintf("i-%08d", i), "targetService": fmt.Sprintf("svc%04d", i%cli.Services), "zone": zone,
 			"address": fmt.Sprintf("127.30.%d.%d:8080", i/250%250, i%250), "capacitySlots": 2, "state": "ready", "warmupLeft": "0ms"})
 	}
 	var next any
-	if first+constants.PollPage < cli.Upstreams {
-		next = strconv.Itoa(first + constants.PollPage)
+	if first+constants.PollPageSize < cli.Upstreams {
+		next = strconv.Itoa(first + constants.PollPageSize)
 	}
 	json.NewEncoder(w).Encode(map[string]any{"instances": instances, "nextPageToken": next})
 }
--- a/internal/admission/contacts.go
+++ b/internal/admission/contacts.go
@@ -22,7 +22,7 @@
 func (t *Tracker) recordContact(now time.Duration, request GrantRequest) (late bool) {
 	c, ok := t.contacts[request.Proxy]
 	if !ok {
-		c.echoedAt = now - 2*constants.GrantLong
+		c.echoedAt = now - 2*constants.LongGrantDuration
 		t.outOfContact[request.Proxy] = true
 		t.contactScan++
 	}
@@ -43,19 +43,19 @@
 	if now < t.nextScanAt {
 		return late
 	}
-	t.nextScanAt = now + constants.ContactScanEvery
+	t.nextScanAt = now + constants.ContactScanInterval
 	t.contactScan++
 	clear(t.outOfContact)
 	t.proxyCount = 0
 	for n, c := range t.contacts {
-		if now-c.lastRequestAt > 2*constants.GrantLong {
+		if now-c.lastRequestAt > 2*constants.LongGrantDuration {
 			delete(t.contacts, n) // all its grants have expired
 			continue
 		}
-		if now-c.lastRequestAt <= constants.SubscriptionSilence {
+		if now-c.lastRequestAt <= constants.SubscriptionTimeout {
 			t.proxyCount = max(t.proxyCount, c.proxies)
 		}
-		if now+constants.ContactScanEvery-c.echoedAt > constants.StandbyRoom {
+		if now+constants.ContactScanInterval-c.echoedAt > constants.ContactTimeout {
 			t.outOfContact[n] = true // it may start using its standby rate before the next scan
 		}
 	}
--- a/internal/admission/grants.go
+++ b/internal/admission/grants.go
@@ -13,7 +13,7 @@
 	Tokens      float64       // one-off tokens for a waiting request
 	Life        uint64        // incarnation of the tracker that grants the tokens
 	Keep        bool          // no new lease; what was granted before, by an earlier tracker too, is valid until it expires
-	Long        bool          // the lease lasts for GrantLong instead of GrantLength
+	Long        bool          // the lease lasts for LongGrantDuration instead of GrantDuration
 	Dry         time.Duration // no tokens will be available before this time has passed
 	Lent        bool          // the loan was reported, and Loan is the rate that the tracker recorded
 	Loan        float64       // requests a second
@@ -44,7 +44,7 @@
 	if grant.Lent && asked == ks.loanReportedAt && l.proxies > 0 {
 		l.applyLoan(ks, now, asked, grant)
 	}
-	if expires := asked + constants.OneOffLife; grant.Tokens > 0 && expires > now {
+	if expires := asked + constants.OneOffLifetime; grant.Tokens > 0 && expires > now {
 		if debt := max(0, -ks.split.tokens); ks.trackerOnly && debt > 0 {
 			paid := min(debt, max(0, grant.Tokens-1))
 			ks.split.tokens += paid
@@ -73,12 +73,12 @@
 		}
 		return
 	}
-	fraction := min(1, grant.Loan*float64(l.proxies)/(constants.SplitPart*ks.quota.Rate))
+	fraction := min(1, grant.Loan*float64(l.proxies)/(constants.SplitFraction*ks.quota.Rate))
 	if fraction == ks.lentFraction {
 		return
 	}
 	if fraction > ks.lentFraction {
-		ks.loanExpires = max(ks.loanExpires, asked+constants.LendLength)
+		ks.loanExpires = max(ks.loanExpires, asked+constants.LoanDuration)
 	}
 	ks.lentFraction = max(0, fraction)
 	l.resizeBuckets(ks, now)
@@ -90,9 +90,9 @@
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if ks := l.keys[key]; ks != nil {
-		ks.noTokensUntil = now + constants.GrantEvery
+		ks.noTokensUntil = now + constants.GrantInterval
 		if ks.trackerOnly {
-			ks.noTokensUntil = now + constants.AskRetryPause // the tracker is the only source of tokens
+			ks.noTokensUntil = now + constants.TokenRetryDelay // the tracker is the only source of tokens
 			ks.unansweredAt = now
 		}
 	}
--- a/internal/admission/keystate.go
+++ b/internal/admission/keystate.go
@@ -89,7 +89,7 @@
 // SplitFloor returns the minimum burst of a split share: one request, provided that the
 // floors of all proxies together fit in the quota's slack.
 func SplitFloor(proxies int, slack float64) float64 {
-	if float64(proxies)*constants.SplitFloor <= slack*constants.SlackUsed {
+	if float64(proxies)*constants.SplitFloor <= slack*constants.SplitFloorSlackFraction {
 		return constants.SplitFloor
 	}
 	return 0
@@ -99,7 +99,7 @@
 // key is tracker-only: its share is lent whole, every request asks the tracker, and the
 // standby rate serves requests while the tracker does not answer.
 func ShareTooSmall(proxies int, slack float64, q Quota) bool {
-	return proxies > 0 && SplitFloor(proxies, slack) == 0 && constants.SplitPart*q.Burst/float64(proxies) < constants.TinyShare
+	return proxies > 0 && SplitFloor(proxies, slack) == 0 && constants.SplitFraction*q.Burst/float64(proxies) < constants.MinShareBurst
 }
 
 // updateMode decides whether a key is tracker-only. A share that becomes too small is given
@@ -116,7 +116,7 @@
 	case tooSmall:
 		ks.releaseDeadline = 0
 	case ks.trackerOnly && ks.releaseDeadline == 0:
-		ks.releaseDeadline = now + constants.LendLong + constants.GrantLong
+		ks.releaseDeadline = now + constants.LongLoanDuration + constants.LongGrantDuration
 	}
 }
 
@@ -137,7 +137,7 @@
 		ks.split.set(now, 0, 0)
 	} else {
 		n := float64(l.proxies)
-		rate, depth := constants.SplitPart*q.Rate/n, constants.SplitPart*q.Burst/n
+		rate, depth := constants.SplitFraction*q.Rate/n, constants.SplitFraction*q.Burst/n
 		if ks.initialFillFrom != 0 {
 			ks.split.filledAt, ks.initialFillFrom = ks.initialFillFrom, 0
 			ks.split.rate, ks.split.depth = rate, depth
@@ -148,7 +148,7 @@
 			ks.split.set(now, rate*(1-ks.lentFraction), max(depth*(1-ks.lentFraction), SplitFloor(l.proxies, l.slack)))
 		}
 	}
-	ks.peakRate.set(now, constants.FastBucketRate*q.Rate, max(1, q.Rate*constants.FastBucketTime.Seconds()))
+	ks.peakRate.set(now, constants.PeakRateFactor*q.Rate, max(1, q.Rate*constants.PeakBurstTime.Seconds()))
 	ks.wholeQuota.set(now, q.Rate, max(1, q.Burst))
 	if !ks.trackerOnly {
 		// A lowered quota reduces at once what was leased under the previous one.
@@ -158,10 +158,10 @@
 
 // refresh expires the key's share, loan and grants as of now and fills its buckets.
 func (l *Limiter) refresh(ks *keyState, now time.Duration) {
-	if ks.trackerOnly && ks.releaseDeadline > 0 && now >= max(ks.releaseDeadline, ks.loanExpires+constants.GrantLong) {
+	if ks.trackerOnly && ks.releaseDeadline > 0 && now >= max(ks.releaseDeadline, ks.loanExpires+constants.LongGrantDuration) {
 		l.reclaimShare(ks, now)
 	}
-	if now-l.countReceivedAt > constants.SplitHold {
+	if now-l.countReceivedAt > constants.SplitTimeout {
 		ks.split.set(now, 0, 0) // the control plane may have given the share to other proxies
 	} else if ks.lentFraction > 0 && now >= ks.loanExpires {
 		ks.lentFraction = 0 // the loan has expired because no report renewed it
--- a/internal/admission/leases.go
+++ b/internal/admission/leases.go
@@ -33,7 +33,7 @@
 	if q.Rate <= 0 {
 		return 0
 	}
-	return rate * min(constants.LeaseDepthTime.Seconds(), q.Burst/q.Rate)
+	return rate * min(constants.LeaseBurstTime.Seconds(), q.Burst/q.Rate)
 }
 
 // grantLease answers a proxy that uses its split share. A request for one-off tokens
@@ -64,13 +64,13 @@
 		total += o.demand
 	}
 	share := l.demand
-	if leasable := rate * (1 - constants.PoolPart); total > leasable {
+	if leasable := rate * (1 - constants.UnleasedFraction); total > leasable {
 		share = l.demand * leasable / total
 	}
 	share = min(share, max(0, rate-p.leased(request.Proxy)))
 	l.reserved = maxInUse(l.reserved, l.requestSent, share, want)
 	l.rate, l.requestSent = share, request.Sent
-	l.expires = now + constants.GrantLength
+	l.expires = now + constants.GrantDuration
 	p.resize(now, t)
 	grant := KeyGrant{Key: want.Key, Rate: share, Depth: leaseDepth(share, p.quota), Lent: true}
 	return t.grantTokens(p, want, grant)
--- a/internal/admission/limiter.go
+++ b/internal/admission/limiter.go
@@ -54,11 +54,11 @@
 }
 
 // SetProxies sets the live proxy count. It must be called each time the control plane sends
-// the count, even if unchanged: the split shares expire if no count arrives for SplitHold.
+// the count, even if unchanged: the split shares expire if no count arrives for SplitTimeout.
 func (l *Limiter) SetProxies(now time.Duration, n int) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	sharesExpired := now-l.countReceivedAt > constants.SplitHold
+	sharesExpired := now-l.countReceivedAt > constants.SplitTimeout
 	l.countReceivedAt = now
 	if n == l.proxies && !sharesExpired {
 		return
@@ -68,7 +68,7 @@
 		if now >= l.countIncrease.ends {
 			l.countIncrease.from = l.proxies
 		}
-		l.countIncrease.ends = now + constants.LendLong
+		l.countIncrease.ends = now + constants.LongLoanDuration
 	}
 	l.proxies = n
 	clear(l.loansReportAt)
@@ -99,7 +99,7 @@
 			ks.split.filledAt, ks.grant.filledAt, ks.peakRate.filledAt, ks.wholeQuota.filledAt = now, now, now, now
 			ks.lastAdmitted = now
 			if l.awaitingQuotas {
-				ks.initialFillFrom = -constants.RestartTime
+				ks.initialFillFrom = -constants.MinRestartTime
 				ks.peakRate.filledAt, ks.lastAdmitted = ks.initialFillFrom, ks.initialFillFrom
 			}
 			l.keys[k] = ks
--- a/internal/admission/limiter_test.go
+++ b/internal/admission/limiter_test.go
@@ -128,7 +128,7 @@
 			}); !f.frozen[n] {
 				f.askTracker(n, reports, nil)
 			}
-			f.network.After(constants.GrantEvery, renew)
+			f.network.After(constants.GrantInterval, renew)
 		}
 		f.network.After(time.Duration(i)*time.Millisecond, renew)
 	}
@@ -274,17 +274,17 @@
 	f.network.Delay = 2 * time.Millisecond
 	f.network.Run(5*time.Second, nil)
 	share := func() float64 { return f.proxies["p3"].Reports(f.clock("p3"))[0].SplitRate }
-	whole := constants.SplitPart * 110 / 11
-	if share() > whole*(1.01-constants.LendMost) {
+	whole := constants.SplitFraction * 110 / 11
+	if share() > whole*(1.01-constants.MaxLentFraction) {
 		t.Fatalf("an idle proxy in contact keeps %.1f of %.1f a second", share(), whole)
 	}
 	for g := range f.trackers {
 		f.network.Cut("p3", g, true)
 		f.network.Cut(g, "p3", true)
 	}
-	f.network.Run(f.network.Now+constants.LendLength+10*time.Millisecond, nil)
+	f.network.Run(f.network.Now+constants.LoanDuration+10*time.Millisecond, nil)
 	if share() < whole*0.999 {
-		t.Fatalf("partitioned for %v, the proxy has %.1f of %.1f a second", constants.LendLength, share(), whole)
+		t.Fatalf("partitioned for %v, the proxy has %.1f of %.1f a second", constants.LoanDuration, share(), whole)
 	}
 }
 
@@ -326,9 +326,9 @@
 	if most := 10.0; r.SplitRate+r.GrantRate > most || r.Balance > most {
 		t.Fatalf("after lowering the quota: %+v", r)
 	}
-	late := 2*time.Second + constants.SplitHold
+	late := 2*time.Second + constants.SplitTimeout
 	if r := l.Reports(late)[0]; r.SplitRate != 0 || r.Balance > 0 {
-		t.Fatalf("after %v of silence: %+v", constants.SplitHold, r)
+		t.Fatalf("after %v of silence: %+v", constants.SplitTimeout, r)
 	}
 	l.SetProxies(late, 2)
 	if r := l.Reports(late + time.Second)[0]; r.SplitRate == 0 {
@@ -503,7 +503,7 @@
 		for i := range 80 {
 			f.start(fmt.Sprint("p", i))
 		}
-		f.network.Run(f.network.Now+constants.StandbyAfter-constants.RestartTime, nil)
+		f.network.Run(f.network.Now+constants.StandbyDelay-constants.MinRestartTime, nil)
 		if got := f.servedShare(2 * time.Second); got < 0.2 {
 			t.Errorf("seed %d: %.2f served without a tracker", seed, got)
 		}
@@ -532,7 +532,7 @@
 		limiters[i].SetQuotas(0, quotas)
 		limiters[i].SetProxies(0, proxies)
 	}
-	for now := 3 * time.Second; now < 33*time.Second; now += constants.GrantEvery {
+	for now := 3 * time.Second; now < 33*time.Second; now += constants.GrantInterval {
 		for i, l := range limiters {
 			if network.Rng.IntN(40) == 0 {
 				continue // the message is lost
@@ -568,7 +568,7 @@
 			}
 			for n, x := range p.standbys {
 				reserved, demand = reserved+x.reserved, demand+x.demand
-				if now-tracker.contacts[n].echoedAt > constants.StandbyRoom {
+				if now-tracker.contacts[n].echoedAt > constants.ContactTimeout {
 					inUse += x.reserved
 				}
 			}
@@ -581,7 +581,7 @@
 	lastEcho := func(string) (time.Duration, uint64, bool) { return 33 * time.Second, 1, true }
 	limiters[0].BuildReports(33*time.Second, lastEcho)
 	limiters[0].RequestFullReport(2)
-	if len(limiters[0].BuildReports(33*time.Second+constants.GrantEvery, lastEcho)) < 20 {
+	if len(limiters[0].BuildReports(33*time.Second+constants.GrantInterval, lastEcho)) < 20 {
 		t.Error("a lost report is not repeated in the next message")
 	}
 	if per := float64(messages) / proxies / shards; per > 5 {
--- a/internal/admission/livecount_test.go
+++ b/internal/admission/livecount_test.go
@@ -87,15 +87,15 @@
 			return g.echoAt[n], g.echo[n].Life, g.echo[n] != TrackerTime{}
 		})
 		g.askTracker(n, reports, nil)
-		g.network.After(constants.GrantEvery, renew)
+		g.network.After(constants.GrantInterval, renew)
 	}
 	g.network.After(time.Millisecond, renew)
 }
 
 // rosterRemovalDelay is the time after which the control plane removes an ended proxy from
-// the roster. As with constants.ProxyForget its loans have expired by then; it is shorter to
+// the roster. As with constants.ProxyExpiry its loans have expired by then; it is shorter to
 // keep the runs short.
-const rosterRemovalDelay = constants.LendLong + time.Second
+const rosterRemovalDelay = constants.LongLoanDuration + time.Second
 
 // removeProxy ends a proxy. It stays on the roster for rosterRemovalDelay.
 func (g *changingFleet) removeProxy(n string) {
--- a/internal/admission/pool.go
+++ b/internal/admission/pool.go
@@ -41,7 +41,7 @@
 
 // tracked returns the part of the quota that trackers grant.
 func (p *pool) tracked() (rate, burst float64) {
-	return (1 - constants.SplitPart) * p.quota.Rate, (1 - constants.SplitPart) * p.quota.Burst
+	return (1 - constants.SplitFraction) * p.quota.Rate, (1 - constants.SplitFraction) * p.quota.Burst
 }
 
 // available returns what can be granted in total: the tracked part and the loans. While
@@ -55,7 +55,7 @@
 		return min(rate+p.loanTotals.rate, p.quota.Rate), min(burst+p.loanTotals.depth, p.quota.Burst)
 	}
 	_, idle := p.standbyTotals(now, tracker)
-	guaranteed := min(constants.StandbyReserve*p.quota.Rate, p.loanTotals.wholeRate*(1-constants.StandbyBasic))
+	guaranteed := min(constants.StandbyReserveFraction*p.quota.Rate, p.loanTotals.wholeRate*(1-constants.StandbyBasicFraction))
 	lent := p.loanTotals.rate - p.loanTotals.wholeRate + guaranteed
 	if p.loanTotals.rate > 0 {
 		burst += p.loanTotals.depth * lent / p.loanTotals.rate
@@ -90,7 +90,7 @@
 	rate, burst := p.available(now, tracker)
 	leased := p.leased("")
 	p.bucket.set(now, max(0, rate-leased-p.standbyRateInUse(now, tracker)), max(0, burst-leaseDepth(leased, p.quota)))
-	if p.refillPending && burst >= constants.NearlyAll*p.quota.Burst {
+	if p.refillPending && burst >= constants.FullQuotaFraction*p.quota.Burst {
 		p.refillPending = false // done once, after the shares have been lent
 		p.bucket.tokens = max(p.bucket.tokens, min(p.bucket.depth, p.quota.Rate*(now-p.lastAdmitted).Seconds()-p.tokensGranted))
 	}
@@ -111,7 +111,7 @@
 	}
 	p.bucket.filledAt = min(now, fillFrom)
 	p.bucket.rate, p.bucket.depth = p.tracked()
-	p.recoveryUntil = takenOverAt + constants.GrantLong
+	p.recoveryUntil = takenOverAt + constants.LongGrantDuration
 	t.pools[key] = p
 	return p
 }
--- a/internal/admission/requests.go
+++ b/internal/admission/requests.go
@@ -28,17 +28,17 @@
 // grantLength returns the lifetime of a lease.
 func grantLength(long bool) time.Duration {
 	if long {
-		return constants.GrantLong
+		return constants.LongGrantDuration
 	}
-	return constants.GrantLength
+	return constants.GrantDuration
 }
 
 // lendLength returns the lifetime of a loan.
 func lendLength(long bool) time.Duration {
 	if long {
-		return constants.LendLong
+		return constants.LongLoanDuration
 	}
-	return constants.LendLength
+	return constants.LoanDuration
 }
 
 // demandBeyondShare returns the rate to request as a lease: for a hot key the demand that
@@ -48,7 +48,7 @@
 	if ks.trackerOnly {
 		return ks.demand // sizes the standby rate
 	}
-	if ks.demand < constants.HotRate {
+	if ks.demand < constants.HotKeyRate {
 		return 0
 	}
 	return max(0, ks.demand*constants.GrantHeadroom-ks.split.rate)
@@ -70,7 +70,7 @@
 		return nil
 	}
 	l.periodStart = now
-	shareExpired := now-l.countReceivedAt > constants.SplitHold // other proxies may use the share now
+	shareExpired := now-l.countReceivedAt > constants.SplitTimeout // other proxies may use the share now
 	reportedShards := map[int]bool{}
 	var reports []KeyRequest
 	for k, ks := range l.keys {
@@ -78,13 +78,13 @@
 		ks.demand += constants.DemandWeight * (ks.arrivals/period - ks.demand)
 		ks.arrivals = 0
 		n := float64(l.proxies)
-		rate, depth := constants.SplitPart*ks.quota.Rate/n, constants.SplitPart*ks.quota.Burst/n
+		rate, depth := constants.SplitFraction*ks.quota.Rate/n, constants.SplitFraction*ks.quota.Burst/n
 		lend := 0.0
 		trackerOnly := ks.trackerOnly
 		releasing := trackerOnly && ks.releaseDeadline > 0
 		at, incarnation, ok := lastEcho(k)
 		if ok && now < at+lendLength(trackerOnly) && !shareExpired {
-			if lend = min(constants.LendMost, max(0, 1-ks.demand*constants.LendKeep/rate)); trackerOnly {
+			if lend = min(constants.MaxLentFraction, max(0, 1-ks.demand*constants.LendHeadroom/rate)); trackerOnly {
 				lend = 1
 			}
 		}
@@ -119,7 +119,7 @@
 		})
 	}
 	for shard := range reportedShards {
-		l.loansReportAt[shard] = now + constants.LendLong/4 + time.Duration(l.rng.Int64N(int64(constants.LendLong/8)))
+		l.loansReportAt[shard] = now + constants.LongLoanDuration/4 + time.Duration(l.rng.Int64N(int64(constants.LongLoanDuration/8)))
 	}
 	sort.Slice(reports, func(i, j int) bool { return reports[i].Key < reports[j].Key })
 	return reports
--- a/internal/admission/retry.go
+++ b/internal/admission/retry.go
@@ -14,14 +14,14 @@
 	if ks.lastRetryAt > now {
 		due = max(due, ks.lastRetryAt+tokenTime(1, ks.quota.Rate))
 	}
-	ks.lastRetryAt = min(due, now+constants.RetryMost)
+	ks.lastRetryAt = min(due, now+constants.MaxRetryAfter)
 	return ks.lastRetryAt - now
 }
 
 // timeToToken returns the time until a token is due, given the balance that is available
 // here now.
 func (l *Limiter) timeToToken(ks *keyState, now time.Duration, available float64) time.Duration {
-	local := constants.GrantLength // leases and shares are distributed again within this time
+	local := constants.GrantDuration // leases and shares are distributed again within this time
 	rate := ks.split.rate
 	if !ks.trackerOnly || ks.onStandby {
 		rate += ks.grant.rate
@@ -33,7 +33,7 @@
 	case ks.unansweredAt > 0 && ks.unansweredAt >= answeredAt:
 		// The tracker does not answer. After this time it answers again or the standby
 		// rate is used.
-		if untilStandby := answeredAt + constants.StandbyAfter - now; untilStandby > 0 {
+		if untilStandby := answeredAt + constants.StandbyDelay - now; untilStandby > 0 {
 			return min(local, untilStandby)
 		}
 		return local
@@ -45,5 +45,5 @@
 
 // tokenTime returns how long a number of tokens takes to accrue at a rate.
 func tokenTime(tokens, rate float64) time.Duration {
-	return time.Duration(min(constants.RetryMost.Seconds(), tokens/rate) * float64(time.Second))
+	return time.Duration(min(constants.MaxRetryAfter.Seconds(), tokens/rate) * float64(time.Second))
 }
--- a/internal/admission/standby.go
+++ b/internal/admission/standby.go
@@ -28,7 +28,7 @@
 // use, because their proxies may be out of contact, and of the others.
 func (p *pool) standbyTotals(now time.Duration, tracker *Tracker) (inUse, idle float64) {
 	if now >= p.nextStandbyExpiry {
-		p.standbyReserved, p.standbyDemand, p.nextStandbyExpiry, p.contactScan = 0, 0, now+constants.GrantLong, 0
+		p.standbyReserved, p.standbyDemand, p.nextStandbyExpiry, p.contactScan = 0, 0, now+constants.LongGrantDuration, 0
 		for k, s := range p.standbys {
 			if now >= s.expires {
 				delete(p.standbys, k)
@@ -61,12 +61,12 @@
 }
 
 // maxStandby returns the limit for the sum of a key's standby rates, derived from the
-// shares lent whole. It leaves the tracked part and StandbyReserve, a tenth of the quota,
+// shares lent whole. It leaves the tracked part and StandbyReserveFraction, a tenth of the quota,
 // for a new tracker to grant while it does not know which standby rates are in use. The
 // basic standby rates of all proxies fit within the limit.
 func (p *pool) maxStandby() float64 {
-	lent := min(p.loanTotals.wholeRate, constants.SplitPart*p.quota.Rate)
-	return max(lent*constants.StandbyBasic, lent-constants.StandbyReserve*p.quota.Rate)
+	lent := min(p.loanTotals.wholeRate, constants.SplitFraction*p.quota.Rate)
+	return max(lent*constants.StandbyBasicFraction, lent-constants.StandbyReserveFraction*p.quota.Rate)
 }
 
 // grantStandby answers a proxy for which the key is tracker-only.
@@ -79,9 +79,9 @@
 		p.standbys[request.Proxy] = s
 	}
 	next := *s
-	next.expires = now + constants.GrantLong
+	next.expires = now + constants.LongGrantDuration
 	p.nextStandbyExpiry = min(p.nextStandbyExpiry, next.expires)
-	basic := p.loans[request.Proxy].rate * constants.StandbyBasic
+	basic := p.loans[request.Proxy].rate * constants.StandbyBasicFraction
 	switch {
 	case !want.Lend: // a request for one-off tokens leaves the rates unchanged
 	case now < p.recoveryUntil:
@@ -148,24 +148,24 @@
 func (l *Limiter) resizeStandby(ks *keyState, now time.Duration) {
 	l.updateStandby(ks, now) // before the bucket fills
 	rate := 0.0
-	if l.proxies > 0 && now-l.countReceivedAt <= constants.SplitHold {
-		rate = constants.SplitPart * constants.StandbyBasic * ks.quota.Rate / float64(l.proxies)
+	if l.proxies > 0 && now-l.countReceivedAt <= constants.SplitTimeout {
+		rate = constants.SplitFraction * constants.StandbyBasicFraction * ks.quota.Rate / float64(l.proxies)
 	}
 	rate = max(rate, ks.heldRate(now))
 	ks.grant.set(now, rate, max(constants.StandbyDepth, rate))
 }
 
 // updateStandby lets the standby bucket fill only while the proxy has received nothing from
-// the key's tracker for StandbyAfter; tokens then accrue from the last answer on. A bucket
+// the key's tracker for StandbyDelay; tokens then accrue from the last answer on. A bucket
 // starts with a random fraction of a token and keeps a fraction while it is not in use, so
 // that many proxies with a low rate together admit exactly the sum of their rates.
 func (l *Limiter) updateStandby(ks *keyState, now time.Duration) {
 	answeredAt, ok := l.trackerAnsweredAt[ks.shard]
 	if !ok {
 		// The previous incarnation was in contact until it ended at the latest.
-		answeredAt = -constants.RestartTime
+		answeredAt = -constants.MinRestartTime
 	}
-	if now-answeredAt < constants.StandbyAfter && !l.trackerDown[ks.shard] {
+	if now-answeredAt < constants.StandbyDelay && !l.trackerDown[ks.shard] {
 		if ks.onStandby {
 			ks.grant.tokens -= math.Floor(ks.grant.tokens)
 		}
--- a/internal/admission/tracker.go
+++ b/internal/admission/tracker.go
@@ -126,10 +126,10 @@
 	}
 	t.trackerOnly[want.Key] = trackerOnly
 	changed, ok := t.modeChangedAt[want.Key]
-	if trackerOnly && want.Long && (!ok || now-changed >= constants.GrantLength) {
-		return constants.OneOffLife
+	if trackerOnly && want.Long && (!ok || now-changed >= constants.GrantDuration) {
+		return constants.OneOffLifetime
 	}
-	return constants.GrantLength
+	return constants.GrantDuration
 }
 
 // handleKeyRequest processes a proxy's request for one key. If a newer report of the proxy
@@ -183,7 +183,7 @@
 			t.Granted++
 		} else {
 			t.Exhausted++
-			grant.Dry = constants.GrantEvery
+			grant.Dry = constants.GrantInterval
 			if due := (want.Need - p.bucket.tokens) / p.bucket.rate; p.bucket.rate > 0 && due < grant.Dry.Seconds() {
 				grant.Dry = time.Duration(due * float64(time.Second))
 			}
--- a/internal/autoscale/autoscale.go
+++ b/internal/autoscale/autoscale.go
@@ -73,9 +73,9 @@
 func (a *LoadAggregator) Record(now time.Duration, report Report) bool {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	invalid := report.Proxy == "" || len(report.Proxy) > constants.NameMax || len(report.Zone) > constants.NameMax || len(report.Running) > constants.ScaleServices
+	invalid := report.Proxy == "" || len(report.Proxy) > constants.MaxNameBytes || len(report.Zone) > constants.MaxNameBytes || len(report.Running) > constants.ScaleMaxServices
 	for _, n := range report.Running {
-		invalid = invalid || n < 0 || n > constants.ScaleMost
+		invalid = invalid || n < 0 || n > constants.ScaleMaxRequests
 	}
 	if invalid {
 		a.Rejected++
@@ -92,8 +92,8 @@
 	defer a.mu.Unlock()
 	sum, complete = map[Subject]float64{}, len(live) > 0
 	for proxy, received := range a.byProxy {
-		if now-received.at > constants.ScaleFresh {
-			if now-received.at > constants.ProxyForget {
+		if now-received.at > constants.ScaleReportMaxAge {
+			if now-received.at > constants.ProxyExpiry {
 				delete(a.byProxy, proxy)
 			}
 			continue
@@ -103,7 +103,7 @@
 		}
 	}
 	for _, proxy := range live {
-		if received, ok := a.byProxy[proxy]; !ok || now-received.at > constants.ScaleFresh {
+		if received, ok := a.byProxy[proxy]; !ok || now-received.at > constants.ScaleReportMaxAge {
 			complete = false
 		}
 	}
@@ -119,10 +119,10 @@
 }
 
 // hold returns the time until the effect of an order is visible: new upstreams boot, proxies
-// report the requests running there, and the reports are averaged. It covers ScaleRise, the time
+// report the requests running there, and the reports are averaged. It covers ScaleTrendWindow, the time
 // over which a rise of the load is measured.
 func (b Bounds) hold() time.Duration {
-	return max(b.BootTime, constants.ScaleRise) + constants.ScaleEvery + constants.ScaleSmooth
+	return max(b.BootTime, constants.ScaleTrendWindow) + constants.ScaleReportInterval + constants.ScaleSmoothingWindow
 }
 
 // Orders is a list of ordered counts, as it is stored and sent.
@@ -171,7 +171,7 @@
 // history holds the recent load of one subject.
 type history struct {
 	raw        []loadPoint // as measured
-	smooth     []loadPoint // averaged over ScaleSmooth
+	smooth     []loadPoint // averaged over ScaleSmoothingWindow
 	lastChange time.Duration
 	reason     string // of the last change
 }
@@ -235,10 +235,10 @@
 	if len(h.raw) == 0 || b.Slots < 1 {
 		return previous, false
 	}
-	mean := func(until time.Duration) (sum float64, ok bool) { // over the ScaleSmooth interval that ends at until
+	mean := func(until time.Duration) (sum float64, ok bool) { // over the ScaleSmoothingWindow interval that ends at until
 		n := 0.0
 		for _, p := range h.raw {
-			if p.at <= until && until-p.at < constants.ScaleSmooth {
+			if p.at <= until && until-p.at < constants.ScaleSmoothingWindow {
 				sum, n = sum+p.n, n+1
 			}
 		}
@@ -256,20 +256,20 @@
 	if peak == 0 || !ok {
 		return previous, false // without requests there is no measurement of the load they would cause
 	}
-	if before, ok := mean(now - constants.ScaleRise); ok && before > 0 && last > before {
-		peak = max(peak, last+(last-before)*b.BootTime.Seconds()/constants.ScaleRise.Seconds()*constants.ScaleAhead)
+	if before, ok := mean(now - constants.ScaleTrendWindow); ok && before > 0 && last > before {
+		peak = max(peak, last+(last-before)*b.BootTime.Seconds()/constants.ScaleTrendWindow.Seconds()*constants.ScaleTrendWeight)
 	}
-	needed := int(math.Ceil(peak / (constants.ScaleTaken * float64(b.Slots))))
+	needed := int(math.Ceil(peak / (constants.ScaleTargetUtilization * float64(b.Slots))))
 	utilization := peak / float64(max(1, previous)*b.Slots)
-	if utilization > constants.ScaleHigh {
+	if utilization > constants.ScaleUpUtilization {
 		h.reason, h.lastChange = "load", now
 		return needed, true
 	}
-	if !complete || now-h.smooth[0].at < b.hold()*3/4 || now-h.lastChange < constants.ScalePause || utilization >= constants.ScaleLow {
+	if !complete || now-h.smooth[0].at < b.hold()*3/4 || now-h.lastChange < constants.ScaleDownCooldown || utilization >= constants.ScaleDownUtilization {
 		return previous, true
 	}
 	h.reason, h.lastChange = "idle", now
-	return max(needed, int(math.Ceil(float64(previous)*(1-constants.ScaleDown)))), true
+	return max(needed, int(math.Ceil(float64(previous)*(1-constants.ScaleDownMaxFraction)))), true
 }
 
 // Reason returns the reason for the last change of a subject's count.
--- a/internal/autoscale/autoscale_test.go
+++ b/internal/autoscale/autoscale_test.go
@@ -76,7 +76,7 @@
 		return 40
 	}
 	simulate(NewController(), z, 0, 39*time.Second, load, always, nil)
-	want := int(math.Ceil(40 / (4 * constants.ScaleTaken)))
+	want := int(math.Ceil(40 / (4 * constants.ScaleTargetUtilization)))
 	if z.ready < want || z.ready > want+3 {
 		t.Fatalf("%d upstreams for 40 concurrent requests, want %d; counts: %v", z.ready, want, z.counts)
 	}
@@ -193,7 +193,7 @@
 	if _, complete := a.Sum(time.Second, []string{"p", "q"}); complete {
 		t.Error("complete without a report from q")
 	}
-	if sum, complete := a.Sum(constants.ScaleFresh+1, []string{"p"}); sum[subject] != 0 || complete {
+	if sum, complete := a.Sum(constants.ScaleReportMaxAge+1, []string{"p"}); sum[subject] != 0 || complete {
 		t.Errorf("sum %v, complete %v from an outdated report", sum, complete)
 	}
 }
--- a/internal/clock/clock.go
+++ b/internal/clock/clock.go
@@ -44,7 +44,7 @@
 	c.samples[from] = sample{time.Duration(wall) - monotonic, monotonic}
 	var offsets []time.Duration
 	for name, s := range c.samples {
-		if monotonic-s.at > constants.ClockFresh {
+		if monotonic-s.at > constants.ClockSampleMaxAge {
 			delete(c.samples, name)
 			continue
 		}
@@ -52,10 +52,10 @@
 	}
 	slices.Sort(offsets)
 	median := offsets[(len(offsets)-1)/2]
-	if !c.set || monotonic < constants.ClockSettle {
+	if !c.set || monotonic < constants.ClockSettlingTime {
 		c.offset, c.set, c.last = median, true, 0
 	} else {
-		maxStep := time.Duration(float64(monotonic-c.adjustedAt) * constants.ClockSlew)
+		maxStep := time.Duration(float64(monotonic-c.adjustedAt) * constants.ClockMaxSlewRate)
 		c.offset += min(max(median-c.offset, -maxStep), maxStep)
 	}
 	c.adjustedAt = monotonic
--- a/internal/config/ledger.go
+++ b/internal/config/ledger.go
@@ -52,14 +52,14 @@
 }
 
 // With returns the ledger with a content added under a version that is not settled; otherwise
-// it returns l unchanged. It drops the lowest versions beyond constants.LedgerKept entries.
+// it returns l unchanged. It drops the lowest versions beyond constants.MaxLedgerEntries entries.
 func (l Ledger) With(version, sum uint64) Ledger {
 	i, ok := l.search(version)
 	if ok || version <= l.Floor {
 		return l
 	}
 	out := Ledger{Floor: l.Floor, Taken: slices.Insert(slices.Clone(l.Taken), i, LedgerEntry{version, sum})}
-	if n := len(out.Taken) - constants.LedgerKept; n > 0 {
+	if n := len(out.Taken) - constants.MaxLedgerEntries; n > 0 {
 		out.Floor = out.Taken[n-1].Version
 		out.Taken = out.Taken[n:]
 	}
--- a/internal/config/parse.go
+++ b/internal/config/parse.go
@@ -29,11 +29,11 @@
 	return n, nil
 }
 
-// yieldProcessor yields to other goroutines after every constants.ReadBatch items of a
+// yieldProcessor yields to other goroutines after every constants.ConfigParseBatch items of a
 // configuration. On a fraction of a core, parsing hundreds of items without a pause would delay
 // every request in the process.
 func yieldProcessor(parsed int) {
-	if parsed%constants.ReadBatch == 0 {
+	if parsed%constants.ConfigParseBatch == 0 {
 		runtime.Gosched()
 	}
 }
--- a/internal/controlplane/admin.go
+++ b/internal/controlplane/admin.go
@@ -78,7 +78,7 @@
 		writeError(w, http.StatusConflict, errorBody(refusal))
 		return
 	}
-	for end := d.now() + constants.RetireRequestLife/2; d.now() < end; time.Sleep(constants.ChainTick) {
+	for end := d.now() + constants.RetireRequestTimeout/2; d.now() < end; time.Sleep(constants.ChainTick) {
 		if !slices.Contains(d.replica.viewState.Load().voters, addr) {
 			d.events.Record("retired", addr)
 			w.Header().Set("Content-Type", "application/json")
@@ -199,11 +199,11 @@
 }
 
 // LaggingProxies lists the proxies with an older configuration than the active one. Proxies
-// that have been silent for constants.ProxyForget or longer are left out.
+// that have been silent for constants.ProxyExpiry or longer are left out.
 func (r Report) LaggingProxies() []string {
 	var out []string
 	for _, p := range r.Proxies {
-		if p.Version < r.Chain.Version && p.Silent < constants.ProxyForget {
+		if p.Version < r.Chain.Version && p.Silent < constants.ProxyExpiry {
 			out = append(out, p.Name)
 		}
 	}
--- a/internal/controlplane/api.go
+++ b/internal/controlplane/api.go
@@ -82,11 +82,11 @@
 }
 
 func (d *Daemon) replaceConfig(w http.ResponseWriter, r *http.Request) {
-	raw, err := io.ReadAll(http.MaxBytesReader(w, r.Body, constants.ConfigMax))
+	raw, err := io.ReadAll(http.MaxBytesReader(w, r.Body, constants.MaxConfigBytes))
 	if err != nil {
 		var tooLarge *http.MaxBytesError
 		if errors.As(err, &tooLarge) {
-			writeError(w, http.StatusRequestEntityTooLarge, errorBody(fmt.Sprintf("a configuration has at most %d bytes", constants.ConfigMax)))
+			writeError(w, http.StatusRequestEntityTooLarge, errorBody(fmt.Sprintf("a configuration has at most %d bytes", constants.MaxConfigBytes)))
 			return
 		}
 		writeError(w, http.StatusBadRequest, errorBody("the body did not come whole: "+err.Error()))
@@ -133,13 +133,13 @@
 	writeError(w, http.StatusConflict, errorBody(fmt.Sprintf("r%d has been taken with another content: send this one under a higher number", version)))
 }
 
-// await waits until done is closed. It returns false after constants.SubmitWait, when the
+// await waits until done is closed. It returns false after constants.SubmitTimeout, when the
 // caller has disconnected, or when this machine has lost contact with a majority: it cannot
 // complete the call then, while another machine may be able to.
 func (d *Daemon) await(ctx context.Context, done <-chan struct{}) bool {
-	timeout := time.NewTimer(constants.SubmitWait)
+	timeout := time.NewTimer(constants.SubmitTimeout)
 	defer timeout.Stop()
-	contactCheck := time.NewTicker(constants.ContactWait)
+	contactCheck := time.NewTicker(constants.ContactCheckInterval)
 	defer contactCheck.Stop()
 	for {
 		select {
@@ -188,7 +188,7 @@
 	// Evacuation orders have no version numbers. An order that is read late, after a stall
 	// of this process or a network partition, must not undo newer orders. Its caller has
 	// disconnected by then, so a short wait detects it.
-	time.Sleep(constants.CallerCheck)
+	time.Sleep(constants.CallerCheckDelay)
 	if d.replica.recentlyStalled() || r.Context().Err() != nil {
 		d.events.Count("order_too_late", 1)
 		writeUnavailable(w, "this machine stood still: the order may be an old one")
--- a/internal/controlplane/chain/catchup.go
+++ b/internal/controlplane/chain/catchup.go
@@ -75,7 +75,7 @@
 	if c.now < c.nextHeartbeatAt {
 		return
 	}
-	c.nextHeartbeatAt = c.now + constants.RelayEvery
+	c.nextHeartbeatAt = c.now + constants.RelayHeartbeatInterval
 	for range c.peers {
 		c.lastPolledPeer++
 		if p := c.peers[c.lastPolledPeer%len(c.peers)]; p != c.Me.Addr {
@@ -88,7 +88,7 @@
 // RedirectTarget returns the voter that was heard from last, for a relay to redirect its
 // callers to; ok is false if none was heard from recently.
 func (c *Chain) RedirectTarget() (addr string, ok bool) {
-	last := c.now - constants.RelayFresh
+	last := c.now - constants.RelayHeartbeatMaxAge
 	for p, s := range c.peerStates {
 		if s.heartbeat.Joined && !s.heartbeat.Relay && s.receivedAt > last {
 			addr, last, ok = p, s.receivedAt, true
@@ -146,7 +146,7 @@
 		p = &peerState{lastReachedAt: -1}
 		c.peerStates[from] = p
 	}
-	if !p.everSeen || c.now-p.receivedAt > constants.MemberSilence || p.heartbeat.Me != hb.Me {
+	if !p.everSeen || c.now-p.receivedAt > constants.MemberTimeout || p.heartbeat.Me != hb.Me {
 		p.receivingSince, unproven = c.now, true
 		if p.heartbeat.Me != hb.Me {
 			p.lastReachedAt = -1
@@ -172,7 +172,7 @@
 			c.commit(*c.held)
 		} else if c.now >= c.nextFetchAt {
 			if c.inContact(from) { // a request that may not arrive must not delay one to another peer
-				c.nextFetchAt = c.now + constants.HeartbeatEvery
+				c.nextFetchAt = c.now + constants.HeartbeatInterval
 			}
 			c.send(from, Fetch{revisionOf(c.committed)})
 		}
--- a/internal/controlplane/chain/chain_test.go
+++ b/internal/controlplane/chain/chain_test.go
@@ -248,7 +248,7 @@
 	}
 	d := config.Doc{Version: o.version, Raw: []byte(o.content)}
 	c.step(n, generation, func(ch *Chain) []Effect { return ch.Submit(c.network.Now, d) })
-	c.network.After(constants.SubmitWait, func() {
+	c.network.After(constants.SubmitTimeout, func() {
 		if c.generation[n] == generation {
 			delete(c.pendingConfigs[n], k)
 		}
@@ -321,7 +321,7 @@
 	}
 	c.pendingEvacuations[n][id] = o
 	c.step(n, generation, func(ch *Chain) []Effect { return ch.Evacuate(c.network.Now, id, o.zone, o.on) })
-	c.network.After(constants.SubmitWait, func() {
+	c.network.After(constants.SubmitTimeout, func() {
 		if c.generation[n] == generation {
 			delete(c.pendingEvacuations[n], id)
 		}
@@ -387,7 +387,7 @@
 }
 
 // slowNetwork reports whether messages are lost or slower than on a link that counts as
-// healthy. A round that loses a message is restarted after RoundLimit, so adding a machine
+// healthy. A round that loses a message is restarted after RoundTimeout, so adding a machine
 // to the view may then take longer than catchUp.
 func (c *cluster) slowNetwork() bool {
 	return c.network.Delay > 40*time.Millisecond || c.network.Loss > 0
@@ -585,7 +585,7 @@
 		c.fail("%d orders acknowledged and %d reads answered in 6 s without faults: %+v", c.acks-before, c.readsAnswered-read, c.chains[c.names[0]].Status())
 	}
 	for _, n := range c.names {
-		if at, ok := c.chains[n].ReadIndexAt(); !ok || c.network.Now-at > constants.MemberSilence {
+		if at, ok := c.chains[n].ReadIndexAt(); !ok || c.network.Now-at > constants.MemberTimeout {
 			c.fail("%s has a read index of %v only", n, at)
 		}
 		v := c.chains[n].View()
@@ -713,7 +713,7 @@
 		}
 	}
 	heartbeats := 0
-	for _, o := range c.chains["b"].Tick(c.network.Now + constants.HeartbeatEvery) {
+	for _, o := range c.chains["b"].Tick(c.network.Now + constants.HeartbeatInterval) {
 		if _, ok := o.(Send).Msg.(Heartbeat); ok {
 			heartbeats++
 		}
@@ -746,7 +746,7 @@
 	for i, n := range []string{"a", "c", "b"} {
 		c.network.After(time.Duration(1+i)*300*time.Millisecond, func() { c.start(n, false) })
 	}
-	c.network.Run(7*time.Second+900*time.Millisecond+2*constants.HeartbeatEvery, nil)
+	c.network.Run(7*time.Second+900*time.Millisecond+2*constants.HeartbeatInterval, nil)
 	for _, n := range threeMachines {
 		if VersionOf(c.committedStates[n]) != 9 {
 			t.Errorf("%s has r%d committed", n, VersionOf(c.committedStates[n]))
--- a/internal/controlplane/chain/electorate.go
+++ b/internal/controlplane/chain/electorate.go
@@ -96,13 +96,13 @@
 
 func (c *Chain) retirementRequested(m Member) bool {
 	at, ok := c.retireRequests[m.Addr]
-	return ok && c.now-at < constants.RetireRequestLife
+	return ok && c.now-at < constants.RetireRequestTimeout
 }
 
 // absentTooLong reports whether a voter has been out of contact for so long that it is
 // retired.
 func (c *Chain) absentTooLong(m Member) bool {
-	return !c.inContact(m.Addr) && c.now-c.lastContact(m) >= constants.RetireAfter
+	return !c.inContact(m.Addr) && c.now-c.lastContact(m) >= constants.VoterRetireDelay
 }
 
 // overdueVoters returns the voters outside the current view that are to be retired by a new
@@ -198,14 +198,14 @@
 // been silent, and retirement requests that have expired.
 func (c *Chain) forgetStalePeers() {
 	for p, s := range c.peerStates {
-		if c.now-s.receivedAt > constants.PeerForget && !slices.Contains(c.seeds, p) && c.agreement.View.voterIndex(p) < 0 {
+		if c.now-s.receivedAt > constants.PeerExpiry && !slices.Contains(c.seeds, p) && c.agreement.View.voterIndex(p) < 0 {
 			delete(c.peerStates, p)
 			delete(c.departures, p)
 			c.peers = slices.DeleteFunc(c.peers, func(o string) bool { return o == p })
 		}
 	}
 	for p, at := range c.retireRequests {
-		if c.now-at >= constants.RetireRequestLife {
+		if c.now-at >= constants.RetireRequestTimeout {
 			delete(c.retireRequests, p)
 		}
 	}
@@ -217,7 +217,7 @@
 	c.now = now
 	if !c.Relay {
 		c.leaving, c.round = true, nil
-		c.nextHeartbeatAt = now + constants.HeartbeatEvery
+		c.nextHeartbeatAt = now + constants.HeartbeatInterval
 		c.forEachPeer(c.sendHeartbeat)
 	}
 	return c.takeEffects()
@@ -297,7 +297,7 @@
 		case c.retirementRequested(m) && canShrink:
 			x.WayOut = "an operator wants it out"
 		case canShrink:
-			x.WayOut = fmt.Sprintf("leaves with a successor's coming, or after %v", max(0, constants.RetireAfter-x.Gone).Round(time.Second))
+			x.WayOut = fmt.Sprintf("leaves with a successor's coming, or after %v", max(0, constants.VoterRetireDelay-x.Gone).Round(time.Second))
 		default:
 			x.WayOut = "leaves with a successor's coming: too few voters to go without"
 		}
--- a/internal/controlplane/chain/electorate_test.go
+++ b/internal/controlplane/chain/electorate_test.go
@@ -227,7 +227,7 @@
 						// The next member proposes a view without it. If two disks may be
 						// lost, the proposer loses its disk during the round.
 						c.wipe(pick)
-						c.network.Run(c.network.Now+constants.MemberSilence, nil)
+						c.network.Run(c.network.Now+constants.MemberTimeout, nil)
 						for end := c.network.Now + 2*time.Second; f.maxFailures > 1 && c.network.Now < end; {
 							c.network.Run(c.network.Now+5*time.Millisecond, nil)
 							p := slices.IndexFunc(c.running(), func(n string) bool { return c.chains[n].round != nil })
@@ -276,7 +276,7 @@
 						cutAt := c.network.Now
 						views := len(c.views)
 						rest := slices.DeleteFunc(slices.Clone(c.names), func(n string) bool { return n == x })
-						c.network.Run(cutAt+constants.ContactFresh+constants.MemberSilence+2*time.Second, nil)
+						c.network.Run(cutAt+constants.ContactMaxAge+constants.MemberTimeout+2*time.Second, nil)
 						ackedBefore := len(c.ackedConfigs)
 						for i := 0; c.network.Now < cutAt+20*time.Second; i++ {
 							if i == 3 && restart > 0 && (restart == 1 || f.maxFailures > 1) {
@@ -301,7 +301,7 @@
 								t.Fatalf("seed %d: %s is cut off but acknowledged or refused r%d, or answered a read", seed, x, o.version)
 							}
 							if c.chains[x] != nil {
-								if at, ok := c.chains[x].MajorityContactAt(); ok && c.network.Now-at < constants.ContactFresh && c.network.Now-cutAt > constants.ContactFresh {
+								if at, ok := c.chains[x].MajorityContactAt(); ok && c.network.Now-at < constants.ContactMaxAge && c.network.Now-cutAt > constants.ContactMaxAge {
 									t.Fatalf("seed %d: %s is cut off but reports that it is in contact", seed, x)
 								}
 							}
@@ -408,13 +408,13 @@
 	if v := c.chains["a"].View(); len(v.Voters) != 6 {
 		t.Fatalf("%d voters after ten seconds: a change of the electorate interrupts leases", len(v.Voters))
 	}
-	c.network.Run(c.network.Now+constants.RetireAfter, nil)
+	c.network.Run(c.network.Now+constants.VoterRetireDelay, nil)
 	if v := c.chains["a"].View(); len(v.Voters) != 5 {
 		t.Fatalf("%d voters after a minute", len(v.Voters))
 	}
 	// Five voters are the fewest that tolerate the loss of two: none is retired.
 	c.removeMachine("e", false)
-	c.network.Run(c.network.Now+2*constants.RetireAfter, nil)
+	c.network.Run(c.network.Now+2*constants.VoterRetireDelay, nil)
 	if v := c.chains["a"].View(); len(v.Voters) != 5 {
 		t.Fatalf("%d voters, fewer than tolerate the loss of two", len(v.Voters))
 	}
@@ -467,7 +467,7 @@
 		leftAt := c.network.Now
 		c.step(n, c.generation[n], func(ch *Chain) []Effect { return ch.Leave(c.network.Now) })
 		for !c.chains[n].HasLeft() {
-			if c.network.Now-leftAt > constants.LeaveWait/2 {
+			if c.network.Now-leftAt > constants.LeaveTimeout/2 {
 				t.Fatalf("seed %d: %s is still a member after %v", seed, n, c.network.Now-leftAt)
 			}
 			c.network.Run(c.network.Now+10*time.Millisecond, nil)
@@ -523,7 +523,7 @@
 		c.checkAllMembers()
 		c.checkReads("after it caught up")
 	}
-	if elapsed[1] > elapsed[0]+2*constants.HeartbeatEvery {
+	if elapsed[1] > elapsed[0]+2*constants.HeartbeatInterval {
 		t.Errorf("caught up in %v after one change, in %v after 300", elapsed[0], elapsed[1])
 	}
 }
@@ -593,7 +593,7 @@
 			sent = append(sent, sentConfig{c.lastVersion + 1 + uint64(k), fmt.Sprintf("one of eight %d", k)})
 			c.submit(c.names[i%3], sent[i])
 		}
-		c.network.Run(c.network.Now+constants.SubmitWait, nil)
+		c.network.Run(c.network.Now+constants.SubmitTimeout, nil)
 		for _, o := range sent {
 			if !slices.Contains(c.ackedConfigs, o.key()) {
 				t.Errorf("seed %d: r%d is not acknowledged", seed, o.version)
@@ -605,13 +605,13 @@
 func TestLedgerIsBounded(t *testing.T) {
 	var l config.Ledger
 	r := rand.New(rand.NewPCG(1, 1))
-	for v := uint64(1); v <= 3*constants.LedgerKept; v++ {
+	for v := uint64(1); v <= 3*constants.MaxLedgerEntries; v++ {
 		l = l.With(v, r.Uint64())
 	}
-	if len(l.Taken) != constants.LedgerKept || l.Floor != 2*constants.LedgerKept {
+	if len(l.Taken) != constants.MaxLedgerEntries || l.Floor != 2*constants.MaxLedgerEntries {
 		t.Fatalf("%d versions kept, none up to r%d", len(l.Taken), l.Floor)
 	}
-	if !l.Settled(5) || l.Settled(3*constants.LedgerKept+1) {
+	if !l.Settled(5) || l.Settled(3*constants.MaxLedgerEntries+1) {
 		t.Fatal("wrong versions are settled")
 	}
 	if _, ok := l.Find(5); ok {
--- a/internal/controlplane/chain/lease_handover_test.go
+++ b/internal/controlplane/chain/lease_handover_test.go
@@ -126,7 +126,7 @@
 	l.sendLeases(n, l.leases[n].Resign(l.network.Now))
 	startedAt := l.network.Now
 	l.cluster.step(n, l.generation[n], func(ch *Chain) []Effect { return ch.Leave(l.network.Now) })
-	for end := startedAt + constants.LeaveWait; !l.chains[n].HasLeft() && l.chains[n].CanLeave() && l.network.Now < end; {
+	for end := startedAt + constants.LeaveTimeout; !l.chains[n].HasLeft() && l.chains[n].CanLeave() && l.network.Now < end; {
 		l.runUntil(l.network.Now + constants.ChainTick/2)
 	}
 	l.kill(n)
@@ -136,7 +136,7 @@
 // soon after. No lease of another machine may lapse. A duty of a machine that stops gracefully
 // must pass to a successor within the few messages that this takes, whenever the view change
 // happens. A duty of a killed machine must be resumed by the restarted machine or, once the
-// lease has expired, by another. A restart shorter than MemberSilence must not change the view.
+// lease has expired, by another. A restart shorter than MemberTimeout must not change the view.
 func TestLeaseGapsWhenAMachineRestarts(t *testing.T) {
 	for _, f := range []struct{ n, maxFailures int }{{3, 1}, {6, 2}} {
 		for _, delay := range []time.Duration{5 * time.Millisecond, 60 * time.Millisecond} {
@@ -181,7 +181,7 @@
 	if !graceful {
 		// The last observation of the holder before the kill may be up to a renewal old; the
 		// other machines wait for the grant to expire.
-		bound = constants.LeaseRenew/2 + exchange + min(downtime, constants.LeaseLength+constants.LeaseMargin)
+		bound = constants.LeaseRenewInterval/2 + exchange + min(downtime, constants.LeaseDuration+constants.LeaseMargin)
 	}
 	for _, d := range l.duties {
 		if before[d] != x {
@@ -195,7 +195,7 @@
 			l.fail("%s had no holder for %v, more than %v, while %s was down", d, l.longestGap[d], bound, x)
 		}
 	}
-	if n := len(l.views) - views; !graceful && downtime < constants.MemberSilence-constants.HeartbeatEvery-2*delay && n > 0 {
+	if n := len(l.views) - views; !graceful && downtime < constants.MemberTimeout-constants.HeartbeatInterval-2*delay && n > 0 {
 		l.fail("a restart of %v caused %d views", downtime, n)
 	}
 	return worst
--- a/internal/controlplane/chain/orders.go
+++ b/internal/controlplane/chain/orders.go
@@ -81,13 +81,13 @@
 // expirePending stops resending orders that are settled or whose caller has been answered.
 func (c *Chain) expirePending() {
 	for k, at := range c.pendingConfigSince {
-		if Settled(c.committed, k.Version) || c.now-at > constants.SubmitWait {
+		if Settled(c.committed, k.Version) || c.now-at > constants.SubmitTimeout {
 			delete(c.pendingConfigs, k)
 			delete(c.pendingConfigSince, k)
 		}
 	}
 	for id, since := range c.pendingEvacuationSince {
-		if c.now-since > constants.SubmitWait || c.committed != nil && slices.Contains(c.committed.Evac[c.pendingEvacuations[id].Zone].IDs, id) {
+		if c.now-since > constants.SubmitTimeout || c.committed != nil && slices.Contains(c.committed.Evac[c.pendingEvacuations[id].Zone].IDs, id) {
 			delete(c.pendingEvacuations, id)
 			delete(c.pendingEvacuationSince, id)
 		}
@@ -179,7 +179,7 @@
 // recordReceipt records the first receipt of an order.
 func (c *Chain) recordReceipt(id uint64) {
 	r := &c.receipts
-	if r.view != c.agreement.View.Num || len(r.position) > constants.OrdersNoted {
+	if r.view != c.agreement.View.Num || len(r.position) > constants.MaxTrackedEvacuations {
 		r.view, r.position = c.agreement.View.Num, map[uint64]uint64{}
 	}
 	if _, known := r.position[id]; !known {
@@ -246,7 +246,7 @@
 		evac[z] = e
 	}
 	ids := append(slices.Clone(cur.IDs), o.ID)
-	evac[o.Zone] = config.Evacuation{On: o.On, Num: cur.Num + 1, IDs: ids[max(0, len(ids)-constants.OrderIDs):]}
+	evac[o.Zone] = config.Evacuation{On: o.On, Num: cur.Num + 1, IDs: ids[max(0, len(ids)-constants.MaxEvacuationIDs):]}
 	d := c.nextState()
 	d.Evac, d.Ordered = evac, d.Stamp
 	c.admit(&d)
@@ -272,11 +272,11 @@
 	if c.now < c.nextRetransmitAt {
 		return
 	}
-	c.nextRetransmitAt = c.now + constants.PassRetry
+	c.nextRetransmitAt = c.now + constants.ChainRetransmitInterval
 	if c.held != nil {
 		// A large state takes longer to replicate.
 		if !c.held.SameBulk(c.committed) {
-			c.nextRetransmitAt += time.Duration(len(c.held.Raw)*len(c.agreement.View.Members)) * time.Second / constants.PassBytes
+			c.nextRetransmitAt += time.Duration(len(c.held.Raw)*len(c.agreement.View.Members)) * time.Second / constants.ChainBytesPerSecond
 		}
 	}
 	if c.isActiveMember() && revisionOf(c.committed).Less(revisionOf(c.held)) {
@@ -306,12 +306,12 @@
 		}
 	}
 	for _, r := range c.reads {
-		if len(r.confirmed) < c.majority() && c.now-r.sentAt >= constants.PassRetry {
+		if len(r.confirmed) < c.majority() && c.now-r.sentAt >= constants.ChainRetransmitInterval {
 			r.sentAt = c.now
 			c.forEachPeer(func(p string) { c.send(p, Confirm{c.agreement.View.Num, r.nonce}) })
 		}
 	}
-	c.reads = slices.DeleteFunc(c.reads, func(r *pendingRead) bool { return c.now-r.startedAt > constants.SubmitWait })
+	c.reads = slices.DeleteFunc(c.reads, func(r *pendingRead) bool { return c.now-r.startedAt > constants.SubmitTimeout })
 	c.answerReads()
 }
 
--- a/internal/controlplane/chain/receive.go
+++ b/internal/controlplane/chain/receive.go
@@ -13,8 +13,8 @@
 // Tick advances time to now and carries out what is due.
 func (c *Chain) Tick(now time.Duration) []Effect {
 	c.now = now
-	if now-c.lastTick > constants.StallGap {
-		c.staleUntil = now + constants.StallQuiet
+	if now-c.lastTick > constants.StallThreshold {
+		c.staleUntil = now + constants.StallRecoveryTime
 	}
 	c.lastTick = now
 	if c.Relay {
@@ -22,12 +22,12 @@
 		return c.takeEffects()
 	}
 	if now >= c.nextHeartbeatAt {
-		c.nextHeartbeatAt = now + constants.HeartbeatEvery
+		c.nextHeartbeatAt = now + constants.HeartbeatInterval
 		c.forgetStalePeers()
 		c.forEachPeer(c.sendHeartbeat)
 	}
 	if c.store.Failed() && now >= c.nextRecoveryAt {
-		c.nextRecoveryAt = now + constants.MemberSilence
+		c.nextRecoveryAt = now + constants.MemberTimeout
 		c.store.Recover()
 	}
 	c.retransmit()
--- a/internal/controlplane/chain/view.go
+++ b/internal/controlplane/chain/view.go
@@ -54,7 +54,7 @@
 		return true
 	}
 	p := c.peerStates[addr]
-	return p != nil && c.now-p.receivedAt <= constants.MemberSilence && p.lastReachedAt >= 0 && c.now-p.lastReachedAt <= constants.ContactFresh
+	return p != nil && c.now-p.receivedAt <= constants.MemberTimeout && p.lastReachedAt >= 0 && c.now-p.lastReachedAt <= constants.ContactMaxAge
 }
 
 // isEligible reports whether a machine can be a member: it is in contact, its disk works,
@@ -123,7 +123,7 @@
 // be retired, or this machine has sealed the view. It returns false while a recent start or
 // pause of this process leaves too little information about the peers.
 func (c *Chain) needsViewChange() bool {
-	if c.now-c.startedAt < constants.StartQuiet || c.now < c.staleUntil {
+	if c.now-c.startedAt < constants.ViewStartupDelay || c.now < c.staleUntil {
 		return false // too early for heartbeats to have arrived since the start or the pause
 	}
 	for _, m := range c.agreement.View.Members {
@@ -146,7 +146,7 @@
 	c.forEachPeer(func(p string) {
 		s := c.peerStates[p]
 		if s == nil || !c.isEligible(p) || s.heartbeat.Relay || c.agreement.View.HasMember(s.heartbeat.Me) || s.echoedAt < s.receivingSince ||
-			c.now-s.receivingSince < constants.JoinPause || s.receivedAt-s.receivingSince < constants.JoinPause-constants.HeartbeatEvery {
+			c.now-s.receivingSince < constants.JoinDelay || s.receivedAt-s.receivingSince < constants.JoinDelay-constants.HeartbeatInterval {
 			return
 		}
 		for _, m := range c.agreement.View.Members {
@@ -205,7 +205,7 @@
 	if c.nextRoundAt == 0 {
 		// The first eligible member proposes with the next step, the others after a
 		// delay that grows with their rank.
-		c.nextRoundAt = c.now + time.Duration(c.rank())*constants.ProposeStagger + 1
+		c.nextRoundAt = c.now + time.Duration(c.rank())*constants.ProposalStagger + 1
 	}
 	if c.now < c.nextRoundAt {
 		return
@@ -268,13 +268,13 @@
 // outbid each other forever.
 func (c *Chain) backOff() {
 	c.round = nil
-	c.nextRoundAt = c.now + constants.RoundLimit + time.Duration(c.rng.Int64N(int64(constants.ProposeStagger)))
+	c.nextRoundAt = c.now + constants.RoundTimeout + time.Duration(c.rng.Int64N(int64(constants.ProposalStagger)))
 }
 
 func (c *Chain) driveRound(r *round) {
-	if c.now-r.startedAt > constants.RoundLimit {
+	if c.now-r.startedAt > constants.RoundTimeout {
 		c.round = nil
-		c.nextRoundAt = c.now + time.Duration(c.rng.Int64N(int64(constants.ProposeStagger))) + 1
+		c.nextRoundAt = c.now + time.Duration(c.rng.Int64N(int64(constants.ProposalStagger))) + 1
 		return
 	}
 	if r.members == nil && r.proposed == nil {
@@ -331,9 +331,9 @@
 
 // chooseMembers continues a round once a majority has promised: it proposes the view that an
 // earlier round may have decided, if there is one, and otherwise syncs the members for a new
-// view. It waits up to PromiseWait for the remaining voters.
+// view. It waits up to PromiseTimeout for the remaining voters.
 func (c *Chain) chooseMembers(r *round) {
-	if len(r.promises) < c.majority() || len(r.promises) < len(c.agreement.View.Voters) && c.now-r.startedAt < constants.PromiseWait {
+	if len(r.promises) < c.majority() || len(r.promises) < len(c.agreement.View.Voters) && c.now-r.startedAt < constants.PromiseTimeout {
 		return
 	}
 	var best Promise
--- a/internal/controlplane/daemon.go
+++ b/internal/controlplane/daemon.go
@@ -302,7 +302,7 @@
 func (d *Daemon) addLoops(group *rungroup.Group) {
 	group.Every(membership.TickInterval, d.members.Tick)
 	if d.replica.relay {
-		group.Every(constants.RelayEvery, d.replica.tick)
+		group.Every(constants.RelayHeartbeatInterval, d.replica.tick)
 		return
 	}
 	group.Every(constants.ChainTick, d.replica.tickAndReport)
@@ -316,15 +316,15 @@
 	if len(d.dutyRunners) > 0 {
 		group.Every(constants.DutyTick, d.stepDuties)
 		if d.settings.HasDuty(settings.DutyUsage) {
-			group.Every(constants.UsageSave, d.saveUsage)
+			group.Every(constants.UsageSaveInterval, d.saveUsage)
 		}
 	}
 	position := max(0, slices.Index(d.replica.controlAddresses(), d.settings.IPAddress))
-	d.upstreamList.delayBootRead(time.Duration(position) * constants.BootStagger)
+	d.upstreamList.delayBootRead(time.Duration(position) * constants.BootReadStagger)
 	go d.upstreamList.readAtBoot(group.Context())
-	pollEvery := time.Duration(constants.PollShare * float64(d.settings.Bounds.Drain.D()))
+	pollEvery := time.Duration(constants.PollDrainFraction * float64(d.settings.Bounds.Drain.D()))
 	group.Every(pollEvery, func() { d.upstreamList.poll(group.Context()) })
-	group.Every(constants.RosterEvery, d.roster.broadcast)
+	group.Every(constants.RosterInterval, d.roster.broadcast)
 }
 
 // Leave releases all duties before a planned stop and waits for a view without this machine.
--- a/internal/controlplane/duties.go
+++ b/internal/controlplane/duties.go
@@ -61,8 +61,8 @@
 
 func (d *Daemon) newDutyRunner(name, path string, plan func(time.Duration, uint64) (uint64, []byte, bool)) *dutyRunner {
 	runner := &dutyRunner{name: name, path: path, plan: plan, holder: duty.NewHolder(name, d.settings.NodeName, d.settings.Bounds.Lease.D(), d.settings.CloudAPI.DutiesPerS, rand.New(rand.NewPCG(rand.Uint64(), 1)))}
-	dial := net.Dialer{Timeout: constants.DutyTimeout}
-	runner.client = &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: 1, DisableCompression: true, IdleConnTimeout: constants.DutyTimeout,
+	dial := net.Dialer{Timeout: constants.DutyCallTimeout}
+	runner.client = &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: 1, DisableCompression: true, IdleConnTimeout: constants.DutyCallTimeout,
 		DialContext: func(ctx context.Context, _, addr string) (net.Conn, error) {
 			c, err := dial.DialContext(ctx, "tcp4", addr)
 			if err != nil {
@@ -114,7 +114,7 @@
 			d.events.Record("duty_refused", runner.name+": the platform has seen a higher fencing token")
 			d.leases.release(runner.name)
 		case duty.Call:
-			ctx, cancel := context.WithTimeout(context.Background(), constants.DutyTimeout)
+			ctx, cancel := context.WithTimeout(context.Background(), constants.DutyCallTimeout)
 			runner.mu.Lock()
 			runner.cancel, runner.callID = cancel, effect.ID
 			runner.mu.Unlock()
@@ -156,7 +156,7 @@
 			return status
 		}
 		runner.accepted[subject] = string(parts[subject])
-		time.Sleep(constants.DutySpacing)
+		time.Sleep(constants.DutyCallSpacing)
 	}
 	return http.StatusOK
 }
@@ -175,7 +175,7 @@
 		return 0 // the caller counts the failure and retries
 	}
 	defer resp.Body.Close()
-	io.Copy(io.Discard, io.LimitReader(resp.Body, constants.HeaderBytes))
+	io.Copy(io.Discard, io.LimitReader(resp.Body, constants.MaxHeaderBytes))
 	return resp.StatusCode
 }
 
--- a/internal/controlplane/replica.go
+++ b/internal/controlplane/replica.go
@@ -124,12 +124,12 @@
 // process and periodically reports that the machine has not joined a view yet.
 func (r *replica) tickAndReport() {
 	now := r.now()
-	if previous := time.Duration(r.lastTickAt.Swap(int64(now))); previous > 0 && now-previous > constants.StallGap {
+	if previous := time.Duration(r.lastTickAt.Swap(int64(now))); previous > 0 && now-previous > constants.StallThreshold {
 		r.stalledAt.Store(int64(now))
 		r.events.Count("stood_still", 1)
 	}
 	r.tick()
-	if state := r.viewState.Load(); !state.joined && now-r.joinReportedAt > constants.JoinReport {
+	if state := r.viewState.Load(); !state.joined && now-r.joinReportedAt > constants.JoinReportInterval {
 		r.joinReportedAt = now
 		r.events.Record("waiting", fmt.Sprintf("this machine is not a voter of any view yet; newest known view: %d with %d voters; contacting: %v. If no control machine has a view, the initial bootstrap was interrupted before a majority of the seeds wrote their state: restart the seeds with empty disks and bootstrap true",
 			state.view, len(state.voters), r.peers()))
@@ -150,7 +150,7 @@
 // majority of the voters. Without it, its information may be outdated.
 func (r *replica) hasMajorityContact() bool {
 	at := time.Duration(r.contactAt.Load())
-	return at > 0 && r.now()-at <= constants.ContactFresh
+	return at > 0 && r.now()-at <= constants.ContactMaxAge
 }
 
 // contactAge returns the time since the last contact with a majority, or a negative value if
@@ -167,7 +167,7 @@
 func (r *replica) recentlyStalled() bool {
 	now := r.now()
 	tickedAt, stalledAt := time.Duration(r.lastTickAt.Load()), time.Duration(r.stalledAt.Load())
-	return tickedAt > 0 && now-tickedAt > constants.StallGap || stalledAt > 0 && now-stalledAt < constants.StallQuiet
+	return tickedAt > 0 && now-tickedAt > constants.StallThreshold || stalledAt > 0 && now-stalledAt < constants.StallRecoveryTime
 }
 
 // peers returns the addresses of the other voters of the known view, or of the other seeds
@@ -220,13 +220,13 @@
 	return r.chain.Electorate()
 }
 
-// leave announces a planned stop and waits up to constants.LeaveWait for a view without this
+// leave announces a planned stop and waits up to constants.LeaveTimeout for a view without this
 // machine.
 func (r *replica) leave() {
 	startedAt := r.now()
 	left, canLeave := r.leaveState()
 	r.step(func() []chain.Effect { return r.chain.Leave(r.now()) })
-	for end := startedAt + constants.LeaveWait; !left && canLeave && r.now() < end; left, canLeave = r.leaveState() {
+	for end := startedAt + constants.LeaveTimeout; !left && canLeave && r.now() < end; left, canLeave = r.leaveState() {
 		time.Sleep(constants.ChainTick / 2)
 	}
 	switch {
@@ -235,7 +235,7 @@
 	case !canLeave:
 		r.events.Record("left_members", "too few others are there to go on without this machine: they wait for it or for a successor")
 	default:
-		r.events.Record("left_unanswered", fmt.Sprintf("no view without this machine within %v: the other machines have to detect that it stopped", constants.LeaveWait))
+		r.events.Record("left_unanswered", fmt.Sprintf("no view without this machine within %v: the other machines have to detect that it stopped", constants.LeaveTimeout))
 	}
 }
 
--- a/internal/controlplane/roster.go
+++ b/internal/controlplane/roster.go
@@ -104,7 +104,7 @@
 	defer r.mu.Unlock()
 	var out []string
 	for a, e := range r.entries {
-		if time.Since(e.seenAt) < constants.UsageSilent {
+		if time.Since(e.seenAt) < constants.UsageProxyTimeout {
 			out = append(out, a)
 		}
 	}
@@ -172,7 +172,7 @@
 func (r *roster) grantShares() bool {
 	if !r.complete {
 		// At the first bootstrap no proxy has been sent a count yet.
-		if !r.settings.Bootstrap || time.Since(r.startedAt) < constants.RosterQuiet || len(r.entries) == 0 {
+		if !r.settings.Bootstrap || time.Since(r.startedAt) < constants.RosterStartupDelay || len(r.entries) == 0 {
 			return false
 		}
 		r.complete = true
@@ -229,10 +229,10 @@
 	changed := r.dropSilent()
 	sameRegion, otherRegions := r.statuses()
 	shares := r.shareHolders()
-	if r.round%constants.RosterWhole == 0 || !slices.Equal(shares, r.sharesSent) {
+	if r.round%constants.RosterSharesRounds == 0 || !slices.Equal(shares, r.sharesSent) {
 		sameRegion.Shares, otherRegions.Shares, r.sharesSent = shares, shares, shares
 	}
-	sendOtherRegions := r.round%constants.RosterFar == 0 || otherRegions.Shares != nil
+	sendOtherRegions := r.round%constants.RosterOtherRegionRounds == 0 || otherRegions.Shares != nil
 	changed = r.grantShares() || changed
 	r.mu.Unlock()
 	if changed {
@@ -260,12 +260,12 @@
 	}
 }
 
-// dropSilent removes proxies not seen for constants.ProxyForget and reports whether there were
+// dropSilent removes proxies not seen for constants.ProxyExpiry and reports whether there were
 // any. The caller must hold mu.
 func (r *roster) dropSilent() bool {
 	dropped := false
 	for a, e := range r.entries {
-		if time.Since(e.seenAt) > constants.ProxyForget {
+		if time.Since(e.seenAt) > constants.ProxyExpiry {
 			delete(r.entries, a)
 			dropped = true
 		}
@@ -280,13 +280,13 @@
 	sameRegion, otherRegions = RosterUpdate{Words: map[string]ProxyStatus{}}, RosterUpdate{Words: map[string]ProxyStatus{}}
 	for a, e := range r.entries {
 		age := time.Since(e.seenHereAt)
-		if age >= constants.SubscriptionSilence {
+		if age >= constants.SubscriptionTimeout {
 			continue // another control machine reports this proxy
 		}
 		status := ProxyStatus{age, e.count, e.location}
 		otherRegions.Words[a] = status
 		sent := e.sentStatus
-		if sent.Count != status.Count || sent.Place != status.Place || time.Since(e.sentAt) >= constants.RosterRefresh {
+		if sent.Count != status.Count || sent.Place != status.Place || time.Since(e.sentAt) >= constants.RosterRefreshInterval {
 			sameRegion.Words[a], e.sentStatus, e.sentAt = status, status, time.Now()
 		}
 	}
--- a/internal/directory/directory.go
+++ b/internal/directory/directory.go
@@ -59,9 +59,9 @@
 	defer d.mu.Unlock()
 	changed = d.update(now, node, location)
 	e := d.proxies[node]
-	e.directReportAt, e.validFor = now, constants.PlaceFresh
+	e.directReportAt, e.validFor = now, constants.LocationMaxAge
 	if frequent {
-		e.validFor = constants.PlaceOften
+		e.validFor = constants.DirectLocationMaxAge
 	}
 	return changed
 }
@@ -73,8 +73,8 @@
 	defer d.mu.Unlock()
 	if e := d.proxies[node]; e == nil || now-age > e.reportedAt {
 		d.update(now-age, node, location)
-		if e := d.proxies[node]; now-e.directReportAt > constants.PlaceFresh {
-			e.validFor = constants.PlaceFresh
+		if e := d.proxies[node]; now-e.directReportAt > constants.LocationMaxAge {
+			e.validFor = constants.LocationMaxAge
 		}
 	}
 }
@@ -82,7 +82,7 @@
 func (d *Directory) update(at time.Duration, node string, location Location) bool {
 	e := d.proxies[node]
 	if e == nil {
-		e = &entry{directReportAt: -constants.ProxyForget, validFor: constants.PlaceFresh}
+		e = &entry{directReportAt: -constants.ProxyExpiry, validFor: constants.LocationMaxAge}
 		d.proxies[node] = e
 	}
 	changed := e.Location != location || e.disconnected || at-e.reportedAt > e.validFor
@@ -99,7 +99,7 @@
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	e := d.proxies[node]
-	if e == nil || e.disconnected || !local && now-e.directReportAt < constants.SubscriptionSilence {
+	if e == nil || e.disconnected || !local && now-e.directReportAt < constants.SubscriptionTimeout {
 		return false
 	}
 	e.disconnected = true
@@ -116,7 +116,7 @@
 	d.lookups++
 	if now >= d.cacheExpiresAt {
 		clear(d.cache)
-		d.cacheExpiresAt = now + constants.AnswerFresh
+		d.cacheExpiresAt = now + constants.DirectoryCacheTTL
 	}
 	if r, ok := d.zones[zone]; ok {
 		region = r
@@ -125,11 +125,11 @@
 	addresses, ok := d.cache[key]
 	if !ok {
 		addresses = d.selectProxies(now, zone, region)
-		if len(d.cache) < constants.AnswersKept {
+		if len(d.cache) < constants.DirectoryCacheEntries {
 			d.cache[key] = addresses
 		}
 	}
-	if len(addresses) == 0 || now-d.startedAt < constants.DirectoryQuiet {
+	if len(addresses) == 0 || now-d.startedAt < constants.DirectoryStartupDelay {
 		d.unanswered++
 		return nil, false
 	}
@@ -144,9 +144,9 @@
 	candidates, known := d.candidates(now, zone, region)
 	var out []string
 	spilled := false
-	want := int(math.Ceil(float64(known) * constants.ZoneEnough))
+	want := int(math.Ceil(float64(known) * constants.MinZoneFraction))
 	for _, c := range candidates {
-		if len(out) >= constants.AnswerMost || c.distance > 0 && len(out) >= max(want, constants.AnswerLeast) {
+		if len(out) >= constants.MaxLookupAddresses || c.distance > 0 && len(out) >= max(want, constants.MinLookupAddresses) {
 			break
 		}
 		spilled = spilled || c.distance > 0
@@ -174,12 +174,12 @@
 
 // candidates returns the proxies that an answer may include, in order of preference, and the
 // number of proxies known in the zone. It deletes proxies that have not reported for
-// constants.ProxyForget. If no proxy has a fresh report, stale entries are included, because
+// constants.ProxyExpiry. If no proxy has a fresh report, stale entries are included, because
 // an outdated answer is better than none.
 func (d *Directory) candidates(now time.Duration, zone, region string) (out []candidate, known int) {
 	includeStale := d.noneFresh(now)
 	for node, e := range d.proxies {
-		if now-e.reportedAt > constants.ProxyForget {
+		if now-e.reportedAt > constants.ProxyExpiry {
 			delete(d.proxies, node)
 			continue
 		}
--- a/internal/directory/directory_test.go
+++ b/internal/directory/directory_test.go
@@ -69,17 +69,17 @@
 			got, ok := d.Lookup(now, zone, zones[zone])
 			known, fresh, freshInZone := 0, 0, 0
 			for _, p := range proxies {
-				if now-p.reportedAt < constants.ProxyForget {
+				if now-p.reportedAt < constants.ProxyExpiry {
 					known++
 				}
-				if p.up && !p.disconnected && now-p.reportedAt < constants.PlaceFresh-time.Second {
+				if p.up && !p.disconnected && now-p.reportedAt < constants.LocationMaxAge-time.Second {
 					fresh++
 					if p.Zone == zone {
 						freshInZone++
 					}
 				}
 			}
-			if now < constants.DirectoryQuiet {
+			if now < constants.DirectoryStartupDelay {
 				if ok {
 					t.Fatalf("seed %d: lookup answered %v after the start", seed, now)
 				}
@@ -91,13 +91,13 @@
 			answered++
 			for _, address := range got {
 				p := proxies[address]
-				if limit := constants.PlaceFresh + constants.AnswerFresh + 300*time.Millisecond; !p.up && now-p.downAt > limit && fresh > 0 {
+				if limit := constants.LocationMaxAge + constants.DirectoryCacheTTL + 300*time.Millisecond; !p.up && now-p.downAt > limit && fresh > 0 {
 					t.Fatalf("seed %d at %v: answer includes %s, down for %v, although %d proxies are fresh", seed, now, address, now-p.downAt, fresh)
 				}
 			}
 			total, outside := 0, 0
 			for _, p := range proxies {
-				if p.Zone == zone && now-p.reportedAt < constants.ProxyForget {
+				if p.Zone == zone && now-p.reportedAt < constants.ProxyExpiry {
 					total++
 				}
 			}
@@ -106,7 +106,7 @@
 					outside++
 				}
 			}
-			if freshInZone == total && freshInZone >= constants.AnswerLeast && outside > 0 {
+			if freshInZone == total && freshInZone >= constants.MinLookupAddresses && outside > 0 {
 				t.Fatalf("seed %d at %v: %d of %d proxies of zone %s are up, but the answer includes %d of other zones", seed, now, freshInZone, total, zone, outside)
 			}
 		}
--- a/internal/discovery/discovery.go
+++ b/internal/discovery/discovery.go
@@ -143,7 +143,7 @@
 	defer cancel()
 	var all []Instance
 	token := ""
-	for range constants.ListPagesMax {
+	for range constants.MaxListPages {
 		p, err := s.fetch(ctx, token)
 		if err != nil {
 			return nil, err
@@ -173,7 +173,7 @@
 	if err != nil {
 		return nil, err
 	}
-	body, err := io.ReadAll(io.LimitReader(resp.Body, constants.ListPageMax))
+	body, err := io.ReadAll(io.LimitReader(resp.Body, constants.MaxListPageBytes))
 	resp.Body.Close()
 	switch {
 	case err != nil:
--- a/internal/distribution/publisher_test.go
+++ b/internal/distribution/publisher_test.go
@@ -75,7 +75,7 @@
 			if reached(subscriber.State(time.Now())) {
 				return
 			}
-			time.Sleep(constants.StepEvery / 4)
+			time.Sleep(constants.StepInterval / 4)
 		}
 		t.Fatalf("%s: not reached; state %+v", goal, subscriber.State(time.Now()))
 	}
@@ -134,7 +134,7 @@
 		}
 		return 0
 	}
-	time.Sleep(2 * constants.SubscribeEvery) // long enough for another subscription to be sent
+	time.Sleep(2 * constants.SubscribeInterval) // long enough for another subscription to be sent
 	if v := acknowledged(); v != 0 {
 		t.Errorf("version %d was acknowledged before it was in force", v)
 	}
--- a/internal/distribution/subscriber.go
+++ b/internal/distribution/subscriber.go
@@ -120,7 +120,7 @@
 		return
 	}
 	s.self.Ready = ready
-	s.acceptStale = !s.firstUpdateAt.IsZero() && now.Sub(s.firstUpdateAt) > constants.StartSearch && now.Sub(s.currentAt) > constants.SubscriptionSilence
+	s.acceptStale = !s.firstUpdateAt.IsZero() && now.Sub(s.firstUpdateAt) > constants.StartupSearchTime && now.Sub(s.currentAt) > constants.SubscriptionTimeout
 	s.selectSubscriptionsLocked(now)
 	s.selectContentSourceLocked(now)
 	for _, addr := range s.order {
@@ -128,13 +128,13 @@
 		if !conn.subscribed {
 			continue
 		}
-		interval := constants.SubscribeEveryFar
+		interval := constants.SubscribeIntervalOtherZone
 		if addr == s.contentSource || !conn.hasUpdate {
-			interval = constants.SubscribeEvery
+			interval = constants.SubscribeInterval
 		}
 		behind := s.behindLocked(conn)
 		if addr != s.contentSource && behind && conn.pullAt.IsZero() {
-			conn.pullAt = now.Add(constants.PullAfter) // the content source may be sending the contents already
+			conn.pullAt = now.Add(constants.PullDelay) // the content source may be sending the contents already
 		}
 		if !behind {
 			conn.pullAt = time.Time{}
@@ -172,7 +172,7 @@
 	conn.inFlight = false
 	conn.timedOut = errors.Is(err, transport.ErrTimeout)
 	if err != nil {
-		silent := time.Since(conn.lastUpdateAt) > constants.SubscriptionSilence && conn.hasUpdate
+		silent := time.Since(conn.lastUpdateAt) > constants.SubscriptionTimeout && conn.hasUpdate
 		if errors.Is(err, transport.ErrClosed) || errors.Is(err, transport.ErrRefused) {
 			conn.subscribedAt = time.Time{} // not connected yet: retry in the next Step
 		}
--- a/internal/distribution/subscriber_test.go
+++ b/internal/distribution/subscriber_test.go
@@ -58,7 +58,7 @@
 // test after the timeout.
 func waitFor(t *testing.T, subscriber *Subscriber, goal string, timeout time.Duration, reached func() bool) {
 	t.Helper()
-	for end := time.Now().Add(timeout); time.Now().Before(end); time.Sleep(constants.StepEvery / 4) {
+	for end := time.Now().Add(timeout); time.Now().Before(end); time.Sleep(constants.StepInterval / 4) {
 		subscriber.Step(time.Now(), true)
 		if reached() {
 			return
@@ -114,7 +114,7 @@
 		versions, lists, _ := recorder.recorded()
 		return len(versions) > 0 && len(lists) > 0
 	})
-	if took := time.Since(startedAt); took < constants.StartSearch {
+	if took := time.Since(startedAt); took < constants.StartupSearchTime {
 		t.Errorf("possibly stale contents taken after %v, before the end of the search", took)
 	}
 	if _, _, changes := recorder.recorded(); changes.Proxies != 3 {
@@ -231,7 +231,7 @@
 		t.Errorf("taken from a node out of contact: versions %v, lists %v, %+v", versions, lists, changes)
 	}
 	// A late update that claims to be in contact is ignored too.
-	subscriber.receive("127.0.0.41", update(true), time.Now().Add(-2*constants.SubscriptionSilence))
+	subscriber.receive("127.0.0.41", update(true), time.Now().Add(-2*constants.SubscriptionTimeout))
 	if versions, lists, _ := recorder.recorded(); len(versions)+len(lists) > 0 {
 		t.Errorf("taken from a late update: versions %v, lists %v", versions, lists)
 	}
@@ -285,7 +285,7 @@
 	if _, _, changes := recorder.recorded(); changes.Proxies != 4 {
 		t.Fatalf("live count %d, want 4", changes.Proxies)
 	}
-	pausedAt := now.Add(-2 * constants.SplitHold)
+	pausedAt := now.Add(-2 * constants.SplitTimeout)
 	for _, conn := range subscriber.conns {
 		conn.lastUpdateAt = pausedAt
 	}
@@ -312,12 +312,12 @@
 	subscriber.receive("127.0.0.41", Update{Current: true, Proxies: 4}, time.Now())
 	subscriber.receive("127.0.0.41", Update{Current: true}, time.Now())
 	if _, _, changes := recorder.recorded(); changes.Proxies != 4 {
-		t.Errorf("live count %d before SplitHold, want 4", changes.Proxies)
+		t.Errorf("live count %d before SplitTimeout, want 4", changes.Proxies)
 	}
-	subscriber.liveCountAt = time.Now().Add(-2 * constants.SplitHold)
+	subscriber.liveCountAt = time.Now().Add(-2 * constants.SplitTimeout)
 	subscriber.receive("127.0.0.41", Update{Current: true}, time.Now())
 	if _, _, changes := recorder.recorded(); changes.Proxies != 0 {
-		t.Errorf("held live count %d used after SplitHold", changes.Proxies)
+		t.Errorf("held live count %d used after SplitTimeout", changes.Proxies)
 	}
 	subscriber.receive("127.0.0.41", Update{Current: true, Proxies: 5}, time.Now())
 	if _, _, changes := recorder.recorded(); changes.Proxies != 5 {
@@ -381,7 +381,7 @@
 	receive(isolated, false, 30, "old", "also")
 	check("the node out of contact again", 20, "new")
 	// While no node in contact responds, the count may rise but not fall.
-	subscriber.conns[connected].lastUpdateAt, subscriber.currentAt = now.Add(-2*constants.SubscriptionSilence), now.Add(-2*constants.SubscriptionSilence)
+	subscriber.conns[connected].lastUpdateAt, subscriber.currentAt = now.Add(-2*constants.SubscriptionTimeout), now.Add(-2*constants.SubscriptionTimeout)
 	receive(isolated, false, 10, "old", "also")
 	check("no node in contact, smaller count", 20, "old")
 	receive(isolated, false, 25, "old", "also")
@@ -491,7 +491,7 @@
 		t.Errorf("subscribed after an update of a node out of contact: %v", got)
 	}
 	subscriber.mu.Lock()
-	subscriber.conns[a].lastUpdateAt = time.Now().Add(-2 * constants.SubscriptionSilence)
+	subscriber.conns[a].lastUpdateAt = time.Now().Add(-2 * constants.SubscriptionTimeout)
 	subscriber.mu.Unlock()
 	if got := subscribed(); !slices.Contains(got, removed) || got[len(got)-1] != removed && got[len(got)-1] != "127.0.0.44" {
 		t.Errorf("subscribed without a node in contact: %v", got)
--- a/internal/duty/duty_test.go
+++ b/internal/duty/duty_test.go
@@ -22,12 +22,12 @@
 		t.Fatalf("second holder: %+v", want)
 	}
 	for _, o := range []Order{
-		{Duty: "d", Holder: "a"},                                                  // a's first order repeated
-		{Duty: "d", Base: 1, Holder: "c"},                                         // lost the race with b
-		{Duty: "d", Base: 1, Key: 6, Body: []byte("a's")},                         // decided under an old fence
-		{Duty: "d", Base: 2, Key: 5, Body: []byte("other")},                       // key already decided
-		{Duty: "d", Base: 2, Key: 4, Body: []byte("four")},                        // key below the decided one
-		{Duty: "d", Base: 2, Key: 6, Body: make([]byte, constants.DutyBodyMax+1)}, // oversized
+		{Duty: "d", Holder: "a"},                                                       // a's first order repeated
+		{Duty: "d", Base: 1, Holder: "c"},                                              // lost the race with b
+		{Duty: "d", Base: 1, Key: 6, Body: []byte("a's")},                              // decided under an old fence
+		{Duty: "d", Base: 2, Key: 5, Body: []byte("other")},                            // key already decided
+		{Duty: "d", Base: 2, Key: 4, Body: []byte("four")},                             // key below the decided one
+		{Duty: "d", Base: 2, Key: 6, Body: make([]byte, constants.MaxDutyBodyBytes+1)}, // oversized
 		{Base: 2, Holder: "c"},
 	} {
 		if _, ok := rs.Apply(o); ok {
@@ -65,7 +65,7 @@
 	if out := h.Step(0, 0, own, noPlan); len(out) > 0 {
 		t.Fatalf("without the lease: %v", out)
 	}
-	if out := h.Step(0, constants.DutyMargin, own, noPlan); len(out) > 0 {
+	if out := h.Step(0, constants.DutyLeaseMargin, own, noPlan); len(out) > 0 {
 		t.Fatalf("with the lease about to end: %v", out)
 	}
 	other := own
@@ -117,7 +117,7 @@
 		for _, x := range h.Step(now, time.Hour, rec, func(uint64) (uint64, []byte, bool) { return 2, nil, true }) {
 			switch x := x.(type) {
 			case Call:
-				if n > 0 && now-lastCall < time.Duration(float64(time.Second)/(2*constants.DutyRatePart)) {
+				if n > 0 && now-lastCall < time.Duration(float64(time.Second)/(2*constants.DutyRateFraction)) {
 					t.Fatalf("calls %v apart", now-lastCall)
 				}
 				n, lastCall = n+1, now
@@ -127,7 +127,7 @@
 			}
 		}
 	}
-	if !ordered || n < constants.DutyGiveUp || n > 100 {
+	if !ordered || n < constants.DutyMaxFailures || n > 100 {
 		t.Errorf("%d calls, next decided: %v", n, ordered)
 	}
 }
--- a/internal/duty/holder.go
+++ b/internal/duty/holder.go
@@ -64,9 +64,9 @@
 // NewHolder returns a Holder. self is the node's name, returnDelay the time within which two
 // holders must not alternate, and callsPerSecond the platform's limit on calls.
 func NewHolder(name, self string, returnDelay time.Duration, callsPerSecond float64, rng *rand.Rand) *Holder {
-	h := &Holder{name: name, self: self, returnDelay: returnDelay, rng: rng, spacing: constants.DutySpacing}
+	h := &Holder{name: name, self: self, returnDelay: returnDelay, rng: rng, spacing: constants.DutyCallSpacing}
 	if callsPerSecond > 0 {
-		h.spacing = max(h.spacing, time.Duration(float64(time.Second)/(callsPerSecond*constants.DutyRatePart)))
+		h.spacing = max(h.spacing, time.Duration(float64(time.Second)/(callsPerSecond*constants.DutyRateFraction)))
 	}
 	return h
 }
@@ -76,7 +76,7 @@
 // rec the newest committed record. plan returns what is to be decided next, once the
 // previous decision has been accepted or may be skipped.
 func (h *Holder) Step(now, until time.Duration, rec Record, plan func(after uint64) (key uint64, body []byte, ok bool)) []Effect {
-	if until <= now+constants.DutyMargin {
+	if until <= now+constants.DutyLeaseMargin {
 		h.fence = 0
 		return h.cancel()
 	}
@@ -86,7 +86,7 @@
 		if now < h.nextOrderAt {
 			return out
 		}
-		h.nextOrderAt = now + constants.DutyOrderRetry
+		h.nextOrderAt = now + constants.DutyOrderRetryInterval
 		return append(out, Order{Duty: h.name, Base: rec.Fence, Holder: h.self})
 	}
 	var out []Effect
@@ -94,11 +94,11 @@
 		out = h.cancel()
 		h.fence, h.heldSince, h.acceptedKey, h.nextOrderAt, h.consecutiveFailures, h.nextCallAt = rec.Fence, now, 0, 0, 0, 0
 	}
-	if rec.Back && now < h.heldSince+h.returnDelay+constants.DutyMargin {
+	if rec.Back && now < h.heldSince+h.returnDelay+constants.DutyLeaseMargin {
 		return out // back after another holder: waits, so that holders do not alternate within returnDelay
 	}
 	if h.activeCall != 0 {
-		if now-h.activeSince > constants.DutyTimeout {
+		if now-h.activeSince > constants.DutyCallTimeout {
 			out = append(out, h.cancel()...)
 			h.recordFailure(now)
 		}
@@ -111,7 +111,7 @@
 			h.nextCallAt = now + h.spacing
 			out = append(out, Call{h.lastCallID, rec.Fence, rec.Key, rec.Body})
 		}
-		if !h.LatestOnly && h.consecutiveFailures < constants.DutyGiveUp {
+		if !h.LatestOnly && h.consecutiveFailures < constants.DutyMaxFailures {
 			return out
 		}
 	}
@@ -119,7 +119,7 @@
 		return out
 	}
 	if key, body, ok := plan(rec.Key); ok {
-		h.nextOrderAt = now + constants.DutyOrderRetry
+		h.nextOrderAt = now + constants.DutyOrderRetryInterval
 		return append(out, Order{Duty: h.name, Base: rec.Fence, Key: key, Body: body})
 	}
 	return out
@@ -137,7 +137,7 @@
 func (h *Holder) recordFailure(now time.Duration) {
 	h.consecutiveFailures++
 	h.Failed++
-	pause := min(constants.DutyPause<<min(h.consecutiveFailures-1, 5), constants.DutyPauseMax)
+	pause := min(constants.DutyRetryDelay<<min(h.consecutiveFailures-1, 5), constants.DutyMaxRetryDelay)
 	h.nextCallAt = max(h.nextCallAt, now+pause/2+time.Duration(h.rng.Int64N(int64(pause))))
 }
 
--- a/internal/duty/record.go
+++ b/internal/duty/record.go
@@ -43,14 +43,14 @@
 // Apply returns the records after an order, and whether the order changed any of them.
 func (rs Records) Apply(o Order) (Records, bool) {
 	r := rs[o.Duty]
-	if o.Base != r.Fence || o.Duty == "" || len(o.Body) > constants.DutyBodyMax {
+	if o.Base != r.Fence || o.Duty == "" || len(o.Body) > constants.MaxDutyBodyBytes {
 		return rs, false
 	}
 	switch {
 	case o.Holder != "":
 		if r.Holder != "" && r.Holder != o.Holder {
 			r.Recent = append(slices.Clone(r.Recent), r.Holder)
-			r.Recent = r.Recent[max(0, len(r.Recent)-constants.DutyRecent):]
+			r.Recent = r.Recent[max(0, len(r.Recent)-constants.DutyRecentHolders):]
 		}
 		r.Back = slices.Contains(r.Recent, o.Holder)
 		if r.Back {
--- a/internal/lease/lease.go
+++ b/internal/lease/lease.go
@@ -21,7 +21,7 @@
 //     shows that the first was not decided. So any lease of the old electorate has a
 //     grantor that granted it before the decision, and it ends at most LeaseLength after
 //     the decision. Every grantor of the new electorate has learned of it after the
-//     decision and waits LeaseLength + LeaseMargin from then. The same holds step by step
+//     decision and waits LeaseDuration + LeaseMargin from then. The same holds step by step
 //     for a machine that skips views. A view with the same electorate does not interrupt
 //     granting.
 //   - Electorates are identified by number, and messages of another electorate are
@@ -241,8 +241,8 @@
 			if now < c.reservedUntil {
 				wait = 0
 			}
-			reclaim = now-manager.startedAt < 2*constants.LeaseRenew // reclaiming for longer would keep the duty from others
-			if !reclaim && (now-manager.startedAt < constants.LeaseLength+constants.LeaseMargin+wait || c.otherHeldAt > 0 && now-c.otherHeldAt < wait) {
+			reclaim = now-manager.startedAt < 2*constants.LeaseRenewInterval // reclaiming for longer would keep the duty from others
+			if !reclaim && (now-manager.startedAt < constants.LeaseDuration+constants.LeaseMargin+wait || c.otherHeldAt > 0 && now-c.otherHeldAt < wait) {
 				continue
 			}
 		}
@@ -259,8 +259,8 @@
 	manager.nonce++
 	c.nonce = manager.nonce
 	c.rounds = append(c.rounds, round{manager.nonce, reclaim, now, map[string]bool{}})
-	c.rounds = c.rounds[max(0, len(c.rounds)-int(constants.LeaseLength/constants.LeaseRenew)):]
-	c.nextRequestAt = now + constants.LeaseRenew
+	c.rounds = c.rounds[max(0, len(c.rounds)-int(constants.LeaseDuration/constants.LeaseRenewInterval)):]
+	c.nextRequestAt = now + constants.LeaseRenewInterval
 	for _, p := range manager.peers {
 		manager.send(p, Request{duty, manager.epoch, c.nonce, reclaim}, now)
 	}
@@ -269,10 +269,10 @@
 // acceptHandover claims a duty whose holder has shut down and named this machine.
 func (manager *Manager) acceptHandover(now time.Duration, duty string) {
 	c := manager.claims[duty]
-	if c.until > now || now < c.notBefore || now-manager.startedAt < constants.LeaseLength+constants.LeaseMargin {
+	if c.until > now || now < c.notBefore || now-manager.startedAt < constants.LeaseDuration+constants.LeaseMargin {
 		return
 	}
-	c.reservedUntil = now + constants.LeaseReserve
+	c.reservedUntil = now + constants.LeaseReservationTime
 	manager.startRound(now, duty, false)
 	c.nextRequestAt = now // a refusal by a grantor that has not received the Release yet costs only one tick
 }
@@ -316,7 +316,7 @@
 	if renewal && sameIncarnation(m.Nonce, g.nonce) && m.Nonce < g.nonce {
 		return // superseded by a later request
 	}
-	ok := (g.until <= now || g.holder == from) && now-manager.startedAt >= constants.LeaseLength+constants.LeaseMargin
+	ok := (g.until <= now || g.holder == from) && now-manager.startedAt >= constants.LeaseDuration+constants.LeaseMargin
 	if m.Again && (g.until <= now || g.holder != from) {
 		return
 	}
@@ -330,7 +330,7 @@
 				otherUntil = max(otherUntil, g.until)
 			}
 		}
-		g = grant{from, m.Nonce, now + constants.LeaseLength + constants.LeaseMargin, otherUntil}
+		g = grant{from, m.Nonce, now + constants.LeaseDuration + constants.LeaseMargin, otherUntil}
 		manager.grants[m.Duty] = g
 	}
 	manager.send(from, Grant{m.Duty, manager.epoch, m.Nonce, ok, g.holder}, now)
@@ -350,7 +350,7 @@
 	if m.Successor == "" || g.until <= now || g.otherIncarnationUntil > now {
 		return
 	}
-	manager.grants[m.Duty] = grant{holder: m.Successor, until: now + constants.LeaseReserve}
+	manager.grants[m.Duty] = grant{holder: m.Successor, until: now + constants.LeaseReservationTime}
 	if m.Successor == manager.self {
 		manager.acceptHandover(now, m.Duty)
 	}
@@ -385,7 +385,7 @@
 	if c.until > now || now < c.reservedUntil {
 		return
 	}
-	c.nextRequestAt = now + constants.LeaseRenew + constants.LeaseStagger*time.Duration(1+slices.Index(manager.peers, manager.self))
+	c.nextRequestAt = now + constants.LeaseRenewInterval + constants.LeaseStagger*time.Duration(1+slices.Index(manager.peers, manager.self))
 	for _, p := range manager.peers {
 		manager.send(p, Release{Duty: m.Duty, Nonce: c.nonce}, now)
 	}
@@ -401,7 +401,7 @@
 	if r.reclaim {
 		needed = (len(manager.peers) + 1) / 2
 	}
-	until := r.requestedAt + constants.LeaseLength
+	until := r.requestedAt + constants.LeaseDuration
 	if len(r.granted) < needed || until <= now || until <= c.until {
 		return
 	}
@@ -424,7 +424,7 @@
 		successor := ""
 		if stopping {
 			successor = manager.successor(i)
-			manager.claims[d].notBefore = now + constants.LeaseLength*4
+			manager.claims[d].notBefore = now + constants.LeaseDuration*4
 		}
 		if manager.claims[d].until > now {
 			manager.releaseDuty(now, d, successor)
@@ -438,7 +438,7 @@
 // releaseDuty gives up a lease and sends a Release to the electorate.
 func (manager *Manager) releaseDuty(now time.Duration, duty, successor string) {
 	c := manager.claims[duty]
-	c.until, c.since, c.notBefore = 0, 0, now+constants.LeaseLength*4
+	c.until, c.since, c.notBefore = 0, 0, now+constants.LeaseDuration*4
 	for _, p := range manager.peers {
 		manager.send(p, Release{duty, c.nonce, successor}, now)
 	}
--- a/internal/membership/detector.go
+++ b/internal/membership/detector.go
@@ -110,7 +110,7 @@
 func New(now time.Duration, addr, name string, seeds []string, rng *rand.Rand) *Detector {
 	return &Detector{self: Fact{Addr: addr, Name: name}, seeds: slices.DeleteFunc(slices.Clone(seeds), func(s string) bool { return s == addr }),
 		rng: rng, members: map[string]*member{}, relayedProbes: map[uint64]relayedProbe{}, seq: rng.Uint64() >> 1,
-		nextProbeAt: now + time.Duration(rng.Int64N(int64(constants.ProbeEvery)))}
+		nextProbeAt: now + time.Duration(rng.Int64N(int64(constants.ProbeInterval)))}
 }
 
 // Members returns the facts of all known members, including this process, sorted by address.
@@ -156,7 +156,7 @@
 		}
 		sort.Strings(older)
 		d.rng.Shuffle(len(older), func(i, j int) { older[i], older[j] = older[j], older[i] })
-		for _, addr := range older[:min(len(older), room, constants.OldFacts)] {
+		for _, addr := range older[:min(len(older), room, constants.GossipOldFacts)] {
 			msg.Facts = append(msg.Facts, d.members[addr].fact)
 		}
 	}
@@ -178,7 +178,7 @@
 	d.checkProbe(now)
 	d.expire(now)
 	if now >= d.nextProbeAt && d.probe == nil {
-		d.nextProbeAt = now + constants.ProbeEvery
+		d.nextProbeAt = now + constants.ProbeInterval
 		if target := d.nextTarget(); target != "" {
 			d.seq++
 			d.probe = &probe{target: target, seq: d.seq, sentAt: now}
@@ -226,14 +226,14 @@
 // members and relayed probes after their timeouts.
 func (d *Detector) expire(now time.Duration) {
 	for _, m := range d.members {
-		if m.fact.State == Suspect && now-m.stateSince > constants.SuspectFor {
+		if m.fact.State == Suspect && now-m.stateSince > constants.SuspicionTimeout {
 			f := m.fact
 			f.State = Dead
 			d.applyFact(now, f)
 		}
 	}
 	for addr, m := range d.members {
-		if m.fact.State == Dead && now-m.stateSince > constants.ProxyForget {
+		if m.fact.State == Dead && now-m.stateSince > constants.ProxyExpiry {
 			delete(d.members, addr)
 		}
 	}
@@ -282,7 +282,7 @@
 	}
 	sort.Strings(out)
 	d.rng.Shuffle(len(out), func(i, j int) { out[i], out[j] = out[j], out[i] })
-	return out[:min(len(out), constants.ProbeHelpers)]
+	return out[:min(len(out), constants.IndirectProbes)]
 }
 
 // applyFact stores and gossips a fact that supersedes the known one. A fact that contradicts
--- a/internal/modelcheck/admissionmodel/proxy.go
+++ b/internal/modelcheck/admissionmodel/proxy.go
@@ -18,7 +18,7 @@
 
 func (m *Model) takeNews(n string, x news) {
 	p := m.proxies[n]
-	if m.clock(n)-x.Heard > constants.SubscriptionSilence {
+	if m.clock(n)-x.Heard > constants.SubscriptionTimeout {
 		return // long under way: no longer believed
 	}
 	p.tracker = x.Tracker
@@ -33,7 +33,7 @@
 	now := m.clock(n)
 	echo, heard := p.echo[p.tracker]
 	wants := p.limiter.BuildReports(now, func(string) (time.Duration, uint64, bool) { return echo.at, echo.time.Life, heard })
-	if p.tracker == "" || len(wants) == 0 && now-echo.at <= constants.ContactEvery {
+	if p.tracker == "" || len(wants) == 0 && now-echo.at <= constants.ContactInterval {
 		return
 	}
 	m.askTracker(n, wants, false)
@@ -44,12 +44,12 @@
 	p := m.proxies[n]
 	echo := p.echo[p.tracker].time
 	if m.Planted == LoanOutlives && echo.Life > 0 {
-		echo.At += 2 * constants.LendLength
+		echo.At += 2 * constants.LoanDuration
 	}
 	m.ids++
 	id, life, wait := m.ids, m.world.Life(n), constants.CallTimeout
 	if request {
-		wait = constants.TrackerBusy
+		wait = constants.MinTrackerTimeout
 	}
 	p.open[id] = openQuestion{m.clock(n), p.tracker, request}
 	m.world.Send(n, p.tracker, question{id, admission.GrantRequest{Proxy: n, Wants: wants, Echo: echo, Proxies: p.limiter.Proxies(), Life: p.limiter.Incarnation(), Sent: m.clock(n)}})
@@ -149,7 +149,7 @@
 	return m.trackers[n].state.HandleRequest(m.world.Now, a, func(int) (time.Duration, bool) {
 		since := m.since
 		if m.Planted == TrackerAtOnce {
-			since -= 2 * constants.GrantLong
+			since -= 2 * constants.LongGrantDuration
 		}
 		return since, m.holder == n
 	})
--- a/internal/proxy/affinity.go
+++ b/internal/proxy/affinity.go
@@ -51,7 +51,7 @@
 	if u.loadReportedAt.IsZero() {
 		return max(own, mean+own)
 	}
-	weight := math.Exp(-now.Sub(u.loadReportedAt).Seconds() / constants.ReportedLoadFade.Seconds())
+	weight := math.Exp(-now.Sub(u.loadReportedAt).Seconds() / constants.ReportedLoadDecayTime.Seconds())
 	reported := u.reportedLoad + float64(len(u.active)-u.activeAtReport)/slots
 	return max(own, mean+(reported-mean)*weight)
 }
@@ -62,7 +62,7 @@
 	sum, weights := 0.0, 0.0
 	for _, u := range upstreams {
 		if !u.loadReportedAt.IsZero() {
-			w := math.Exp(-now.Sub(u.loadReportedAt).Seconds() / (4 * constants.ReportedLoadFade.Seconds()))
+			w := math.Exp(-now.Sub(u.loadReportedAt).Seconds() / (4 * constants.ReportedLoadDecayTime.Seconds()))
 			sum, weights = sum+w*u.reportedLoad, weights+w
 		}
 	}
@@ -94,7 +94,7 @@
 	}
 	best, load := leastLoaded(near)
 	if best == nil || load > 1 {
-		if u, farLoad := leastLoaded(far); u != nil && farLoad+constants.StreamFarMargin < load {
+		if u, farLoad := leastLoaded(far); u != nil && farLoad+constants.StreamOtherZoneMargin < load {
 			best = u
 		}
 	}
@@ -112,7 +112,7 @@
 			continue
 		}
 		candidate := streamCandidate{upstream: u, load: u.estimatedLoad(now, mean)}
-		if candidate.load >= constants.StreamFull {
+		if candidate.load >= constants.StreamMaxLoad {
 			continue // the upstream resets streams that it cannot queue, and a stream is sent only once
 		}
 		if now.Before(u.warmupEnd) {
@@ -134,8 +134,8 @@
 // nil, and counts the placement.
 func (pool *Pool) selectByPrefix(near []streamCandidate) *Upstream {
 	slices.SortFunc(near, func(a, b streamCandidate) int { return cmp.Compare(a.rank, b.rank) })
-	for i, c := range near[:min(len(near), constants.AffinityTop)] {
-		if c.load < constants.AffinityFull {
+	for i, c := range near[:min(len(near), constants.AffinityUpstreams)] {
+		if c.load < constants.AffinityMaxLoad {
 			pool.StreamPlacements[min(i, 1)]++
 			return c.upstream
 		}
@@ -149,7 +149,7 @@
 func leastLoaded(candidates []streamCandidate) (best *Upstream, load float64) {
 	load = math.Inf(1)
 	for _, c := range candidates {
-		if l := c.load + constants.StreamNoise*rand.Float64(); l < load {
+		if l := c.load + constants.StreamSelectionNoise*rand.Float64(); l < load {
 			best, load = c.upstream, l
 		}
 	}
--- a/internal/proxy/attempt.go
+++ b/internal/proxy/attempt.go
@@ -42,7 +42,7 @@
 		return true
 	}
 	now := time.Now()
-	mayBeOld := now.Sub(p.arrived) > constants.HangupLook || p.proxy.lag.lagging(now)
+	mayBeOld := now.Sub(p.arrived) > constants.HangupCheckInterval || p.proxy.lag.lagging(now)
 	return mayBeOld && p.client.hungUp()
 }
 
@@ -88,7 +88,7 @@
 		length := p.bodyLength
 		p.cancelOnDisconnect(conn)
 		head := formatRequestHeader(p.request, u.instance.ID, tenantName, remaining, length)
-		sent, err := conn.send(head, p.bufferedBody, p.streamedBody, length < 0, p.deadline.Add(constants.AnswerGrace))
+		sent, err := conn.send(head, p.bufferedBody, p.streamedBody, length < 0, p.deadline.Add(constants.UpstreamDeadlineGrace))
 		if err != nil && !sent && reused {
 			u.closeConn(conn)
 			continue // the reused connection had been closed and no byte was sent
@@ -139,7 +139,7 @@
 		pool.finish(pl, outcomeTransportError)
 		return &result{outcome: outcomeTransportError, sentAt: sentAt, sent: true, err: errUnframed}
 	}
-	body, err := readUpTo(resp.Body, constants.AnswerBuffer)
+	body, err := readUpTo(resp.Body, constants.ResponseBufferBytes)
 	res := &result{outcome: outcomeServed, sentAt: sentAt, sent: true, resp: resp, body: body, unverified: unverified}
 	switch {
 	case err == nil:
--- a/internal/proxy/cold.go
+++ b/internal/proxy/cold.go
@@ -18,16 +18,16 @@
 // while they are cold and fail beyond limit requests in any second.
 //
 // Each proxy decides by a hash whether it sends to a cold upstream, so the number of senders
-// has a Poisson distribution, and each sends one request every ColdEvery. The mean is set to
+// has a Poisson distribution, and each sends one request every ColdRequestInterval. The mean is set to
 // use the rate that the upstream sustains, and is reduced where the probability that the
-// senders exceed limit would be above ColdRisk.
+// senders exceed limit would be above ColdOverloadProbability.
 func NewColdBound(duration time.Duration, perSecond, limit float64) ColdBound {
-	low, high := 0.0, perSecond*constants.ColdEvery.Seconds()
-	if poissonTail(high, limit) <= constants.ColdRisk {
+	low, high := 0.0, perSecond*constants.ColdRequestInterval.Seconds()
+	if poissonTail(high, limit) <= constants.ColdOverloadProbability {
 		return ColdBound{duration, high}
 	}
 	for high-low > 0.01 {
-		if middle := (low + high) / 2; poissonTail(middle, limit) <= constants.ColdRisk {
+		if middle := (low + high) / 2; poissonTail(middle, limit) <= constants.ColdOverloadProbability {
 			low = middle
 		} else {
 			high = middle
@@ -54,5 +54,5 @@
 // while the proxies differ about that number.
 func (u *Upstream) admitsColdRequest(now time.Time, bound ColdBound) bool {
 	n := u.pool.proxyCount
-	return n > 0 && float64(u.rank)*float64(n) < bound.meanSenders*(1<<32) && now.Sub(u.lastColdRequest) >= constants.ColdEvery
+	return n > 0 && float64(u.rank)*float64(n) < bound.meanSenders*(1<<32) && now.Sub(u.lastColdRequest) >= constants.ColdRequestInterval
 }
--- a/internal/proxy/cold_test.go
+++ b/internal/proxy/cold_test.go
@@ -10,15 +10,15 @@
 // The mean number of proxies that send to a cold upstream follows from the rate that its
 // service sustains and from the contract's limit: it grows with the sustained rate, shrinks
 // as the limit gets closer to it, and keeps the probability of exceeding the limit below
-// ColdRisk.
+// ColdOverloadProbability.
 func TestColdSendersFollowFromLimit(t *testing.T) {
 	for _, c := range []struct{ perSecond, overage, slack float64 }{{0.5, 1, 0}, {1, 1.5, 2}, {5.2, 1.5, 8}, {20, 1.5, 8}, {200, 1.2, 10}} {
 		limit := c.perSecond*c.overage + c.slack
 		bound := NewColdBound(time.Second, c.perSecond, limit)
-		if risk := poissonTail(bound.meanSenders, limit); risk > constants.ColdRisk {
+		if risk := poissonTail(bound.meanSenders, limit); risk > constants.ColdOverloadProbability {
 			t.Errorf("%+v: %v senders exceed the limit with probability %v", c, bound.meanSenders, risk)
 		}
-		if sustained := c.perSecond * constants.ColdEvery.Seconds(); bound.meanSenders > sustained {
+		if sustained := c.perSecond * constants.ColdRequestInterval.Seconds(); bound.meanSenders > sustained {
 			t.Errorf("%+v: %v senders, want at most the %v whose rate the upstream sustains", c, bound.meanSenders, sustained)
 		}
 	}
--- a/internal/proxy/conn.go
+++ b/internal/proxy/conn.go
@@ -57,7 +57,7 @@
 
 func newUpstreamConn(u *Upstream, netConn net.Conn) *upstreamConn {
 	reader := &boundedReader{conn: netConn}
-	return &upstreamConn{upstream: u, netConn: netConn, reader: reader, buffered: bufio.NewReaderSize(reader, 4<<10), idleAt: time.Now(), idleTimeout: constants.IdleDefault}
+	return &upstreamConn{upstream: u, netConn: netConn, reader: reader, buffered: bufio.NewReaderSize(reader, 4<<10), idleAt: time.Now(), idleTimeout: constants.UpstreamIdleTimeout}
 }
 
 // reusable reports whether the connection is open and has no unread data: bytes that arrive
@@ -123,7 +123,7 @@
 // returns an error if the status is invalid or the response belongs to another attempt.
 func (conn *upstreamConn) readResponse(method, attempt string) (*http.Response, error) {
 	for {
-		conn.reader.remaining = constants.HeaderBytes
+		conn.reader.remaining = constants.MaxHeaderBytes
 		resp, err := http.ReadResponse(conn.buffered, &http.Request{Method: method})
 		if err != nil {
 			return nil, err
@@ -164,7 +164,7 @@
 		return
 	}
 	if timeout, ok := keepAliveTimeout(resp.Header); ok {
-		conn.idleTimeout = max(timeout-constants.IdleSafety, timeout/4)
+		conn.idleTimeout = max(timeout-constants.UpstreamIdleMargin, timeout/4)
 	}
 	conn.upstream.releaseConn(conn, true)
 }
--- a/internal/proxy/daemon.go
+++ b/internal/proxy/daemon.go
@@ -92,7 +92,7 @@
 	}, d.apply)
 	d.subscriber.SetLiveCountFunc(func() int { return d.limiter.SettledProxies(d.now()) })
 	if bounds.RevocationStrict {
-		p.keyTrustPeriod, p.readIndexAt = bounds.Revoke.D()-constants.RevokeReserve, d.subscriber.ReadIndexAt
+		p.keyTrustPeriod, p.readIndexAt = bounds.Revoke.D()-constants.RevocationMargin, d.subscriber.ReadIndexAt
 	}
 	return d
 }
@@ -102,10 +102,10 @@
 func (d *Daemon) connCap(service string) int {
 	cfg := d.config.Load()
 	if cfg == nil || cfg.Services[service] == nil || cfg.Services[service].MaxConnections == 0 {
-		return constants.UpstreamCap * 2
+		return constants.UpstreamConcurrency * 2
 	}
 	proxies := max(1, d.limiter.Proxies())
-	return max(1, int(constants.ConnShare*float64(cfg.Services[service].MaxConnections))/proxies)
+	return max(1, int(constants.MaxConnectionsFraction*float64(cfg.Services[service].MaxConnections))/proxies)
 }
 
 // coldBound returns the limit on requests to a service's cold upstreams.
@@ -201,8 +201,8 @@
 	group := rungroup.New(g)
 	group.Serve(readinessListener, http.HandlerFunc(d.serveReadiness))
 	group.Serve(adminListener, adminhttp.Handler(d.Report))
-	group.Every(constants.SettingsEvery, d.reloadIfChanged)
-	group.Every(constants.RetireEvery, func() { d.frontend.closeIdle(time.Now()) })
+	group.Every(constants.SettingsPollInterval, d.reloadIfChanged)
+	group.Every(constants.IdleScanInterval, func() { d.frontend.closeIdle(time.Now()) })
 	return d.AddBackground(g, group)
 }
 
@@ -224,10 +224,10 @@
 	}
 	g.Add(d.members.Serve, func(error) { d.members.Close() })
 	go d.step()
-	group.Every(constants.StepEvery, d.step)
-	group.Every(constants.GrantEvery, d.renewGrants)
+	group.Every(constants.StepInterval, d.step)
+	group.Every(constants.GrantInterval, d.renewGrants)
 	if nodeSettings.HasDuty(settings.DutyScaling) {
-		group.Every(constants.ScaleEvery, d.reportLoad)
+		group.Every(constants.ScaleReportInterval, d.reportLoad)
 	}
 	if d.meter != nil {
 		interval := usage.ReportInterval(nodeSettings.Bounds.UsageWindow.D(), nodeSettings.Bounds.UsageTolerance)
@@ -237,7 +237,7 @@
 		group.EveryAfter(rand.N(accounts.ReportInterval), accounts.ReportInterval, d.accountsAgent.SendReports)
 		group.Every(accounts.RetryInterval, d.accountsAgent.RetryReports)
 	}
-	group.Every(constants.RetireEvery, func() { d.pool.CloseExpiredIdle(time.Now()) })
+	group.Every(constants.IdleScanInterval, func() { d.pool.CloseExpiredIdle(time.Now()) })
 	group.Every(membership.TickInterval, d.members.Tick)
 	return nil
 }
@@ -293,10 +293,10 @@
 	d.events.Record("leaving", "readiness fails from now on")
 	d.subscriber.Resubscribe()
 	nodeSettings := d.nodeSettings.Load()
-	grace := nodeSettings.Bounds.Grace.D() - constants.TermReserve
+	grace := nodeSettings.Bounds.Grace.D() - constants.ShutdownReserve
 	d.pool.Drain(began.Add(grace))
 	// Clients that use a directory may hold cached lookups that still name this proxy.
-	accept := min(constants.TermAccept, grace/2)
+	accept := min(constants.ShutdownAcceptTime, grace/2)
 	if nodeSettings.EntryMode == "directory" {
 		accept = min(2*constants.LookupTTL, grace/2)
 	}
--- a/internal/proxy/disconnect_test.go
+++ b/internal/proxy/disconnect_test.go
@@ -498,7 +498,7 @@
 	}
 }
 
-// A response that its client does not read is aborted AnswerWriteGrace after the request's
+// A response that its client does not read is aborted ResponseWriteGrace after the request's
 // deadline.
 func TestUnreadResponseIsAborted(t *testing.T) {
 	t.Parallel()
@@ -513,7 +513,7 @@
 			t.Fatal("request did not arrive at the upstream")
 		}
 	}
-	for end := time.Now().Add(constants.AnswerWriteGrace + 2*time.Second); d.openRequests.Load() > 0; time.Sleep(10 * time.Millisecond) {
+	for end := time.Now().Add(constants.ResponseWriteGrace + 2*time.Second); d.openRequests.Load() > 0; time.Sleep(10 * time.Millisecond) {
 		if time.Now().After(end) {
 			t.Fatal("response is still held for a client that does not read")
 		}
@@ -560,7 +560,7 @@
 	}
 	staying := dialFrontend(t, listener.Addr().String())
 	io.WriteString(staying, clientRequest("GET", "/safe/1ms", "stays", 0))
-	time.Sleep(constants.LagLong + 50*time.Millisecond)
+	time.Sleep(constants.LagThreshold + 50*time.Millisecond)
 	go resumed.serve()
 	if resp, err := http.ReadResponse(bufio.NewReader(staying), nil); err != nil || resp.StatusCode != http.StatusOK {
 		t.Fatal(resp, err)
--- a/internal/proxy/ejection.go
+++ b/internal/proxy/ejection.go
@@ -37,7 +37,7 @@
 func (u *Upstream) eject(now time.Time) {
 	u.consecutiveFailures++
 	u.pool.Ejected++
-	u.ejectedUntil = now.Add(min(constants.EjectFirst<<min(u.consecutiveFailures-1, 5), constants.EjectMax))
+	u.ejectedUntil = now.Add(min(constants.BaseEjectionTime<<min(u.consecutiveFailures-1, 5), constants.MaxEjectionTime))
 }
 
 // finish ends an attempt, releases its placement and updates the upstream's statistics.
@@ -81,11 +81,11 @@
 		// Healthy upstreams rarely return server errors, so a single one is sufficient
 		// evidence to eject the upstream briefly, whatever its health check reports. Its
 		// connections remain usable.
-		updateDelay(max(responseTime, constants.FirstDelay.Seconds()))
+		updateDelay(max(responseTime, constants.DefaultUpstreamDelay.Seconds()))
 		u.eject(now)
 	case outcomeAtCapacity:
 		updateDelay(max(2*usual(), responseTime))
-		u.ejectedUntil = now.Add(constants.FullPause)
+		u.ejectedUntil = now.Add(constants.FullUpstreamBackoff)
 	case outcomeCancelled:
 		pool.Cancelled++
 		// Not a failure, but the elapsed time is a lower bound on the response time.
--- a/internal/proxy/frontend.go
+++ b/internal/proxy/frontend.go
@@ -64,7 +64,7 @@
 		if f.isClosed() {
 			return nil, net.ErrClosed
 		}
-		time.Sleep(constants.AcceptPause) // out of file descriptors, or the connection was aborted before it was accepted
+		time.Sleep(constants.AcceptRetryDelay) // out of file descriptors, or the connection was aborted before it was accepted
 	}
 }
 
@@ -134,7 +134,7 @@
 	return current
 }
 
-// closeIdle closes connections that have exceeded the idle timeout by IdleSpare. The margin
+// closeIdle closes connections that have exceeded the idle timeout by IdleCloseMargin. The margin
 // lets the client close first: a request that is under way when the proxy closes is lost.
 func (f *frontend) closeIdle(now time.Time) {
 	f.mu.Lock()
@@ -144,7 +144,7 @@
 		if conn, ok := c.(*clientConn); ok && conn.busy() {
 			continue // a pipelined request does not change the server's connection state
 		}
-		if !idleSince.IsZero() && now.Sub(idleSince) > timeout+constants.IdleSpare {
+		if !idleSince.IsZero() && now.Sub(idleSince) > timeout+constants.IdleCloseMargin {
 			delete(f.conns, c)
 			c.Close()
 		}
--- a/internal/proxy/grants.go
+++ b/internal/proxy/grants.go
@@ -107,7 +107,7 @@
 	if latency := d.trackerLatencies[tracker]; latency != nil {
 		estimate = latency.estimate()
 	}
-	return max(constants.TrackerBusy, estimate.slowThreshold())
+	return max(constants.MinTrackerTimeout, estimate.slowThreshold())
 }
 
 // applyGrants applies a tracker's reply to a request that was sent at the given time.
@@ -162,7 +162,7 @@
 	for i, tracker := range *d.trackers.Load() {
 		if tracker != "" {
 			shards[tracker] = append(shards[tracker], i)
-			if _, ok := wants[tracker]; !ok && sentAt-echoes[tracker].receivedAt > constants.ContactEvery {
+			if _, ok := wants[tracker]; !ok && sentAt-echoes[tracker].receivedAt > constants.ContactInterval {
 				wants[tracker] = nil // nothing to report: the message only confirms that the tracker's replies arrive
 			}
 		}
--- a/internal/proxy/lag.go
+++ b/internal/proxy/lag.go
@@ -16,16 +16,16 @@
 	laggingUntil atomic.Int64 // likewise; by then everything that arrived during a lag has been read
 }
 
-// tick must be called every StepEvery.
+// tick must be called every StepInterval.
 func (d *lagDetector) tick(now time.Time) {
 	at := int64(now.Sub(d.startedAt))
-	if last := d.lastTick.Swap(at); at-last > int64(constants.LagLong) {
-		d.laggingUntil.Store(at + int64(constants.LagMemory))
+	if last := d.lastTick.Swap(at); at-last > int64(constants.LagThreshold) {
+		d.laggingUntil.Store(at + int64(constants.LagRecoveryTime))
 	}
 }
 
 // lagging reports whether the process runs late, or did so shortly before.
 func (d *lagDetector) lagging(now time.Time) bool {
 	at, last := int64(now.Sub(d.startedAt)), d.lastTick.Load()
-	return last == 0 || at-last > int64(constants.LagLong) || at < d.laggingUntil.Load()
+	return last == 0 || at-last > int64(constants.LagThreshold) || at < d.laggingUntil.Load()
 }
--- a/internal/proxy/lag_test.go
+++ b/internal/proxy/lag_test.go
@@ -10,7 +10,7 @@
 // A process counts as lagging as soon as a tick is overdue, even before the first tick after a
 // suspension, and for LagMemory after that tick.
 func TestLagDetector(t *testing.T) {
-	const step = constants.StepEvery
+	const step = constants.StepInterval
 	began := time.Now()
 	detector := &lagDetector{startedAt: began}
 	if !detector.lagging(began.Add(step)) {
@@ -33,7 +33,7 @@
 	if !detector.lagging(resumedAt.Add(step)) {
 		t.Error("a suspension is forgotten at the next tick")
 	}
-	for at = resumedAt; at.Before(resumedAt.Add(constants.LagMemory)); at = at.Add(step) {
+	for at = resumedAt; at.Before(resumedAt.Add(constants.LagRecoveryTime)); at = at.Add(step) {
 		detector.tick(at)
 	}
 	if detector.lagging(at.Add(step)) {
--- a/internal/proxy/latency.go
+++ b/internal/proxy/latency.go
@@ -20,7 +20,7 @@
 // observe records the latency of one more response, in seconds.
 func (w *latencyWindow) observe(now time.Time, seconds float64) {
 	w.updatedAt, w.medianStale = now, true
-	if len(w.samples) < constants.RecentAnswers {
+	if len(w.samples) < constants.LatencySamples {
 		w.samples = append(w.samples, seconds)
 		return
 	}
@@ -53,7 +53,7 @@
 }
 
 // defaultLatency is assumed until the first response.
-var defaultLatency = latencyEstimate{median: constants.FirstDelay, high: 2 * constants.FirstDelay}
+var defaultLatency = latencyEstimate{median: constants.DefaultUpstreamDelay, high: 2 * constants.DefaultUpstreamDelay}
 
 // estimateLatency returns the estimate for response latencies in seconds, which it sorts.
 func estimateLatency(latencies []float64, updatedAt time.Time) latencyEstimate {
@@ -64,21 +64,21 @@
 	at := func(part float64) time.Duration {
 		return seconds(latencies[int(math.Round(part*float64(len(latencies)-1)))])
 	}
-	return latencyEstimate{low: at(1 - constants.LikelyPart), median: at(0.5), high: at(constants.LikelyPart), updatedAt: updatedAt}
+	return latencyEstimate{low: at(1 - constants.LatencyQuantile), median: at(0.5), high: at(constants.LatencyQuantile), updatedAt: updatedAt}
 }
 
 // decayedLow returns the time within which hardly any response arrives. It decays with the age
 // of the estimate: otherwise an outdated estimate could keep every request from being sent, and
 // no response could ever correct it.
 func (e latencyEstimate) decayedLow(now time.Time) time.Duration {
-	age := now.Sub(e.updatedAt).Seconds() / constants.DelayFade.Seconds()
+	age := now.Sub(e.updatedAt).Seconds() / constants.DelayDecayTime.Seconds()
 	return time.Duration(float64(e.low) * math.Exp(-age))
 }
 
 // slowThreshold returns the delay above which a response is unusually late, given how much
 // latencies vary.
 func (e latencyEstimate) slowThreshold() time.Duration {
-	return max(constants.UnusualUsual*e.median, constants.UnusualLikely*e.high)
+	return max(constants.SlowMedianFactor*e.median, constants.SlowQuantileFactor*e.high)
 }
 
 // spread returns by how much latencies usually vary.
@@ -122,10 +122,10 @@
 }
 
 // latencyEstimateLocked returns the latency estimate of a service. It is recomputed at most once
-// every WorkTimeEvery, not for each request.
+// every LatencyEstimateInterval, not for each request.
 func (pool *Pool) latencyEstimateLocked(service string, now time.Time) latencyEstimate {
 	latency := pool.serviceLatencyLocked(service)
-	if now.Sub(latency.estimatedAt) >= constants.WorkTimeEvery {
+	if now.Sub(latency.estimatedAt) >= constants.LatencyEstimateInterval {
 		latency.estimatedAt, latency.estimate = now, latency.responses.estimate()
 	}
 	return latency.estimate
--- a/internal/proxy/lists.go
+++ b/internal/proxy/lists.go
@@ -16,14 +16,14 @@
 	d.lag.tick(now)
 	d.subscriber.Step(now, d.ready.Load() && !d.shuttingDown.Load())
 	state := d.subscriber.State(now)
-	if !d.ready.Load() && d.config.Load() != nil && d.hasUpstreamList.Load() && state.ListAge < constants.UpdateCurrent && state.Current < constants.UpdateCurrent {
+	if !d.ready.Load() && d.config.Load() != nil && d.hasUpstreamList.Load() && state.ListAge < constants.StartupUpdateMaxAge && state.Current < constants.StartupUpdateMaxAge {
 		d.ready.Store(true)
 		d.events.Record("ready", "configuration and upstreams known")
 	}
 	if d.outOfContact(state, now) && now.After(d.nextSelfPoll) && d.config.Load() != nil {
 		interval := selfPollInterval(d.pool.Len(), d.limiter.Proxies(), d.nodeSettings.Load().CloudAPI.RatePerS)
 		first := d.nextSelfPoll.IsZero()
-		if d.nextSelfPoll = now.Add(interval/2 + rand.N(interval)); first && rand.Float64() > float64(constants.SelfPollEvery)/float64(interval) {
+		if d.nextSelfPoll = now.Add(interval/2 + rand.N(interval)); first && rand.Float64() > float64(constants.SelfPollInterval)/float64(interval) {
 			return // keeps a large fleet within the platform's rate limit from the first round on
 		}
 		go func() {
@@ -45,16 +45,16 @@
 // control-plane nodes in contact with a majority count: the others may still send updates,
 // but their list dates from before they lost contact.
 func (d *Daemon) outOfContact(state distribution.State, now time.Time) bool {
-	return min(state.Current, now.Sub(d.startedAt)) > constants.SelfPollAfter
+	return min(state.Current, now.Sub(d.startedAt)) > constants.SelfPollDelay
 }
 
 // selfPollInterval returns the interval at which a proxy without contact polls the instance
 // list. All proxies together use only a part of the platform's rate limit, which leaves the
 // rest to the control-plane node that polls for the fleet.
 func selfPollInterval(upstreams, proxies int, rate float64) time.Duration {
-	calls := float64(upstreams/constants.PollPage+1) * float64(max(1, proxies))
+	calls := float64(upstreams/constants.PollPageSize+1) * float64(max(1, proxies))
 	if rate <= 0 {
-		return constants.SelfPollEvery
+		return constants.SelfPollInterval
 	}
-	return max(constants.SelfPollEvery, time.Duration(calls/(rate*constants.SelfPollPart)*float64(time.Second)))
+	return max(constants.SelfPollInterval, time.Duration(calls/(rate*constants.SelfPollRateFraction)*float64(time.Second)))
 }
--- a/internal/proxy/selection.go
+++ b/internal/proxy/selection.go
@@ -62,8 +62,8 @@
 			return x.distance < z.distance || x.distance == z.distance && (x.rank < z.rank || x.rank == z.rank && x.instance.ID < z.instance.ID)
 		})
 		set.preferred = set.all
-		if len(set.all) > constants.FewUpstreams*3/2 {
-			set.preferred = set.all[:constants.FewUpstreams]
+		if len(set.all) > constants.PreferredUpstreams*3/2 {
+			set.preferred = set.all[:constants.PreferredUpstreams]
 		}
 		pool.candidateSets[t] = set
 	}
@@ -157,9 +157,9 @@
 func (u *Upstream) activeLimit(delay, oldest, usual float64) int {
 	share := u.slotShare()
 	if delay > usual*constants.SlowFactor || oldest > usual*constants.SlowFactor {
-		return max(constants.UpstreamCapSlow, share)
+		return max(constants.SlowUpstreamConcurrency, share)
 	}
-	return max(constants.UpstreamCap, 2*share) // one request queued at the upstream for each one being processed
+	return max(constants.UpstreamConcurrency, 2*share) // one request queued at the upstream for each one being processed
 }
 
 // cost returns the expected delay in seconds of one more request to the upstream, increased
@@ -171,8 +171,8 @@
 	if s.now.Before(u.warmupEnd) {
 		cost *= constants.WarmupFactor
 	}
-	if age := s.now.Sub(u.loadReportedAt); u.reportedLoad > 1 && age < constants.LoadFresh {
-		cost *= 1 + (u.reportedLoad-1)*(1-age.Seconds()/constants.LoadFresh.Seconds())
+	if age := s.now.Sub(u.loadReportedAt); u.reportedLoad > 1 && age < constants.ReportedLoadMaxAge {
+		cost *= 1 + (u.reportedLoad-1)*(1-age.Seconds()/constants.ReportedLoadMaxAge.Seconds())
 	}
 	cost += float64(u.distance) * s.spread
 	roundTrip := u.pool.connectTime[u.distance].median()
@@ -182,7 +182,7 @@
 	if len(u.idle) == 0 {
 		cost += roundTrip
 	}
-	return cost * (1 + constants.ChoiceNoise*rand.Float64())
+	return cost * (1 + constants.SelectionNoise*rand.Float64())
 }
 
 // Place reserves capacity at an upstream without waiting, or returns nil if there is none.
--- a/internal/proxy/timing.go
+++ b/internal/proxy/timing.go
@@ -27,7 +27,7 @@
 	if !p.route.Streaming {
 		return p.deadline
 	}
-	patience := max(constants.StreamPatience, constants.StreamPatienceTargets*p.route.TargetLatency)
+	patience := max(constants.StreamIdleTimeout, constants.StreamIdleTimeoutTargets*p.route.TargetLatency)
 	if abandonedAt := p.arrived.Add(patience); abandonedAt.Before(p.deadline) {
 		return abandonedAt
 	}
@@ -39,7 +39,7 @@
 // elsewhere, even if it first waits for the part of its time that Retry-After may ask for. A
 // caller that can no longer be served elsewhere loses nothing by waiting here.
 func (t timing) latestStart(now time.Time) time.Time {
-	elsewhere := t.callerDeadline.Add(-time.Duration(float64(t.latency.high) / (1 - constants.RetryAfterPart)))
+	elsewhere := t.callerDeadline.Add(-time.Duration(float64(t.latency.high) / (1 - constants.RetryAfterFraction)))
 	here := t.responseDeadline
 	if !t.latency.updatedAt.IsZero() { // without samples nothing shows that it would be too late
 		here = here.Add(-t.latency.high)
@@ -54,7 +54,7 @@
 // sent, the caller could no longer be guaranteed that it was not executed.
 func (t timing) tooLate(now time.Time) bool {
 	remaining := t.responseDeadline.Sub(now)
-	return remaining <= constants.AnswerReturn || remaining < t.latency.decayedLow(now)
+	return remaining <= constants.ResponseReturnTime || remaining < t.latency.decayedLow(now)
 }
 
 // connectDeadline returns the time until which to wait for a connection to one upstream: as long
@@ -85,13 +85,13 @@
 // retryAfter returns the Retry-After of a refusal if the missing resource is expected to be
 // available after due. It never exceeds the part of its time that the caller is willing to wait.
 func (t timing) retryAfter(now time.Time, due time.Duration) time.Duration {
-	return max(0, min(due, time.Duration(float64(t.callerDeadline.Sub(now))*constants.RetryAfterPart)))
+	return max(0, min(due, time.Duration(float64(t.callerDeadline.Sub(now))*constants.RetryAfterFraction)))
 }
 
 // configRetryAfter returns the Retry-After of a refusal for lack of a configuration or of a
-// recent confirmation of it: a proxy sends the control plane a heartbeat every SubscribeEvery.
+// recent confirmation of it: a proxy sends the control plane a heartbeat every SubscribeInterval.
 func configRetryAfter(arrived time.Time, r *http.Request) time.Duration {
-	return timing{callerDeadline: arrived.Add(clientTimeBudget(r))}.retryAfter(arrived, constants.SubscribeEvery)
+	return timing{callerDeadline: arrived.Add(clientTimeBudget(r))}.retryAfter(arrived, constants.SubscribeInterval)
 }
 
 func earlier(a, b time.Time) time.Time {
--- a/internal/settings/settings.go
+++ b/internal/settings/settings.go
@@ -179,8 +179,8 @@
 	if s.HasContract("quota") && s.Bounds.QuotaWindow <= 0 {
 		return nil, fmt.Errorf("settings file %s: bounds.quotaWindow: missing, required by contract quota", path)
 	}
-	if s.Bounds.RevocationStrict && s.Bounds.Revoke.D() <= 2*constants.RevokeReserve {
-		return nil, fmt.Errorf("settings file %s: bounds.revoke: must be greater than %v if revocationStrict is true, got %s", path, 2*constants.RevokeReserve, s.Bounds.Revoke)
+	if s.Bounds.RevocationStrict && s.Bounds.Revoke.D() <= 2*constants.RevocationMargin {
+		return nil, fmt.Errorf("settings file %s: bounds.revoke: must be greater than %v if revocationStrict is true, got %s", path, 2*constants.RevocationMargin, s.Bounds.Revoke)
 	}
 	if err := s.checkDuties(); err != nil {
 		return nil, fmt.Errorf("settings file %s: %w", path, err)
@@ -239,7 +239,7 @@
 	if !s.HasContract("quota") {
 		return 0
 	}
-	return constants.TrackerDuty * max(1, s.FaultTolerance.MachineFailures)
+	return constants.TrackerShardsPerFailure * max(1, s.FaultTolerance.MachineFailures)
 }
 
 // InternalAddress returns the address of an internal port of this machine.
--- a/internal/storage/store.go
+++ b/internal/storage/store.go
@@ -23,7 +23,7 @@
 //     learns anything from this machine that a power loss would undo.
 //   - Open rejects a file that no crash or power loss could have left, instead of
 //     starting with an empty store: the machine would forget its promises.
-//   - The size of the file is at most constants.StoreCompactAt or StoreCompactTimes
+//   - The size of the file is at most constants.StoreCompactMinBytes or StoreCompactFactor
 //     the size of the live state, whichever is larger, plus one record. During a
 //     compaction there is a second file of the size of the live state. Values are
 //     held in memory once.
@@ -122,7 +122,7 @@
 	if err != nil {
 		panic(fmt.Sprintf("storage: opening the in-memory database: %v", err)) // cannot happen: it opens no file
 	}
-	return &Store{db: db, compactMinSize: constants.StoreCompactAt}
+	return &Store{db: db, compactMinSize: constants.StoreCompactMinBytes}
 }
 
 // upgradeValues converts the values of a file without a header to the current
@@ -219,7 +219,7 @@
 	}
 	// The value is durable, so a failed compaction does not fail this Put. One that
 	// failed before the rename is retried later; after that point the store has failed.
-	if s.size > max(s.compactMinSize, constants.StoreCompactTimes*s.liveSize) && s.size >= s.compactRetrySize {
+	if s.size > max(s.compactMinSize, constants.StoreCompactFactor*s.liveSize) && s.size >= s.compactRetrySize {
 		if s.compact() != nil {
 			s.compactRetrySize = s.size + max(s.liveSize, s.compactMinSize/4)
 		}
--- a/internal/transport/transport.go
+++ b/internal/transport/transport.go
@@ -91,7 +91,7 @@
 	default:
 	}
 	conn.queueMu.Lock()
-	full := len(conn.queue) >= constants.SendQueue
+	full := len(conn.queue) >= constants.SendQueueLength
 	if !full {
 		conn.queue = append(conn.queue, e)
 	}
@@ -156,7 +156,7 @@
 	defer conn.Close()
 	var buf bytes.Buffer
 	enc := gob.NewEncoder(&buf)
-	w := bufio.NewWriterSize(conn.netConn, constants.ConnBuffer)
+	w := bufio.NewWriterSize(conn.netConn, constants.ConnBufferBytes)
 	for {
 		select {
 		case <-conn.done:
@@ -166,7 +166,7 @@
 		for batch := conn.drainQueue(); len(batch) > 0; batch = conn.drainQueue() {
 			for _, e := range batch {
 				buf.Reset()
-				if err := enc.Encode(e); err != nil || buf.Len() > constants.FrameMax {
+				if err := enc.Encode(e); err != nil || buf.Len() > constants.MaxFrameBytes {
 					return
 				}
 				var size [4]byte
@@ -180,7 +180,7 @@
 		if w.Flush() != nil || conn.closeAfterFlush.Load() {
 			return
 		}
-		if buf.Cap() > constants.EncodeBufferKept {
+		if buf.Cap() > constants.MaxKeptEncodeBufferBytes {
 			buf = bytes.Buffer{} // do not keep the memory of one large message for the life of the connection
 		}
 	}
@@ -211,7 +211,7 @@
 		f.remaining = binary.BigEndian.Uint32(size[:])
 		Traffic.In.Add(1)
 		Traffic.InBytes.Add(uint64(f.remaining) + 4)
-		if f.remaining > constants.FrameMax {
+		if f.remaining > constants.MaxFrameBytes {
 			Malformed.Add(1)
 			return 0, errors.New("frame exceeds the maximum size")
 		}
@@ -241,7 +241,7 @@
 }
 
 func newDecoder(r io.Reader) *decoder {
-	f := &frameReader{r: bufio.NewReaderSize(r, constants.ConnBuffer)}
+	f := &frameReader{r: bufio.NewReaderSize(r, constants.ConnBufferBytes)}
 	return &decoder{f, gob.NewDecoder(f)}
 }
 
@@ -308,12 +308,12 @@
 func setUserTimeout(_, _ string, rc syscall.RawConn) error {
 	const tcpUserTimeout = 18
 	rc.Control(func(fd uintptr) {
-		syscall.SetsockoptInt(int(fd), syscall.IPPROTO_TCP, tcpUserTimeout, int(constants.LinkSilence/time.Millisecond))
+		syscall.SetsockoptInt(int(fd), syscall.IPPROTO_TCP, tcpUserTimeout, int(constants.TCPUserTimeout/time.Millisecond))
 	})
 	return nil
 }
 
-var keepAlive = net.KeepAliveConfig{Enable: true, Idle: constants.LinkSilence, Interval: time.Second, Count: 2}
+var keepAlive = net.KeepAliveConfig{Enable: true, Idle: constants.TCPUserTimeout, Interval: time.Second, Count: 2}
 
 // Dial opens a connection from the local IP address localAddr, by which the peer identifies
 // this machine. h handles the messages of the peer that are not replies.
@@ -344,7 +344,7 @@
 			if errors.Is(err, net.ErrClosed) {
 				return nil
 			}
-			time.Sleep(constants.RedialPause)
+			time.Sleep(constants.RedialDelay)
 			continue
 		}
 		conn := newConn(c, h)
@@ -403,7 +403,7 @@
 			conn, err := Dial(peer.addr, peer.localAddr, peer.handler)
 			peer.mu.Lock()
 			defer peer.mu.Unlock()
-			peer.dialing, peer.nextDial = false, time.Now().Add(constants.RedialPause)
+			peer.dialing, peer.nextDial = false, time.Now().Add(constants.RedialDelay)
 			peer.dialRefused = errors.Is(err, syscall.ECONNREFUSED)
 			if err == nil {
 				peer.conn = conn
--- a/internal/usage/meter.go
+++ b/internal/usage/meter.go
@@ -127,8 +127,8 @@
 		report.Closed = min(report.Closed, w-1)
 	}
 	for w, tenants := range m.unreported {
-		if w+constants.UsageKept < current {
-			delete(m.windows, w) // no holder has settled the window within UsageKept windows
+		if w+constants.UsageMaxUnsettledWindows < current {
+			delete(m.windows, w) // no holder has settled the window within UsageMaxUnsettledWindows windows
 			delete(m.unreported, w)
 			continue
 		}
--- a/internal/usage/persister.go
+++ b/internal/usage/persister.go
@@ -42,7 +42,7 @@
 func NewPersister(tally *Tally, get func(key string, v any) bool) *Persister {
 	p := &Persister{tally: tally}
 	get(StoreKey, &p.pending)
-	for turn := 1; turn < constants.UsageSaves; turn++ {
+	for turn := 1; turn < constants.UsageSavesPerSnapshot; turn++ {
 		var recent []Report
 		if get(recentKey(turn), &recent) {
 			p.pending = append(p.pending, recent...)
@@ -52,7 +52,7 @@
 }
 
 // Step returns the actions to take, of type Save and SendHandover. It is called every
-// constants.UsageSave. held indicates whether this machine holds the duty, and holder is the last
+// constants.UsageSaveInterval. held indicates whether this machine holds the duty, and holder is the last
 // known holder of the duty.
 func (p *Persister) Step(held bool, holder string) []any {
 	if p.held && !held {
@@ -62,8 +62,8 @@
 	p.held = held
 	var actions []any
 	if (p.handoverDue || len(p.pending) > 0) && holder != "" {
-		for i := 0; i == 0 || i < len(p.pending); i += constants.UsageBatch {
-			end := min(i+constants.UsageBatch, len(p.pending))
+		for i := 0; i == 0 || i < len(p.pending); i += constants.UsageHandoverBatch {
+			end := min(i+constants.UsageHandoverBatch, len(p.pending))
 			actions = append(actions, SendHandover{holder, Handover{Words: p.pending[i:end], Last: end == len(p.pending)}})
 		}
 		p.pending, p.handoverDue = nil, false
@@ -77,10 +77,10 @@
 	return actions
 }
 
-// save returns the next value to store: a full snapshot once every constants.UsageSaves steps,
+// save returns the next value to store: a full snapshot once every constants.UsageSavesPerSnapshot steps,
 // otherwise the reports merged since the previous step.
 func (p *Persister) save() (Save, bool) {
-	if p.turn = (p.turn + 1) % constants.UsageSaves; p.turn == 0 {
+	if p.turn = (p.turn + 1) % constants.UsageSavesPerSnapshot; p.turn == 0 {
 		reports, changed := p.tally.SnapshotIfChanged()
 		return Save{StoreKey, reports}, changed
 	}
--- a/internal/usage/tally.go
+++ b/internal/usage/tally.go
@@ -62,11 +62,11 @@
 
 // valid reports whether a report is within the limits that every well-behaved proxy observes.
 func (report Report) valid(current uint64) bool {
-	if report.Proxy == "" || len(report.Proxy) > constants.NameMax || report.Closed > current+1 {
+	if report.Proxy == "" || len(report.Proxy) > constants.MaxNameBytes || report.Closed > current+1 {
 		return false
 	}
 	for _, windows := range []map[uint64]Counts{report.Windows, report.Running} {
-		if len(windows) > constants.UsageKept+2 {
+		if len(windows) > constants.UsageMaxUnsettledWindows+2 {
 			return false
 		}
 		for w, counts := range windows {
@@ -80,11 +80,11 @@
 
 // validCounts reports whether the counts of one window are within their limits.
 func validCounts(counts Counts) bool {
-	if len(counts) > constants.UsageTenants {
+	if len(counts) > constants.UsageMaxTenants {
 		return false
 	}
 	for tenant, n := range counts {
-		if tenant == "" || len(tenant) > constants.NameMax || n > constants.UsageMost {
+		if tenant == "" || len(tenant) > constants.MaxNameBytes || n > constants.UsageMaxCount {
 			return false
 		}
 	}
@@ -187,7 +187,7 @@
 				delete(r.running, w)
 			}
 		}
-		if len(r.windows) == 0 && len(r.running) == 0 && r.closed+constants.UsageKept < t.settled {
+		if len(r.windows) == 0 && len(r.running) == 0 && r.closed+constants.UsageMaxUnsettledWindows < t.settled {
 			delete(t.reporters, incarnation)
 		}
 	}
@@ -253,12 +253,12 @@
 		t.mu.Unlock()
 	}
 	t.Settle(after)
-	w := max(after+1, current-min(current, constants.UsageKept))
+	w := max(after+1, current-min(current, constants.UsageMaxUnsettledWindows))
 	if w >= current {
 		return 0, nil, false
 	}
 	age := now.Agreed.Sub(time.Unix(0, int64(w+1)*int64(length)))
-	if age < constants.RosterEvery { // other machines may know of proxies that are not in live yet
+	if age < constants.RosterInterval { // other machines may know of proxies that are not in live yet
 		return 0, nil, false
 	}
 	// If the window began under a previous holder, that holder may have reports of incarnations
@@ -266,7 +266,7 @@
 	t.mu.Lock()
 	handoverDone := now.Agreed.Add(-now.HeldFor).Before(time.Unix(0, int64(w)*int64(length))) || t.handoverAt > now.Monotonic-now.HeldFor
 	t.mu.Unlock()
-	if !(handoverDone && t.Complete(w, now.Monotonic-delay, live)) && (age < decisionAge(delay) || now.HeldFor < 2*constants.UsageEvery) {
+	if !(handoverDone && t.Complete(w, now.Monotonic-delay, live)) && (age < decisionAge(delay) || now.HeldFor < 2*constants.UsageSnapshotInterval) {
 		return 0, nil, false
 	}
 	return w, MarshalWindow(w, t.Sum(w)), true
--- a/internal/usage/usage.go
+++ b/internal/usage/usage.go
@@ -56,7 +56,7 @@
 // requests since its last report, which must not be a larger part of a window than the error
 // that the platform tolerates.
 func ReportInterval(window time.Duration, tolerance float64) time.Duration {
-	return max(constants.StepEvery, time.Duration(float64(window)*tolerance))
+	return max(constants.StepInterval, time.Duration(float64(window)*tolerance))
 }
 
 // ReportPhase returns the offset of a proxy's first report within the report interval, given a
@@ -70,5 +70,5 @@
 // even if reports are missing. It leaves time for one unanswered call to the platform and its
 // retry before the report is due, delay after the end of the window.
 func decisionAge(delay time.Duration) time.Duration {
-	return max(delay/2, delay-constants.DutyTimeout-constants.DutyPauseMax)
+	return max(delay/2, delay-constants.DutyCallTimeout-constants.DutyMaxRetryDelay)
 }
--- a/internal/usage/usage_test.go
+++ b/internal/usage/usage_test.go
@@ -89,12 +89,12 @@
 // reports.
 func TestInvalidReportsAndMemoryBound(t *testing.T) {
 	tally := NewTally(1)
-	long := make([]byte, constants.NameMax+1)
+	long := make([]byte, constants.MaxNameBytes+1)
 	for _, report := range []Report{
 		{Life: 1},
 		{Proxy: string(long)},
 		{Proxy: "p", Closed: 1000},
-		{Proxy: "p", Windows: map[uint64]Counts{9: {"x": constants.UsageMost + 1}}},
+		{Proxy: "p", Windows: map[uint64]Counts{9: {"x": constants.UsageMaxCount + 1}}},
 		{Proxy: "p", Windows: map[uint64]Counts{1 << 60: {"x": 1}}},
 		{Proxy: "p", Windows: map[uint64]Counts{9: {"": 1}}},
 	} {
@@ -110,7 +110,7 @@
 		m.Count(w, "x")
 		m.NextReport("p", w)
 	}
-	if report, _ := m.NextReport("p", 1000); len(report.Windows) > constants.UsageKept+1 {
+	if report, _ := m.NextReport("p", 1000); len(report.Windows) > constants.UsageMaxUnsettledWindows+1 {
 		t.Errorf("%d windows kept", len(report.Windows))
 	}
 }
@@ -148,7 +148,7 @@
 	at := func(s float64) Timing {
 		return Timing{Monotonic: time.Duration(s * 1e9), Agreed: time.Unix(1000, 0).Add(time.Duration(s * 1e9)), HeldFor: time.Hour}
 	}
-	if w, _, ok := tally.NextWindow(at(30), 900, length, delay, nil); !ok || w != 1030-constants.UsageKept {
+	if w, _, ok := tally.NextWindow(at(30), 900, length, delay, nil); !ok || w != 1030-constants.UsageMaxUnsettledWindows {
 		t.Fatalf("window after 900: %d, %v", w, ok)
 	}
 	if w, _, ok := tally.NextWindow(at(30), 1020, length, delay, nil); !ok || w != 1021 {
@@ -250,7 +250,7 @@
 	if got := tally.Sum(7); len(got) > 0 || len(m.running) > 0 {
 		t.Errorf("kept after settling: %v, %v", got, m.running)
 	}
-	invalid := Report{Proxy: "p", Life: 5, Seq: 99, Running: map[uint64]Counts{7: {"x": constants.UsageMost + 1}}}
+	invalid := Report{Proxy: "p", Life: 5, Seq: 99, Running: map[uint64]Counts{7: {"x": constants.UsageMaxCount + 1}}}
 	if _, ok := tally.Merge(0, 8, invalid); ok || tally.Rejected != 1 {
 		t.Error("an invalid report was accepted")
 	}
@@ -263,13 +263,13 @@
 		window    time.Duration
 		tolerance float64
 		interval  time.Duration
-	}{{5 * time.Second, 0.05, 250 * time.Millisecond}, {time.Minute, 0.01, 600 * time.Millisecond}, {5 * time.Second, 0, constants.StepEvery}} {
+	}{{5 * time.Second, 0.05, 250 * time.Millisecond}, {time.Minute, 0.01, 600 * time.Millisecond}, {5 * time.Second, 0, constants.StepInterval}} {
 		if interval := ReportInterval(c.window, c.tolerance); interval != c.interval {
 			t.Errorf("window of %v with a tolerance of %v: report interval %v, want %v", c.window, c.tolerance, interval, c.interval)
 		}
 	}
 	for _, delay := range []time.Duration{10 * time.Second, time.Minute} {
-		if left := delay - decisionAge(delay); left < constants.DutyTimeout+constants.DutyPauseMax {
+		if left := delay - decisionAge(delay); left < constants.DutyCallTimeout+constants.DutyMaxRetryDelay {
 			t.Errorf("delay of %v: %v left for calls to the platform", delay, left)
 		}
 	}
