--- a/cmd/slateridge/accounts.go
+++ b/cmd/slateridge/accounts.go
@@ -16,11 +16,11 @@
 	"slateridge/internal/accounts"
 )
 
-// accountsMax bounds the bytes of one machine's answer: 200,000 tenants of 1 KB each.
-const accountsMax = 256 << 20
+// maxSnapshotBytes bounds the bytes of one machine's answer: 200,000 tenants of 1 KB each.
+const maxSnapshotBytes = 256 << 20
 
-// errUnheldTenant is given where no machine that answered holds a tenant's shard.
-var errUnheldTenant = errors.New("no machine that answered has the tenant's total: ask the other control machines, or again in a few seconds")
+// errTenantTotalMissing is given where no machine that answered holds a tenant's shard.
+var errTenantTotalMissing = errors.New("no machine that answered has the tenant's total: ask the other control machines, or again in a few seconds")
 
 type accountsCmd struct {
 	Address []string      `arg:"" help:"Admin addresses (HOST:PORT) of control machines; name all of them for a whole table."`
@@ -45,7 +45,7 @@
 	if c.HTML != "" {
 		return c.writeHTML(client)
 	}
-	snapshot, err := gatherAccounts(client, c.Address, "")
+	snapshot, err := collectAccounts(client, c.Address, "")
 	if err != nil {
 		return err
 	}
@@ -72,7 +72,7 @@
 		snapshots = append(snapshots, snapshot)
 	}
 	for end := time.Now().Add(c.Watch); ; time.Sleep(c.Every) {
-		snapshot, err := gatherAccounts(client, c.Address, "")
+		snapshot, err := collectAccounts(client, c.Address, "")
 		if err != nil {
 			return err
 		}
@@ -100,9 +100,9 @@
 	return snapshot, nil
 }
 
-// gatherAccounts asks control machines and merges their answers. Those that do not answer
+// collectAccounts asks control machines and merges their answers. Those that do not answer
 // are named on standard error; it is an error only if none does.
-func gatherAccounts(client *http.Client, addresses []string, tenant string) (accounts.Snapshot, error) {
+func collectAccounts(client *http.Client, addresses []string, tenant string) (accounts.Snapshot, error) {
 	var parts []accounts.Snapshot
 	var failed []string
 	for _, address := range addresses {
@@ -119,8 +119,8 @@
 	if len(parts) == 0 {
 		return accounts.Snapshot{}, errors.New(strings.Join(failed, "; "))
 	}
-	for _, line := range failed {
-		fmt.Fprintln(os.Stderr, "slateridge:", line)
+	for _, failure := range failed {
+		fmt.Fprintln(os.Stderr, "slateridge:", failure)
 	}
 	return accounts.MergeSnapshots(parts), nil
 }
@@ -138,7 +138,7 @@
 	case response.StatusCode != http.StatusOK || response.Header.Get("Content-Type") != "application/json":
 		return snapshot, errors.New("no accounts are kept there")
 	}
-	if err := json.NewDecoder(io.LimitReader(response.Body, accountsMax)).Decode(&snapshot); err != nil {
+	if err := json.NewDecoder(io.LimitReader(response.Body, maxSnapshotBytes)).Decode(&snapshot); err != nil {
 		return snapshot, fmt.Errorf("the answer cannot be read: %w", err)
 	}
 	return snapshot, nil
@@ -146,13 +146,13 @@
 
 // showTenant prints the standing of one tenant.
 func showTenant(w io.Writer, client *http.Client, addresses []string, tenant string) error {
-	snapshot, err := gatherAccounts(client, addresses, tenant)
+	snapshot, err := collectAccounts(client, addresses, tenant)
 	if err != nil {
 		return err
 	}
 	standing, ok := snapshot.Of(tenant)
 	if !ok {
-		return errUnheldTenant
+		return errTenantTotalMissing
 	}
 	return accountreport.Tenant(w, standing)
 }
--- a/cmd/slateridge/accounts_test.go
+++ b/cmd/slateridge/accounts_test.go
@@ -15,20 +15,20 @@
 )
 
 // accountsServer answers with one tenant's accounts, more at each question.
-func accountsServer(t *testing.T, leads bool) string {
+func accountsServer(t *testing.T, leading bool) string {
 	t.Helper()
-	asked := uint64(0)
+	requests := uint64(0)
 	server := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		tenant := r.URL.Query().Get("tenant")
 		if tenant == "stranger" {
 			http.Error(w, "no", http.StatusNotFound)
 			return
 		}
-		asked++
-		snapshot := accounts.Snapshot{At: time.Unix(int64(asked), 0), Shards: []accounts.ShardState{{Shard: 0, Leading: leads}}}
-		if leads {
-			account := accounts.Account{Taken: 10 * asked}
-			account.Settled[accounts.InAim] = 10 * asked
+		requests++
+		snapshot := accounts.Snapshot{At: time.Unix(int64(requests), 0), Shards: []accounts.ShardState{{Shard: 0, Leading: leading}}}
+		if leading {
+			account := accounts.Account{Taken: 10 * requests}
+			account.Settled[accounts.InAim] = 10 * requests
 			snapshot.Standings = []accounts.Standing{{Tenant: "acme", Account: account, Objective: accounts.Objective{Target: 0.99, Latency: time.Second, Window: time.Hour}}}
 		}
 		w.Header().Set("Content-Type", "application/json")
@@ -40,10 +40,10 @@
 
 // TestAccountsCommand gathers from several machines, one of which is away.
 func TestAccountsCommand(t *testing.T) {
-	leader, other := accountsServer(t, true), accountsServer(t, false)
+	leader, follower := accountsServer(t, true), accountsServer(t, false)
 	client := &http.Client{Timeout: time.Second}
-	addresses := []string{"127.0.0.1:1", other, leader}
-	snapshot, err := gatherAccounts(client, addresses, "")
+	addresses := []string{"127.0.0.1:1", follower, leader}
+	snapshot, err := collectAccounts(client, addresses, "")
 	if err != nil || len(snapshot.Standings) != 1 || len(snapshot.Unheld()) != 0 {
 		t.Fatalf("%+v, %v", snapshot, err)
 	}
@@ -60,18 +60,18 @@
 	for _, bad := range []struct {
 		addresses []string
 		tenant    string
-	}{{[]string{other}, "acme"}, {[]string{leader}, "stranger"}, {[]string{"127.0.0.1:1"}, ""}, {[]string{"nowhere"}, ""}} {
+	}{{[]string{follower}, "acme"}, {[]string{leader}, "stranger"}, {[]string{"127.0.0.1:1"}, ""}, {[]string{"nowhere"}, ""}} {
 		if err := showTenant(&out, client, bad.addresses, bad.tenant); err == nil {
 			t.Errorf("%+v: no error", bad)
 		}
 	}
 }
 
-// TestAccountsReport writes a page from a saved snapshot and a fresh one.
-func TestAccountsReport(t *testing.T) {
+// TestAccountsHTMLReport writes a page from a saved snapshot and a fresh one.
+func TestAccountsHTMLReport(t *testing.T) {
 	leader := accountsServer(t, true)
 	client := &http.Client{Timeout: time.Second}
-	first, err := gatherAccounts(client, []string{leader}, "")
+	first, err := collectAccounts(client, []string{leader}, "")
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/cmd/slateridge/main.go
+++ b/cmd/slateridge/main.go
@@ -62,8 +62,8 @@
 	}
 	if err := ctx.Run(); err != nil {
 		fmt.Fprintf(os.Stderr, "slateridge: %s\n", err)
-		var u usageError
-		if errors.As(err, &u) {
+		var usage usageError
+		if errors.As(err, &usage) {
 			os.Exit(exitUsage)
 		}
 		os.Exit(1)
@@ -75,38 +75,38 @@
 	return eventlog.New(zerolog.New(os.Stderr).With().Timestamp().Str("node", set.NodeName).Str("role", role).Logger())
 }
 
-// boundMemory has the collector work harder as the process comes near the
+// setMemoryLimit has the collector work harder as the process comes near the
 // machine's limit, over which it would be ended.
-func boundMemory(set *settings.Settings) {
+func setMemoryLimit(set *settings.Settings) {
 	if mb := set.Limits.MemoryMb; mb > 0 {
 		debug.SetMemoryLimit(int64(float64(mb) * constants.MemoryPart * (1 << 20)))
 	}
 }
 
-const signalsHeld = 16 // signals that may wait while a process starts
+const signalBuffer = 16 // signals that may wait while a process starts
 
-// catchSignals is called before all else: a signal that comes while the process starts
+// notifySignals is called before all else: a signal that comes while the process starts
 // waits until it has, and does not end it.
-func catchSignals() <-chan os.Signal {
-	ch := make(chan os.Signal, signalsHeld)
+func notifySignals() <-chan os.Signal {
+	ch := make(chan os.Signal, signalBuffer)
 	signal.Notify(ch, syscall.SIGTERM, syscall.SIGINT, syscall.SIGHUP)
 	return ch
 }
 
-// signals is the actor that ends the group after leaving in order.
-func signals(g *run.Group, ch <-chan os.Signal, reload, leave func()) {
+// addSignalActor is the actor that ends the group after leaving in order.
+func addSignalActor(g *run.Group, ch <-chan os.Signal, reload, shutdown func()) {
 	ctx, cancel := context.WithCancel(context.Background())
 	g.Add(func() error {
 		for {
 			select {
 			case <-ctx.Done():
 				return nil
-			case s := <-ch:
-				if s == syscall.SIGHUP {
+			case sig := <-ch:
+				if sig == syscall.SIGHUP {
 					reload()
 					continue
 				}
-				leave()
+				shutdown()
 				return nil
 			}
 		}
@@ -114,13 +114,13 @@
 }
 
 func (proxyCmd) Run() error {
-	caught := catchSignals()
+	caught := notifySignals()
 	path := os.Getenv(settings.EnvFile)
 	set, err := settings.Load(path, "frontend", "readiness")
 	if err != nil {
 		return usageError{err}
 	}
-	boundMemory(set)
+	setMemoryLimit(set)
 	objectives, err := accounts.LoadObjectives(os.Getenv(accounts.EnvFile))
 	if err != nil {
 		return usageError{err}
@@ -131,18 +131,18 @@
 	if err := d.Add(&g); err != nil {
 		return err
 	}
-	signals(&g, caught, d.Reload, d.Leave)
+	addSignalActor(&g, caught, d.Reload, d.Leave)
 	return g.Run()
 }
 
 func (controlCmd) Run() error {
-	caught := catchSignals()
+	caught := notifySignals()
 	path := os.Getenv(settings.EnvFile)
 	set, err := settings.Load(path, "controlPlane")
 	if err != nil {
 		return usageError{err}
 	}
-	boundMemory(set)
+	setMemoryLimit(set)
 	d, err := controlplane.NewDaemon(set, newEventLog(set, "control"))
 	if err != nil {
 		return err
@@ -151,7 +151,7 @@
 	if err := d.Add(&g); err != nil {
 		return err
 	}
-	signals(&g, caught, d.Reload(path), d.Leave)
+	addSignalActor(&g, caught, d.Reload(path), d.Leave)
 	return g.Run()
 }
 
@@ -166,11 +166,11 @@
 	if err != nil {
 		return usageError{err}
 	}
-	s, err := config.Read(raw)
+	state, err := config.Read(raw)
 	if err != nil {
 		return fmt.Errorf("%s: %w", c.File, err)
 	}
-	fmt.Printf("%s: valid: r%d, %d routes, %d services, %d tenants\n", c.File, s.Version, len(s.Routes()), len(s.Services), len(s.Tenants))
+	fmt.Printf("%s: valid: r%d, %d routes, %d services, %d tenants\n", c.File, state.Version, len(state.Routes()), len(state.Services), len(state.Tenants))
 	return nil
 }
 
--- a/cmd/slateridge/modelcheck.go
+++ b/cmd/slateridge/modelcheck.go
@@ -42,7 +42,7 @@
 	Replay     string        `placeholder:"LIST" help:"Run one schedule, as it was printed: words separated by semicolons."`
 }
 
-var errBroken = errors.New("a rule was broken")
+var errRuleBroken = errors.New("a rule was broken")
 
 func (c modelcheckCmd) model() (func() modelcheck.Model, []string) {
 	if c.Model == "leases" {
@@ -54,7 +54,7 @@
 		return func() modelcheck.Model { return leasemodel.New(cfg) }, leasemodel.ChoiceKinds
 	}
 	if c.Model == "admission" {
-		return c.admission()
+		return c.admissionModel()
 	}
 	cfg := chainmodel.Small()
 	if c.Founders == 5 {
@@ -68,7 +68,7 @@
 	return func() modelcheck.Model { return chainmodel.New(cfg) }, chainmodel.ChoiceKinds
 }
 
-func (c modelcheckCmd) admission() (func() modelcheck.Model, []string) {
+func (c modelcheckCmd) admissionModel() (func() modelcheck.Model, []string) {
 	cfg := admissionmodel.Small()
 	cfg.Faults, cfg.Messages, cfg.Kinds, cfg.Without, cfg.Newcomers, cfg.Warm = c.Faults, c.Messages, c.Kinds, c.Without, c.Newcomers, c.Warm
 	cfg.Proxies, cfg.Pressed, cfg.Quota.Burst, cfg.Slack, cfg.Tolerance = c.Proxies, c.Pressed, c.Burst, c.Slack, c.Tolerance
@@ -84,7 +84,7 @@
 // Run searches, or replays one schedule.
 func (c modelcheckCmd) Run() error {
 	newModel, kinds := c.model()
-	if err := c.check(kinds); err != nil {
+	if err := c.validate(kinds); err != nil {
 		return usageError{err}
 	}
 	if c.Replay != "" {
@@ -94,7 +94,7 @@
 	if c.Strategy == "random" {
 		search = modelcheck.Random
 	}
-	r := search(newModel, modelcheck.Options{
+	report := search(newModel, modelcheck.Options{
 		Deviations: c.Deviations,
 		Depth:      c.Depth,
 		Schedules:  c.Schedules,
@@ -104,38 +104,38 @@
 		KeepGoing:  c.KeepGoing,
 		Progress:   printProgress,
 	})
-	fmt.Println(r)
-	for _, f := range r.Failures {
+	fmt.Println(report)
+	for _, f := range report.Failures {
 		fmt.Printf("\nbroken: %s\nfound:  %s\nshrunk: %s\nas a test:\n%s\n", f.Err, f.Found, f.Shrunk, f.Source())
 	}
-	if len(r.Failures) > 0 {
-		return errBroken
+	if len(report.Failures) > 0 {
+		return errRuleBroken
 	}
 	return nil
 }
 
 // The most machines and operators that the chain's model has names for.
 const (
-	mostMachines  = 8
-	mostNewcomers = 5
-	mostOperators = 8
+	maxMachines  = 8
+	maxNewcomers = 5
+	maxOperators = 8
 )
 
-// check says which flag is out of its range; kinds are the model's kinds of choices.
-func (c modelcheckCmd) check(kinds []string) error {
+// validate says which flag is out of its range; kinds are the model's kinds of choices.
+func (c modelcheckCmd) validate(kinds []string) error {
 	if c.Model == "admission" && (c.Proxies < 1 || c.Proxies+c.Newcomers > admissionmodel.MostProxies) {
 		return fmt.Errorf("admission has one to %d proxies, newcomers among them", admissionmodel.MostProxies)
 	}
-	for _, k := range slices.Concat(c.Kinds, c.Without) {
-		if !slices.Contains(kinds, k) {
-			return fmt.Errorf("there is no kind %q; there are %s", k, strings.Join(kinds, ", "))
+	for _, kind := range slices.Concat(c.Kinds, c.Without) {
+		if !slices.Contains(kinds, kind) {
+			return fmt.Errorf("there is no kind %q; there are %s", kind, strings.Join(kinds, ", "))
 		}
 	}
-	negative := c.Deviations < 0 || c.Faults < 0 || c.Depth < 0 || c.Step < 0 || c.Newcomers < 0 || c.Operators < 0 || c.Warm < 0
-	if negative || c.Jobs < 1 || c.Newcomers > mostNewcomers || c.Operators > mostOperators {
+	hasNegative := c.Deviations < 0 || c.Faults < 0 || c.Depth < 0 || c.Step < 0 || c.Newcomers < 0 || c.Operators < 0 || c.Warm < 0
+	if hasNegative || c.Jobs < 1 || c.Newcomers > maxNewcomers || c.Operators > maxOperators {
 		return errors.New("a bound is out of its range")
 	}
-	if c.Founders != 3 && c.Founders != 5 || c.Founders+c.Newcomers > mostMachines {
+	if c.Founders != 3 && c.Founders != 5 || c.Founders+c.Newcomers > maxMachines {
 		return errors.New("there are 3 or 5 founders, and 8 machines at most")
 	}
 	return nil
@@ -149,7 +149,7 @@
 	}
 	if err != nil {
 		fmt.Println("broken:", err)
-		return errBroken
+		return errRuleBroken
 	}
 	fmt.Println("no rule was broken")
 	return nil
--- a/cmd/slateridge/modelcheck_test.go
+++ b/cmd/slateridge/modelcheck_test.go
@@ -8,7 +8,7 @@
 )
 
 // What is asked for wrongly is told apart from what was looked for and not found.
-func TestExploreUsage(t *testing.T) {
+func TestModelcheckUsageErrors(t *testing.T) {
 	for _, c := range []struct {
 		args  []string
 		usage bool
@@ -27,8 +27,8 @@
 			t.Errorf("%v: %v", c.args, err)
 			continue
 		}
-		var u usageError
-		if err := cmd.Run(); errors.As(err, &u) != c.usage || !c.usage && err != nil {
+		var usage usageError
+		if err := cmd.Run(); errors.As(err, &usage) != c.usage || !c.usage && err != nil {
 			t.Errorf("%v: %v", c.args, err)
 		}
 	}
--- a/cmd/slateridge/retire.go
+++ b/cmd/slateridge/retire.go
@@ -26,37 +26,37 @@
 	if net.ParseIP(c.Machine) == nil {
 		return usageError{fmt.Errorf("%q is not an IP address", c.Machine)}
 	}
-	at := c.At
-	if at == "" {
+	addr := c.At
+	if addr == "" {
 		set, err := settings.Load(os.Getenv(settings.EnvFile))
 		if err != nil {
 			return usageError{fmt.Errorf("no --at given, and %w", err)}
 		}
-		at = set.Internal(constants.PortControlAdmin)
+		addr = set.Internal(constants.PortControlAdmin)
 	}
-	if _, _, err := net.SplitHostPort(at); err != nil {
-		return usageError{fmt.Errorf("%q is not HOST:PORT", at)}
+	if _, _, err := net.SplitHostPort(addr); err != nil {
+		return usageError{fmt.Errorf("%q is not HOST:PORT", addr)}
 	}
 	client := &http.Client{Timeout: time.Duration(c.Timeout) * time.Millisecond}
-	resp, err := client.Post("http://"+at+"/retire?machine="+url.QueryEscape(c.Machine), "", nil)
+	resp, err := client.Post("http://"+addr+"/retire?machine="+url.QueryEscape(c.Machine), "", nil)
 	if err != nil {
-		return fmt.Errorf("%s does not answer", at)
+		return fmt.Errorf("%s does not answer", addr)
 	}
 	defer resp.Body.Close()
-	body, err := io.ReadAll(io.LimitReader(resp.Body, statusMax))
+	body, err := io.ReadAll(io.LimitReader(resp.Body, maxResponseBytes))
 	if err != nil {
 		return fmt.Errorf("the answer broke off: %w", err)
 	}
-	var said struct {
+	var answer struct {
 		Error  string
 		Voters []string
 	}
-	if json.Unmarshal(body, &said) != nil || said.Error == "" && len(said.Voters) == 0 {
+	if json.Unmarshal(body, &answer) != nil || answer.Error == "" && len(answer.Voters) == 0 {
 		return errors.New("what answers there is no control machine's admin port")
 	}
-	if said.Error != "" {
-		return fmt.Errorf("%s stays a voter: %s", c.Machine, said.Error)
+	if answer.Error != "" {
+		return fmt.Errorf("%s stays a voter: %s", c.Machine, answer.Error)
 	}
-	fmt.Printf("%s is retired; voters: %s\n", c.Machine, strings.Join(said.Voters, ", "))
+	fmt.Printf("%s is retired; voters: %s\n", c.Machine, strings.Join(answer.Voters, ", "))
 	return nil
 }
--- a/cmd/slateridge/retire_test.go
+++ b/cmd/slateridge/retire_test.go
@@ -25,38 +25,38 @@
 		"10.0.0.4": {404, `not found`},
 	}
 	srv := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
-		a := answers[r.URL.Query().Get("machine")]
+		answer := answers[r.URL.Query().Get("machine")]
 		if r.Method != http.MethodPost || r.URL.Path != "/retire" {
-			a.code = 405
+			answer.code = 405
 		}
-		w.WriteHeader(a.code)
-		w.Write([]byte(a.body))
+		w.WriteHeader(answer.code)
+		w.Write([]byte(answer.body))
 	}))
 	defer srv.Close()
-	at := strings.TrimPrefix(srv.URL, "http://")
+	addr := strings.TrimPrefix(srv.URL, "http://")
 	for machine, want := range map[string]string{"10.0.0.1": "", "10.0.0.2": "stop it first", "10.0.0.3": "stays a voter", "10.0.0.4": "no control machine"} {
-		err := retireCmd{Machine: machine, At: at, Timeout: 2000}.Run()
+		err := retireCmd{Machine: machine, At: addr, Timeout: 2000}.Run()
 		if (err == nil) != (want == "") || err != nil && !strings.Contains(err.Error(), want) {
 			t.Errorf("%s: %v", machine, err)
 		}
 	}
-	var u usageError
-	if err := (retireCmd{Machine: "nobody", At: at, Timeout: 2000}).Run(); !errors.As(err, &u) {
+	var usage usageError
+	if err := (retireCmd{Machine: "nobody", At: addr, Timeout: 2000}).Run(); !errors.As(err, &usage) {
 		t.Errorf("a name that is no address: %v", err)
 	}
 }
 
 // The status tells how many more could be lost, and by name only who is not as should be.
-func TestStatusOfVoters(t *testing.T) {
-	var b strings.Builder
-	showVoters(&b, controlplane.Report{Margin: -1, Voters: []chain.Voter{{Addr: "a", Member: true, State: "in contact"},
+func TestShowVoters(t *testing.T) {
+	var out strings.Builder
+	showVoters(&out, controlplane.Report{Margin: -1, Voters: []chain.Voter{{Addr: "a", Member: true, State: "in contact"},
 		{Addr: "b", State: "out of contact", Gone: 3 * time.Second, WayOut: "leaves with a successor's coming"}}})
 	for _, want := range []string{"1 too few", "b\tout of contact for 3s, no member; leaves with"} {
-		if !strings.Contains(b.String(), want) {
-			t.Errorf("%q lacks %q", b.String(), want)
+		if !strings.Contains(out.String(), want) {
+			t.Errorf("%q lacks %q", out.String(), want)
 		}
 	}
-	if strings.Contains(b.String(), "    a") {
-		t.Errorf("names who is well: %s", b.String())
+	if strings.Contains(out.String(), "    a") {
+		t.Errorf("names who is well: %s", out.String())
 	}
 }
--- a/cmd/slateridge/whole_accounts_test.go
+++ b/cmd/slateridge/whole_accounts_test.go
@@ -19,15 +19,15 @@
 	"slateridge/internal/proxy"
 )
 
-// accountsSite is a site whose tenants have objectives.
-type accountsSite struct {
-	*site
+// accountsCluster is a site whose tenants have objectives.
+type accountsCluster struct {
+	*testCluster
 	proxies []*proxy.Daemon
 	client  *http.Client
 }
 
-func newAccountsSite(t *testing.T) *accountsSite {
-	s := &accountsSite{site: newSite(t), client: &http.Client{Timeout: 2 * time.Second}}
+func newAccountsCluster(t *testing.T) *accountsCluster {
+	s := &accountsCluster{testCluster: newTestCluster(t), client: &http.Client{Timeout: 2 * time.Second}}
 	path := filepath.Join(s.dir, "objectives.json")
 	content := `{"version":1,"shards":2,"classes":{"all":{"target":0.99,"latency":"300ms","window":"720h"}},"defaultClass":"all"}`
 	if err := os.WriteFile(path, []byte(content), 0o600); err != nil {
@@ -54,7 +54,7 @@
 }
 
 // request sends one request of a tenant through a proxy.
-func (s *accountsSite) request(proxy int, key, path string) (int, error) {
+func (s *accountsCluster) request(proxy int, key, path string) (int, error) {
 	request, err := http.NewRequest(http.MethodGet, fmt.Sprintf("http://%s:%d%s", s.ip(proxy), s.port, path), nil)
 	if err != nil {
 		return 0, err
@@ -71,15 +71,15 @@
 	return response.StatusCode, nil
 }
 
-func (s *accountsSite) admins() (out []string) {
+func (s *accountsCluster) adminAddresses() (out []string) {
 	for i := range 3 {
 		out = append(out, fmt.Sprintf("%s:%d", s.ip(i), s.port+3+1))
 	}
 	return out
 }
 
-// slowUpstream answers late, with an error, or that it did not run, as the path asks.
-func slowUpstream(w http.ResponseWriter, r *http.Request) {
+// pathControlledUpstream answers late, with an error, or that it did not run, as the path asks.
+func pathControlledUpstream(w http.ResponseWriter, r *http.Request) {
 	w.Header().Set("X-Slateridge-Attempt-Id", r.Header.Get("X-Slateridge-Attempt-Id"))
 	w.Header().Set("X-Slateridge-Response-Seal", "s")
 	switch {
@@ -93,19 +93,19 @@
 	io.WriteString(w, "hello")
 }
 
-// TestWholeAccounts serves tenants through three proxies, and reads one account of each
+// TestAccountsEndToEnd serves tenants through three proxies, and reads one account of each
 // from the control machines: by the command, and in metrics.
-func TestWholeAccounts(t *testing.T) {
-	s := newAccountsSite(t)
-	upstream := httptest.NewServer(http.HandlerFunc(slowUpstream))
+func TestAccountsEndToEnd(t *testing.T) {
+	s := newAccountsCluster(t)
+	upstream := httptest.NewServer(http.HandlerFunc(pathControlledUpstream))
 	defer upstream.Close()
 	s.mu.Lock()
-	s.list = []map[string]any{{"instanceId": "i-1", "targetService": "svc", "address": strings.TrimPrefix(upstream.URL, "http://"), "zone": "z",
+	s.instances = []map[string]any{{"instanceId": "i-1", "targetService": "svc", "address": strings.TrimPrefix(upstream.URL, "http://"), "zone": "z",
 		"capacitySlots": 8, "state": "ready", "warmupLeft": "0ms"}}
 	s.mu.Unlock()
 	tenants := `,{"resourceKind":"tenants","metadata":{"name":"acme"},"spec":{"apiKeys":["key-acme"]}},{"resourceKind":"tenants","metadata":{"name":"other"},"spec":{"apiKeys":["key-other"]}}]}`
-	document := strings.TrimSuffix(cfg(3, "/a/"), "]}") + tenants
-	s.until("configuration", func() error {
+	document := strings.TrimSuffix(configDocument(3, "/a/"), "]}") + tenants
+	s.eventually("configuration", func() error {
 		code, body, err := s.call(1, "configuration.replace", document)
 		if err != nil || code != http.StatusOK {
 			return fmt.Errorf("%d %s %v", code, body, err)
@@ -113,7 +113,7 @@
 		return nil
 	})
 	for i := range 3 {
-		s.until("the proxy serves", func() error {
+		s.eventually("the proxy serves", func() error {
 			code, err := s.request(i, "key-other", "/a/x")
 			if err != nil || code != http.StatusOK {
 				return fmt.Errorf("%d %v", code, err)
@@ -126,11 +126,11 @@
 			t.Fatal(err)
 		}
 	}
-	s.until("the account", func() error {
+	s.eventually("the account", func() error {
 		for _, proxy := range s.proxies {
 			proxy.FlushAccounts()
 		}
-		snapshot, err := gatherAccounts(s.client, s.admins(), "")
+		snapshot, err := collectAccounts(s.client, s.adminAddresses(), "")
 		if err != nil {
 			return err
 		}
@@ -141,11 +141,11 @@
 		}
 		return nil
 	})
-	if err := (statusCmd{Address: s.admins(), Tenant: "acme", Timeout: 2000}).Run(); err != nil {
+	if err := (statusCmd{Address: s.adminAddresses(), Tenant: "acme", Timeout: 2000}).Run(); err != nil {
 		t.Error(err)
 	}
 	taken := 0
-	for _, admin := range s.admins() {
+	for _, admin := range s.adminAddresses() {
 		response, err := http.Get("http://" + admin + "/metrics")
 		if err != nil {
 			t.Fatal(err)
--- a/cmd/slateridge/whole_test.go
+++ b/cmd/slateridge/whole_test.go
@@ -23,34 +23,34 @@
 	"slateridge/internal/settings"
 )
 
-// site is three machines on loopback addresses, each with both roles, beside
+// testCluster is three machines on loopback addresses, each with both roles, beside
 // stand-ins for the platform and an upstream.
-type site struct {
-	t        *testing.T
-	dir      string
-	port     int
-	platform string
-	stops    map[string]func()
-	mu       sync.Mutex
-	list     []map[string]any
-	reports  map[string]string // usage reports taken: window -> body
-	holders  map[string]string // fence -> holder
-	odd      []string          // what may not be
+type testCluster struct {
+	t            *testing.T
+	dir          string
+	port         int
+	platform     string
+	stopFuncs    map[string]func()
+	mu           sync.Mutex
+	instances    []map[string]any
+	usageReports map[string]string // usage reports taken: window -> body
+	fenceHolders map[string]string // fence -> holder
+	violations   []string          // what may not be
 }
 
-// report is the platform's side of a usage report.
-func (s *site) report(_ http.ResponseWriter, r *http.Request) {
-	b, _ := io.ReadAll(r.Body)
-	var m struct{ WindowNumber json.Number }
-	json.Unmarshal(b, &m)
-	holder, fence, win := r.Header.Get("X-Slateridge-Duty-Holder"), r.Header.Get("X-Slateridge-Fence-Token"), m.WindowNumber.String()
-	if was, ok := s.reports[win]; r.URL.Path != "/usage-reports" || win == "" || holder == "" || ok && was != string(b) {
-		s.odd = append(s.odd, fmt.Sprintf("%s from %s: %s after %s", r.URL.Path, holder, b, was))
+// recordUsageReport is the platform's side of a usage recordUsageReport.
+func (s *testCluster) recordUsageReport(_ http.ResponseWriter, r *http.Request) {
+	body, _ := io.ReadAll(r.Body)
+	var report struct{ WindowNumber json.Number }
+	json.Unmarshal(body, &report)
+	holder, fence, window := r.Header.Get("X-Slateridge-Duty-Holder"), r.Header.Get("X-Slateridge-Fence-Token"), report.WindowNumber.String()
+	if previous, ok := s.usageReports[window]; r.URL.Path != "/usage-reports" || window == "" || holder == "" || ok && previous != string(body) {
+		s.violations = append(s.violations, fmt.Sprintf("%s from %s: %s after %s", r.URL.Path, holder, body, previous))
 	}
-	if was, ok := s.holders[fence]; ok && was != holder {
-		s.odd = append(s.odd, "fence "+fence+" of "+was+" and "+holder)
+	if previous, ok := s.fenceHolders[fence]; ok && previous != holder {
+		s.violations = append(s.violations, "fence "+fence+" of "+previous+" and "+holder)
 	}
-	s.reports[win], s.holders[fence] = string(b), holder
+	s.usageReports[window], s.fenceHolders[fence] = string(body), holder
 }
 
 func freePort(t *testing.T) int {
@@ -62,31 +62,31 @@
 	return l.Addr().(*net.TCPAddr).Port
 }
 
-func newSite(t *testing.T) *site {
-	s := &site{t: t, dir: t.TempDir(), port: freePort(t), stops: map[string]func(){}, reports: map[string]string{}, holders: map[string]string{}}
+func newTestCluster(t *testing.T) *testCluster {
+	s := &testCluster{t: t, dir: t.TempDir(), port: freePort(t), stopFuncs: map[string]func(){}, usageReports: map[string]string{}, fenceHolders: map[string]string{}}
 	p := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		s.mu.Lock()
 		defer s.mu.Unlock()
 		if r.Method == http.MethodPost {
-			s.report(w, r)
+			s.recordUsageReport(w, r)
 			return
 		}
-		json.NewEncoder(w).Encode(map[string]any{"instances": map[string]any{"z": s.list}, "nextPageToken": nil})
+		json.NewEncoder(w).Encode(map[string]any{"instances": map[string]any{"z": s.instances}, "nextPageToken": nil})
 	}))
 	t.Cleanup(p.Close)
 	s.platform = strings.TrimPrefix(p.URL, "http://")
 	return s
 }
 
-func (s *site) ip(i int) string { return fmt.Sprintf("127.0.0.%d", 11+i) }
+func (s *testCluster) ip(i int) string { return fmt.Sprintf("127.0.0.%d", 11+i) }
 
-func (s *site) settings(i int, bootstrap bool) *settings.Settings {
+func (s *testCluster) settings(i int, bootstrap bool) *settings.Settings {
 	dir := filepath.Join(s.dir, fmt.Sprint(i))
 	os.MkdirAll(dir, 0o755)
-	at := func(off int) string { return fmt.Sprintf("%s:%d", s.ip(i), s.port+off) }
+	address := func(portOffset int) string { return fmt.Sprintf("%s:%d", s.ip(i), s.port+portOffset) }
 	raw, _ := json.Marshal(map[string]any{
 		"nodeName": fmt.Sprint("machine-", i), "ipAddress": s.ip(i), "zone": "z",
-		"listenAddresses": map[string]string{"frontend": at(0), "readiness": at(1), "controlPlane": at(2), "directory": at(10)},
+		"listenAddresses": map[string]string{"frontend": address(0), "readiness": address(1), "controlPlane": address(2), "directory": address(10)},
 		"internalPorts":   []int{s.port + 3, s.port + 9},
 		"seedNodes":       []string{fmt.Sprintf("%s:%d", s.ip(0), s.port+2), fmt.Sprintf("%s:%d", s.ip(1), s.port+2), fmt.Sprintf("%s:%d", s.ip(2), s.port+2)},
 		"bootstrap":       bootstrap, "quorumMember": true, "dataDirectory": dir,
@@ -104,9 +104,9 @@
 	return set
 }
 
-type actors interface{ Add(*run.Group) error }
+type daemon interface{ Add(*run.Group) error }
 
-func (s *site) launch(name string, d actors) {
+func (s *testCluster) launch(name string, d daemon) {
 	var g run.Group
 	if err := d.Add(&g); err != nil {
 		s.t.Fatal(err)
@@ -115,23 +115,23 @@
 	g.Add(func() error { <-stop; return nil }, func(error) {})
 	go func() { g.Run(); close(ended) }()
 	var once sync.Once
-	s.stops[name] = func() { once.Do(func() { close(stop) }); <-ended }
-	s.t.Cleanup(s.stops[name])
+	s.stopFuncs[name] = func() { once.Do(func() { close(stop) }); <-ended }
+	s.t.Cleanup(s.stopFuncs[name])
 }
 
-func (s *site) start(i int, bootstrap bool) {
+func (s *testCluster) start(i int, bootstrap bool) {
 	set := s.settings(i, bootstrap)
-	h, err := controlplane.NewDaemon(set, eventlog.New(zerolog.Nop()))
+	control, err := controlplane.NewDaemon(set, eventlog.New(zerolog.Nop()))
 	if err != nil {
 		s.t.Fatal(err)
 	}
-	s.launch(fmt.Sprint("control", i), h)
+	s.launch(fmt.Sprint("control", i), control)
 	s.launch(fmt.Sprint("proxy", i), proxy.NewDaemon(set, filepath.Join(s.dir, fmt.Sprint(i), "boot.json"), eventlog.New(zerolog.Nop())))
 }
 
-// until repeats something that takes its time; it fails only when all hope is
+// eventually repeats something that takes its time; it fails only when all hope is
 // gone.
-func (s *site) until(what string, f func() error) {
+func (s *testCluster) eventually(what string, f func() error) {
 	s.t.Helper()
 	var err error
 	for range 150 {
@@ -143,7 +143,7 @@
 	s.t.Fatalf("%s: %v", what, err)
 }
 
-func (s *site) call(i int, name, body string) (int, string, error) {
+func (s *testCluster) call(i int, name, body string) (int, string, error) {
 	resp, err := http.Post(fmt.Sprintf("http://%s:%d/api/rpc?call=%s", s.ip(i), s.port+2, name), "application/json", strings.NewReader(body))
 	if err != nil {
 		return 0, "", err
@@ -153,7 +153,7 @@
 	return resp.StatusCode, string(b), err
 }
 
-func (s *site) get(i int, path string) (int, string, error) {
+func (s *testCluster) get(i int, path string) (int, string, error) {
 	r, _ := http.NewRequest("GET", fmt.Sprintf("http://%s:%d%s", s.ip(i), s.port, path), nil)
 	r.Host = "h.example"
 	r.Header.Set("X-Slateridge-Attempt-Id", "id-7")
@@ -166,7 +166,7 @@
 	return resp.StatusCode, string(b), err
 }
 
-func cfg(version int, prefix string) string {
+func configDocument(version int, prefix string) string {
 	return fmt.Sprintf(`{"configVersion":"r%d","resourceList":[{"resourceKind":"services","metadata":{"name":"svc"},"spec":{"maxConnections":50}},
 {"resourceKind":"routes","metadata":{"name":"r"},"spec":{"host":"h.example","pathPrefix":"%s","routeType":"idempotent","timeout":"2s","targetLatency":"500ms","priority":1,"targetService":"svc","maxAttempts":2}}]}`, version, prefix)
 }
@@ -174,22 +174,22 @@
 // TestWholePath starts everything, takes a configuration anywhere, serves it
 // everywhere, loses a control machine with its disk, and goes on.
 func TestWholePath(t *testing.T) {
-	s := newSite(t)
-	up := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
+	s := newTestCluster(t)
+	upstream := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		w.Header().Set("X-Slateridge-Attempt-Id", r.Header.Get("X-Slateridge-Attempt-Id"))
 		w.Header().Set("X-Slateridge-Response-Seal", "s")
 		io.WriteString(w, "hello "+r.Header.Get("X-Slateridge-Expected-Instance"))
 	}))
-	defer up.Close()
-	s.list = []map[string]any{{"instanceId": "i-1", "targetService": "svc", "address": strings.TrimPrefix(up.URL, "http://"), "zone": "z",
+	defer upstream.Close()
+	s.instances = []map[string]any{{"instanceId": "i-1", "targetService": "svc", "address": strings.TrimPrefix(upstream.URL, "http://"), "zone": "z",
 		"capacitySlots": 2, "state": "ready", "warmupLeft": "0ms"}}
 	for i := range 3 {
 		s.start(i, true)
 	}
 	replace := func(i, version int, prefix string) {
 		t.Helper()
-		s.until("configuration", func() error {
-			code, b, err := s.call(i, "configuration.replace", cfg(version, prefix))
+		s.eventually("configuration", func() error {
+			code, b, err := s.call(i, "configuration.replace", configDocument(version, prefix))
 			if err != nil || code != 200 {
 				return fmt.Errorf("%d %s %v", code, b, err)
 			}
@@ -199,7 +199,7 @@
 	served := func(path string, want int, machines ...int) {
 		t.Helper()
 		for _, i := range machines {
-			s.until("request at "+s.ip(i), func() error {
+			s.eventually("request at "+s.ip(i), func() error {
 				code, b, err := s.get(i, path)
 				if err != nil || code != want || want == 200 && b != "hello i-1" {
 					return fmt.Errorf("%d %q %v", code, b, err)
@@ -213,23 +213,23 @@
 	for i, c := range []struct {
 		call, body string
 		code       int
-	}{{"configuration.replace", `{"configVersion":"r9"`, 400}, {"configuration.replace", cfg(2, "/old/"), 200},
-		{"configuration.replace", strings.Replace(cfg(9, "/b/"), `"targetService":"svc"`, `"targetService":"nobody"`, 1), 400}, {"configuration.undo", "", 404}} {
+	}{{"configuration.replace", `{"configVersion":"r9"`, 400}, {"configuration.replace", configDocument(2, "/old/"), 200},
+		{"configuration.replace", strings.Replace(configDocument(9, "/b/"), `"targetService":"svc"`, `"targetService":"nobody"`, 1), 400}, {"configuration.undo", "", 404}} {
 		if code, b, err := s.call(i%3, c.call, c.body); code != c.code {
 			t.Errorf("%s: got %d %s %v, want %d", c.call, code, b, err, c.code)
 		}
 	}
 	// The head's machine is lost with its disk; work goes on without it.
-	s.stops["control0"]()
-	s.stops["proxy0"]()
+	s.stopFuncs["control0"]()
+	s.stopFuncs["proxy0"]()
 	replace(2, 5, "/b/")
 	served("/b/x", 200, 1, 2)
 	served("/a/x", 404, 1, 2)
 	os.RemoveAll(filepath.Join(s.dir, "0"))
 	s.start(0, false)
 	served("/b/x", 200, 0)
-	s.until("taken in again", func() error {
-		b, err := fetch(http.DefaultClient, fmt.Sprintf("%s:%d", s.ip(0), s.port+3+1))
+	s.eventually("taken in again", func() error {
+		b, err := fetchStatus(http.DefaultClient, fmt.Sprintf("%s:%d", s.ip(0), s.port+3+1))
 		var r controlplane.Report
 		if err == nil {
 			err = json.Unmarshal(b, &r)
@@ -240,8 +240,8 @@
 		return nil
 	})
 	replace(0, 6, "/c/")
-	s.until("read back", func() error {
-		if code, b, err := s.call(0, "configuration.describe", ""); code != 200 || b != cfg(6, "/c/") {
+	s.eventually("read back", func() error {
+		if code, b, err := s.call(0, "configuration.describe", ""); code != 200 || b != configDocument(6, "/c/") {
 			return fmt.Errorf("%d %s %v", code, b, err)
 		}
 		return nil
@@ -257,7 +257,7 @@
 		return resp.StatusCode, string(b)
 	}
 	for i := range 3 {
-		s.until("look-up", func() error {
+		s.eventually("look-up", func() error {
 			code, b := lookup(i, "/api/lookup?name=h.example&zone=z&region=")
 			if code != 200 || strings.Count(b, "127.0.0.1") != 3 || !strings.Contains(b, `"ttl":"`) {
 				return fmt.Errorf("%d %s", code, b)
@@ -275,7 +275,7 @@
 		call string
 		want int
 	}{{"evacuations.start", 400}, {"evacuations.start&of=nowhere", 400}, {"evacuations.start&of=z", 200}, {"evacuations.start&of=z", 200}} {
-		s.until(c.call, func() error {
+		s.eventually(c.call, func() error {
 			if code, b, err := s.call(1, c.call, ""); code != c.want {
 				return fmt.Errorf("got %d %s %v, want %d", code, b, err, c.want)
 			}
@@ -283,7 +283,7 @@
 		})
 	}
 	served("/c/x", 503, 0, 1, 2)
-	s.until("taken back", func() error {
+	s.eventually("taken back", func() error {
 		if code, b, err := s.call(2, "evacuations.stop&of=z", ""); code != 200 {
 			return fmt.Errorf("%d %s %v", code, b, err)
 		}
@@ -292,24 +292,24 @@
 	served("/c/x", 200, 0, 1, 2)
 	// Usage is reported on, across the loss of the first machine; each window has one
 	// content, each fence one holder.
-	reported := func() int { s.mu.Lock(); defer s.mu.Unlock(); return len(s.reports) }
+	reported := func() int { s.mu.Lock(); defer s.mu.Unlock(); return len(s.usageReports) }
 	before := reported()
-	s.until("usage reports", func() error {
+	s.eventually("usage reports", func() error {
 		if n := reported(); before == 0 || n < before+3 {
 			return fmt.Errorf("%d, then %d", before, n)
 		}
 		return nil
 	})
 	s.mu.Lock()
-	if len(s.odd) > 0 {
-		t.Error(s.odd)
+	if len(s.violations) > 0 {
+		t.Error(s.violations)
 	}
 	s.mu.Unlock()
-	for _, off := range []int{4, 5} {
-		if err := (statusCmd{Address: []string{fmt.Sprintf("%s:%d", s.ip(0), s.port+off)}, Timeout: 2000}).Run(); err != nil {
+	for _, portOffset := range []int{4, 5} {
+		if err := (statusCmd{Address: []string{fmt.Sprintf("%s:%d", s.ip(0), s.port+portOffset)}, Timeout: 2000}).Run(); err != nil {
 			t.Errorf("status: %v", err)
 		}
-		resp, err := http.Get(fmt.Sprintf("http://%s:%d/metrics", s.ip(0), s.port+off))
+		resp, err := http.Get(fmt.Sprintf("http://%s:%d/metrics", s.ip(0), s.port+portOffset))
 		if err != nil {
 			t.Fatal(err)
 		}
