--- a/cmd/slateridge/accounts.go
+++ b/cmd/slateridge/accounts.go
@@ -16,30 +16,30 @@
 	"slateridge/internal/accounts"
 )
 
-// maxSnapshotBytes bounds the bytes of one machine's answer: 200,000 tenants of 1 KB each.
+// maxSnapshotBytes bounds the response of one machine, with room for 200,000 tenants of 1 KB each.
 const maxSnapshotBytes = 256 << 20
 
-// errTenantTotalMissing is given where no machine that answered holds a tenant's shard.
-var errTenantTotalMissing = errors.New("no machine that answered has the tenant's total: ask the other control machines, or again in a few seconds")
+// errTenantTotalMissing is returned if no machine that responded holds the tenant's shard.
+var errTenantTotalMissing = errors.New("no machine that responded holds the tenant's total: query the other control machines, or retry in a few seconds")
 
 type accountsCmd struct {
-	Address []string      `arg:"" help:"Admin addresses (HOST:PORT) of control machines; name all of them for a whole table."`
-	JSON    bool          `help:"Print a snapshot as JSON; several of them, saved, make a report with --from."`
-	CSV     bool          `help:"Print a record for each tenant."`
-	HTML    string        `help:"Write a page with plots of burn rate and latency to this file, from --from and --watch." placeholder:"FILE"`
+	Address []string      `arg:"" help:"Admin addresses (HOST:PORT) of control machines; give all of them for a complete table."`
+	JSON    bool          `help:"Print a snapshot as JSON; --from makes a report from saved snapshots."`
+	CSV     bool          `help:"Print one CSV record per tenant."`
+	HTML    string        `help:"Write an HTML page with plots of burn rate and latency to this file, from the snapshots of --from and --watch." placeholder:"FILE"`
 	From    []string      `help:"Snapshots saved earlier with --json." placeholder:"FILE"`
-	Watch   time.Duration `help:"With --html: take snapshots for so long."`
-	Every   time.Duration `default:"30s" help:"With --watch: between two snapshots."`
+	Watch   time.Duration `help:"With --html: time during which snapshots are taken."`
+	Every   time.Duration `default:"30s" help:"With --watch: interval between snapshots."`
 	Timeout int           `default:"5000" help:"Milliseconds to wait for each machine."`
 }
 
-// Run prints the accounts of all tenants, or writes a report on a span.
+// Run prints the accounts of all tenants, or writes an HTML report about several snapshots.
 func (c accountsCmd) Run() error {
 	if c.JSON && c.CSV {
-		return usageError{errors.New("--json and --csv are two formats: choose one")}
+		return usageError{errors.New("--json and --csv are mutually exclusive")}
 	}
 	if c.HTML == "" && (len(c.From) > 0 || c.Watch > 0) {
-		return usageError{errors.New("--from and --watch go with --html")}
+		return usageError{errors.New("--from and --watch require --html")}
 	}
 	client := &http.Client{Timeout: time.Duration(c.Timeout) * time.Millisecond}
 	if c.HTML != "" {
@@ -100,8 +100,8 @@
 	return snapshot, nil
 }
 
-// collectAccounts asks control machines and merges their answers. Those that do not answer
-// are named on standard error; it is an error only if none does.
+// collectAccounts queries control machines and merges their snapshots. Failed queries are
+// reported on standard error; it returns an error only if all of them fail.
 func collectAccounts(client *http.Client, addresses []string, tenant string) (accounts.Snapshot, error) {
 	var parts []accounts.Snapshot
 	var failed []string
@@ -129,22 +129,22 @@
 	var snapshot accounts.Snapshot
 	response, err := client.Get("http://" + address + "/accounts?tenant=" + url.QueryEscape(tenant))
 	if err != nil {
-		return snapshot, errors.New("no daemon answers there")
+		return snapshot, errors.New("no daemon responds at this address")
 	}
 	defer response.Body.Close()
 	switch {
 	case response.StatusCode == http.StatusNotFound && tenant != "":
-		return snapshot, fmt.Errorf("tenant %q has no objective there", tenant)
+		return snapshot, fmt.Errorf("tenant %q has no objective on this machine", tenant)
 	case response.StatusCode != http.StatusOK || response.Header.Get("Content-Type") != "application/json":
-		return snapshot, errors.New("no accounts are kept there")
+		return snapshot, errors.New("this address serves no accounts")
 	}
 	if err := json.NewDecoder(io.LimitReader(response.Body, maxSnapshotBytes)).Decode(&snapshot); err != nil {
-		return snapshot, fmt.Errorf("the answer cannot be read: %w", err)
+		return snapshot, fmt.Errorf("cannot decode the response: %w", err)
 	}
 	return snapshot, nil
 }
 
-// showTenant prints the standing of one tenant.
+// showTenant prints the account and the error budget of one tenant.
 func showTenant(w io.Writer, client *http.Client, addresses []string, tenant string) error {
 	snapshot, err := collectAccounts(client, addresses, tenant)
 	if err != nil {
--- a/cmd/slateridge/accounts_test.go
+++ b/cmd/slateridge/accounts_test.go
@@ -14,13 +14,14 @@
 	"slateridge/internal/accounts"
 )
 
-// accountsServer answers with one tenant's accounts, more at each question.
+// accountsServer starts a server whose snapshots hold the accounts of one tenant if leading is
+// set. The number of requests in them grows with each query.
 func accountsServer(t *testing.T, leading bool) string {
 	t.Helper()
 	requests := uint64(0)
 	server := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		tenant := r.URL.Query().Get("tenant")
-		if tenant == "stranger" {
+		if tenant == "unknown" {
 			http.Error(w, "no", http.StatusNotFound)
 			return
 		}
@@ -38,7 +39,8 @@
 	return strings.TrimPrefix(server.URL, "http://")
 }
 
-// TestAccountsCommand gathers from several machines, one of which is away.
+// TestAccountsCommand collects accounts from a leader, a follower and an unreachable machine,
+// and prints them in each format.
 func TestAccountsCommand(t *testing.T) {
 	leader, follower := accountsServer(t, true), accountsServer(t, false)
 	client := &http.Client{Timeout: time.Second}
@@ -60,14 +62,15 @@
 	for _, bad := range []struct {
 		addresses []string
 		tenant    string
-	}{{[]string{follower}, "acme"}, {[]string{leader}, "stranger"}, {[]string{"127.0.0.1:1"}, ""}, {[]string{"nowhere"}, ""}} {
+	}{{[]string{follower}, "acme"}, {[]string{leader}, "unknown"}, {[]string{"127.0.0.1:1"}, ""}, {[]string{"nowhere"}, ""}} {
 		if err := showTenant(&out, client, bad.addresses, bad.tenant); err == nil {
 			t.Errorf("%+v: no error", bad)
 		}
 	}
 }
 
-// TestAccountsHTMLReport writes a page from a saved snapshot and a fresh one.
+// TestAccountsHTMLReport writes a page from a saved and a new snapshot, and checks that unusable
+// flags and inputs are refused.
 func TestAccountsHTMLReport(t *testing.T) {
 	leader := accountsServer(t, true)
 	client := &http.Client{Timeout: time.Second}
--- a/cmd/slateridge/main.go
+++ b/cmd/slateridge/main.go
@@ -1,5 +1,5 @@
-// Command slateridge is an API gateway: its proxies (proxy) and its control
-// plane (control) are subcommands of this one program.
+// Command slateridge is an API gateway. The proxy and control subcommands run its
+// proxies and its control plane; the others are tools for operators.
 package main
 
 import (
@@ -25,12 +25,12 @@
 	"slateridge/internal/settings"
 )
 
-// version is set by the build of a release.
+// version is set at link time by release builds.
 var version = "dev"
 
 const exitUsage = 2
 
-// usageError ends the program with exit code 2 and one line.
+// usageError marks an error in flags, arguments or settings: the program exits with exitUsage.
 type usageError struct{ error }
 
 type proxyCmd struct{}
@@ -38,22 +38,22 @@
 type versionCmd struct{}
 
 type checkCmd struct {
-	File string `arg:"" help:"Configuration file, as an operator would send it; - for standard input."`
+	File string `arg:"" help:"Configuration file in the format of the API; - for standard input."`
 }
 
 var cli struct {
 	Proxy      proxyCmd      `cmd:"" help:"Run the proxy. Settings are read from the file named by SLATERIDGE_NODE_FILE."`
 	Control    controlCmd    `cmd:"" help:"Run the control plane. Settings are read from the file named by SLATERIDGE_NODE_FILE."`
-	Check      checkCmd      `cmd:"" help:"Validate a configuration file with the errors the API gives."`
-	Status     statusCmd     `cmd:"" help:"Show what running daemons know: view, versions, acknowledgements, duties, upstreams, quotas."`
-	Accounts   accountsCmd   `cmd:"" help:"Show how requests were served against the service objectives, by tenant."`
-	Retire     retireCmd     `cmd:"" help:"Take a control machine that is gone for good out of the electorate, by agreement of the others."`
-	Modelcheck modelcheckCmd `cmd:"" help:"Look for schedules that break the rules of the control plane's machines."`
+	Check      checkCmd      `cmd:"" help:"Validate a configuration file, with the same error messages as the API."`
+	Status     statusCmd     `cmd:"" help:"Show the state of running daemons: view, versions, acknowledgements, duties, upstreams, quotas."`
+	Accounts   accountsCmd   `cmd:"" help:"Show each tenant's requests measured against its service objective."`
+	Retire     retireCmd     `cmd:"" help:"Remove a permanently lost control machine from the electorate, by agreement of the others."`
+	Modelcheck modelcheckCmd `cmd:"" help:"Search for schedules that break the rules of the control plane's protocols."`
 	Version    versionCmd    `cmd:"" help:"Print the version."`
 }
 
 func main() {
-	parser := kong.Must(&cli, kong.Name("slateridge"), kong.Description("An API gateway: proxies and the control plane that informs them."),
+	parser := kong.Must(&cli, kong.Name("slateridge"), kong.Description("An API gateway: proxies and their control plane."),
 		kong.ConfigureHelp(kong.HelpOptions{Compact: true}))
 	ctx, err := parser.Parse(os.Args[1:])
 	if err != nil {
@@ -75,25 +75,26 @@
 	return eventlog.New(zerolog.New(os.Stderr).With().Timestamp().Str("node", set.NodeName).Str("role", role).Logger())
 }
 
-// setMemoryLimit has the collector work harder as the process comes near the
-// machine's limit, over which it would be ended.
+// setMemoryLimit sets the garbage collector's soft limit to a share of the configured memory
+// limit, so that it collects more often before the process exceeds that limit and is killed.
 func setMemoryLimit(set *settings.Settings) {
 	if mb := set.Limits.MemoryMb; mb > 0 {
 		debug.SetMemoryLimit(int64(float64(mb) * constants.MemoryPart * (1 << 20)))
 	}
 }
 
-const signalBuffer = 16 // signals that may wait while a process starts
+const signalBuffer = 16 // signals queued during startup
 
-// notifySignals is called before all else: a signal that comes while the process starts
-// waits until it has, and does not end it.
+// notifySignals subscribes to the signals that the daemons handle. It must be called first:
+// a signal that arrives during startup is then queued instead of terminating the process.
 func notifySignals() <-chan os.Signal {
 	ch := make(chan os.Signal, signalBuffer)
 	signal.Notify(ch, syscall.SIGTERM, syscall.SIGINT, syscall.SIGHUP)
 	return ch
 }
 
-// addSignalActor is the actor that ends the group after leaving in order.
+// addSignalActor adds an actor that calls reload on SIGHUP. On SIGTERM or SIGINT it calls
+// shutdown and returns, which stops the group.
 func addSignalActor(g *run.Group, ch <-chan os.Signal, reload, shutdown func()) {
 	ctx, cancel := context.WithCancel(context.Background())
 	g.Add(func() error {
--- a/cmd/slateridge/modelcheck.go
+++ b/cmd/slateridge/modelcheck.go
@@ -15,31 +15,31 @@
 )
 
 type modelcheckCmd struct {
-	Model      string        `enum:"chain,leases,duties,admission" default:"chain" help:"What to drive: chain (orders, reads, views), leases (by themselves), duties (a chain, its leases, and acts under their fences) or admission (proxies that share a quota, and its trackers)."`
-	Strategy   string        `enum:"systematic,random" default:"systematic" help:"All schedules, those with fewer deviations first, or random walks within the same bounds."`
-	Deviations int           `default:"3" help:"Most deviations from the default schedule."`
-	Faults     int           `default:"4" help:"Most of them that are faults."`
-	Depth      int           `default:"6" help:"Most default steps between two deviations."`
-	Step       time.Duration `help:"Simulated time of a default step; the model's own if not given."`
-	Messages   bool          `help:"Deviate before every message of the protocol too, not only between steps."`
-	Kinds      []string      `help:"Only these kinds of deviations, e.g. leave,come,wipe."`
-	Without    []string      `help:"None of these kinds."`
-	Operators  int           `default:"2" help:"Operators who send orders."`
+	Model      string        `enum:"chain,leases,duties,admission" default:"chain" help:"Model to check: chain (orders, reads, views), leases (without a chain), duties (a chain, its leases, and actions under their fencing tokens) or admission (proxies that share a quota, and its trackers)."`
+	Strategy   string        `enum:"systematic,random" default:"systematic" help:"Search all schedules, those with fewer deviations first, or random walks within the same bounds."`
+	Deviations int           `default:"3" help:"Maximum number of deviations from the default schedule."`
+	Faults     int           `default:"4" help:"Maximum number of deviations that are faults."`
+	Depth      int           `default:"6" help:"Maximum number of default steps between two deviations."`
+	Step       time.Duration `help:"Simulated time of a default step; by default that of the model."`
+	Messages   bool          `help:"Allow deviations before every protocol message, not only between steps."`
+	Kinds      []string      `help:"Use only these kinds of deviations, e.g. leave,come,wipe."`
+	Without    []string      `help:"Exclude these kinds of deviations."`
+	Operators  int           `default:"2" help:"Number of operators that send orders."`
 	Warm       time.Duration `default:"4s" help:"Simulated time before the first deviation."`
-	Founders   int           `default:"3" help:"Machines at the start, of chain and duties: 3, of which one may be lost, or 5, of which two may."`
-	Newcomers  int           `default:"2" help:"Machines that may come at new addresses."`
-	Seed       uint64        `default:"1" help:"Of random walks."`
+	Founders   int           `default:"3" help:"Number of initial machines (chain, duties): 3, which tolerate the loss of one, or 5, which tolerate the loss of two."`
+	Newcomers  int           `default:"2" help:"Number of machines that may join at new addresses."`
+	Seed       uint64        `default:"1" help:"Seed of the random walks."`
 	Limit      time.Duration `default:"1m" help:"Wall time after which the search ends."`
-	Schedules  int           `help:"Number of schedules after which it ends; 0: no bound."`
-	Jobs       int           `default:"3" help:"Schedules run at once; with 1 the counts are the same each time."`
-	KeepGoing  bool          `help:"Look for a failure of every rule instead of ending with the first."`
-	Proxies    int           `default:"2" help:"Proxies at the start, of admission."`
-	Pressed    bool          `help:"Clients press all proxies from the end of the warm time on, of admission."`
-	Burst      float64       `default:"20" help:"Burst of the quota, whose rate is 20 a second, of admission."`
-	Slack      float64       `default:"2.5" help:"Absolute slack of the quota, of admission: at 2.5 a key goes to its tracker from three proxies on, at 20 never."`
-	Tolerance  float64       `help:"Tokens beyond admission's bounds that are let pass, to search on past what is known."`
-	Plant      string        `enum:"none,loan,tracker,newcomer,standby" default:"none" help:"A defect to plant around admission's machines, to see that it is found."`
-	Replay     string        `placeholder:"LIST" help:"Run one schedule, as it was printed: words separated by semicolons."`
+	Schedules  int           `help:"Number of schedules after which the search ends; 0 means no limit."`
+	Jobs       int           `default:"3" help:"Number of schedules run concurrently; only with 1 are the counts reproducible."`
+	KeepGoing  bool          `help:"Search for a failure of every rule instead of ending at the first."`
+	Proxies    int           `default:"2" help:"Number of initial proxies (admission)."`
+	Pressed    bool          `help:"Clients saturate all proxies after the warm-up time (admission)."`
+	Burst      float64       `default:"20" help:"Burst of the quota, whose rate is 20 per second (admission)."`
+	Slack      float64       `default:"2.5" help:"Absolute slack of the quota (admission): at 2.5 the tracker carries a key from three proxies on, at 20 never."`
+	Tolerance  float64       `help:"Tokens beyond the bounds that are not reported as a failure, to search past known failures (admission)."`
+	Plant      string        `enum:"none,loan,tracker,newcomer,standby" default:"none" help:"Defect to inject, to test that the search finds it (admission)."`
+	Replay     string        `placeholder:"LIST" help:"Run one schedule in the printed form: steps separated by semicolons."`
 }
 
 var errRuleBroken = errors.New("a rule was broken")
@@ -81,7 +81,7 @@
 	return func() modelcheck.Model { return admissionmodel.New(cfg) }, admissionmodel.ChoiceKinds
 }
 
-// Run searches, or replays one schedule.
+// Run searches for a broken rule, or replays one schedule.
 func (c modelcheckCmd) Run() error {
 	newModel, kinds := c.model()
 	if err := c.validate(kinds); err != nil {
@@ -114,34 +114,35 @@
 	return nil
 }
 
-// The most machines and operators that the chain's model has names for.
+// Limits of the chain model, which has a fixed set of names for its machines and operators.
 const (
 	maxMachines  = 8
 	maxNewcomers = 5
 	maxOperators = 8
 )
 
-// validate says which flag is out of its range; kinds are the model's kinds of choices.
+// validate returns an error if a flag is out of range or names a kind that is not in kinds,
+// the kinds of deviations of the model.
 func (c modelcheckCmd) validate(kinds []string) error {
 	if c.Model == "admission" && (c.Proxies < 1 || c.Proxies+c.Newcomers > admissionmodel.MostProxies) {
-		return fmt.Errorf("admission has one to %d proxies, newcomers among them", admissionmodel.MostProxies)
+		return fmt.Errorf("the admission model has 1 to %d proxies, including newcomers", admissionmodel.MostProxies)
 	}
 	for _, kind := range slices.Concat(c.Kinds, c.Without) {
 		if !slices.Contains(kinds, kind) {
-			return fmt.Errorf("there is no kind %q; there are %s", kind, strings.Join(kinds, ", "))
+			return fmt.Errorf("unknown kind %q; the kinds are %s", kind, strings.Join(kinds, ", "))
 		}
 	}
 	hasNegative := c.Deviations < 0 || c.Faults < 0 || c.Depth < 0 || c.Step < 0 || c.Newcomers < 0 || c.Operators < 0 || c.Warm < 0
 	if hasNegative || c.Jobs < 1 || c.Newcomers > maxNewcomers || c.Operators > maxOperators {
-		return errors.New("a bound is out of its range")
+		return errors.New("a numeric flag is out of range")
 	}
 	if c.Founders != 3 && c.Founders != 5 || c.Founders+c.Newcomers > maxMachines {
-		return errors.New("there are 3 or 5 founders, and 8 machines at most")
+		return errors.New("--founders must be 3 or 5, with at most 8 machines including newcomers")
 	}
 	return nil
 }
 
-// replay runs one schedule and prints the rule that it breaks.
+// replay runs one schedule and prints the rule that it breaks, if any.
 func replay(m modelcheck.Model, schedule string) error {
 	err := modelcheck.Replay(m, modelcheck.Parse(schedule))
 	if errors.Is(err, modelcheck.ErrNotEnabled) {
@@ -155,7 +156,7 @@
 	return nil
 }
 
-// printProgress prints how far a search has come.
+// printProgress prints the progress of a search on standard error.
 func printProgress(r modelcheck.Report) {
 	level := ""
 	if r.LevelOf > 0 {
--- a/cmd/slateridge/modelcheck_test.go
+++ b/cmd/slateridge/modelcheck_test.go
@@ -7,7 +7,8 @@
 	"github.com/alecthomas/kong"
 )
 
-// What is asked for wrongly is told apart from what was looked for and not found.
+// Invalid flags and schedules give a usage error; a search or replay that finds no broken rule
+// succeeds.
 func TestModelcheckUsageErrors(t *testing.T) {
 	for _, c := range []struct {
 		args  []string
@@ -17,7 +18,7 @@
 		{[]string{"--model", "leases", "--deviations", "1", "--schedules", "20", "--jobs", "2"}, false},
 		{[]string{"--model", "duties", "--strategy", "random", "--schedules", "3"}, false},
 		{[]string{"--replay", "restart z"}, true},
-		{[]string{"--kinds", "leave,sing"}, true},
+		{[]string{"--kinds", "leave,unknown"}, true},
 		{[]string{"--model", "leases", "--without", "order"}, true},
 		{[]string{"--deviations=-1"}, true},
 		{[]string{"--newcomers", "9"}, true},
--- a/cmd/slateridge/retire.go
+++ b/cmd/slateridge/retire.go
@@ -17,9 +17,9 @@
 )
 
 type retireCmd struct {
-	Machine string `arg:"" help:"IP address of the control machine that is gone."`
-	At      string `placeholder:"HOST:PORT" help:"Admin address of a control machine in contact; without it, this machine's by its settings file."`
-	Timeout int    `default:"8000" help:"Milliseconds to wait."`
+	Machine string `arg:"" help:"IP address of the lost control machine."`
+	At      string `placeholder:"HOST:PORT" help:"Admin address of a control machine that is in contact with a majority; by default that of this machine, from its settings file."`
+	Timeout int    `default:"8000" help:"Milliseconds to wait for the response."`
 }
 
 func (c retireCmd) Run() error {
@@ -30,7 +30,7 @@
 	if addr == "" {
 		set, err := settings.Load(os.Getenv(settings.EnvFile))
 		if err != nil {
-			return usageError{fmt.Errorf("no --at given, and %w", err)}
+			return usageError{fmt.Errorf("no --at given: %w", err)}
 		}
 		addr = set.Internal(constants.PortControlAdmin)
 	}
@@ -40,19 +40,19 @@
 	client := &http.Client{Timeout: time.Duration(c.Timeout) * time.Millisecond}
 	resp, err := client.Post("http://"+addr+"/retire?machine="+url.QueryEscape(c.Machine), "", nil)
 	if err != nil {
-		return fmt.Errorf("%s does not answer", addr)
+		return fmt.Errorf("no daemon responds at %s", addr)
 	}
 	defer resp.Body.Close()
 	body, err := io.ReadAll(io.LimitReader(resp.Body, maxResponseBytes))
 	if err != nil {
-		return fmt.Errorf("the answer broke off: %w", err)
+		return fmt.Errorf("cannot read the response: %w", err)
 	}
 	var answer struct {
 		Error  string
 		Voters []string
 	}
 	if json.Unmarshal(body, &answer) != nil || answer.Error == "" && len(answer.Voters) == 0 {
-		return errors.New("what answers there is no control machine's admin port")
+		return errors.New("no control machine has its admin port at this address")
 	}
 	if answer.Error != "" {
 		return fmt.Errorf("%s stays a voter: %s", c.Machine, answer.Error)
--- a/cmd/slateridge/retire_test.go
+++ b/cmd/slateridge/retire_test.go
@@ -12,8 +12,8 @@
 	"slateridge/internal/controlplane/chain"
 )
 
-// What a control machine answers to a retirement reaches the operator as one line, and
-// what is no control machine is told apart.
+// The error of a refused retirement is passed on to the operator. A response that does not come
+// from a control machine, and a machine that is not an IP address, give errors of their own.
 func TestRetireCommand(t *testing.T) {
 	answers := map[string]struct {
 		code int
@@ -41,22 +41,23 @@
 		}
 	}
 	var usage usageError
-	if err := (retireCmd{Machine: "nobody", At: addr, Timeout: 2000}).Run(); !errors.As(err, &usage) {
-		t.Errorf("a name that is no address: %v", err)
+	if err := (retireCmd{Machine: "not-an-address", At: addr, Timeout: 2000}).Run(); !errors.As(err, &usage) {
+		t.Errorf("a machine that is not an IP address: got %v, want a usage error", err)
 	}
 }
 
-// The status tells how many more could be lost, and by name only who is not as should be.
+// The status shows the failure margin, and lists only voters that are not members or not in
+// contact.
 func TestShowVoters(t *testing.T) {
 	var out strings.Builder
 	showVoters(&out, controlplane.Report{Margin: -1, Voters: []chain.Voter{{Addr: "a", Member: true, State: "in contact"},
 		{Addr: "b", State: "out of contact", Gone: 3 * time.Second, WayOut: "leaves with a successor's coming"}}})
 	for _, want := range []string{"1 too few", "b\tout of contact for 3s, no member; leaves with"} {
 		if !strings.Contains(out.String(), want) {
-			t.Errorf("%q lacks %q", out.String(), want)
+			t.Errorf("%q does not contain %q", out.String(), want)
 		}
 	}
 	if strings.Contains(out.String(), "    a") {
-		t.Errorf("names who is well: %s", out.String())
+		t.Errorf("lists a member that is in contact: %s", out.String())
 	}
 }
--- a/cmd/slateridge/signals_test.go
+++ b/cmd/slateridge/signals_test.go
@@ -10,7 +10,7 @@
 	"time"
 )
 
-// envRole has this test's binary run as the program itself, in a role.
+// envRole makes the test binary run as slateridge, with the value as its subcommand.
 const envRole = "SLATERIDGE_TEST_ROLE"
 
 func TestMain(m *testing.M) {
@@ -22,8 +22,8 @@
 	os.Exit(m.Run())
 }
 
-// A SIGHUP that comes while a process still starts does not end it. The settings file is
-// a pipe, so that the process stays in its start until the test writes to it.
+// A SIGHUP that arrives during startup does not terminate the process. The settings file is a
+// named pipe, so that startup blocks until the test writes to it.
 func TestReloadWhileStarting(t *testing.T) {
 	for _, role := range []string{"proxy", "control"} {
 		t.Run(role, func(t *testing.T) {
@@ -36,7 +36,7 @@
 			if err := process.Start(); err != nil {
 				t.Fatal(err)
 			}
-			settings, err := os.OpenFile(path, os.O_WRONLY, 0) // until the process reads it
+			settings, err := os.OpenFile(path, os.O_WRONLY, 0) // blocks until the process opens it for reading
 			if err != nil {
 				t.Fatal(err)
 			}
@@ -48,7 +48,7 @@
 			settings.Close()
 			var exit *exec.ExitError
 			if err := process.Wait(); !errors.As(err, &exit) || exit.ExitCode() != exitUsage {
-				t.Errorf("the process ended with %v, want %d for settings that cannot be read", err, exitUsage)
+				t.Errorf("the process ended with %v, want exit code %d for invalid settings", err, exitUsage)
 			}
 		})
 	}
--- a/cmd/slateridge/status.go
+++ b/cmd/slateridge/status.go
@@ -26,14 +26,14 @@
 )
 
 type statusCmd struct {
-	Address []string `arg:"" optional:"" help:"Admin addresses (HOST:PORT) of the daemons to ask; without any, those of this machine by its settings file."`
-	JSON    bool     `help:"Print what the daemons answer, unformatted."`
-	All     bool     `help:"List every proxy, upstream and quota, also where there are many."`
-	Tenant  string   `help:"Show the account of this tenant, from the control machines named." placeholder:"NAME"`
-	Timeout int      `default:"2000" help:"Milliseconds to wait for each."`
+	Address []string `arg:"" optional:"" help:"Admin addresses (HOST:PORT) of the daemons to query; by default those of this machine, from its settings file."`
+	JSON    bool     `help:"Print the JSON responses of the daemons."`
+	All     bool     `help:"List every proxy, upstream and quota, however many there are."`
+	Tenant  string   `help:"Show the account of this tenant; the addresses are those of control machines." placeholder:"NAME"`
+	Timeout int      `default:"2000" help:"Milliseconds to wait for each daemon."`
 }
 
-const maxResponseBytes = 8 << 20 // bytes of an answer
+const maxResponseBytes = 8 << 20
 
 func (c statusCmd) Run() error {
 	var addrs []string
@@ -41,7 +41,7 @@
 	if local {
 		set, err := settings.Load(os.Getenv(settings.EnvFile))
 		if err != nil {
-			return usageError{fmt.Errorf("no address given, and %w", err)}
+			return usageError{fmt.Errorf("no address given: %w", err)}
 		}
 		addrs = []string{set.Internal(constants.PortControlAdmin), set.Internal(constants.PortProxyAdmin)}
 	}
@@ -68,7 +68,7 @@
 		}
 		succeeded++
 	}
-	if len(failed) > 0 && !(local && succeeded > 0) { // a machine need not run both roles
+	if len(failed) > 0 && !(local && succeeded > 0) { // a machine may run only one of the roles
 		return errors.New(strings.Join(failed, "; "))
 	}
 	return nil
@@ -79,17 +79,17 @@
 	if err != nil {
 		var ne net.Error
 		if errors.As(err, &ne) && ne.Timeout() {
-			return nil, errors.New("no answer in time")
+			return nil, errors.New("no response before the timeout")
 		}
-		return nil, errors.New("no daemon answers there")
+		return nil, errors.New("no daemon responds at this address")
 	}
 	defer resp.Body.Close()
 	b, err := io.ReadAll(io.LimitReader(resp.Body, maxResponseBytes))
 	if err != nil {
-		return nil, fmt.Errorf("the answer broke off: %v", err)
+		return nil, fmt.Errorf("cannot read the response: %v", err)
 	}
 	if resp.StatusCode != http.StatusOK || resp.Header.Get("Content-Type") != "application/json" {
-		return nil, errors.New("what answers there is not a slateridge admin port")
+		return nil, errors.New("not a slateridge admin port")
 	}
 	return b, nil
 }
@@ -97,7 +97,7 @@
 func (c statusCmd) show(w io.Writer, addr string, body []byte) error {
 	var header struct{ Role string }
 	if json.Unmarshal(body, &header) != nil || header.Role != "proxy" && header.Role != "control" {
-		return errors.New("what answers there is not a slateridge admin port")
+		return errors.New("not a slateridge admin port")
 	}
 	if c.JSON {
 		_, err := w.Write(body)
@@ -121,10 +121,12 @@
 	return nil
 }
 
-const maxListedRows = 24 // of a list; a longer one is shown in sums, with what stands out by name
+// maxListedRows is the number of rows up to which a list is printed whole. Of a longer list
+// only the notable rows are printed, and the number of the others.
+const maxListedRows = 24
 
-// printRows prints a list: whole when it is short or all of it is wanted, and else
-// what stands out, with the number of the others.
+// printRows prints every row of a list if all is set or the list is short. Otherwise it
+// prints up to maxListedRows notable rows and the number of the others.
 func printRows[T any](w io.Writer, all bool, list []T, notable func(T) bool, printRow func(T)) {
 	all = all || len(list) <= maxListedRows
 	shown := 0
@@ -139,7 +141,8 @@
 	}
 }
 
-// joinNames prints joinNames in a line, and of very many only the number of the last.
+// joinNames joins names with commas. Unless all is set, it replaces the names after the first
+// maxListedRows with their number.
 func joinNames(all bool, names []string) string {
 	if more := len(names) - maxListedRows; more > 0 && !all {
 		names = append(names[:maxListedRows:maxListedRows], fmt.Sprintf("and %d others", more))
@@ -156,7 +159,7 @@
 
 func roundAge(d time.Duration) string { return d.Round(10 * time.Millisecond).String() }
 
-// showControl prints a control process's report.
+// showControl prints the report of a control machine.
 func showControl(w io.Writer, addr string, r controlplane.Report, all bool) {
 	fmt.Fprintf(w, "control %s at %s\n", r.Node, addr)
 	showView(w, r)
@@ -184,7 +187,7 @@
 	showCommon(w, r.Members, r.Events)
 }
 
-// showView prints the chain's members and this process's part in it.
+// showView prints the members of the chain and the state of the reporting machine in it.
 func showView(w io.Writer, r controlplane.Report) {
 	v := r.Chain.View
 	var members []string
@@ -216,7 +219,7 @@
 	fmt.Fprintf(w, "  view\t%d of %d voters: %s\n  state\t%s; %s\n", v.Num, len(v.Voters), strings.Join(members, ", "), state, contact)
 }
 
-// showDirectory prints what the directory has answered, and its places by zone.
+// showDirectory prints the look-up counters of the directory and the states of its proxies by zone.
 func showDirectory(w io.Writer, r controlplane.Report) {
 	d := r.Directory
 	if d == nil {
@@ -237,7 +240,7 @@
 	}
 }
 
-// showDuties prints who holds the duties, and how those at the platform stand.
+// showDuties prints the holder of each duty and the progress of the duties performed at the platform.
 func showDuties(w io.Writer, r controlplane.Report) {
 	var duties []string
 	for name, holder := range r.Duties {
@@ -261,7 +264,8 @@
 	}
 }
 
-// showVoters prints what the electorate can bear, and by name who is not as should be.
+// showVoters prints the failure margin of the electorate, and lists the voters that are not
+// members of the view or not in contact.
 func showVoters(w io.Writer, r controlplane.Report) {
 	if len(r.Voters) == 0 {
 		return
--- a/cmd/slateridge/status_test.go
+++ b/cmd/slateridge/status_test.go
@@ -9,8 +9,8 @@
 	"slateridge/internal/distribution"
 )
 
-// With hundreds of proxies the status is sums first, and by name only those that
-// lag; --all lists everybody.
+// With hundreds of proxies the status lists only those that lag or are not ready; --all lists
+// every proxy.
 func TestShowControlManyProxies(t *testing.T) {
 	var r controlplane.Report
 	r.Chain.Version, r.ListNum = 7, 3
@@ -21,7 +21,7 @@
 		var out strings.Builder
 		showControl(&out, "x", r, all)
 		if listed := strings.Count(out.String(), "    edge-"); listed != want || !strings.Contains(out.String(), "    edge-299") || !strings.Contains(out.String(), "    edge-009") {
-			t.Errorf("all %v: %d named, want %d", all, listed, want)
+			t.Errorf("all %v: %d proxies listed, want %d", all, listed, want)
 		}
 	}
 }
--- a/cmd/slateridge/whole_accounts_test.go
+++ b/cmd/slateridge/whole_accounts_test.go
@@ -19,7 +19,7 @@
 	"slateridge/internal/proxy"
 )
 
-// accountsCluster is a site whose tenants have objectives.
+// accountsCluster is a testCluster whose tenants have objectives.
 type accountsCluster struct {
 	*testCluster
 	proxies []*proxy.Daemon
@@ -53,7 +53,7 @@
 	return s
 }
 
-// request sends one request of a tenant through a proxy.
+// request sends a request with a tenant's API key to a proxy and returns the status code.
 func (s *accountsCluster) request(proxy int, key, path string) (int, error) {
 	request, err := http.NewRequest(http.MethodGet, fmt.Sprintf("http://%s:%d%s", s.ip(proxy), s.port, path), nil)
 	if err != nil {
@@ -78,7 +78,7 @@
 	return out
 }
 
-// pathControlledUpstream answers late, with an error, or that it did not run, as the path asks.
+// pathControlledUpstream responds after a delay, or with status 400 or 500, as the path requests.
 func pathControlledUpstream(w http.ResponseWriter, r *http.Request) {
 	w.Header().Set("X-Slateridge-Attempt-Id", r.Header.Get("X-Slateridge-Attempt-Id"))
 	w.Header().Set("X-Slateridge-Response-Seal", "s")
@@ -93,8 +93,9 @@
 	io.WriteString(w, "hello")
 }
 
-// TestAccountsEndToEnd serves tenants through three proxies, and reads one account of each
-// from the control machines: by the command, and in metrics.
+// TestAccountsEndToEnd sends requests of two tenants through three proxies. It checks one
+// tenant's account in the snapshots of the control machines, the status command, and the
+// number of requests in the metrics.
 func TestAccountsEndToEnd(t *testing.T) {
 	s := newAccountsCluster(t)
 	upstream := httptest.NewServer(http.HandlerFunc(pathControlledUpstream))
@@ -113,7 +114,7 @@
 		return nil
 	})
 	for i := range 3 {
-		s.eventually("the proxy serves", func() error {
+		s.eventually("request through the proxy", func() error {
 			code, err := s.request(i, "key-other", "/a/x")
 			if err != nil || code != http.StatusOK {
 				return fmt.Errorf("%d %v", code, err)
@@ -126,7 +127,7 @@
 			t.Fatal(err)
 		}
 	}
-	s.eventually("the account", func() error {
+	s.eventually("account of the tenant", func() error {
 		for _, proxy := range s.proxies {
 			proxy.FlushAccounts()
 		}
@@ -137,7 +138,7 @@
 		standing, _ := snapshot.Of("acme")
 		got := fmt.Sprint(standing.Account.Taken, standing.Account.Settled)
 		if want := "6 [2 2 1 1 0]"; got != want || len(snapshot.Unheld()) > 0 {
-			return fmt.Errorf("the account is %s, should be %s; shards without a holder: %v", got, want, snapshot.Unheld())
+			return fmt.Errorf("got account %s, want %s; shards without a holder: %v", got, want, snapshot.Unheld())
 		}
 		return nil
 	})
@@ -160,6 +161,6 @@
 		}
 	}
 	if taken < 9 {
-		t.Errorf("%d requests in metrics, at least 9 were taken", taken)
+		t.Errorf("%d requests in the metrics, want at least 9", taken)
 	}
 }
--- a/cmd/slateridge/whole_test.go
+++ b/cmd/slateridge/whole_test.go
@@ -23,8 +23,8 @@
 	"slateridge/internal/settings"
 )
 
-// testCluster is three machines on loopback addresses, each with both roles, beside
-// stand-ins for the platform and an upstream.
+// testCluster is a cluster of three machines on loopback addresses, each of which runs a
+// control machine and a proxy, with a fake platform.
 type testCluster struct {
 	t            *testing.T
 	dir          string
@@ -33,12 +33,14 @@
 	stopFuncs    map[string]func()
 	mu           sync.Mutex
 	instances    []map[string]any
-	usageReports map[string]string // usage reports taken: window -> body
-	fenceHolders map[string]string // fence -> holder
-	violations   []string          // what may not be
+	usageReports map[string]string // received usage reports: window -> body of the last one
+	fenceHolders map[string]string // fencing token -> holder
+	violations   []string          // invalid or conflicting usage reports
 }
 
-// recordUsageReport is the platform's side of a usage recordUsageReport.
+// recordUsageReport handles a usage report at the fake platform. It records a violation if the
+// report is malformed, differs from an earlier one of its window, or has the fencing token of
+// another holder.
 func (s *testCluster) recordUsageReport(_ http.ResponseWriter, r *http.Request) {
 	body, _ := io.ReadAll(r.Body)
 	var report struct{ WindowNumber json.Number }
@@ -48,7 +50,7 @@
 		s.violations = append(s.violations, fmt.Sprintf("%s from %s: %s after %s", r.URL.Path, holder, body, previous))
 	}
 	if previous, ok := s.fenceHolders[fence]; ok && previous != holder {
-		s.violations = append(s.violations, "fence "+fence+" of "+previous+" and "+holder)
+		s.violations = append(s.violations, "fencing token "+fence+" used by "+previous+" and "+holder)
 	}
 	s.usageReports[window], s.fenceHolders[fence] = string(body), holder
 }
@@ -129,8 +131,7 @@
 	s.launch(fmt.Sprint("proxy", i), proxy.NewDaemon(set, filepath.Join(s.dir, fmt.Sprint(i), "boot.json"), eventlog.New(zerolog.Nop())))
 }
 
-// eventually repeats something that takes its time; it fails only when all hope is
-// gone.
+// eventually calls f every 100 ms until it succeeds, and fails the test after 150 attempts.
 func (s *testCluster) eventually(what string, f func() error) {
 	s.t.Helper()
 	var err error
@@ -171,8 +172,9 @@
 {"resourceKind":"routes","metadata":{"name":"r"},"spec":{"host":"h.example","pathPrefix":"%s","routeType":"idempotent","timeout":"2s","targetLatency":"500ms","priority":1,"targetService":"svc","maxAttempts":2}}]}`, version, prefix)
 }
 
-// TestWholePath starts everything, takes a configuration anywhere, serves it
-// everywhere, loses a control machine with its disk, and goes on.
+// TestWholePath runs a whole cluster: a configuration sent to any control machine is served by
+// every proxy, also after the machine of the chain's head was lost with its disk and replaced.
+// It also covers the directory, evacuations, usage reports, the status command and metrics.
 func TestWholePath(t *testing.T) {
 	s := newTestCluster(t)
 	upstream := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
@@ -219,7 +221,7 @@
 			t.Errorf("%s: got %d %s %v, want %d", c.call, code, b, err, c.code)
 		}
 	}
-	// The head's machine is lost with its disk; work goes on without it.
+	// The machine of the chain's head is lost with its disk; the others stay available.
 	s.stopFuncs["control0"]()
 	s.stopFuncs["proxy0"]()
 	replace(2, 5, "/b/")
@@ -228,7 +230,7 @@
 	os.RemoveAll(filepath.Join(s.dir, "0"))
 	s.start(0, false)
 	served("/b/x", 200, 0)
-	s.eventually("taken in again", func() error {
+	s.eventually("machine rejoins the chain", func() error {
 		b, err := fetchStatus(http.DefaultClient, fmt.Sprintf("%s:%d", s.ip(0), s.port+3+1))
 		var r controlplane.Report
 		if err == nil {
@@ -240,13 +242,13 @@
 		return nil
 	})
 	replace(0, 6, "/c/")
-	s.eventually("read back", func() error {
+	s.eventually("configuration.describe", func() error {
 		if code, b, err := s.call(0, "configuration.describe", ""); code != 200 || b != configDocument(6, "/c/") {
 			return fmt.Errorf("%d %s %v", code, b, err)
 		}
 		return nil
 	})
-	// The directory names all three; bad calls get a clear 4xx.
+	// The directory lists all three proxies; invalid requests get a 4xx status.
 	lookup := func(i int, path string) (int, string) {
 		resp, err := http.Get(fmt.Sprintf("http://%s:%d%s", s.ip(i), s.port+10, path))
 		if err != nil {
@@ -270,7 +272,7 @@
 			t.Errorf("%s: got %d %s, want %d", path, code, b, want)
 		}
 	}
-	// A zone is evacuated through any control machine and taken back.
+	// A zone is evacuated through one control machine and restored through another.
 	for _, c := range []struct {
 		call string
 		want int
@@ -283,15 +285,15 @@
 		})
 	}
 	served("/c/x", 503, 0, 1, 2)
-	s.eventually("taken back", func() error {
+	s.eventually("evacuations.stop", func() error {
 		if code, b, err := s.call(2, "evacuations.stop&of=z", ""); code != 200 {
 			return fmt.Errorf("%d %s %v", code, b, err)
 		}
 		return nil
 	})
 	served("/c/x", 200, 0, 1, 2)
-	// Usage is reported on, across the loss of the first machine; each window has one
-	// content, each fence one holder.
+	// Usage reports continue after the loss of the first machine. All reports of a window are
+	// equal, and each fencing token has one holder.
 	reported := func() int { s.mu.Lock(); defer s.mu.Unlock(); return len(s.usageReports) }
 	before := reported()
 	s.eventually("usage reports", func() error {
@@ -316,7 +318,7 @@
 		b, _ := io.ReadAll(resp.Body)
 		resp.Body.Close()
 		if !strings.Contains(string(b), "slateridge_config_version 6\n") {
-			t.Errorf("metrics lack the version:\n%s", b)
+			t.Errorf("the metrics do not contain the configuration version:\n%s", b)
 		}
 	}
 }
