--- a/cmd/slateridge/main.go
+++ b/cmd/slateridge/main.go
@@ -30,7 +30,8 @@
 
 const exitUsage = 2
 
-// usageError marks an error in flags, arguments or settings: the program exits with exitUsage.
+// usageError marks an error in flags, arguments or settings. The program prints it as one line
+// and exits with code 2.
 type usageError struct{ error }
 
 type proxyCmd struct{}
