--- a/cmd/slateridge/accounts_test.go
+++ b/cmd/slateridge/accounts_test.go
@@ -14,21 +14,22 @@
 	"slateridge/internal/accounts"
 )
 
-// accountsServer answers with one tenant's accounts, more at each question.
-func accountsServer(t *testing.T, leads bool) string {
+// accountsServer starts a server whose snapshots hold the accounts of one tenant if leading is
+// set. The number of requests in them grows with each query.
+func accountsServer(t *testing.T, leading bool) string {
 	t.Helper()
-	asked := uint64(0)
+	requests := uint64(0)
 	server := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		tenant := r.URL.Query().Get("tenant")
-		if tenant == "stranger" {
+		if tenant == "unknown" {
 			http.Error(w, "no", http.StatusNotFound)
 			return
 		}
-		asked++
-		snapshot := accounts.Snapshot{At: time.Unix(int64(asked), 0), Shards: []accounts.ShardState{{Shard: 0, Leading: leads}}}
-		if leads {
-			account := accounts.Account{Taken: 10 * asked}
-			account.Settled[accounts.OnTime] = 10 * asked
+		requests++
+		snapshot := accounts.Snapshot{At: time.Unix(int64(requests), 0), Shards: []accounts.ShardState{{Shard: 0, Leading: leading}}}
+		if leading {
+			account := accounts.Account{Taken: 10 * requests}
+			account.Settled[accounts.OnTime] = 10 * requests
 			snapshot.Standings = []accounts.Standing{{Tenant: "acme", Account: account, Objective: accounts.Objective{Target: 0.99, Latency: time.Second, Window: time.Hour}}}
 		}
 		w.Header().Set("Content-Type", "application/json")
@@ -38,12 +39,13 @@
 	return strings.TrimPrefix(server.URL, "http://")
 }
 
-// TestAccountsCommand gathers from several machines, one of which is away.
+// TestAccountsCommand collects accounts from a leader, a follower and an unreachable machine,
+// and prints them in each format.
 func TestAccountsCommand(t *testing.T) {
-	leader, other := accountsServer(t, true), accountsServer(t, false)
+	leader, follower := accountsServer(t, true), accountsServer(t, false)
 	client := &http.Client{Timeout: time.Second}
-	addresses := []string{"127.0.0.1:1", other, leader}
-	snapshot, err := gatherAccounts(client, addresses, "")
+	addresses := []string{"127.0.0.1:1", follower, leader}
+	snapshot, err := collectAccounts(client, addresses, "")
 	if err != nil || len(snapshot.Standings) != 1 || len(snapshot.MissingShards()) != 0 {
 		t.Fatalf("%+v, %v", snapshot, err)
 	}
@@ -60,18 +62,19 @@
 	for _, bad := range []struct {
 		addresses []string
 		tenant    string
-	}{{[]string{other}, "acme"}, {[]string{leader}, "stranger"}, {[]string{"127.0.0.1:1"}, ""}, {[]string{"nowhere"}, ""}} {
+	}{{[]string{follower}, "acme"}, {[]string{leader}, "unknown"}, {[]string{"127.0.0.1:1"}, ""}, {[]string{"nowhere"}, ""}} {
 		if err := showTenant(&out, client, bad.addresses, bad.tenant); err == nil {
 			t.Errorf("%+v: no error", bad)
 		}
 	}
 }
 
-// TestAccountsReport writes a page from a saved snapshot and a fresh one.
-func TestAccountsReport(t *testing.T) {
+// TestAccountsHTMLReport writes a page from a saved and a new snapshot, and checks that unusable
+// flags and inputs are refused.
+func TestAccountsHTMLReport(t *testing.T) {
 	leader := accountsServer(t, true)
 	client := &http.Client{Timeout: time.Second}
-	first, err := gatherAccounts(client, []string{leader}, "")
+	first, err := collectAccounts(client, []string{leader}, "")
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/cmd/slateridge/main.go
+++ b/cmd/slateridge/main.go
@@ -1,5 +1,5 @@
-// Command slateridge is an API gateway: its proxies (proxy) and its control
-// plane (control) are subcommands of this one program.
+// Command slateridge is an API gateway. The proxy and control subcommands run its
+// proxies and its control plane; the others are tools for operators.
 package main
 
 import (
@@ -25,12 +25,13 @@
 	"slateridge/internal/settings"
 )
 
-// version is set by the build of a release.
+// version is set at link time by release builds.
 var version = "dev"
 
 const exitUsage = 2
 
-// usageError ends the program with exit code 2 and one line.
+// usageError marks an error in flags, arguments or settings. The program prints it as one line
+// and exits with code 2.
 type usageError struct{ error }
 
 type proxyCmd struct{}
@@ -38,22 +39,22 @@
 type versionCmd struct{}
 
 type checkCmd struct {
-	File string `arg:"" help:"Configuration file, as an operator would send it; - for standard input."`
+	File string `arg:"" help:"Configuration file in the format of the API; - for standard input."`
 }
 
 var cli struct {
 	Proxy      proxyCmd      `cmd:"" help:"Run the proxy. Settings are read from the file named by SLATERIDGE_NODE_FILE."`
 	Control    controlCmd    `cmd:"" help:"Run the control plane. Settings are read from the file named by SLATERIDGE_NODE_FILE."`
-	Check      checkCmd      `cmd:"" help:"Validate a configuration file with the errors the API gives."`
-	Status     statusCmd     `cmd:"" help:"Show what running daemons know: view, versions, acknowledgements, duties, upstreams, quotas."`
-	Accounts   accountsCmd   `cmd:"" help:"Show how requests were served against the service objectives, by tenant."`
-	Retire     retireCmd     `cmd:"" help:"Take a control machine that is gone for good out of the electorate, by agreement of the others."`
-	Modelcheck modelcheckCmd `cmd:"" help:"Look for schedules that break the rules of the control plane's machines."`
+	Check      checkCmd      `cmd:"" help:"Validate a configuration file, with the same error messages as the API."`
+	Status     statusCmd     `cmd:"" help:"Show the state of running daemons: view, versions, acknowledgements, duties, upstreams, quotas."`
+	Accounts   accountsCmd   `cmd:"" help:"Show each tenant's requests measured against its service objective."`
+	Retire     retireCmd     `cmd:"" help:"Remove a permanently lost control machine from the electorate, by agreement of the others."`
+	Modelcheck modelcheckCmd `cmd:"" help:"Search for schedules that break the rules of the control plane's protocols."`
 	Version    versionCmd    `cmd:"" help:"Print the version."`
 }
 
 func main() {
-	parser := kong.Must(&cli, kong.Name("slateridge"), kong.Description("An API gateway: proxies and the control plane that informs them."),
+	parser := kong.Must(&cli, kong.Name("slateridge"), kong.Description("An API gateway: proxies and their control plane."),
 		kong.ConfigureHelp(kong.HelpOptions{Compact: true}))
 	ctx, err := parser.Parse(os.Args[1:])
 	if err != nil {
@@ -62,8 +63,8 @@
 	}
 	if err := ctx.Run(); err != nil {
 		fmt.Fprintf(os.Stderr, "slateridge: %s\n", err)
-		var u usageError
-		if errors.As(err, &u) {
+		var usage usageError
+		if errors.As(err, &usage) {
 			os.Exit(exitUsage)
 		}
 		os.Exit(1)
@@ -75,38 +76,39 @@
 	return eventlog.New(zerolog.New(os.Stderr).With().Timestamp().Str("node", set.NodeName).Str("role", role).Logger())
 }
 
-// boundMemory has the collector work harder as the process comes near the
-// machine's limit, over which it would be ended.
-func boundMemory(set *settings.Settings) {
+// setMemoryLimit sets the garbage collector's soft limit to a share of the configured memory
+// limit, so that it collects more often before the process exceeds that limit and is killed.
+func setMemoryLimit(set *settings.Settings) {
 	if mb := set.Limits.MemoryMb; mb > 0 {
 		debug.SetMemoryLimit(int64(float64(mb) * constants.MemoryLimitFraction * (1 << 20)))
 	}
 }
 
-const signalsHeld = 16 // signals that may wait while a process starts
+const signalBuffer = 16 // signals queued during startup
 
-// catchSignals is called before all else: a signal that comes while the process starts
-// waits until it has, and does not end it.
-func catchSignals() <-chan os.Signal {
-	ch := make(chan os.Signal, signalsHeld)
+// notifySignals subscribes to the signals that the daemons handle. It must be called first:
+// a signal that arrives during startup is then queued instead of terminating the process.
+func notifySignals() <-chan os.Signal {
+	ch := make(chan os.Signal, signalBuffer)
 	signal.Notify(ch, syscall.SIGTERM, syscall.SIGINT, syscall.SIGHUP)
 	return ch
 }
 
-// signals is the actor that ends the group after leaving in order.
-func signals(g *run.Group, ch <-chan os.Signal, reload, leave func()) {
+// addSignalActor adds an actor that calls reload on SIGHUP. On SIGTERM or SIGINT it calls
+// shutdown and returns, which stops the group.
+func addSignalActor(g *run.Group, ch <-chan os.Signal, reload, shutdown func()) {
 	ctx, cancel := context.WithCancel(context.Background())
 	g.Add(func() error {
 		for {
 			select {
 			case <-ctx.Done():
 				return nil
-			case s := <-ch:
-				if s == syscall.SIGHUP {
+			case sig := <-ch:
+				if sig == syscall.SIGHUP {
 					reload()
 					continue
 				}
-				leave()
+				shutdown()
 				return nil
 			}
 		}
@@ -114,13 +116,13 @@
 }
 
 func (proxyCmd) Run() error {
-	caught := catchSignals()
+	caught := notifySignals()
 	path := os.Getenv(settings.EnvFile)
 	set, err := settings.Load(path, "frontend", "readiness")
 	if err != nil {
 		return usageError{err}
 	}
-	boundMemory(set)
+	setMemoryLimit(set)
 	objectives, err := accounts.LoadObjectives(os.Getenv(accounts.EnvFile))
 	if err != nil {
 		return usageError{err}
@@ -131,18 +133,18 @@
 	if err := d.Add(&g); err != nil {
 		return err
 	}
-	signals(&g, caught, d.Reload, d.Leave)
+	addSignalActor(&g, caught, d.Reload, d.Leave)
 	return g.Run()
 }
 
 func (controlCmd) Run() error {
-	caught := catchSignals()
+	caught := notifySignals()
 	path := os.Getenv(settings.EnvFile)
 	set, err := settings.Load(path, "controlPlane")
 	if err != nil {
 		return usageError{err}
 	}
-	boundMemory(set)
+	setMemoryLimit(set)
 	d, err := controlplane.NewDaemon(set, newEventLog(set, "control"))
 	if err != nil {
 		return err
@@ -151,7 +153,7 @@
 	if err := d.Add(&g); err != nil {
 		return err
 	}
-	signals(&g, caught, d.Reload(path), d.Leave)
+	addSignalActor(&g, caught, d.Reload(path), d.Leave)
 	return g.Run()
 }
 
@@ -166,11 +168,11 @@
 	if err != nil {
 		return usageError{err}
 	}
-	s, err := config.Parse(raw)
+	state, err := config.Parse(raw)
 	if err != nil {
 		return fmt.Errorf("%s: %w", c.File, err)
 	}
-	fmt.Printf("%s: valid: r%d, %d routes, %d services, %d tenants\n", c.File, s.Version, len(s.Routes()), len(s.Services), len(s.Tenants))
+	fmt.Printf("%s: valid: r%d, %d routes, %d services, %d tenants\n", c.File, state.Version, len(state.Routes()), len(state.Services), len(state.Tenants))
 	return nil
 }
 
--- a/cmd/slateridge/modelcheck_test.go
+++ b/cmd/slateridge/modelcheck_test.go
@@ -7,8 +7,9 @@
 	"github.com/alecthomas/kong"
 )
 
-// What is asked for wrongly is told apart from what was looked for and not found.
-func TestExploreUsage(t *testing.T) {
+// Invalid flags and schedules give a usage error; a search or replay that finds no broken rule
+// succeeds.
+func TestModelcheckUsageErrors(t *testing.T) {
 	for _, c := range []struct {
 		args  []string
 		usage bool
@@ -17,7 +18,7 @@
 		{[]string{"--model", "leases", "--deviations", "1", "--schedules", "20", "--jobs", "2"}, false},
 		{[]string{"--model", "duties", "--strategy", "random", "--schedules", "3"}, false},
 		{[]string{"--replay", "restart z"}, true},
-		{[]string{"--kinds", "leave,sing"}, true},
+		{[]string{"--kinds", "leave,unknown"}, true},
 		{[]string{"--model", "leases", "--without", "order"}, true},
 		{[]string{"--deviations=-1"}, true},
 		{[]string{"--newcomers", "9"}, true},
@@ -27,8 +28,8 @@
 			t.Errorf("%v: %v", c.args, err)
 			continue
 		}
-		var u usageError
-		if err := cmd.Run(); errors.As(err, &u) != c.usage || !c.usage && err != nil {
+		var usage usageError
+		if err := cmd.Run(); errors.As(err, &usage) != c.usage || !c.usage && err != nil {
 			t.Errorf("%v: %v", c.args, err)
 		}
 	}
--- a/cmd/slateridge/retire.go
+++ b/cmd/slateridge/retire.go
@@ -17,46 +17,46 @@
 )
 
 type retireCmd struct {
-	Machine string `arg:"" help:"IP address of the control machine that is gone."`
-	At      string `placeholder:"HOST:PORT" help:"Admin address of a control machine in contact; without it, this machine's by its settings file."`
-	Timeout int    `default:"8000" help:"Milliseconds to wait."`
+	Machine string `arg:"" help:"IP address of the lost control machine."`
+	At      string `placeholder:"HOST:PORT" help:"Admin address of a control machine that is in contact with a majority; by default that of this machine, from its settings file."`
+	Timeout int    `default:"8000" help:"Milliseconds to wait for the response."`
 }
 
 func (c retireCmd) Run() error {
 	if net.ParseIP(c.Machine) == nil {
 		return usageError{fmt.Errorf("%q is not an IP address", c.Machine)}
 	}
-	at := c.At
-	if at == "" {
+	addr := c.At
+	if addr == "" {
 		set, err := settings.Load(os.Getenv(settings.EnvFile))
 		if err != nil {
-			return usageError{fmt.Errorf("no --at given, and %w", err)}
+			return usageError{fmt.Errorf("no --at given: %w", err)}
 		}
-		at = set.InternalAddress(constants.PortControlAdmin)
+		addr = set.InternalAddress(constants.PortControlAdmin)
 	}
-	if _, _, err := net.SplitHostPort(at); err != nil {
-		return usageError{fmt.Errorf("%q is not HOST:PORT", at)}
+	if _, _, err := net.SplitHostPort(addr); err != nil {
+		return usageError{fmt.Errorf("%q is not HOST:PORT", addr)}
 	}
 	client := &http.Client{Timeout: time.Duration(c.Timeout) * time.Millisecond}
-	resp, err := client.Post("http://"+at+"/retire?machine="+url.QueryEscape(c.Machine), "", nil)
+	resp, err := client.Post("http://"+addr+"/retire?machine="+url.QueryEscape(c.Machine), "", nil)
 	if err != nil {
-		return fmt.Errorf("%s does not answer", at)
+		return fmt.Errorf("no daemon responds at %s", addr)
 	}
 	defer resp.Body.Close()
-	body, err := io.ReadAll(io.LimitReader(resp.Body, statusMax))
+	body, err := io.ReadAll(io.LimitReader(resp.Body, maxResponseBytes))
 	if err != nil {
-		return fmt.Errorf("the answer broke off: %w", err)
+		return fmt.Errorf("cannot read the response: %w", err)
 	}
-	var said struct {
+	var answer struct {
 		Error  string
 		Voters []string
 	}
-	if json.Unmarshal(body, &said) != nil || said.Error == "" && len(said.Voters) == 0 {
-		return errors.New("what answers there is no control machine's admin port")
+	if json.Unmarshal(body, &answer) != nil || answer.Error == "" && len(answer.Voters) == 0 {
+		return errors.New("no control machine has its admin port at this address")
 	}
-	if said.Error != "" {
-		return fmt.Errorf("%s stays a voter: %s", c.Machine, said.Error)
+	if answer.Error != "" {
+		return fmt.Errorf("%s stays a voter: %s", c.Machine, answer.Error)
 	}
-	fmt.Printf("%s is retired; voters: %s\n", c.Machine, strings.Join(said.Voters, ", "))
+	fmt.Printf("%s is retired; voters: %s\n", c.Machine, strings.Join(answer.Voters, ", "))
 	return nil
 }
