--- a/internal/emulator/client.go
+++ b/internal/emulator/client.go
@@ -41,7 +41,7 @@
 	OrderPart float64       // share of requests that may run once
 	Until     time.Duration // when it stops sending
 	world     *World
-	turn      int
+	sent      int
 	Requests  []*Request
 }
 
@@ -59,16 +59,16 @@
 		return
 	}
 	w.After(time.Duration(w.Rng.Int64N(int64(2*c.Every)))+1, c.send)
-	c.turn++
+	c.sent++
 	w.lastID++
 	request := &Request{ID: w.lastID, Tenant: c.Tenant, Order: w.Rng.Float64() < c.OrderPart, SentAt: w.Now, Answers: map[string]bool{}}
 	c.Requests = append(c.Requests, request)
-	proxy := w.Proxies[w.proxyNames[c.turn%len(w.proxyNames)]]
+	proxy := w.Proxies[w.proxyNames[c.sent%len(w.proxyNames)]]
 	w.Send(c.Name, proxy.Name, func() { proxy.receive(c, request) })
 }
 
 // hear takes a proxy's answer.
-func (c *Client) hear(request *Request, told Told) {
+func (c *Client) receiveAnswer(request *Request, told Told) {
 	if request.Told == Nothing {
 		request.Told = told
 	}
--- a/internal/emulator/control.go
+++ b/internal/emulator/control.go
@@ -21,7 +21,7 @@
 	Disk        *simnet.Disk
 	Holder      *accounts.Holder
 	world       *World
-	began       time.Duration // its steady clock counts from here
+	clockStart  time.Duration // its steady clock counts from here
 }
 
 // NewControl makes a control machine and starts it.
@@ -43,7 +43,7 @@
 func (c *Control) start(founding bool) {
 	c.Up = true
 	c.Life++
-	c.began = c.world.Now - time.Duration(c.world.Rng.IntN(1000))*time.Millisecond
+	c.clockStart = c.world.Now - time.Duration(c.world.Rng.IntN(1000))*time.Millisecond
 	c.Holder = accounts.NewHolder(c.Name, c.world.Objectives, c.world.Options, c.Disk, founding, uint64(c.Life), func(string, string) {})
 	c.tick(c.Life)
 }
@@ -61,14 +61,14 @@
 func (c *Control) Freeze(span time.Duration) { c.FrozenUntil = c.world.Now + span }
 
 // Now is the process's steady clock.
-func (c *Control) Now() time.Duration { return c.world.Now - c.began }
+func (c *Control) Now() time.Duration { return c.world.Now - c.clockStart }
 
-func (c *Control) when(life int, do func()) {
+func (c *Control) whenRunning(life int, do func()) {
 	if !c.Up || c.Life != life {
 		return
 	}
 	if wait := c.FrozenUntil - c.world.Now; wait > 0 {
-		c.world.After(wait, func() { c.when(life, do) })
+		c.world.After(wait, func() { c.whenRunning(life, do) })
 		return
 	}
 	do()
@@ -82,22 +82,22 @@
 	if c.FrozenUntil > c.world.Now {
 		return
 	}
-	c.put(c.Holder.Tick(c.Now(), c.leads, c.world.controlNames))
+	c.sendAll(c.Holder.Tick(c.Now(), c.leads, c.world.controlNames))
 	c.world.observe(c)
 }
 
 func (c *Control) leads(shard int) bool { return c.world.Leases[shard] == c.Name }
 
-func (c *Control) take(report accounts.Report) accounts.ReportAck {
+func (c *Control) handleReport(report accounts.Report) accounts.ReportAck {
 	return c.Holder.Take(report, report.Shard >= 0 && report.Shard < len(c.world.Leases) && c.leads(report.Shard))
 }
 
-func (c *Control) put(out []counter.Send) {
+func (c *Control) sendAll(out []counter.Send) {
 	for _, send := range out {
 		to := c.world.Controls[send.To]
-		c.world.send(c.Name, to.Name, func() {
-			to.when(to.Life, func() {
-				to.put(to.Holder.Receive(c.Name, send.Message))
+		c.world.sendDuplicated(c.Name, to.Name, func() {
+			to.whenRunning(to.Life, func() {
+				to.sendAll(to.Holder.Receive(c.Name, send.Message))
 				c.world.observe(to)
 			})
 		})
--- a/internal/emulator/proxy.go
+++ b/internal/emulator/proxy.go
@@ -11,10 +11,10 @@
 
 // Times of the stand-in proxies.
 const (
-	tryTimeout     = 400 * time.Millisecond // an upstream silent so long is given up
+	attemptTimeout = 400 * time.Millisecond // an upstream silent so long is given up
 	requestTimeout = 1200 * time.Millisecond
 	hedgeAfter     = 200 * time.Millisecond // a read is sent to a second upstream beside the first
-	mostTries      = 3
+	maxAttempts    = 3
 )
 
 // Proxy is a stand-in for a proxy: it takes requests, offers them to upstreams, and
@@ -29,7 +29,7 @@
 	world       *World
 	meter       *accounts.Meter
 	journals    map[counter.LifeID]*memoryJournal
-	life        counter.LifeID
+	incarnation counter.LifeID
 	Wipes       []Wipe
 }
 
@@ -41,8 +41,8 @@
 
 // memoryJournal outlasts the process, as a mapped file does.
 type memoryJournal struct {
-	told     []uint64
-	accounts map[string]accounts.Account
+	acknowledged []uint64
+	accounts     map[string]accounts.Account
 }
 
 // Record implements accounts.Journal.
@@ -54,7 +54,7 @@
 
 // Told implements accounts.Journal.
 func (j *memoryJournal) Told(shard int, version uint64) bool {
-	j.told[shard] = version
+	j.acknowledged[shard] = version
 	return true
 }
 
@@ -77,13 +77,13 @@
 	var ended []accounts.EndedLife
 	for _, life := range slices.Sorted(maps.Keys(p.journals)) {
 		journal := p.journals[life]
-		ended = append(ended, accounts.EndedLife{Life: life, Told: journal.told, Accounts: maps.Clone(journal.accounts)})
+		ended = append(ended, accounts.EndedLife{Life: life, Told: journal.acknowledged, Accounts: maps.Clone(journal.accounts)})
 	}
-	p.life = counter.LifeID(p.world.Rng.Uint64() | 1)
-	journal := &memoryJournal{told: make([]uint64, p.world.Objectives.Shards), accounts: map[string]accounts.Account{}}
-	p.journals[p.life] = journal
-	p.meter = accounts.NewMeter(p.Name, p.life, p.world.Objectives, journal, ended)
-	p.tell(p.Life)
+	p.incarnation = counter.LifeID(p.world.Rng.Uint64() | 1)
+	journal := &memoryJournal{acknowledged: make([]uint64, p.world.Objectives.Shards), accounts: map[string]accounts.Account{}}
+	p.journals[p.incarnation] = journal
+	p.meter = accounts.NewMeter(p.Name, p.incarnation, p.world.Objectives, journal, ended)
+	p.sendReports(p.Life)
 }
 
 // Kill ends the process; its journal stays.
@@ -105,12 +105,12 @@
 
 // when runs something in a life of the process: at once, after a freeze, or never if that
 // life is over.
-func (p *Proxy) when(life int, do func()) {
+func (p *Proxy) whenRunning(life int, do func()) {
 	if !p.Up || p.Life != life {
 		return
 	}
 	if wait := p.FrozenUntil - p.world.Now; wait > 0 {
-		p.world.After(wait, func() { p.when(life, do) })
+		p.world.After(wait, func() { p.whenRunning(life, do) })
 		return
 	}
 	do()
@@ -118,91 +118,91 @@
 
 // receive takes a request that has reached this machine; with no process there, it is lost.
 func (p *Proxy) receive(client *Client, request *Request) {
-	p.when(p.Life, func() {
+	p.whenRunning(p.Life, func() {
 		w := p.world
 		request.Taken, request.Proxy, request.Life, request.TakenAt = true, p.Name, p.Life, w.Now
-		passage := &passage{proxy: p, life: p.Life, client: client, request: request, account: p.meter.Begin(request.Tenant)}
+		passage := &proxiedRequest{proxy: p, life: p.Life, client: client, request: request, account: p.meter.Begin(request.Tenant)}
 		if w.Rng.Float64() < p.OverQuota {
-			passage.answer(TurnedAway)
+			passage.finish(TurnedAway)
 			return
 		}
-		w.After(requestTimeout, func() { p.when(passage.life, passage.giveUp) })
-		passage.try()
+		w.After(requestTimeout, func() { p.whenRunning(passage.life, passage.giveUp) })
+		passage.attempt()
 		if !request.Order {
-			w.After(hedgeAfter, func() { p.when(passage.life, passage.try) })
+			w.After(hedgeAfter, func() { p.whenRunning(passage.life, passage.attempt) })
 		}
 	})
 }
 
 // passage is a request on its way through a proxy.
-type passage struct {
-	proxy   *Proxy
-	life    int
-	client  *Client
-	request *Request
-	account *accounts.Request
-	tries   int
-	unsure  bool // an upstream was sent it and has not said whether it ran
-	over    bool
+type proxiedRequest struct {
+	proxy          *Proxy
+	life           int
+	client         *Client
+	request        *Request
+	account        *accounts.Request
+	attempts       int
+	outcomeUnknown bool // an upstream was sent it and has not said whether it ran
+	done           bool
 }
 
 // try offers the request to an upstream.
-func (g *passage) try() {
+func (g *proxiedRequest) attempt() {
 	w := g.proxy.world
 	names := w.Platform.List()
-	if g.over || g.tries == mostTries || len(names) == 0 {
+	if g.done || g.attempts == maxAttempts || len(names) == 0 {
 		return
 	}
-	g.tries++
+	g.attempts++
 	upstream := w.Upstreams[names[w.Rng.IntN(len(names))]]
-	heard := false
-	g.unsure = true
+	answered := false
+	g.outcomeUnknown = true
 	w.Send(g.proxy.Name, upstream.Name, func() {
-		upstream.offer(g.request.ID, func(ran bool) {
+		upstream.handle(g.request.ID, func(ran bool) {
 			w.Send(upstream.Name, g.proxy.Name, func() {
-				g.proxy.when(g.life, func() {
-					heard = true
-					g.hear(upstream.Name, ran)
+				g.proxy.whenRunning(g.life, func() {
+					answered = true
+					g.receiveAnswer(upstream.Name, ran)
 				})
 			})
 		})
 	})
-	w.After(tryTimeout, func() {
-		g.proxy.when(g.life, func() {
-			if !heard && (!g.request.Order || w.Rng.Float64() < g.proxy.RepeatOrder) {
-				g.try()
+	w.After(attemptTimeout, func() {
+		g.proxy.whenRunning(g.life, func() {
+			if !answered && (!g.request.Order || w.Rng.Float64() < g.proxy.RepeatOrder) {
+				g.attempt()
 			}
 		})
 	})
 }
 
 // hear takes an upstream's word.
-func (g *passage) hear(upstream string, ran bool) {
+func (g *proxiedRequest) receiveAnswer(upstream string, ran bool) {
 	if !ran {
-		g.unsure = g.tries > 1
-		g.try()
+		g.outcomeUnknown = g.attempts > 1
+		g.attempt()
 		return
 	}
 	g.request.Answers[upstream] = true
 	if g.request.Order && len(g.request.Answers) > 1 {
 		g.account.Doubled()
 	}
-	g.answer(Success)
+	g.finish(Success)
 }
 
 // giveUp ends a request that has taken too long.
-func (g *passage) giveUp() { g.answer(Failed) }
+func (g *proxiedRequest) giveUp() { g.finish(Failed) }
 
 // answer tells the client and settles the account, once. The proxy notices where it could
 // not write to the client.
-func (g *passage) answer(told Told) {
-	if g.over {
+func (g *proxiedRequest) finish(told Told) {
+	if g.done {
 		return
 	}
-	g.over = true
+	g.done = true
 	w := g.proxy.world
 	written := !w.isCut(g.proxy.Name, g.client.Name)
-	w.Send(g.proxy.Name, g.client.Name, func() { g.client.hear(g.request, told) })
+	w.Send(g.proxy.Name, g.client.Name, func() { g.client.receiveAnswer(g.request, told) })
 	switch {
 	case told == TurnedAway:
 		g.account.Failure(accounts.Refused)
@@ -210,7 +210,7 @@
 		g.account.Failure(accounts.Unknown)
 	case told == Success:
 		g.account.Success(w.Now - g.request.TakenAt)
-	case g.request.Order && g.unsure:
+	case g.request.Order && g.outcomeUnknown:
 		g.account.Failure(accounts.Unknown)
 	default:
 		g.account.Failure(accounts.Lost)
@@ -218,33 +218,33 @@
 }
 
 // tell brings reports to the holders of all shards, again and again.
-func (p *Proxy) tell(life int) {
+func (p *Proxy) sendReports(life int) {
 	if !p.Up || p.Life != life {
 		return
 	}
-	p.world.After(p.world.TellEvery, func() { p.tell(life) })
+	p.world.After(p.world.TellEvery, func() { p.sendReports(life) })
 	if p.FrozenUntil > p.world.Now {
 		return
 	}
 	for shard := range p.world.Objectives.Shards {
 		for _, report := range p.meter.Reports(shard) {
-			p.report(life, report)
+			p.sendReport(life, report)
 		}
 	}
 }
 
-func (p *Proxy) report(life int, report accounts.Report) {
+func (p *Proxy) sendReport(life int, report accounts.Report) {
 	w := p.world
 	holder := w.Controls[w.Known[report.Shard]]
 	if holder == nil {
 		return
 	}
 	w.Bytes += len(report.Packed)
-	w.send(p.Name, holder.Name, func() {
-		holder.when(holder.Life, func() {
-			ack := holder.take(report)
-			w.send(holder.Name, p.Name, func() {
-				p.when(life, func() {
+	w.sendDuplicated(p.Name, holder.Name, func() {
+		holder.whenRunning(holder.Life, func() {
+			ack := holder.handleReport(report)
+			w.sendDuplicated(holder.Name, p.Name, func() {
+				p.whenRunning(life, func() {
 					for _, finished := range p.meter.Acknowledge(ack) {
 						delete(p.journals, finished)
 					}
--- a/internal/emulator/upstream.go
+++ b/internal/emulator/upstream.go
@@ -22,7 +22,7 @@
 }
 
 // offer takes a request; answer is called with whether it was run, once it is done.
-func (u *Upstream) offer(id RequestID, answer func(ran bool)) {
+func (u *Upstream) handle(id RequestID, answer func(ran bool)) {
 	if !u.Up {
 		return
 	}
--- a/internal/emulator/world.go
+++ b/internal/emulator/world.go
@@ -76,7 +76,7 @@
 func (w *World) ControlNames() []string { return slices.Clone(w.controlNames) }
 
 // send delivers a message about accounts, sometimes twice.
-func (w *World) send(from, to string, deliver func()) {
+func (w *World) sendDuplicated(from, to string, deliver func()) {
 	w.Send(from, to, deliver)
 	if w.Rng.Float64() < w.DoublePart {
 		w.Send(from, to, deliver)
--- a/internal/gobtest/gobtest.go
+++ b/internal/gobtest/gobtest.go
@@ -22,11 +22,11 @@
 // of it. The content follows from name and from the names of the fields on the way to
 // each part, and is never the zero value, which gob leaves out.
 func Fill(name string, pointer any, fields string) {
-	var known []string
+	var selectedLines []string
 	if fields != "" {
-		known = strings.Split(fields, "\n")
+		selectedLines = strings.Split(fields, "\n")
 	}
-	f := filler{known}
+	f := filler{selectedLines}
 	f.fill(name, "", reflect.ValueOf(pointer).Elem())
 }
 
@@ -34,16 +34,16 @@
 type filler struct{ known []string }
 
 // names says whether a part, or something within it, is to be filled.
-func (f *filler) names(described string) bool {
+func (f *filler) selected(fieldPath string) bool {
 	return f.known == nil || slices.ContainsFunc(f.known, func(line string) bool {
-		rest, found := strings.CutPrefix(line, indent+described)
+		rest, found := strings.CutPrefix(line, indent+fieldPath)
 		return found && (rest == "" || strings.ContainsAny(rest[:1], ".[( "))
 	})
 }
 
 // fill sets one part; path leads to it, and described is its path in a description.
 func (f *filler) fill(path, described string, v reflect.Value) {
-	if !f.names(described) {
+	if !f.selected(described) {
 		return
 	}
 	switch v.Kind() {
@@ -79,18 +79,18 @@
 	case reflect.String:
 		v.SetString(path)
 	case reflect.Float32, reflect.Float64:
-		v.SetFloat(float64(number(path)) / 2)
+		v.SetFloat(float64(hashNumber(path)) / 2)
 	case reflect.Int, reflect.Int8, reflect.Int16, reflect.Int32, reflect.Int64:
-		v.SetInt(int64(number(path)))
+		v.SetInt(int64(hashNumber(path)))
 	case reflect.Uint, reflect.Uint8, reflect.Uint16, reflect.Uint32, reflect.Uint64:
-		v.SetUint(uint64(number(path)))
+		v.SetUint(uint64(hashNumber(path)))
 	default:
 		panic(fmt.Sprintf("gobtest: %s is a %s, which gob does not encode here", path, v.Type()))
 	}
 }
 
 // number gives one from 1 to 127, which fits every kind of number.
-func number(path string) uint32 {
+func hashNumber(path string) uint32 {
 	hash := fnv.New32a()
 	hash.Write([]byte(path))
 	return hash.Sum32()%127 + 1
--- a/internal/modelcheck/admissionmodel/admissionmodel.go
+++ b/internal/modelcheck/admissionmodel/admissionmodel.go
@@ -16,28 +16,28 @@
 // Model is admission as package modelcheck drives it.
 type Model struct {
 	Config
-	world  *modelcheck.World
-	grid   time.Duration
-	err    error
-	faults int
-	came   int
-	lives  uint64
-	ids    uint64
+	world           *modelcheck.World
+	nextChoiceAt    time.Duration
+	err             error
+	faults          int
+	joined          int
+	lastIncarnation uint64
+	lastCallID      uint64
 
-	stopped  map[string]time.Duration // when a process that is down ended
-	proxies  map[string]*proxy
-	trackers map[string]*tracker
-	roster   map[string]*rosterEntry
-	started  bool // the first proxies share
+	stoppedAt map[string]time.Duration // when a process that is down ended
+	proxies   map[string]*proxy
+	trackers  map[string]*tracker
+	roster    map[string]*rosterEntry
+	started   bool // the first proxies share
 
-	holder string // of the tracker's duty; empty while it moves
-	since  time.Duration
-	ended  time.Duration // when the duty was last given up
-	next   string        // who takes it, if it is up
+	dutyHolder  string // of the tracker's duty; empty while it moves
+	heldSince   time.Duration
+	vacantSince time.Duration // when the duty was last given up
+	nextHolder  string        // who takes it, if it is up
 
-	bound  allowance
-	recent []time.Duration // when requests ran within the last Window
-	served int
+	bound      allowance
+	recentRuns []time.Duration // when requests ran within the last Window
+	served     int
 }
 
 // New makes one.
@@ -46,12 +46,12 @@
 // Reset goes back to the start, as package modelcheck asks.
 func (m *Model) Reset() {
 	m.world = modelcheck.NewWorld(constants.GrantEvery, m.tick, m.recv)
-	m.grid, m.err, m.faults, m.came, m.lives, m.ids, m.served = m.Warm, nil, 0, 0, 0, 0, 0
-	m.stopped = map[string]time.Duration{}
+	m.nextChoiceAt, m.err, m.faults, m.joined, m.lastIncarnation, m.lastCallID, m.served = m.Warm, nil, 0, 0, 0, 0, 0
+	m.stoppedAt = map[string]time.Duration{}
 	m.proxies, m.trackers, m.roster = map[string]*proxy{}, map[string]*tracker{}, map[string]*rosterEntry{}
-	m.holder, m.since, m.ended, m.next, m.started = "", 0, -vacancy, trackerNames[0], false
-	m.bound = newAllowance(m.Quota.Rate, m.Quota.Burst+m.extra())
-	m.recent = nil
+	m.dutyHolder, m.heldSince, m.vacantSince, m.nextHolder, m.started = "", 0, -dutyVacancy, trackerNames[0], false
+	m.bound = newAllowance(m.Quota.Rate, m.Quota.Burst+m.extraBurst())
+	m.recentRuns = nil
 	m.world.Start(control)
 	for _, n := range trackerNames[:m.Trackers] {
 		m.startTracker(n)
@@ -60,13 +60,13 @@
 		m.startProxy(n)
 	}
 	m.world.Run(m.Warm, nil, m.healthy)
-	m.pressAll(m.Pressed)
+	m.setLoad(m.Pressed)
 	m.world.Trouble = 0
 }
 
 func (m *Model) healthy() bool { return m.err == nil }
 
-func (m *Model) broken(rule, f string, a ...any) {
+func (m *Model) fail(rule, f string, a ...any) {
 	if m.err == nil {
 		m.err = modelcheck.Broken(rule, "at %v: %s", m.world.Now, fmt.Sprintf(f, a...))
 	}
--- a/internal/modelcheck/admissionmodel/choices.go
+++ b/internal/modelcheck/admissionmodel/choices.go
@@ -29,8 +29,8 @@
 	for _, n := range proxyNames[:m.Proxies+m.Newcomers] {
 		m.proxyChoices(n, add)
 	}
-	if m.came < m.Newcomers {
-		add("come " + proxyNames[m.Proxies+m.came])
+	if m.joined < m.Newcomers {
+		add("come " + proxyNames[m.Proxies+m.joined])
 	}
 	for _, n := range trackerNames[:m.Trackers] {
 		if !m.world.Up(n) {
@@ -40,7 +40,7 @@
 			continue
 		}
 		add("restart "+n, "stop "+n)
-		if n != m.holder && m.holder != "" {
+		if n != m.dutyHolder && m.dutyHolder != "" {
 			add("duty " + n)
 		}
 	}
@@ -57,7 +57,7 @@
 }
 
 // mayStart says whether a stopped process may start: a start takes its time.
-func (m *Model) mayStart(n string) bool { return m.world.Now-m.stopped[n] >= modelcheck.Stall }
+func (m *Model) mayStart(n string) bool { return m.world.Now-m.stoppedAt[n] >= modelcheck.Stall }
 
 // proxyChoices lists what may happen to a proxy and its paths.
 func (m *Model) proxyChoices(n string, add func(...string)) {
@@ -70,21 +70,21 @@
 		}
 		return
 	}
-	if m.proxies[n].pressed {
+	if m.proxies[n].underLoad {
 		add("rest " + n)
 	} else {
 		add("press " + n)
 	}
 	add("restart "+n, "stop "+n, "go "+n, "isolate "+n, "mute "+n, "deafen "+n, "part "+control+"|"+n)
-	if m.holder != "" {
-		add("part " + n + "|" + m.holder)
+	if m.dutyHolder != "" {
+		add("part " + n + "|" + m.dutyHolder)
 	}
 }
 
 // Apply has one of the choices happen, as package modelcheck asks.
 func (m *Model) Apply(n int) {
 	if n == 0 {
-		m.grid = m.world.RunDefault(m.grid, m.Step, func(*modelcheck.Event) bool { return m.Messages }, m.healthy)
+		m.nextChoiceAt = m.world.RunDefault(m.nextChoiceAt, m.Step, func(*modelcheck.Event) bool { return m.Messages }, m.healthy)
 		return
 	}
 	choice := m.Choices()[n]
@@ -99,12 +99,12 @@
 	case "press", "rest":
 		for _, n := range m.proxiesUp() {
 			if f[1] == n || f[1] == "all" {
-				m.proxies[n].pressed = f[0] == "press"
+				m.proxies[n].underLoad = f[0] == "press"
 			}
 		}
 	case "restart":
 		m.stop(f[1])
-		m.back(f[1])
+		m.restartLater(f[1])
 	case "stop":
 		m.stop(f[1])
 	case "start":
@@ -113,7 +113,7 @@
 		m.stop(f[1])
 		m.world.Leave(f[1])
 	case "come":
-		m.came++
+		m.joined++
 		m.startProxy(f[1])
 	case "duty":
 		m.vacate(f[1])
@@ -121,32 +121,32 @@
 		for _, n := range m.world.Names {
 			if n != control {
 				m.stop(n)
-				m.back(n)
+				m.restartLater(n)
 			}
 		}
 		m.vacate("")
-		m.ended += powerVacancy
+		m.vacantSince += powerLossVacancy
 	case "long":
 		m.world.Run(m.world.Now+m.Long, nil, m.healthy)
-		m.grid = max(m.grid, m.world.Now)
+		m.nextChoiceAt = max(m.nextChoiceAt, m.world.Now)
 	}
 }
 
 // skip are numbers that only rise, and counts that decide nothing.
-var skip = []string{"keyState.count", "keyState.wholeQuota", "Tracker.Requests", "Tracker.Granted", "Tracker.Exhausted", "Tracker.contactScan", "pool.contactScan", "question.ID", "answer.ID", "World.seq"}
+var skippedFields = []string{"keyState.count", "keyState.wholeQuota", "Tracker.Requests", "Tracker.Granted", "Tracker.Exhausted", "Tracker.contactScan", "pool.contactScan", "grantCall.ID", "grantReply.ID", "World.seq"}
 
 // Hash distinguishes states, as package modelcheck asks.
 func (m *Model) Hash() uint64 {
-	m.forgetOld()
-	a := modelcheck.Abstraction{LongAgo: longAgo, Skip: skip, Grain: grain}
-	parts := []any{m.world.Hash(a), m.stopped, m.grid, m.faults, m.came, m.roster, m.started, m.holder, m.since, m.ended, m.next, m.bound, m.recent}
+	m.dropOldRuns()
+	a := modelcheck.Abstraction{LongAgo: maxAge, Skip: skippedFields, Grain: floatResolution}
+	parts := []any{m.world.Hash(a), m.stoppedAt, m.nextChoiceAt, m.faults, m.joined, m.roster, m.started, m.dutyHolder, m.heldSince, m.vacantSince, m.nextHolder, m.bound, m.recentRuns}
 	for _, n := range m.proxiesUp() {
 		p := m.proxies[n]
-		var open []openQuestion
-		for _, id := range slices.Sorted(maps.Keys(p.open)) {
-			open = append(open, p.open[id])
+		var pending []pendingCall
+		for _, id := range slices.Sorted(maps.Keys(p.pending)) {
+			pending = append(pending, p.pending[id])
 		}
-		parts = append(parts, n, a.Digest(m.clock(n), p.limiter, p.echo, p.tracker, p.pressed, open))
+		parts = append(parts, n, a.Digest(m.clock(n), p.limiter, p.echo, p.tracker, p.underLoad, pending))
 	}
 	for _, n := range trackerNames[:m.Trackers] {
 		if t := m.trackers[n]; t != nil {
@@ -159,9 +159,9 @@
 // Quiet has all clients spend what there is, and press on while the troubles last;
 // then it ends the troubles, and the pressed key must be served.
 func (m *Model) Quiet() error {
-	m.pressAll(true)
-	m.world.Run(m.world.Now+lastPress, nil, m.healthy)
-	m.pressAll(false)
+	m.setLoad(true)
+	m.world.Run(m.world.Now+finalLoadTime, nil, m.healthy)
+	m.setLoad(false)
 	m.world.Heal()
 	for _, n := range m.world.Names {
 		if !m.world.Up(n) {
@@ -169,36 +169,36 @@
 		}
 	}
 	m.world.Run(m.world.Now+m.Settle, nil, m.healthy)
-	if m.waitsForTheGone() {
+	if m.newcomersBlocked() {
 		m.world.Run(m.world.Now+constants.ProxyForget, nil, m.healthy)
 	}
 	before := m.served
-	m.pressAll(true)
-	m.world.Run(m.world.Now+servedPress, nil, m.healthy)
-	got, want := float64(m.served-before), servedPart*m.Quota.Rate*servedPress.Seconds()
+	m.setLoad(true)
+	m.world.Run(m.world.Now+serviceLoadTime, nil, m.healthy)
+	got, want := float64(m.served-before), minServedShare*m.Quota.Rate*serviceLoadTime.Seconds()
 	if m.err == nil && got < want && len(m.proxiesUp()) > 0 {
-		m.broken(RuleServes, "%.0f served in %v after %v of quiet, at least %.0f of what is pressed for should be: %s", got, servedPress, m.Settle, want, m.describe())
+		m.fail(RuleServes, "%.0f served in %v after %v of quiet, at least %.0f of what is pressed for should be: %s", got, serviceLoadTime, m.Settle, want, m.describe())
 	}
 	return m.err
 }
 
 // waitsForTheGone says whether control holds newcomers up for a proxy that is gone
 // and not yet forgotten.
-func (m *Model) waitsForTheGone() bool {
-	holdsUp, waiting := false, false
+func (m *Model) newcomersBlocked() bool {
+	blocked, waiting := false, false
 	for n, e := range m.roster {
-		holdsUp = holdsUp || m.proxies[n] == nil
-		waiting = waiting || !e.shares
+		blocked = blocked || m.proxies[n] == nil
+		waiting = waiting || !e.admitted
 	}
-	return holdsUp && waiting
+	return blocked && waiting
 }
 
 // pressAll has the clients of all proxies press, at once, or rest.
-func (m *Model) pressAll(press bool) {
+func (m *Model) setLoad(press bool) {
 	for _, n := range m.proxiesUp() {
-		m.proxies[n].pressed = press
+		m.proxies[n].underLoad = press
 		if press && !m.world.Frozen(n) {
-			m.press(n, pressedArrivals)
+			m.sendRequests(n, loadedArrivals)
 		}
 	}
 }
--- a/internal/modelcheck/admissionmodel/config.go
+++ b/internal/modelcheck/admissionmodel/config.go
@@ -75,23 +75,23 @@
 	control = "c"
 
 	// arrivals a turn under pressure make the key hot at each proxy.
-	pressedArrivals = 12
+	loadedArrivals = 12
 	// lastPress is how long clients press at the end of a schedule, its troubles lasting.
-	lastPress = 2500 * time.Millisecond
+	finalLoadTime = 2500 * time.Millisecond
 	// servedPress is how long they press after quiet, and servedPart what part of the
 	// rate must be served then.
-	servedPress = 4 * time.Second
-	servedPart  = 0.4
+	serviceLoadTime = 4 * time.Second
+	minServedShare  = 0.4
 	// promisedOverage is the part beyond the quota that the promise allows.
 	promisedOverage = 0.1
 	// vacancy is how long nobody tracks when the duty moves.
-	vacancy = 300 * time.Millisecond
+	dutyVacancy = 300 * time.Millisecond
 	// powerVacancy is how much longer it is vacant after all processes were stopped.
-	powerVacancy = 2 * time.Second
+	powerLossVacancy = 2 * time.Second
 	// longAgo is beyond the longest time that anybody here waits for anything.
-	longAgo = constants.ProxyForget + 2*time.Second
+	maxAge = constants.ProxyForget + 2*time.Second
 	// grain is the part of a token, or of a rate, that does not distinguish states.
-	grain = 0.01
+	floatResolution = 0.01
 )
 
 var (
--- a/internal/modelcheck/admissionmodel/control.go
+++ b/internal/modelcheck/admissionmodel/control.go
@@ -8,22 +8,24 @@
 
 // rosterEntry is what control knows of a proxy.
 type rosterEntry struct {
-	at     time.Duration
-	count  int
-	shares bool
+	lastHeard time.Duration
+	count     int
+	admitted  bool
 }
 
 // vacate ends the tracker's duty where it is; another takes it a little later.
-func (m *Model) vacate(next string) { m.holder, m.ended, m.next = "", m.world.Now, next }
+func (m *Model) vacate(next string) {
+	m.dutyHolder, m.vacantSince, m.nextHolder = "", m.world.Now, next
+}
 
 // appoint gives the vacant duty to the one that was named, or to any that is up.
-func (m *Model) appoint() {
-	if m.holder != "" || m.world.Now-m.ended < vacancy {
+func (m *Model) assignDuty() {
+	if m.dutyHolder != "" || m.world.Now-m.vacantSince < dutyVacancy {
 		return
 	}
-	for _, n := range append([]string{m.next}, trackerNames[:m.Trackers]...) {
+	for _, n := range append([]string{m.nextHolder}, trackerNames[:m.Trackers]...) {
 		if m.trackers[n] != nil && !m.world.Frozen(n) {
-			m.holder, m.since = n, m.world.Now
+			m.dutyHolder, m.heldSince = n, m.world.Now
 			return
 		}
 	}
@@ -32,14 +34,14 @@
 // controlTick forgets silent proxies, sends trackers the live count and fills the duty.
 func (m *Model) controlTick() {
 	for n, e := range m.roster {
-		if m.world.Now-e.at > constants.ProxyForget {
+		if m.world.Now-e.lastHeard > constants.ProxyForget {
 			delete(m.roster, n)
 		}
 	}
 	m.admitNewcomers()
-	m.appoint()
+	m.assignDuty()
 	for _, n := range trackerNames[:m.Trackers] {
-		m.world.Send(control, n, rosterSize{len(m.roster)})
+		m.world.Send(control, n, liveCount{len(m.roster)})
 	}
 }
 
@@ -50,26 +52,26 @@
 		return
 	}
 	for _, e := range m.roster {
-		if m.started && e.shares && e.count < len(m.roster) && m.Planted != NewcomerAtOnce {
+		if m.started && e.admitted && e.count < len(m.roster) && m.Planted != NewcomerAtOnce {
 			return
 		}
 	}
 	m.started = true
 	for _, e := range m.roster {
-		e.shares = true
+		e.admitted = true
 	}
 }
 
-func (m *Model) takeHeartbeat(n string, h heartbeat) {
+func (m *Model) receiveHeartbeat(n string, h heartbeat) {
 	e := m.roster[n]
 	if e == nil {
 		e = &rosterEntry{}
 		m.roster[n] = e
 	}
-	e.at, e.count = m.world.Now, h.Count
+	e.lastHeard, e.count = m.world.Now, h.Count
 	m.admitNewcomers()
-	out := news{Heard: h.Sent, Tracker: m.holder}
-	if e.shares {
+	out := heartbeatReply{Heard: h.Sent, Tracker: m.dutyHolder}
+	if e.admitted {
 		out.Count = len(m.roster)
 	}
 	m.world.Send(control, n, out)
--- a/internal/modelcheck/admissionmodel/messages.go
+++ b/internal/modelcheck/admissionmodel/messages.go
@@ -8,11 +8,11 @@
 
 // Messages between the model's processes.
 type (
-	question struct {
+	grantCall struct {
 		ID  uint64
 		Ask admission.GrantRequest
 	}
-	answer struct {
+	grantReply struct {
 		ID    uint64
 		Given admission.Grants
 	}
@@ -21,11 +21,11 @@
 		Sent  time.Duration // by the proxy's clock
 		Count int           // the live count it reckons with
 	}
-	news struct {
+	heartbeatReply struct {
 		Heard   time.Duration // Sent of the heartbeat that it answers
 		Count   int           // the live count; 0 to one that may not share yet
 		Tracker string
 	}
 	// rosterSize is the live count, sent to a tracker.
-	rosterSize struct{ Count int }
+	liveCount struct{ Count int }
 )
--- a/internal/modelcheck/admissionmodel/processes.go
+++ b/internal/modelcheck/admissionmodel/processes.go
@@ -15,10 +15,10 @@
 }
 
 // openQuestion waits for its answer.
-type openQuestion struct {
-	asked   time.Duration
-	tracker string
-	request bool // asked for a request that waits, not in the regular turn
+type pendingCall struct {
+	sentAt     time.Duration
+	tracker    string
+	forRequest bool // asked for a request that waits, not in the regular turn
 }
 
 // proxy is one proxy's process.
@@ -27,8 +27,8 @@
 	startedAt time.Duration
 	tracker   string // as control sent it
 	echo      map[string]trackerEcho
-	open      map[uint64]openQuestion
-	pressed   bool // its clients send more than the quota
+	pending   map[uint64]pendingCall
+	underLoad bool // its clients send more than the quota
 }
 
 // tracker is one tracker's process.
@@ -47,12 +47,12 @@
 }
 
 func (m *Model) startProxy(n string) {
-	m.lives++
+	m.lastIncarnation++
 	p := &proxy{
-		limiter:   admission.New(m.Slack, shards, m.lives),
+		limiter:   admission.New(m.Slack, shards, m.lastIncarnation),
 		startedAt: m.world.Now,
 		echo:      map[string]trackerEcho{},
-		open:      map[uint64]openQuestion{},
+		pending:   map[uint64]pendingCall{},
 	}
 	p.limiter.SetQuotas(0, m.quotas())
 	m.proxies[n] = p
@@ -60,9 +60,11 @@
 }
 
 func (m *Model) startTracker(n string) {
-	m.lives++
+	m.lastIncarnation++
 	t := &tracker{count: len(m.roster)}
-	t.state = admission.NewTracker(m.lives, shards, func(told int, q admission.Quota) bool { return admission.ShareTooSmall(max(told, t.count), m.Slack, q) })
+	t.state = admission.NewTracker(m.lastIncarnation, shards, func(reported int, q admission.Quota) bool {
+		return admission.ShareTooSmall(max(reported, t.count), m.Slack, q)
+	})
 	t.state.SetQuotas(m.world.Now, m.quotas())
 	m.trackers[n] = t
 	m.world.Start(n)
@@ -78,15 +80,15 @@
 
 func (m *Model) stop(n string) {
 	m.world.Stop(n)
-	m.stopped[n] = m.world.Now
+	m.stoppedAt[n] = m.world.Now
 	delete(m.proxies, n)
 	delete(m.trackers, n)
-	if n == m.holder {
+	if n == m.dutyHolder {
 		m.vacate("")
 	}
 }
 
-func (m *Model) back(n string) {
+func (m *Model) restartLater(n string) {
 	life := m.world.Life(n)
 	m.world.After(modelcheck.Stall, func() {
 		if m.world.Life(n) == life {
@@ -110,14 +112,14 @@
 func (m *Model) recv(e *modelcheck.Event) {
 	switch x := e.Msg.(type) {
 	case heartbeat:
-		m.takeHeartbeat(e.From, x)
-	case news:
-		m.takeNews(e.To, x)
-	case rosterSize:
+		m.receiveHeartbeat(e.From, x)
+	case heartbeatReply:
+		m.receiveHeartbeatReply(e.To, x)
+	case liveCount:
 		m.trackers[e.To].count = x.Count
-	case question:
-		m.world.Send(e.To, e.From, answer{x.ID, m.ask(e.To, x.Ask)})
-	case answer:
-		m.takeAnswer(e.To, x)
+	case grantCall:
+		m.world.Send(e.To, e.From, grantReply{x.ID, m.handleGrantCall(e.To, x.Ask)})
+	case grantReply:
+		m.receiveGrants(e.To, x)
 	}
 }
--- a/internal/modelcheck/admissionmodel/proxy.go
+++ b/internal/modelcheck/admissionmodel/proxy.go
@@ -11,12 +11,12 @@
 	p := m.proxies[n]
 	m.world.Send(n, control, heartbeat{m.clock(n), p.limiter.SettledProxies(m.clock(n))})
 	m.renew(n)
-	if p.pressed {
-		m.press(n, pressedArrivals)
+	if p.underLoad {
+		m.sendRequests(n, loadedArrivals)
 	}
 }
 
-func (m *Model) takeNews(n string, x news) {
+func (m *Model) receiveHeartbeatReply(n string, x heartbeatReply) {
 	p := m.proxies[n]
 	if m.clock(n)-x.Heard > constants.SubscriptionSilence {
 		return // long under way: no longer believed
@@ -31,83 +31,83 @@
 func (m *Model) renew(n string) {
 	p := m.proxies[n]
 	now := m.clock(n)
-	echo, heard := p.echo[p.tracker]
-	wants := p.limiter.BuildReports(now, func(string) (time.Duration, uint64, bool) { return echo.at, echo.time.Life, heard })
+	echo, known := p.echo[p.tracker]
+	wants := p.limiter.BuildReports(now, func(string) (time.Duration, uint64, bool) { return echo.at, echo.time.Life, known })
 	if p.tracker == "" || len(wants) == 0 && now-echo.at <= constants.ContactEvery {
 		return
 	}
-	m.askTracker(n, wants, false)
+	m.callTracker(n, wants, false)
 }
 
 // askTracker sends a question; its answer is waited for as long as the daemon waits.
-func (m *Model) askTracker(n string, wants []admission.KeyRequest, request bool) {
+func (m *Model) callTracker(n string, wants []admission.KeyRequest, request bool) {
 	p := m.proxies[n]
 	echo := p.echo[p.tracker].time
 	if m.Planted == LoanOutlives && echo.Life > 0 {
 		echo.At += 2 * constants.LendLength
 	}
-	m.ids++
-	id, life, wait := m.ids, m.world.Life(n), constants.CallTimeout
+	m.lastCallID++
+	id, life, wait := m.lastCallID, m.world.Life(n), constants.CallTimeout
 	if request {
 		wait = constants.TrackerBusy
 	}
-	p.open[id] = openQuestion{m.clock(n), p.tracker, request}
-	m.world.Send(n, p.tracker, question{id, admission.GrantRequest{Proxy: n, Wants: wants, Echo: echo, Proxies: p.limiter.Proxies(), Life: p.limiter.Incarnation(), Sent: m.clock(n)}})
+	p.pending[id] = pendingCall{m.clock(n), p.tracker, request}
+	m.world.Send(n, p.tracker, grantCall{id, admission.GrantRequest{Proxy: n, Wants: wants, Echo: echo, Proxies: p.limiter.Proxies(), Life: p.limiter.Incarnation(), Sent: m.clock(n)}})
 	m.world.After(wait, func() {
 		m.world.Act(n, func() {
 			if m.world.Life(n) == life {
-				m.unanswered(n, id)
+				m.timeOut(n, id)
 			}
 		})
 	})
 }
 
 // unanswered gives a question up.
-func (m *Model) unanswered(n string, id uint64) {
+func (m *Model) timeOut(n string, id uint64) {
 	p := m.proxies[n]
-	q, ok := p.open[id]
+	q, ok := p.pending[id]
 	if !ok {
 		return
 	}
-	delete(p.open, id)
+	delete(p.pending, id)
 	if m.trackers[q.tracker] == nil || m.Planted == StandbyTooEarly {
 		p.limiter.MarkTrackerDown(0) // nobody listens there
 	}
-	if q.request {
+	if q.forRequest {
 		p.limiter.MarkUnanswered(m.clock(n), key)
 	} else {
 		p.limiter.RequestFullReport(0)
 	}
 }
 
-func (m *Model) takeAnswer(n string, a answer) {
+func (m *Model) receiveGrants(n string, a grantReply) {
 	p := m.proxies[n]
-	q, ok := p.open[a.ID]
+	q, ok := p.pending[a.ID]
 	if !ok {
 		return // given up
 	}
-	delete(p.open, a.ID)
+	delete(p.pending, a.ID)
 	now := m.clock(n)
 	if a.Given.Refused {
-		if q.request {
+		if q.forRequest {
 			p.limiter.MarkUnanswered(now, key)
 		}
 		return
 	}
-	m.hear(n, q.tracker, a.Given.Stamp)
+	m.recordTrackerTime(n, q.tracker, a.Given.Stamp)
 	for _, g := range a.Given.Given {
-		p.limiter.ApplyGrant(now, q.asked, g)
+		p.limiter.ApplyGrant(now, q.sentAt, g)
 	}
 	if a.Given.Retell {
 		p.limiter.RequestFullReport(0)
 	}
-	if q.request {
-		m.press(n, 1)
+	if q.forRequest {
+		m.sendRequests(n, 1)
 	}
 }
 
 // hear notes a tracker's time.
-func (m *Model) hear(n, from string, s admission.TrackerTime) {
+func (m *Model) recordTrackerTime(n, from string, s admission.TrackerTime) {
 	p := m.proxies[n]
 	was := p.echo[from].time
 	if was.Life != s.Life || was.At < s.At {
@@ -121,14 +121,14 @@
 
 // press has so many clients more send requests, and goes on as long as they are let
 // through.
-func (m *Model) press(n string, arrivals int) {
+func (m *Model) sendRequests(n string, arrivals int) {
 	p := m.proxies[n]
 	for sent := 0; m.err == nil; sent++ {
 		v := p.limiter.Admit(m.clock(n), key, false)
 		if v.OK {
-			m.ran(n)
-		} else if v.AskTracker && p.tracker != "" && !p.waits() {
-			m.askTracker(n, []admission.KeyRequest{p.limiter.TokenRequest(m.clock(n), key)}, true)
+			m.recordRun(n)
+		} else if v.AskTracker && p.tracker != "" && !p.hasWaitingRequest() {
+			m.callTracker(n, []admission.KeyRequest{p.limiter.TokenRequest(m.clock(n), key)}, true)
 		} else if sent >= arrivals {
 			return
 		}
@@ -136,21 +136,21 @@
 }
 
 // waits says whether a request waits for the tracker.
-func (p *proxy) waits() bool {
-	for _, q := range p.open {
-		if q.request {
+func (p *proxy) hasWaitingRequest() bool {
+	for _, q := range p.pending {
+		if q.forRequest {
 			return true
 		}
 	}
 	return false
 }
 
-func (m *Model) ask(n string, a admission.GrantRequest) admission.Grants {
+func (m *Model) handleGrantCall(n string, a admission.GrantRequest) admission.Grants {
 	return m.trackers[n].state.HandleRequest(m.world.Now, a, func(int) (time.Duration, bool) {
-		since := m.since
+		since := m.heldSince
 		if m.Planted == TrackerAtOnce {
 			since -= 2 * constants.GrantLong
 		}
-		return since, m.holder == n
+		return since, m.dutyHolder == n
 	})
 }
--- a/internal/modelcheck/chainmodel/chainmodel.go
+++ b/internal/modelcheck/chainmodel/chainmodel.go
@@ -17,37 +17,37 @@
 // Model is the chain as package modelcheck drives it.
 type Model struct {
 	Config
-	world *modelcheck.World
-	chain map[string]*chain.Chain
-	disks map[string]*simnet.Disk
-	grid  time.Duration
-	err   error
+	world        *modelcheck.World
+	chain        map[string]*chain.Chain
+	disks        map[string]*simnet.Disk
+	nextChoiceAt time.Duration
+	err          error
 
-	faults, orders, came int
-	ids                  uint64
-	spares               []string         // machines stopped within what is tolerated, the first while all was whole
-	losses               int              // machines stopped or lost since all was whole, as long as no other trouble came
-	lossAt               time.Duration    // the latest of them
-	leaving              map[string]leave // machines that stop in order
-	last                 map[string]Order // by operator
-	highestVersion       uint64           // highest version sent
-	waiters              map[string][]waiting
-	reads                map[string]map[uint64]reading
-	evacs                map[string]map[uint64]evacuation
+	faults, orders, joined int
+	lastID                 uint64
+	toleratedStops         []string             // machines stopped within what is tolerated, the first while all was whole
+	recentLosses           int                  // machines stopped or lost since all was whole, as long as no other trouble came
+	lossAt                 time.Duration        // the latest of them
+	leaving                map[string]departure // machines that stop in order
+	lastSubmission         map[string]Order     // by operator
+	highestVersion         uint64               // highest version sent
+	pendingCalls           map[string][]pendingCall
+	pendingReads           map[string]map[uint64]pendingRead
+	pendingEvacs           map[string]map[uint64]pendingEvac
 
-	confirmed   map[uint64]string // by version: its content
-	acked       uint64            // the highest version confirmed
-	evacAcked   map[string]uint64
-	evacSent    map[uint64]time.Duration
-	views       map[uint64]string
-	viewOf      map[string]uint64
-	states      map[config.Revision]state
-	inForce     map[string]*config.Doc // of a process
-	dutyHolders map[string]*dutyHolder
-	platform    platform
-	answers     int // reads answered
-	confirms    int
-	left        int // orderly leaves that ended with a view without the leaver
+	confirmed        map[uint64]string // by version: its content
+	confirmedVersion uint64            // the highest version confirmed
+	confirmedEvacs   map[string]uint64
+	evacSentAt       map[uint64]time.Duration
+	views            map[uint64]string
+	viewNumber       map[string]uint64
+	states           map[config.Revision]committedState
+	inForce          map[string]*config.Doc // of a process
+	dutyHolders      map[string]*dutyHolder
+	platform         platform
+	readsAnswered    int // reads answered
+	confirmations    int
+	leftCount        int // orderly leaves that ended with a view without the leaver
 }
 
 // New makes one.
@@ -57,22 +57,22 @@
 
 // skip are the marks of moments that are numbers, not durations, and so differ
 // each time.
-var skip = []string{"Heartbeat.At", "Heartbeat.Echo", "Heartbeat.Wall", "Chain.readIndexAt"}
+var skippedFields = []string{"Heartbeat.At", "Heartbeat.Echo", "Heartbeat.Wall", "Chain.readIndexAt"}
 
 // Reset goes back to the start, as package modelcheck asks.
 func (m *Model) Reset() {
 	m.world = modelcheck.NewWorld(constants.ChainTick, m.tick, m.recv)
 	m.chain, m.disks = map[string]*chain.Chain{}, map[string]*simnet.Disk{}
-	m.grid, m.err = m.Warm, nil
-	m.faults, m.orders, m.came, m.ids, m.highestVersion = 0, 0, 0, 0, 0
-	m.spares, m.losses, m.lossAt, m.leaving = nil, 0, 0, map[string]leave{}
-	m.last, m.waiters = map[string]Order{}, map[string][]waiting{}
-	m.reads, m.evacs = map[string]map[uint64]reading{}, map[string]map[uint64]evacuation{}
-	m.confirmed, m.acked, m.evacAcked = map[uint64]string{}, 0, map[string]uint64{}
-	m.evacSent = map[uint64]time.Duration{}
-	m.views, m.viewOf, m.states, m.inForce = map[uint64]string{}, map[string]uint64{}, map[config.Revision]state{}, map[string]*config.Doc{}
-	m.answers, m.confirms, m.left = 0, 0, 0
-	m.dutyHolders, m.platform = map[string]*dutyHolder{}, platform{holderOf: map[uint64]string{}, bodies: map[uint64]string{}}
+	m.nextChoiceAt, m.err = m.Warm, nil
+	m.faults, m.orders, m.joined, m.lastID, m.highestVersion = 0, 0, 0, 0, 0
+	m.toleratedStops, m.recentLosses, m.lossAt, m.leaving = nil, 0, 0, map[string]departure{}
+	m.lastSubmission, m.pendingCalls = map[string]Order{}, map[string][]pendingCall{}
+	m.pendingReads, m.pendingEvacs = map[string]map[uint64]pendingRead{}, map[string]map[uint64]pendingEvac{}
+	m.confirmed, m.confirmedVersion, m.confirmedEvacs = map[uint64]string{}, 0, map[string]uint64{}
+	m.evacSentAt = map[uint64]time.Duration{}
+	m.views, m.viewNumber, m.states, m.inForce = map[uint64]string{}, map[string]uint64{}, map[config.Revision]committedState{}, map[string]*config.Doc{}
+	m.readsAnswered, m.confirmations, m.leftCount = 0, 0, 0
+	m.dutyHolders, m.platform = map[string]*dutyHolder{}, platform{fenceHolder: map[uint64]string{}, bodies: map[uint64]string{}}
 	for _, n := range names[:m.Founders] {
 		m.start(n, true)
 	}
@@ -83,12 +83,12 @@
 // healthy checks what must hold at every moment.
 func (m *Model) healthy() bool {
 	if m.Duties {
-		m.oneHolder()
+		m.checkOneHolder()
 	}
 	return m.err == nil
 }
 
-func (m *Model) broken(rule, f string, a ...any) {
+func (m *Model) fail(rule, f string, a ...any) {
 	if m.err == nil {
 		m.err = modelcheck.Broken(rule, "at %v: %s", m.world.Now, fmt.Sprintf(f, a...))
 	}
@@ -99,16 +99,16 @@
 
 // Hash distinguishes states, as package modelcheck asks.
 func (m *Model) Hash() uint64 {
-	a := modelcheck.Abstraction{LongAgo: m.LongAgo, Skip: skip}
-	parts := []any{m.spares, m.losses, m.lossAt == m.world.Trouble, m.leaving, m.faults, m.orders, m.came, m.highestVersion, m.last, m.confirmed, m.evacAcked, m.evacSent, m.states, m.views, m.grid, int(min(m.world.Now-m.world.Trouble, m.CatchUp))}
+	a := modelcheck.Abstraction{LongAgo: m.LongAgo, Skip: skippedFields}
+	parts := []any{m.toleratedStops, m.recentLosses, m.lossAt == m.world.Trouble, m.leaving, m.faults, m.orders, m.joined, m.highestVersion, m.lastSubmission, m.confirmed, m.confirmedEvacs, m.evacSentAt, m.states, m.views, m.nextChoiceAt, int(min(m.world.Now-m.world.Trouble, m.CatchUp))}
 	for _, n := range m.world.Names {
-		parts = append(parts, n, m.disks[n], m.inForce[n] != nil, m.waiters[n], m.reads[n], m.evacs[n])
+		parts = append(parts, n, m.disks[n], m.inForce[n] != nil, m.pendingCalls[n], m.pendingReads[n], m.pendingEvacs[n])
 		if c := m.chain[n]; c != nil {
 			parts = append(parts, c)
 		}
 	}
 	if m.Duties {
-		parts = append(parts, m.dutiesHash(a))
+		parts = append(parts, m.hashDuties(a))
 	}
 	return a.Digest(m.world.Now, m.world.Hash(a), a.Digest(m.world.Now, parts...))
 }
--- a/internal/modelcheck/chainmodel/chainmodel_test.go
+++ b/internal/modelcheck/chainmodel/chainmodel_test.go
@@ -9,7 +9,7 @@
 )
 
 // found are schedules that broke a rule once, as the model checker printed them.
-var found = []struct {
+var regressions = []struct {
 	rule     string
 	schedule modelcheck.Schedule
 }{
@@ -29,7 +29,7 @@
 }
 
 func TestFound(t *testing.T) {
-	for _, f := range found {
+	for _, f := range regressions {
 		t.Run(f.rule+"/"+f.schedule.String(), func(t *testing.T) {
 			if err := modelcheck.Replay(New(Small()), f.schedule); err != nil {
 				t.Error(err)
@@ -77,8 +77,8 @@
 	if err := modelcheck.Replay(m, modelcheck.Schedule{"+2", "isolate a", "+10", "join", "+3", "outage", "+2", "recover", "freeze b", "+6", "thaw b"}); err != nil {
 		t.Error(err)
 	}
-	if m.platform.taken < 8 || len(m.platform.holderOf) < 2 {
-		t.Errorf("%d acts under %d fences: too few to mean anything", m.platform.taken, len(m.platform.holderOf))
+	if m.platform.accepted < 8 || len(m.platform.fenceHolder) < 2 {
+		t.Errorf("%d acts under %d fences: too few to mean anything", m.platform.accepted, len(m.platform.fenceHolder))
 	}
 }
 
@@ -121,8 +121,8 @@
 		{modelcheck.Schedule{"quit a", "+2", "start a", "+4", "quit b", "+2"}, 2},
 		{modelcheck.Schedule{"isolate a", "quit a", "+2"}, 0},
 	} {
-		if err := modelcheck.Replay(m, s.schedule); err != nil || m.left != s.left {
-			t.Errorf("%v: %d left with a view without them, want %d; %v", s.schedule, m.left, s.left, err)
+		if err := modelcheck.Replay(m, s.schedule); err != nil || m.leftCount != s.left {
+			t.Errorf("%v: %d left with a view without them, want %d; %v", s.schedule, m.leftCount, s.left, err)
 		}
 	}
 }
@@ -140,7 +140,7 @@
 			t.Fatal("two runs differ")
 		}
 	}
-	if a.answers != 3 || a.confirms < 4 {
-		t.Errorf("%d reads answered and %d orders confirmed", a.answers, a.confirms)
+	if a.readsAnswered != 3 || a.confirmations < 4 {
+		t.Errorf("%d reads answered and %d orders confirmed", a.readsAnswered, a.confirmations)
 	}
 }
--- a/internal/modelcheck/chainmodel/choices.go
+++ b/internal/modelcheck/chainmodel/choices.go
@@ -13,7 +13,7 @@
 )
 
 // regular says whether a message is one that machines send all the time.
-func regular(msg any) bool {
+func periodic(msg any) bool {
 	switch msg.(type) {
 	case chain.Heartbeat, lease.Request, lease.Grant:
 		return true
@@ -21,8 +21,8 @@
 	return false
 }
 
-func (m *Model) atMessage() *modelcheck.Event {
-	if e := m.world.Head(); m.Messages && e != nil && !regular(e.Msg) {
+func (m *Model) nextProtocolMessage() *modelcheck.Event {
+	if e := m.world.Head(); m.Messages && e != nil && !periodic(e.Msg) {
 		return e
 	}
 	return nil
@@ -47,22 +47,22 @@
 
 // mayLose says whether one more machine, or disk, may be lost by what is promised:
 // all is whole, or nothing but tolerated losses has happened since it was.
-func (m *Model) mayLose() bool {
-	return m.allHealthy() || m.losses > 0 && m.losses < m.Tolerate && m.world.Trouble == m.lossAt
+func (m *Model) mayLoseMachine() bool {
+	return m.allHealthy() || m.recentLosses > 0 && m.recentLosses < m.Tolerate && m.world.Trouble == m.lossAt
 }
 
 // lose notes that a machine is stopped or lost; spare says that the others have to
 // do without it.
-func (m *Model) lose(n string, spare bool) {
+func (m *Model) recordLoss(n string, spare bool) {
 	if m.allHealthy() {
-		m.losses, m.spares = 0, nil
-	} else if !m.mayLose() {
+		m.recentLosses, m.toleratedStops = 0, nil
+	} else if !m.mayLoseMachine() {
 		return
 	}
-	m.losses++
+	m.recentLosses++
 	m.lossAt = m.world.Now
 	if spare {
-		m.spares = append(m.spares, n)
+		m.toleratedStops = append(m.toleratedStops, n)
 	}
 }
 
@@ -79,7 +79,7 @@
 		choices.LeaveOut(faultKinds)
 	}
 	add := choices.Add
-	if e := m.atMessage(); e != nil {
+	if e := m.nextProtocolMessage(); e != nil {
 		add(m.world.OnHead()...)
 	}
 	m.processChoices(add)
@@ -89,8 +89,8 @@
 	} else if m.Duties {
 		add("outage")
 	}
-	if m.came < m.Newcomers {
-		add("come " + names[m.Founders+m.came])
+	if m.joined < m.Newcomers {
+		add("come " + names[m.Founders+m.joined])
 	}
 	add(m.world.Freezes()...)
 	add(m.world.Paths()...)
@@ -124,7 +124,7 @@
 			add("fill " + n)
 		}
 	}
-	if !m.mayLose() {
+	if !m.mayLoseMachine() {
 		return
 	}
 	for _, n := range m.world.Names {
@@ -143,10 +143,10 @@
 		for i := range m.Operators {
 			p := string(rune('p' + i))
 			add(fmt.Sprintf("order %s at %s: r%d", p, n, m.highestVersion+1))
-			if m.highestVersion > 0 && m.last[p].Version != m.highestVersion {
+			if m.highestVersion > 0 && m.lastSubmission[p].Version != m.highestVersion {
 				add(fmt.Sprintf("order %s at %s: r%d", p, n, m.highestVersion))
 			}
-			if m.last[p].Version > 0 {
+			if m.lastSubmission[p].Version > 0 {
 				add(fmt.Sprintf("again %s at %s", p, n))
 			}
 		}
@@ -157,7 +157,7 @@
 // Apply has one of the choices happen, as package modelcheck asks.
 func (m *Model) Apply(n int) {
 	if n == 0 {
-		m.grid = m.world.RunDefault(m.grid, m.Step, func(*modelcheck.Event) bool { return m.atMessage() != nil }, m.healthy)
+		m.nextChoiceAt = m.world.RunDefault(m.nextChoiceAt, m.Step, func(*modelcheck.Event) bool { return m.nextProtocolMessage() != nil }, m.healthy)
 		return
 	}
 	choice := m.Choices()[n]
@@ -168,26 +168,26 @@
 	if m.world.Do(choice) {
 		return
 	}
-	if m.applyOrder(f) {
+	if m.applyOperatorChoice(f) {
 		return // no trouble
 	}
-	m.applyTrouble(f)
+	m.applyMachineChoice(f)
 	m.world.Trouble = m.world.Now
 }
 
 // applyTrouble has something happen to a machine or to the platform.
-func (m *Model) applyTrouble(f []string) {
+func (m *Model) applyMachineChoice(f []string) {
 	switch f[0] {
 	case "restart":
 		m.stop(f[1])
 		m.restartLater(f[1])
 	case "stop":
-		m.lose(f[1], true)
+		m.recordLoss(f[1], true)
 		m.stop(f[1])
 	case "quit", "depart":
-		m.quit(f[1], f[0] == "depart")
+		m.shutDown(f[1], f[0] == "depart")
 	case "start":
-		m.spares = nil
+		m.toleratedStops = nil
 		m.start(f[1], false)
 	case "power":
 		for _, n := range m.world.Names {
@@ -199,30 +199,30 @@
 	case "outage", "recover":
 		m.platform.down = f[0] == "outage"
 	case "wipe":
-		m.lose(f[1], false)
+		m.recordLoss(f[1], false)
 		m.stop(f[1])
 		m.disks[f[1]] = simnet.NewDisk()
 		m.restartLater(f[1])
 	case "leave":
-		m.lose(f[1], false)
+		m.recordLoss(f[1], false)
 		m.stop(f[1])
 		m.world.Leave(f[1])
 	case "come":
-		m.came++
+		m.joined++
 		m.start(f[1], false)
 	}
 }
 
 // applyOrder has an operator order or read something, and says whether the choice was that.
-func (m *Model) applyOrder(f []string) bool {
+func (m *Model) applyOperatorChoice(f []string) bool {
 	switch f[0] {
 	case "order":
 		m.orders++
 		version, _ := strconv.ParseUint(strings.TrimPrefix(f[4], "r"), 10, 64)
-		m.order(strings.TrimSuffix(f[3], ":"), Order{f[1], version, fmt.Sprintf("r%d by %s", version, f[1])})
+		m.submitConfig(strings.TrimSuffix(f[3], ":"), Order{f[1], version, fmt.Sprintf("r%d by %s", version, f[1])})
 	case "again":
 		m.orders++
-		m.order(f[3], m.last[f[1]])
+		m.submitConfig(f[3], m.lastSubmission[f[1]])
 	case "read":
 		m.orders++
 		m.read(f[1])
--- a/internal/modelcheck/chainmodel/duties.go
+++ b/internal/modelcheck/chainmodel/duties.go
@@ -24,9 +24,9 @@
 )
 
 const (
-	dutyName = "usage"
-	turn     = 6 * time.Second // within which no two holders may take turns
-	actEvery = time.Second
+	dutyName          = "usage"
+	alternationWindow = 6 * time.Second // within which no two holders may take turns
+	actInterval       = time.Second
 )
 
 // dutyHolder are one machine's leases and its part in the duty.
@@ -36,19 +36,19 @@
 }
 
 // act is one that the platform has taken.
-type act struct {
+type platformAction struct {
 	at     time.Duration
 	holder string
 }
 
 // platform is the stand-in: it refuses fences below the highest it has seen.
 type platform struct {
-	down     bool
-	fence    uint64
-	holderOf map[uint64]string // fence: whose
-	bodies   map[uint64]string // key: what was sent
-	acts     []act
-	taken    int
+	down          bool
+	fence         uint64
+	fenceHolder   map[uint64]string // fence: whose
+	bodies        map[uint64]string // key: what was sent
+	recentActions []platformAction
+	accepted      int
 }
 
 func (m *Model) startDuties(n string) {
@@ -58,7 +58,7 @@
 	life := uint64(m.world.Life(n)+1)<<32 | uint64(n[0])
 	m.dutyHolders[n] = &dutyHolder{
 		lease:  lease.New(m.world.Now, life, n, []string{dutyName}),
-		holder: duty.NewHolder(dutyName, n, turn, 50, rand.New(rand.NewPCG(life, 2))),
+		holder: duty.NewHolder(dutyName, n, alternationWindow, 50, rand.New(rand.NewPCG(life, 2))),
 	}
 }
 
@@ -75,8 +75,8 @@
 	if d := c.Committed(); d != nil {
 		rec = d.Duties[dutyName]
 	}
-	m.carryOut(n, o.holder.Step(m.world.Now, o.lease.Until(m.world.Now, dutyName), rec, func(after uint64) (uint64, []byte, bool) {
-		key := uint64(m.world.Now / actEvery)
+	m.applyDutyEffects(n, o.holder.Step(m.world.Now, o.lease.Until(m.world.Now, dutyName), rec, func(after uint64) (uint64, []byte, bool) {
+		key := uint64(m.world.Now / actInterval)
 		return key, []byte(n + strconv.FormatUint(key, 10)), key > after
 	}))
 }
@@ -99,7 +99,7 @@
 	return false
 }
 
-func (m *Model) carryOut(n string, out []duty.Effect) {
+func (m *Model) applyDutyEffects(n string, out []duty.Effect) {
 	for _, x := range out {
 		switch x := x.(type) {
 		case duty.Order:
@@ -108,7 +108,7 @@
 			m.sendLease(n, m.dutyHolders[n].lease.Leave(m.world.Now, dutyName))
 		case duty.Act:
 			if _, ok := m.dutyHolders[n].lease.Holds(m.world.Now, dutyName); !ok {
-				m.broken(RuleLeased, "%s sends key %d under fence %d", n, x.Key, x.Fence)
+				m.fail(RuleLeased, "%s sends key %d under fence %d", n, x.Key, x.Fence)
 			}
 			life := m.world.Life(n)
 			m.world.After(modelcheck.Delay, func() { m.post(n, life, x) })
@@ -122,74 +122,74 @@
 	if f.down {
 		return
 	}
-	if was, ok := f.holderOf[p.Fence]; ok && was != n {
-		m.broken(RuleOneFence, "fence %d is sent by %s and by %s", p.Fence, was, n)
+	if was, ok := f.fenceHolder[p.Fence]; ok && was != n {
+		m.fail(RuleOneFence, "fence %d is sent by %s and by %s", p.Fence, was, n)
 	}
-	f.holderOf[p.Fence] = n
+	f.fenceHolder[p.Fence] = n
 	status := 409
 	if p.Fence >= f.fence {
 		status, f.fence = 200, p.Fence
 		if was, ok := f.bodies[p.Key]; ok && was != string(p.Body) {
-			m.broken(RuleOneAct, "key %d is sent as %s and as %s", p.Key, was, p.Body)
+			m.fail(RuleOneAct, "key %d is sent as %s and as %s", p.Key, was, p.Body)
 		}
 		f.bodies[p.Key] = string(p.Body)
-		f.acts = append(f.acts, act{m.world.Now, n})
-		f.taken++
-		m.checkTurns()
+		f.recentActions = append(f.recentActions, platformAction{m.world.Now, n})
+		f.accepted++
+		m.checkAlternation()
 	}
 	m.world.After(modelcheck.Delay, func() {
 		if m.world.Life(n) == life && m.world.Up(n) {
-			m.world.Act(n, func() { m.carryOut(n, m.dutyHolders[n].holder.Answered(m.world.Now, p.ID, status)) })
+			m.world.Act(n, func() { m.applyDutyEffects(n, m.dutyHolders[n].holder.Answered(m.world.Now, p.ID, status)) })
 		}
 	})
 }
 
 // checkTurns looks whether the newest act ends an A-B-A inside the lease bound.
-func (m *Model) checkTurns() {
+func (m *Model) checkAlternation() {
 	f := &m.platform
-	last, other := f.acts[len(f.acts)-1], false
-	for i := len(f.acts) - 2; i >= 0 && last.at-f.acts[i].at < turn; i-- {
-		if f.acts[i].holder != last.holder {
+	last, other := f.recentActions[len(f.recentActions)-1], false
+	for i := len(f.recentActions) - 2; i >= 0 && last.at-f.recentActions[i].at < alternationWindow; i-- {
+		if f.recentActions[i].holder != last.holder {
 			other = true
 		} else if other {
-			m.broken(RuleTurns, "%s acts again %v after another did", last.holder, last.at-f.acts[i].at)
+			m.fail(RuleTurns, "%s acts again %v after another did", last.holder, last.at-f.recentActions[i].at)
 		}
 	}
-	f.acts = f.acts[max(0, len(f.acts)-200):]
+	f.recentActions = f.recentActions[max(0, len(f.recentActions)-200):]
 }
 
-func (m *Model) holders() (who []string) {
+func (m *Model) holders() (holders []string) {
 	for _, n := range m.world.Names {
 		if o := m.dutyHolders[n]; o != nil && m.world.Up(n) {
 			if _, ok := o.lease.Holds(m.world.Now, dutyName); ok {
-				who = append(who, n)
+				holders = append(holders, n)
 			}
 		}
 	}
-	return who
+	return holders
 }
 
-func (m *Model) oneHolder() {
+func (m *Model) checkOneHolder() {
 	if who := m.holders(); len(who) > 1 {
-		m.broken(RuleOneHolder, "held by %s", strings.Join(who, " and "))
+		m.fail(RuleOneHolder, "held by %s", strings.Join(who, " and "))
 	}
 }
 
 // quietDuties: there is one holder, and what it decides is taken.
-func (m *Model) quietDuties() {
+func (m *Model) checkDutyProgress() {
 	if m.err == nil && len(m.holders()) != 1 {
-		m.broken(RuleHeld, "held by %d machines after %v of quiet: %s", len(m.holders()), m.Settle, m.describe())
+		m.fail(RuleHeld, "held by %d machines after %v of quiet: %s", len(m.holders()), m.Settle, m.describe())
 	}
-	was, until := m.platform.taken, m.world.Now+turn+m.Serve
-	m.world.Run(until, nil, func() bool { return m.healthy() && m.platform.taken == was })
-	if m.err == nil && m.platform.taken == was {
-		m.broken(RuleActs, "none in %v: %s", turn+m.Serve, m.describe())
+	was, until := m.platform.accepted, m.world.Now+alternationWindow+m.Serve
+	m.world.Run(until, nil, func() bool { return m.healthy() && m.platform.accepted == was })
+	if m.err == nil && m.platform.accepted == was {
+		m.fail(RuleActs, "none in %v: %s", alternationWindow+m.Serve, m.describe())
 	}
 }
 
 // dutiesHash is of what the duties' coming depends on.
-func (m *Model) dutiesHash(a modelcheck.Abstraction) uint64 {
-	parts := []any{m.platform.down, m.platform.fence, m.platform.acts[max(0, len(m.platform.acts)-3):], int(m.world.Now % actEvery)}
+func (m *Model) hashDuties(a modelcheck.Abstraction) uint64 {
+	parts := []any{m.platform.down, m.platform.fence, m.platform.recentActions[max(0, len(m.platform.recentActions)-3):], int(m.world.Now % actInterval)}
 	for _, n := range m.world.Names {
 		if m.world.Up(n) {
 			parts = append(parts, n, m.dutyHolders[n])
--- a/internal/modelcheck/chainmodel/machines.go
+++ b/internal/modelcheck/chainmodel/machines.go
@@ -26,15 +26,15 @@
 	c, err := chain.New(m.world.Now, n, slices.Clone(peers), founding, m.disks[n], rng)
 	if err != nil {
 		if !m.disks[n].Refuse {
-			m.broken(RuleStarts, "%s: %v", n, err)
+			m.fail(RuleStarts, "%s: %v", n, err)
 		}
 		return // it stays down
 	}
 	c.MaxMachineFailures = m.Tolerate
 	m.chain[n] = c
-	m.inForce[n], m.waiters[n] = nil, nil
-	m.reads[n], m.evacs[n] = map[uint64]reading{}, map[uint64]evacuation{}
-	m.viewOf[n] = 0
+	m.inForce[n], m.pendingCalls[n] = nil, nil
+	m.pendingReads[n], m.pendingEvacs[n] = map[uint64]pendingRead{}, map[uint64]pendingEvac{}
+	m.viewNumber[n] = 0
 	m.startDuties(n)
 	m.world.Start(n)
 }
@@ -43,7 +43,7 @@
 	m.world.Stop(n)
 	delete(m.leaving, n)
 	m.chain[n], m.dutyHolders[n] = nil, nil
-	m.waiters[n], m.reads[n], m.evacs[n] = nil, nil, nil
+	m.pendingCalls[n], m.pendingReads[n], m.pendingEvacs[n] = nil, nil, nil
 }
 
 // restartLater starts a stopped machine a little later.
@@ -59,41 +59,41 @@
 
 // quit stops a machine in order, as its daemon does: its leases are handed over, the
 // others are notified, and it waits for a view without it, if they can make one.
-func (m *Model) quit(n string, forGood bool) {
+func (m *Model) shutDown(n string, forGood bool) {
 	well := m.allHealthy() && m.chain[n].CanLeave() && len(m.leaving) == 0
-	m.lose(n, true)
+	m.recordLoss(n, true)
 	if o := m.dutyHolders[n]; o != nil {
 		m.sendLease(n, o.lease.Leave(m.world.Now))
 	}
-	m.leaving[n] = leave{m.world.Now, m.world.Life(n), m.faults, forGood, well}
+	m.leaving[n] = departure{m.world.Now, m.world.Life(n), m.faults, forGood, well}
 	m.run(n, func(c *chain.Chain) []chain.Effect { return c.Leave(m.world.Now) })
-	m.awaitLeft(n, m.leaving[n])
+	m.awaitDeparture(n, m.leaving[n])
 }
 
 // leave is a machine's orderly stop under way.
-type leave struct {
-	began   time.Duration
-	life    int
-	faults  int // so far; with one more it may take longer
-	forGood bool
-	well    bool // all was whole as it began: it has to end in time
+type departure struct {
+	startedAt   time.Duration
+	incarnation int
+	faults      int // so far; with one more it may take longer
+	forGood     bool
+	checked     bool // all was whole as it began: it has to end in time
 }
 
-func (m *Model) awaitLeft(n string, l leave) {
+func (m *Model) awaitDeparture(n string, l departure) {
 	c := m.chain[n]
-	if m.world.Life(n) != l.life || c == nil {
+	if m.world.Life(n) != l.incarnation || c == nil {
 		return // stopped before
 	}
-	late := m.world.Now-l.began >= constants.LeaveWait
+	late := m.world.Now-l.startedAt >= constants.LeaveWait
 	if !c.HasLeft() && c.CanLeave() && !late || m.world.Frozen(n) {
-		m.world.After(constants.ChainTick/2, func() { m.awaitLeft(n, l) })
+		m.world.After(constants.ChainTick/2, func() { m.awaitDeparture(n, l) })
 		return
 	}
-	if !c.HasLeft() && l.well && m.faults == l.faults {
-		m.broken(RuleLeaves, "%s stops after %v and is still a member: %s", n, m.world.Now-l.began, m.describe())
+	if !c.HasLeft() && l.checked && m.faults == l.faults {
+		m.fail(RuleLeaves, "%s stops after %v and is still a member: %s", n, m.world.Now-l.startedAt, m.describe())
 	}
 	if c.HasLeft() {
-		m.left++
+		m.leftCount++
 	}
 	m.stop(n)
 	if l.forGood {
@@ -125,9 +125,9 @@
 		case chain.Send:
 			switch s := o.Msg.(type) {
 			case chain.Promise:
-				m.votes(c, before, s.Slot, "promises")
+				m.checkVote(c, before, s.Slot, "promises")
 			case chain.Accepted:
-				m.votes(c, before, s.Slot, "accepts")
+				m.checkVote(c, before, s.Slot, "accepts")
 			}
 			m.world.Send(n, o.To, o.Msg)
 		case chain.Commit:
@@ -136,8 +136,8 @@
 			m.readDone(n, o)
 		}
 	}
-	if v := c.View(); v.Num != m.viewOf[n] {
-		m.viewOf[n] = v.Num
-		m.view(n, v)
+	if v := c.View(); v.Num != m.viewNumber[n] {
+		m.viewNumber[n] = v.Num
+		m.checkView(n, v)
 	}
 }
--- a/internal/modelcheck/chainmodel/operators.go
+++ b/internal/modelcheck/chainmodel/operators.go
@@ -25,30 +25,30 @@
 }
 
 // submit hands an order to a machine.
-func submit(c *chain.Chain, now time.Duration, o Order) []chain.Effect {
+func submitTo(c *chain.Chain, now time.Duration, o Order) []chain.Effect {
 	return c.Submit(now, config.Doc{Version: o.Version, Raw: []byte(o.Content)})
 }
 
 // waiting is a call of an operator that has no answer yet.
-type waiting struct {
+type pendingCall struct {
 	Order
-	at time.Duration
+	submittedAt time.Duration
 }
 
-type reading struct {
-	began   time.Duration
-	version uint64            // confirmed when it began
-	evacs   map[string]uint64 // likewise, by zone
+type pendingRead struct {
+	startedAt        time.Duration
+	confirmedVersion uint64            // confirmed when it began
+	confirmedEvacs   map[string]uint64 // likewise, by zone
 }
 
-type evacuation struct {
+type pendingEvac struct {
 	zone string
 	on   bool
 }
 
 // order sends an operator's configuration to a machine.
-func (m *Model) order(n string, o Order) {
-	m.last[o.Operator] = o
+func (m *Model) submitConfig(n string, o Order) {
+	m.lastSubmission[o.Operator] = o
 	m.highestVersion = max(m.highestVersion, o.Version)
 	if m.chain[n] == nil || m.world.Frozen(n) {
 		return // no answer
@@ -57,21 +57,21 @@
 		m.confirm(n, o)
 		return
 	}
-	m.waiters[n] = append(m.waiters[n], waiting{o, m.world.Now})
-	m.run(n, func(c *chain.Chain) []chain.Effect { return submit(c, m.world.Now, o) })
+	m.pendingCalls[n] = append(m.pendingCalls[n], pendingCall{o, m.world.Now})
+	m.run(n, func(c *chain.Chain) []chain.Effect { return submitTo(c, m.world.Now, o) })
 }
 
 func (m *Model) read(n string) {
 	if m.chain[n] == nil || m.world.Frozen(n) {
 		return
 	}
-	m.ids++
+	m.lastID++
 	evacs := map[string]uint64{}
-	for z, k := range m.evacAcked {
+	for z, k := range m.confirmedEvacs {
 		evacs[z] = k
 	}
-	m.reads[n][m.ids] = reading{m.world.Now, m.acked, evacs}
-	id := m.ids
+	m.pendingReads[n][m.lastID] = pendingRead{m.world.Now, m.confirmedVersion, evacs}
+	id := m.lastID
 	m.run(n, func(c *chain.Chain) []chain.Effect { return c.Read(m.world.Now, id) })
 }
 
@@ -79,9 +79,9 @@
 	if m.chain[n] == nil || m.world.Frozen(n) {
 		return
 	}
-	m.ids++
-	id := m.ids
-	m.evacSent[id] = m.world.Now
-	m.evacs[n][id] = evacuation{"z", on}
+	m.lastID++
+	id := m.lastID
+	m.evacSentAt[id] = m.world.Now
+	m.pendingEvacs[n][id] = pendingEvac{"z", on}
 	m.run(n, func(c *chain.Chain) []chain.Effect { return c.Evacuate(m.world.Now, id, "z", on) })
 }
--- a/internal/modelcheck/chainmodel/quiet.go
+++ b/internal/modelcheck/chainmodel/quiet.go
@@ -21,31 +21,31 @@
 	if len(m.leaving) > 0 {
 		m.world.Run(m.world.Now+constants.LeaveWait+constants.ChainTick, nil, m.healthy)
 	}
-	spared := true
+	tolerated := true
 	down := 0
 	for _, n := range m.world.Names {
 		if m.chain[n] == nil {
 			down++
-			spared = spared && slices.Contains(m.spares, n)
+			tolerated = tolerated && slices.Contains(m.toleratedStops, n)
 		}
 	}
-	if down > 0 && spared {
-		m.serve()
+	if down > 0 && tolerated {
+		m.checkService()
 	}
 	for _, n := range slices.Clone(m.world.Names) {
 		if m.chain[n] == nil {
 			m.start(n, false)
 		}
 	}
-	m.serve()
+	m.checkService()
 	return m.err
 }
 
 // serve lets things settle and asks each machine that is up for its service.
-func (m *Model) serve() {
+func (m *Model) checkService() {
 	m.world.Run(m.world.Now+m.Settle, nil, m.healthy)
 	if m.Duties {
-		m.quietDuties()
+		m.checkDutyProgress()
 	}
 	var up []string
 	for _, n := range m.world.Names {
@@ -58,21 +58,21 @@
 		confirmed := func() bool { _, ok := m.confirmed[o.Version]; return ok }
 		until := m.world.Now + m.Serve
 		for m.err == nil && !confirmed() && m.world.Now < until {
-			m.order(n, o)
+			m.submitConfig(n, o)
 			m.world.Run(m.world.Now+constants.SubmitWait, nil, func() bool { return m.healthy() && !confirmed() })
 		}
 		if m.err == nil && !confirmed() {
-			m.broken(RuleServes, "%s: nothing confirmed in %v of quiet and %v: %s", n, m.Settle, m.Serve, m.describe())
+			m.fail(RuleServes, "%s: nothing confirmed in %v of quiet and %v: %s", n, m.Settle, m.Serve, m.describe())
 		}
 	}
 	for _, n := range up {
-		was, until := m.answers, m.world.Now+m.Serve
-		for m.err == nil && m.answers == was && m.world.Now < until {
+		was, until := m.readsAnswered, m.world.Now+m.Serve
+		for m.err == nil && m.readsAnswered == was && m.world.Now < until {
 			m.read(n)
-			m.world.Run(m.world.Now+constants.SubmitWait, nil, func() bool { return m.healthy() && m.answers == was })
+			m.world.Run(m.world.Now+constants.SubmitWait, nil, func() bool { return m.healthy() && m.readsAnswered == was })
 		}
-		if m.err == nil && m.answers == was {
-			m.broken(RuleAnswers, "%s: no read answered in %v of quiet and %v: %s", n, m.Settle, m.Serve, m.describe())
+		if m.err == nil && m.readsAnswered == was {
+			m.fail(RuleAnswers, "%s: no read answered in %v of quiet and %v: %s", n, m.Settle, m.Serve, m.describe())
 		}
 	}
 }
--- a/internal/modelcheck/chainmodel/rules.go
+++ b/internal/modelcheck/chainmodel/rules.go
@@ -9,27 +9,27 @@
 	"slateridge/internal/controlplane/chain"
 )
 
-type state struct {
+type committedState struct {
 	version uint64
 	content string
 }
 
-func (m *Model) votes(c *chain.Chain, before chain.View, slot uint64, does string) {
+func (m *Model) checkVote(c *chain.Chain, before chain.View, slot uint64, does string) {
 	for _, v := range []chain.View{before, c.View()} {
 		if v.Num+1 == slot && slices.Contains(v.Voters, c.Me) {
 			return
 		}
 	}
-	m.broken(RuleVoters, "%v %s for view %d, and knows view %d with the voters %v", c.Me, does, slot, before.Num, before.Voters)
+	m.fail(RuleVoters, "%v %s for view %d, and knows view %d with the voters %v", c.Me, does, slot, before.Num, before.Voters)
 }
 
-func (m *Model) view(n string, v chain.View) {
+func (m *Model) checkView(n string, v chain.View) {
 	if v.Num == 0 {
 		return
 	}
 	is := fmt.Sprint(v.Members, " of ", v.Voters)
 	if was, ok := m.views[v.Num]; ok && was != is {
-		m.broken(RuleOneView, "%s takes view %d to be %s, it was %s", n, v.Num, is, was)
+		m.fail(RuleOneView, "%s takes view %d to be %s, it was %s", n, v.Num, is, was)
 	}
 	m.views[v.Num] = is
 }
@@ -37,23 +37,23 @@
 // commit checks a state that a machine now knows to be in force.
 func (m *Model) commit(n string, d config.Doc) {
 	if was := m.inForce[n]; was != nil && d.Stamp.Less(was.Stamp) {
-		m.broken(RuleForward, "%s goes back from %v to %v", n, was.Stamp, d.Stamp)
+		m.fail(RuleForward, "%s goes back from %v to %v", n, was.Stamp, d.Stamp)
 	}
 	m.inForce[n] = &d
 	m.checkState(n, d)
 	if was, ok := m.confirmed[d.Version]; ok && was != string(d.Raw) {
-		m.broken(RuleOneContent, "%s has r%d %q in force, %q was confirmed", n, d.Version, d.Raw, was)
+		m.fail(RuleOneContent, "%s has r%d %q in force, %q was confirmed", n, d.Version, d.Raw, was)
 	}
-	m.waiters[n] = slices.DeleteFunc(m.waiters[n], func(w waiting) bool { return m.world.Now-w.at > constants.SubmitWait })
-	var left []waiting
-	for _, w := range m.waiters[n] {
+	m.pendingCalls[n] = slices.DeleteFunc(m.pendingCalls[n], func(w pendingCall) bool { return m.world.Now-w.submittedAt > constants.SubmitWait })
+	var remaining []pendingCall
+	for _, w := range m.pendingCalls[n] {
 		if !Confirms(&d, w.Order) {
-			left = append(left, w)
+			remaining = append(remaining, w)
 		} else {
 			m.confirm(n, w.Order)
 		}
 	}
-	m.waiters[n] = left
+	m.pendingCalls[n] = remaining
 	for zone, e := range d.Evac {
 		m.commitEvacuation(n, zone, e)
 	}
@@ -61,20 +61,20 @@
 
 // checkState checks that a revision stands for one state, and that versions rise with it.
 func (m *Model) checkState(n string, d config.Doc) {
-	is := state{d.Version, string(d.Raw)}
+	state := committedState{d.Version, string(d.Raw)}
 	was, ok := m.states[d.Stamp]
 	if ok {
-		if was != is {
-			m.broken(RuleOneState, "%s commits r%d %q at %v, it was r%d %q", n, is.version, is.content, d.Stamp, was.version, was.content)
+		if was != state {
+			m.fail(RuleOneState, "%s commits r%d %q at %v, it was r%d %q", n, state.version, state.content, d.Stamp, was.version, was.content)
 		}
 		return
 	}
-	for s, o := range m.states {
-		if s.Less(d.Stamp) && o.version > is.version || d.Stamp.Less(s) && o.version < is.version {
-			m.broken(RuleForward, "%v holds r%d, %v holds r%d", s, o.version, d.Stamp, is.version)
+	for s, recorded := range m.states {
+		if s.Less(d.Stamp) && recorded.version > state.version || d.Stamp.Less(s) && recorded.version < state.version {
+			m.fail(RuleForward, "%v holds r%d, %v holds r%d", s, recorded.version, d.Stamp, state.version)
 		}
 	}
-	m.states[d.Stamp] = is
+	m.states[d.Stamp] = state
 }
 
 // commitEvacuation checks the orders on a zone that are in force at a machine, and
@@ -82,57 +82,57 @@
 func (m *Model) commitEvacuation(n, zone string, e config.Evacuation) {
 	for i, id := range e.IDs {
 		for _, before := range e.IDs[:i] {
-			if end := m.evacSent[id] + constants.SubmitWait; end < m.evacSent[before] {
-				m.broken(RuleLateOrder, "%s: zone %s: the order of %v, answered for by %v, takes effect after that of %v", n, zone, m.evacSent[id], end, m.evacSent[before])
+			if end := m.evacSentAt[id] + constants.SubmitWait; end < m.evacSentAt[before] {
+				m.fail(RuleLateOrder, "%s: zone %s: the order of %v, answered for by %v, takes effect after that of %v", n, zone, m.evacSentAt[id], end, m.evacSentAt[before])
 			}
 		}
-		o, ok := m.evacs[n][id]
+		o, ok := m.pendingEvacs[n][id]
 		if !ok {
 			continue
 		}
-		delete(m.evacs[n], id)
+		delete(m.pendingEvacs[n], id)
 		if i == len(e.IDs)-1 && e.On != o.on {
-			m.broken(RuleForward, "%s: order %v on zone %s confirmed, it is %v", n, o.on, zone, e.On)
+			m.fail(RuleForward, "%s: order %v on zone %s confirmed, it is %v", n, o.on, zone, e.On)
 		}
-		m.evacAcked[zone] = max(m.evacAcked[zone], e.Num-uint64(len(e.IDs)-1-i))
+		m.confirmedEvacs[zone] = max(m.confirmedEvacs[zone], e.Num-uint64(len(e.IDs)-1-i))
 	}
 }
 
 // confirm notes that an operator's order is confirmed to it.
 func (m *Model) confirm(n string, o Order) {
 	if was, ok := m.confirmed[o.Version]; ok && was != o.Content {
-		m.broken(RuleOneContent, "%s confirms r%d %q to %s, %q was confirmed", n, o.Version, o.Content, o.Operator, was)
+		m.fail(RuleOneContent, "%s confirms r%d %q to %s, %q was confirmed", n, o.Version, o.Content, o.Operator, was)
 	}
 	for at, s := range m.states {
 		if s.version == o.Version && s.content != o.Content {
-			m.broken(RuleOneContent, "%s confirms r%d %q to %s, %q was committed at %v", n, o.Version, o.Content, o.Operator, s.content, at)
+			m.fail(RuleOneContent, "%s confirms r%d %q to %s, %q was committed at %v", n, o.Version, o.Content, o.Operator, s.content, at)
 		}
 	}
 	m.confirmed[o.Version] = o.Content
-	m.acked = max(m.acked, o.Version)
-	m.confirms++
+	m.confirmedVersion = max(m.confirmedVersion, o.Version)
+	m.confirmations++
 }
 
 func (m *Model) readDone(n string, o chain.ReadDone) {
-	r, ok := m.reads[n][o.ID]
-	delete(m.reads[n], o.ID)
-	if !ok || m.world.Now-r.began > constants.SubmitWait {
+	r, ok := m.pendingReads[n][o.ID]
+	delete(m.pendingReads[n], o.ID)
+	if !ok || m.world.Now-r.startedAt > constants.SubmitWait {
 		return // its caller has gone
 	}
-	m.answers++
+	m.readsAnswered++
 	var v uint64
 	if o.Doc != nil {
 		v = o.Doc.Version
 		if was, ok := m.confirmed[v]; ok && was != string(o.Doc.Raw) {
-			m.broken(RuleOneContent, "a read at %s gives r%d %q, %q was confirmed", n, v, o.Doc.Raw, was)
+			m.fail(RuleOneContent, "a read at %s gives r%d %q, %q was confirmed", n, v, o.Doc.Raw, was)
 		}
 	}
-	if v < r.version {
-		m.broken(RuleFreshRead, "a read at %s gives r%d, r%d was confirmed before it began", n, v, r.version)
+	if v < r.confirmedVersion {
+		m.fail(RuleFreshRead, "a read at %s gives r%d, r%d was confirmed before it began", n, v, r.confirmedVersion)
 	}
-	for z, num := range r.evacs {
+	for z, num := range r.confirmedEvacs {
 		if o.Doc == nil || o.Doc.Evac[z].Num < num {
-			m.broken(RuleFreshRead, "a read at %s lacks order %d on zone %s, confirmed before it began", n, num, z)
+			m.fail(RuleFreshRead, "a read at %s lacks order %d on zone %s, confirmed before it began", n, num, z)
 		}
 	}
 }
--- a/internal/modelcheck/digest.go
+++ b/internal/modelcheck/digest.go
@@ -32,9 +32,9 @@
 	d := digest{a, now}
 	var out []uint64
 	for _, v := range vs {
-		out = append(out, d.of(reflect.ValueOf(v), 0))
+		out = append(out, d.value(reflect.ValueOf(v), 0))
 	}
-	return mix(out...)
+	return hashUint64s(out...)
 }
 
 type digest struct {
@@ -42,7 +42,7 @@
 	now time.Duration
 }
 
-func mix(xs ...uint64) uint64 {
+func hashUint64s(xs ...uint64) uint64 {
 	h := fnv.New64a()
 	var b [8]byte
 	for _, x := range xs {
@@ -52,7 +52,7 @@
 	return h.Sum64()
 }
 
-func text(s string) uint64 {
+func hashString(s string) uint64 {
 	h := fnv.New64a()
 	h.Write([]byte(s))
 	return h.Sum64()
@@ -62,7 +62,7 @@
 const maxDigestDepth = 40
 
 // of hashes one value; each kind has a number of its own, so that kinds differ.
-func (d digest) of(v reflect.Value, depth int) uint64 {
+func (d digest) value(v reflect.Value, depth int) uint64 {
 	if !v.IsValid() || depth > maxDigestDepth {
 		return 1
 	}
@@ -71,76 +71,76 @@
 		if t <= 0 {
 			return 2 // never
 		}
-		return mix(3, uint64(max(t-d.now, -d.LongAgo)))
+		return hashUint64s(3, uint64(max(t-d.now, -d.LongAgo)))
 	}
 	switch v.Kind() {
 	case reflect.Pointer:
 		if v.IsNil() || v.Type() == randType {
 			return 9
 		}
-		return mix(10, d.of(v.Elem(), depth+1))
+		return hashUint64s(10, d.value(v.Elem(), depth+1))
 	case reflect.Interface:
 		if v.IsNil() {
 			return 9
 		}
-		return mix(11, text(v.Elem().Type().String()), d.of(v.Elem(), depth+1))
+		return hashUint64s(11, hashString(v.Elem().Type().String()), d.value(v.Elem(), depth+1))
 	case reflect.Slice, reflect.Array:
-		return d.ofList(v, depth)
+		return d.list(v, depth)
 	case reflect.Map:
-		return d.ofMap(v, depth)
+		return d.mapValue(v, depth)
 	case reflect.Struct:
-		return d.ofStruct(v, depth)
+		return d.structValue(v, depth)
 	}
-	return d.ofScalar(v)
+	return d.scalar(v)
 }
 
 // ofScalar hashes what holds no further values; functions and channels are all alike.
-func (d digest) ofScalar(v reflect.Value) uint64 {
+func (d digest) scalar(v reflect.Value) uint64 {
 	switch {
 	case v.Kind() == reflect.Bool && v.Bool():
 		return 4
 	case v.Kind() == reflect.Bool:
 		return 5
 	case v.CanInt():
-		return mix(6, uint64(v.Int()))
+		return hashUint64s(6, uint64(v.Int()))
 	case v.CanUint():
-		return mix(7, v.Uint())
+		return hashUint64s(7, v.Uint())
 	case v.CanFloat() && d.Grain > 0:
-		return mix(8, uint64(int64(math.Round(v.Float()/d.Grain))))
+		return hashUint64s(8, uint64(int64(math.Round(v.Float()/d.Grain))))
 	case v.CanFloat():
-		return mix(8, math.Float64bits(v.Float()))
+		return hashUint64s(8, math.Float64bits(v.Float()))
 	case v.Kind() == reflect.String:
-		return text(v.String())
+		return hashString(v.String())
 	}
 	return 15
 }
 
-func (d digest) ofList(v reflect.Value, depth int) uint64 {
+func (d digest) list(v reflect.Value, depth int) uint64 {
 	if v.Kind() == reflect.Slice && v.Type().Elem().Kind() == reflect.Uint8 {
-		return text(string(v.Bytes()))
+		return hashString(string(v.Bytes()))
 	}
 	out := []uint64{12}
 	for i := range v.Len() {
-		out = append(out, d.of(v.Index(i), depth+1))
+		out = append(out, d.value(v.Index(i), depth+1))
 	}
-	return mix(out...)
+	return hashUint64s(out...)
 }
 
-func (d digest) ofMap(v reflect.Value, depth int) uint64 {
+func (d digest) mapValue(v reflect.Value, depth int) uint64 {
 	var out []uint64
 	for entry := v.MapRange(); entry.Next(); {
-		out = append(out, mix(d.of(entry.Key(), depth+1), d.of(entry.Value(), depth+1)))
+		out = append(out, hashUint64s(d.value(entry.Key(), depth+1), d.value(entry.Value(), depth+1)))
 	}
 	slices.Sort(out)
-	return mix(append(out, 13)...)
+	return hashUint64s(append(out, 13)...)
 }
 
-func (d digest) ofStruct(v reflect.Value, depth int) uint64 {
+func (d digest) structValue(v reflect.Value, depth int) uint64 {
 	out := []uint64{14}
 	for i := range v.NumField() {
 		if !slices.Contains(d.Skip, v.Type().Name()+"."+v.Type().Field(i).Name) {
-			out = append(out, d.of(v.Field(i), depth+1))
+			out = append(out, d.value(v.Field(i), depth+1))
 		}
 	}
-	return mix(out...)
+	return hashUint64s(out...)
 }
--- a/internal/modelcheck/leasemodel/leasemodel.go
+++ b/internal/modelcheck/leasemodel/leasemodel.go
@@ -49,16 +49,16 @@
 // Model is the leases as package modelcheck drives them.
 type Model struct {
 	Config
-	world     *modelcheck.World
-	managers  map[string]*lease.Manager
-	startedAt map[string]time.Duration
-	grid      time.Duration
-	err       error
-	faults    int
+	world        *modelcheck.World
+	managers     map[string]*lease.Manager
+	startedAt    map[string]time.Duration
+	nextChoiceAt time.Duration
+	err          error
+	faults       int
 
-	agreed []electorate
-	knows  map[string]int // by machine: the number of the electorate it knows
-	sealed map[string]bool
+	electorates []electorate
+	known       map[string]int // by machine: the number of the electorate it knows
+	sealed      map[string]bool
 }
 
 // New makes one.
@@ -73,11 +73,11 @@
 func (m *Model) Reset() {
 	m.world = modelcheck.NewWorld(constants.LeaseTick, m.tick, m.recv)
 	m.managers, m.startedAt = map[string]*lease.Manager{}, map[string]time.Duration{}
-	m.grid, m.err, m.faults = m.Warm, nil, 0
-	m.agreed = []electorate{{names[:m.Machines]}}
-	m.knows, m.sealed = map[string]int{}, map[string]bool{}
+	m.nextChoiceAt, m.err, m.faults = m.Warm, nil, 0
+	m.electorates = []electorate{{names[:m.Machines]}}
+	m.known, m.sealed = map[string]int{}, map[string]bool{}
 	for _, n := range names[:m.Machines+m.Others] {
-		m.knows[n] = 1
+		m.known[n] = 1
 		m.start(n)
 	}
 	m.world.Run(m.Warm, nil, m.healthy)
@@ -101,20 +101,20 @@
 	m.world.Start(n)
 }
 
-func (m *Model) put(n string, out []lease.Send) {
+func (m *Model) sendAll(n string, out []lease.Send) {
 	for _, s := range out {
 		m.world.Send(n, s.To, s.Msg)
 	}
 }
 
 func (m *Model) tick(n string) {
-	k := m.knows[n]
-	m.managers[n].SetElectorate(m.clock(n), uint64(k), m.agreed[k-1].peers, m.sealed[n])
-	m.put(n, m.managers[n].Tick(m.clock(n)))
+	k := m.known[n]
+	m.managers[n].SetElectorate(m.clock(n), uint64(k), m.electorates[k-1].peers, m.sealed[n])
+	m.sendAll(n, m.managers[n].Tick(m.clock(n)))
 }
 
 func (m *Model) recv(e *modelcheck.Event) {
-	m.put(e.To, m.managers[e.To].Recv(m.clock(e.To), e.From, e.Msg))
+	m.sendAll(e.To, m.managers[e.To].Recv(m.clock(e.To), e.From, e.Msg))
 }
 
 func (m *Model) healthy() bool {
@@ -126,15 +126,15 @@
 	return m.err == nil
 }
 
-func (m *Model) holders(duty string) (who []string) {
+func (m *Model) holders(duty string) (holders []string) {
 	for _, n := range m.world.Names {
 		if m.world.Up(n) {
 			if _, ok := m.managers[n].Holds(m.clock(n), duty); ok {
-				who = append(who, n)
+				holders = append(holders, n)
 			}
 		}
 	}
-	return who
+	return holders
 }
 
 // Check is the first rule of safety that was broken.
@@ -146,15 +146,15 @@
 var ChoiceKinds = append(slices.Clone(faultKinds), "join", "thaw", "start", "yield", "elect")
 
 // electable lists the electorates that may come next: one machine more, or one less.
-func (m *Model) electable() (out []string) {
-	now := m.agreed[len(m.agreed)-1].peers
-	if len(m.agreed) > m.Changes {
+func (m *Model) electorateChoices() (out []string) {
+	peers := m.electorates[len(m.electorates)-1].peers
+	if len(m.electorates) > m.Changes {
 		return nil
 	}
 	for _, n := range names[:m.Machines+m.Others] {
-		if !slices.Contains(now, n) {
+		if !slices.Contains(peers, n) {
 			out = append(out, "elect +"+n)
-		} else if len(now) > m.Machines {
+		} else if len(peers) > m.Machines {
 			out = append(out, "elect -"+n)
 		}
 	}
@@ -163,10 +163,10 @@
 
 // deciders are the first machines that can decide on a next electorate: a
 // majority of the present one that is there and knows it.
-func (m *Model) deciders() (out []string) {
-	now := m.agreed[len(m.agreed)-1].peers
+func (m *Model) sealingMajority() (out []string) {
+	now := m.electorates[len(m.electorates)-1].peers
 	for _, n := range now {
-		if m.world.Up(n) && !m.world.Frozen(n) && m.knows[n] == len(m.agreed) {
+		if m.world.Up(n) && !m.world.Frozen(n) && m.known[n] == len(m.electorates) {
 			out = append(out, n)
 		}
 	}
@@ -196,8 +196,8 @@
 			add("yield " + n)
 		}
 	}
-	if m.deciders() != nil {
-		add(m.electable()...)
+	if m.sealingMajority() != nil {
+		add(m.electorateChoices()...)
 	}
 	add(m.world.Freezes()...)
 	add(m.world.Paths()...)
@@ -207,7 +207,7 @@
 // Apply has one of the choices happen, as package modelcheck asks.
 func (m *Model) Apply(n int) {
 	if n == 0 {
-		m.grid = m.world.RunDefault(m.grid, m.Step, func(*modelcheck.Event) bool { return m.Messages }, m.healthy)
+		m.nextChoiceAt = m.world.RunDefault(m.nextChoiceAt, m.Step, func(*modelcheck.Event) bool { return m.Messages }, m.healthy)
 		m.healthy()
 		return
 	}
@@ -234,7 +234,7 @@
 	case "start":
 		m.start(f[1])
 	case "yield":
-		m.put(f[1], m.managers[f[1]].Leave(m.clock(f[1])))
+		m.sendAll(f[1], m.managers[f[1]].Leave(m.clock(f[1])))
 	case "elect":
 		m.elect(f[1])
 	}
@@ -246,34 +246,34 @@
 // one is sealed first; the first of it learns of the outcome at once, the others
 // one after the other, the latest much later.
 func (m *Model) elect(change string) {
-	peers := slices.Clone(m.agreed[len(m.agreed)-1].peers)
+	peers := slices.Clone(m.electorates[len(m.electorates)-1].peers)
 	if n := change[1:]; change[0] == '+' {
 		peers = append(peers, n)
 	} else {
 		peers = slices.DeleteFunc(peers, func(o string) bool { return o == n })
 	}
-	for _, n := range m.deciders() {
+	for _, n := range m.sealingMajority() {
 		m.sealed[n] = true
-		k := m.knows[n]
-		m.managers[n].SetElectorate(m.clock(n), uint64(k), m.agreed[k-1].peers, true)
+		k := m.known[n]
+		m.managers[n].SetElectorate(m.clock(n), uint64(k), m.electorates[k-1].peers, true)
 	}
-	m.agreed = append(m.agreed, electorate{peers})
-	num := len(m.agreed)
+	m.electorates = append(m.electorates, electorate{peers})
+	num := len(m.electorates)
 	for i, n := range names[:m.Machines+m.Others] {
 		m.world.After(time.Duration(i*i)*modelcheck.Stall, func() { m.learn(n, num) })
 	}
 }
 
 func (m *Model) learn(n string, num int) {
-	if m.knows[n] < num {
-		m.knows[n], m.sealed[n] = num, false
+	if m.known[n] < num {
+		m.known[n], m.sealed[n] = num, false
 	}
 }
 
 // Hash distinguishes states, as package modelcheck asks.
 func (m *Model) Hash() uint64 {
-	parts := []any{m.faults, m.grid, m.knows, m.sealed}
-	for _, e := range m.agreed {
+	parts := []any{m.faults, m.nextChoiceAt, m.known, m.sealed}
+	for _, e := range m.electorates {
 		parts = append(parts, e.peers)
 	}
 	out := []any{m.world.Hash(abstraction), abstraction.Digest(m.world.Now, parts...)}
--- a/internal/modelcheck/leasemodel/leasemodel_test.go
+++ b/internal/modelcheck/leasemodel/leasemodel_test.go
@@ -11,10 +11,10 @@
 // A short search in bounds that stay the same; slateridge modelcheck runs long ones.
 func TestLeases(t *testing.T) {
 	c := Small()
-	mk := func() modelcheck.Model { return New(c) }
-	modelchecktest.Search(t, mk, false, modelcheck.Options{Deviations: 1, Depth: 4}, 150)
+	newModel := func() modelcheck.Model { return New(c) }
+	modelchecktest.Search(t, newModel, false, modelcheck.Options{Deviations: 1, Depth: 4}, 150)
 	c.Messages = true
-	modelchecktest.Search(t, mk, true, modelcheck.Options{Deviations: 5, Depth: 100, Schedules: 150, Seed: 1}, 150)
+	modelchecktest.Search(t, newModel, true, modelcheck.Options{Deviations: 5, Depth: 100, Schedules: 150, Seed: 1}, 150)
 }
 
 // The search sees what it is there to see: clocks that differ by more than the
--- a/internal/modelcheck/modelcheck_test.go
+++ b/internal/modelcheck/modelcheck_test.go
@@ -11,7 +11,7 @@
 // is turned, with "knock" in between; "noise" does nothing that lasts.
 type lock struct {
 	now, left   int
-	knocked     bool
+	middle      bool
 	err         error
 	quietBroken bool
 	applied     int
@@ -21,7 +21,7 @@
 func (l *lock) Check() error      { return l.err }
 func (l *lock) Choices() []string { return []string{"wait", "noise", "left", "knock", "right"} }
 func (l *lock) Hash() uint64 {
-	return uint64(min(l.now, 9)) | uint64(l.left+1)<<8 | map[bool]uint64{true: 1 << 20}[l.knocked]
+	return uint64(min(l.now, 9)) | uint64(l.left+1)<<8 | map[bool]uint64{true: 1 << 20}[l.middle]
 }
 
 func (l *lock) Apply(n int) {
@@ -34,16 +34,16 @@
 			l.left = l.now
 		}
 	case 3:
-		l.knocked = l.knocked || l.left >= 0
+		l.middle = l.middle || l.left >= 0
 	case 4:
-		if l.knocked && l.now >= l.left+3 {
+		if l.middle && l.now >= l.left+3 {
 			l.err = Broken("shut", "open at %d", l.now)
 		}
 	}
 }
 
 func (l *lock) Quiet() error {
-	if l.quietBroken && l.knocked {
+	if l.quietBroken && l.middle {
 		return Broken("silent", "knocked")
 	}
 	return l.err
--- a/internal/modelcheck/random.go
+++ b/internal/modelcheck/random.go
@@ -17,7 +17,7 @@
 	for range s.Jobs {
 		wg.Go(func() {
 			m := mk()
-			for !s.over() {
+			for !s.done() {
 				s.mu.Lock()
 				walks++
 				rng := rand.New(rand.NewPCG(s.Seed, walks))
@@ -46,18 +46,18 @@
 			steps++
 			sch = append(sch, "+1")
 			if err := m.Check(); err != nil {
-				s.count(sch.tidy(), steps)
+				s.count(sch.normalize(), steps)
 				s.fail(m, sch, err)
 				return
 			}
 		}
 		if choices := m.Choices()[1:]; len(choices) > 0 && dev <= last {
-			i := draw(rng, choices)
+			i := pickChoice(rng, choices)
 			m.Apply(i + 1)
 			steps++
 			sch = append(sch, choices[i])
 			if err := m.Check(); err != nil {
-				s.count(sch.tidy(), steps)
+				s.count(sch.normalize(), steps)
 				s.fail(m, sch, err)
 				return
 			}
@@ -67,14 +67,14 @@
 		states[h] = true
 		s.mu.Unlock()
 	}
-	s.count(sch.tidy(), steps)
+	s.count(sch.normalize(), steps)
 	if err := m.Quiet(); err != nil {
 		s.fail(m, sch, err)
 	}
 }
 
 // draw picks a kind first, so that the many ways of one do not drown the rest.
-func draw(rng *rand.Rand, choices []string) int {
+func pickChoice(rng *rand.Rand, choices []string) int {
 	var kinds []string
 	for _, w := range choices {
 		if !slices.Contains(kinds, KindOf(w)) {
@@ -82,11 +82,11 @@
 		}
 	}
 	k := kinds[rng.IntN(len(kinds))]
-	var of []int
+	var indexes []int
 	for i, w := range choices {
 		if KindOf(w) == k {
-			of = append(of, i)
+			indexes = append(indexes, i)
 		}
 	}
-	return of[rng.IntN(len(of))]
+	return indexes[rng.IntN(len(indexes))]
 }
--- a/internal/modelcheck/schedule.go
+++ b/internal/modelcheck/schedule.go
@@ -25,7 +25,7 @@
 }
 
 // defaults is how often the default is meant; false for a deviation.
-func defaults(w string) (int, bool) {
+func parseWait(w string) (int, bool) {
 	if !strings.HasPrefix(w, "+") {
 		return 0, false
 	}
@@ -36,7 +36,7 @@
 // Deviations counts the schedule's deviations.
 func (s Schedule) Deviations() (n int) {
 	for _, w := range s {
-		if _, ok := defaults(w); !ok {
+		if _, ok := parseWait(w); !ok {
 			n++
 		}
 	}
@@ -44,10 +44,10 @@
 }
 
 // tidy joins runs of defaults.
-func (s Schedule) tidy() (out Schedule) {
+func (s Schedule) normalize() (out Schedule) {
 	run := 0
 	for _, w := range s {
-		if n, ok := defaults(w); ok {
+		if n, ok := parseWait(w); ok {
 			run += n
 			continue
 		}
@@ -68,10 +68,10 @@
 
 // drive resets the model and brings it through a schedule: the steps taken, and
 // the rule broken. What is not enabled is skipped, and returned.
-func drive(m Model, s Schedule) (steps int, skipped []string, err error) {
+func runSchedule(m Model, s Schedule) (steps int, skipped []string, err error) {
 	m.Reset()
 	for _, w := range s {
-		n, wait := defaults(w)
+		n, wait := parseWait(w)
 		if !wait {
 			i := slices.Index(m.Choices(), w)
 			if i < 0 {
@@ -98,7 +98,7 @@
 // Replay runs a schedule, with the quiet phase after it, and gives the rule
 // that it breaks, or ErrNotEnabled when it names what can't happen at its place.
 func Replay(m Model, s Schedule) error {
-	_, skipped, err := drive(m, s)
+	_, skipped, err := runSchedule(m, s)
 	if len(skipped) > 0 {
 		return fmt.Errorf("%q: %w", skipped, ErrNotEnabled)
 	}
--- a/internal/modelcheck/search.go
+++ b/internal/modelcheck/search.go
@@ -56,31 +56,31 @@
 	Options
 	mu         sync.Mutex
 	rep        Report
-	began      time.Time
+	startedAt  time.Time
 	reportedAt time.Time
-	seen       map[uint64]bool // states in which the quiet phase was run
+	visited    map[uint64]bool // states in which the quiet phase was run
 }
 
 func newSearch(o Options) *search {
 	o.Jobs = max(1, o.Jobs)
 	return &search{
 		Options:    o,
-		began:      time.Now(),
+		startedAt:  time.Now(),
 		reportedAt: time.Now(),
-		seen:       map[uint64]bool{},
+		visited:    map[uint64]bool{},
 		rep:        Report{Complete: -1, Kinds: map[string]int{}},
 	}
 }
 
 // over says whether the search has to end.
-func (s *search) over() bool {
+func (s *search) done() bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if s.Progress != nil && time.Since(s.reportedAt) > 5*time.Second {
 		s.reportedAt = time.Now()
 		s.Progress(s.report())
 	}
-	outOfTime := s.Limit > 0 && time.Since(s.began) > s.Limit
+	outOfTime := s.Limit > 0 && time.Since(s.startedAt) > s.Limit
 	enough := s.Schedules > 0 && s.rep.Schedules >= s.Schedules
 	failed := len(s.rep.Failures) > 0 && !s.KeepGoing
 	return outOfTime || enough || failed
@@ -88,7 +88,7 @@
 
 func (s *search) report() Report {
 	r := s.rep
-	r.Took = time.Since(s.began)
+	r.Took = time.Since(s.startedAt)
 	return r
 }
 
@@ -99,7 +99,7 @@
 	s.rep.Steps += steps
 	s.rep.Deepest = max(s.rep.Deepest, steps)
 	for _, w := range sch {
-		if _, ok := defaults(w); !ok {
+		if _, ok := parseWait(w); !ok {
 			s.rep.Kinds[KindOf(w)]++
 		}
 	}
@@ -110,7 +110,7 @@
 	s.mu.Lock()
 	known := slices.ContainsFunc(s.rep.Failures, func(f Failure) bool { return f.Rule == rule })
 	if !known {
-		s.rep.Failures = append(s.rep.Failures, Failure{Rule: rule, Err: err, Found: slices.Clone(sch.tidy())})
+		s.rep.Failures = append(s.rep.Failures, Failure{Rule: rule, Err: err, Found: slices.Clone(sch.normalize())})
 	}
 	s.mu.Unlock()
 	if known {
@@ -130,7 +130,7 @@
 }
 
 // place is a state on the way of the default after a schedule.
-type place struct {
+type branchPoint struct {
 	hash    uint64
 	choices []string
 }
@@ -156,14 +156,14 @@
 // visit runs one schedule with the quiet phase at once after it, and again with
 // its troubles lasting for as many steps as another deviation might wait. It
 // returns where the schedule can be deviated from next.
-func (s *search) visit(m Model, sch Schedule) (places []place) {
-	steps, _, err := drive(m, sch)
+func (s *search) visit(m Model, sch Schedule) (points []branchPoint) {
+	steps, _, err := runSchedule(m, sch)
 	if err != nil {
 		s.count(sch, steps)
 		s.fail(m, sch, err)
 		return nil
 	}
-	if !s.fresh(m.Hash()) {
+	if !s.markVisited(m.Hash()) {
 		s.mu.Lock()
 		s.rep.Pruned++
 		s.mu.Unlock()
@@ -174,47 +174,47 @@
 		s.fail(m, sch, err)
 		return nil
 	}
-	drive(m, sch)
-	here := map[uint64]bool{}
-	lasting := func() Schedule { return append(slices.Clone(sch), "+"+strconv.Itoa(len(places))) }
-	for len(places) <= s.Depth {
+	runSchedule(m, sch)
+	onPath := map[uint64]bool{}
+	extended := func() Schedule { return append(slices.Clone(sch), "+"+strconv.Itoa(len(points))) }
+	for len(points) <= s.Depth {
 		h := m.Hash()
-		if here[h] {
+		if onPath[h] {
 			break // the default goes round
 		}
-		here[h] = true
-		places = append(places, place{h, slices.Clone(m.Choices()[1:])})
+		onPath[h] = true
+		points = append(points, branchPoint{h, slices.Clone(m.Choices()[1:])})
 		m.Apply(0)
 		steps++
 		if err := m.Check(); err != nil {
 			s.count(sch, steps)
-			s.fail(m, lasting(), err)
+			s.fail(m, extended(), err)
 			return nil
 		}
 	}
 	s.count(sch, steps)
-	if s.fresh(m.Hash()) {
+	if s.markVisited(m.Hash()) {
 		if err := m.Quiet(); err != nil {
-			s.fail(m, lasting(), err)
+			s.fail(m, extended(), err)
 			return nil
 		}
 	}
-	return places
+	return points
 }
 
 // fresh says whether a state has not had its quiet phase yet; it is about to.
-func (s *search) fresh(h uint64) bool {
+func (s *search) markVisited(h uint64) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	was := s.seen[h]
-	s.seen[h] = true
+	was := s.visited[h]
+	s.visited[h] = true
 	return !was
 }
 
-func (s *search) finish(from map[uint64]bool) Report {
-	for h := range s.seen {
-		from[h] = true
+func (s *search) finish(expanded map[uint64]bool) Report {
+	for h := range s.visited {
+		expanded[h] = true
 	}
-	s.rep.States = len(from)
+	s.rep.States = len(expanded)
 	return s.report()
 }
--- a/internal/modelcheck/shrink.go
+++ b/internal/modelcheck/shrink.go
@@ -8,8 +8,8 @@
 )
 
 // breaks says whether a schedule, less what is not enabled in it, breaks a rule.
-func breaks(m Model, s Schedule, rule string) (Schedule, bool) {
-	_, skipped, err := drive(m, s)
+func reproduces(m Model, s Schedule, rule string) (Schedule, bool) {
+	_, skipped, err := runSchedule(m, s)
 	if err == nil {
 		err = m.Quiet()
 	}
@@ -17,15 +17,15 @@
 		return nil, false
 	}
 	if len(skipped) > 0 { // by its text only: the same choice may be enabled elsewhere
-		var left Schedule
+		var remaining Schedule
 		for _, w := range s {
 			if i := slices.Index(skipped, w); i >= 0 {
 				skipped = slices.Delete(skipped, i, i+1)
 				continue
 			}
-			left = append(left, w)
+			remaining = append(remaining, w)
 		}
-		return left, Replay(m, left) != nil && ruleOf(Replay(m, left)) == rule
+		return remaining, Replay(m, remaining) != nil && ruleOf(Replay(m, remaining)) == rule
 	}
 	return s, true
 }
@@ -34,37 +34,37 @@
 // same rule: chunks are left out, then single choices, then defaults are made fewer.
 func Shrink(m Model, s Schedule, rule string) Schedule {
 	try := func(c Schedule) bool {
-		c = c.tidy()
+		c = c.normalize()
 		if len(c) > len(s) || len(c) == len(s) && slices.Equal(c, s) {
 			return false
 		}
-		left, ok := breaks(m, c, rule)
+		left, ok := reproduces(m, c, rule)
 		if ok {
-			s = left.tidy()
+			s = left.normalize()
 		}
 		return ok
 	}
-	if t := s.tidy(); !slices.Equal(t, s) {
+	if t := s.normalize(); !slices.Equal(t, s) {
 		try(t)
 	}
-	for again := true; again; {
-		again = false
+	for changed := true; changed; {
+		changed = false
 		for chunk := len(s) / 2; chunk >= 1; chunk /= 2 {
 			for from := 0; from+chunk <= len(s); {
 				if try(slices.Delete(slices.Clone(s), from, from+chunk)) {
-					again = true
+					changed = true
 				} else {
 					from++
 				}
 			}
 		}
 		for i := 0; i < len(s); i++ {
-			n, ok := defaults(s[i])
+			n, ok := parseWait(s[i])
 			for k := 0; ok && k < n; k = k + max(1, (n-k)/2) {
 				c := slices.Clone(s)
 				c[i] = "+" + strconv.Itoa(k)
 				if try(c) {
-					again = true
+					changed = true
 					break
 				}
 			}
--- a/internal/modelcheck/systematic.go
+++ b/internal/modelcheck/systematic.go
@@ -13,21 +13,21 @@
 		models[i] = mk()
 	}
 	level := []*node{nil}
-	from := map[uint64]bool{} // states that are deviated from already
-	for dev := 0; dev <= s.Deviations && len(level) > 0 && !s.over(); dev++ {
+	expanded := map[uint64]bool{} // states that are deviated from already
+	for dev := 0; dev <= s.Deviations && len(level) > 0 && !s.done(); dev++ {
 		s.mu.Lock()
 		s.rep.Level, s.rep.LevelDone, s.rep.LevelOf = dev, 0, len(level)
 		s.mu.Unlock()
 		var next []*node
 		// Batches bound what is kept of one, and their order of one by one makes
 		// the next level the same whatever the number of jobs.
-		for at := 0; at < len(level) && !s.over(); at += 64 * s.Jobs {
-			batch := level[at:min(len(level), at+64*s.Jobs)]
-			found := make([][]place, len(batch))
+		for start := 0; start < len(level) && !s.done(); start += 64 * s.Jobs {
+			batch := level[start:min(len(level), start+64*s.Jobs)]
+			found := make([][]branchPoint, len(batch))
 			var wg sync.WaitGroup
 			for j, m := range models {
 				wg.Go(func() {
-					for i := j; i < len(batch) && !s.over(); i += s.Jobs {
+					for i := j; i < len(batch) && !s.done(); i += s.Jobs {
 						found[i] = s.visit(m, batch[i].schedule())
 						s.mu.Lock()
 						s.rep.LevelDone++
@@ -41,10 +41,10 @@
 					break
 				}
 				for wait, p := range found[i] {
-					if from[p.hash] {
+					if expanded[p.hash] {
 						break // what comes after it was seen too
 					}
-					from[p.hash] = true
+					expanded[p.hash] = true
 					for _, w := range p.choices {
 						next = append(next, &node{n, wait, w})
 					}
@@ -58,5 +58,5 @@
 			s.rep.Complete = s.Deviations // no state is left to deviate from
 		}
 	}
-	return s.finish(from)
+	return s.finish(expanded)
 }
--- a/internal/modelcheck/world.go
+++ b/internal/modelcheck/world.go
@@ -46,23 +46,23 @@
 	Names   []string      // machines there are, those that left for good not among them
 	Trouble time.Duration // the last there was
 
-	tick    time.Duration
-	onTick  func(n string)
-	onRecv  func(e *Event)
-	queue   events
-	seq     uint64
-	cut     map[[2]string]bool
-	up      map[string]bool
-	frozen  map[string]bool
-	life    map[string]int
-	pending map[string][]func()
-	phase   map[string]time.Duration
+	tick        time.Duration
+	onTick      func(n string)
+	onRecv      func(e *Event)
+	queue       events
+	seq         uint64
+	cut         map[[2]string]bool
+	up          map[string]bool
+	frozen      map[string]bool
+	incarnation map[string]int
+	pending     map[string][]func()
+	phase       map[string]time.Duration
 }
 
 // NewWorld makes one whose machines step every tick.
 func NewWorld(tick time.Duration, onTick func(n string), onRecv func(e *Event)) *World {
 	return &World{tick: tick, onTick: onTick, onRecv: onRecv, cut: map[[2]string]bool{}, up: map[string]bool{},
-		frozen: map[string]bool{}, life: map[string]int{}, pending: map[string][]func(){}, phase: map[string]time.Duration{}}
+		frozen: map[string]bool{}, incarnation: map[string]int{}, pending: map[string][]func(){}, phase: map[string]time.Duration{}}
 }
 
 func (w *World) push(e *Event) {
@@ -88,7 +88,7 @@
 func (w *World) Frozen(n string) bool { return w.frozen[n] }
 
 // Life is the incarnation of a machine's process: it rises with each start and each stop.
-func (w *World) Life(n string) int { return w.life[n] }
+func (w *World) Life(n string) int { return w.incarnation[n] }
 
 // Start has a machine's process step from now on; a new machine is added.
 func (w *World) Start(n string) {
@@ -96,12 +96,12 @@
 		w.Names = append(w.Names, n)
 	}
 	w.up[n] = true
-	w.life[n]++
-	w.step(n, w.life[n])
+	w.incarnation[n]++
+	w.step(n, w.incarnation[n])
 }
 
 func (w *World) step(n string, life int) {
-	if w.life[n] != life || !w.up[n] {
+	if w.incarnation[n] != life || !w.up[n] {
 		return
 	}
 	w.Act(n, func() { w.onTick(n) })
@@ -110,11 +110,11 @@
 
 // Act does something at a machine, when it thaws if it is frozen.
 func (w *World) Act(n string, f func()) {
-	life := w.life[n]
+	life := w.incarnation[n]
 	if w.frozen[n] {
 		if len(w.pending[n]) < 100 {
 			w.pending[n] = append(w.pending[n], func() {
-				if w.life[n] == life {
+				if w.incarnation[n] == life {
 					f()
 				}
 			})
@@ -127,7 +127,7 @@
 // Stop ends a machine's process.
 func (w *World) Stop(n string) {
 	w.up[n], w.frozen[n], w.pending[n] = false, false, nil
-	w.life[n]++
+	w.incarnation[n]++
 }
 
 // Leave takes a machine away for good.
@@ -165,7 +165,7 @@
 		if e := w.Head(); !first && stop != nil && e != nil && stop(e) {
 			return
 		}
-		w.one()
+		w.processNext()
 		if check != nil && !check() {
 			return
 		}
@@ -173,7 +173,7 @@
 	w.Now = until
 }
 
-func (w *World) one() {
+func (w *World) processNext() {
 	e := heap.Pop(&w.queue).(*Event)
 	w.Now = e.At
 	if e.do != nil {
@@ -233,8 +233,8 @@
 
 // Do carries out a choice of the network's or of standing still; false for
 // others.
-func (w *World) Do(word string) bool {
-	kind, arg, _ := strings.Cut(word, " ")
+func (w *World) Do(choice string) bool {
+	kind, arg, _ := strings.Cut(choice, " ")
 	all := func(f func(o string)) {
 		for _, o := range w.Names {
 			if o != arg {
@@ -285,7 +285,7 @@
 // model's. Of what is timed only the distance
 // counts, and not how long ago the last trouble was.
 func (w *World) Hash(a Abstraction) uint64 {
-	var flight []uint64
+	var inFlight []uint64
 	q := slices.Clone(w.queue)
 	slices.SortFunc(q, func(x, y *Event) int {
 		if q := (events{x, y}); q.Less(0, 1) {
@@ -294,15 +294,15 @@
 		return 1
 	})
 	for _, e := range q {
-		flight = append(flight, a.Digest(w.Now, e.At, e.From, e.To, e.Msg))
+		inFlight = append(inFlight, a.Digest(w.Now, e.At, e.From, e.To, e.Msg))
 	}
-	held := map[string]int{}
+	pendingCount := map[string]int{}
 	for n, p := range w.pending {
 		if len(p) > 0 {
-			held[n] = len(p)
+			pendingCount[n] = len(p)
 		}
 	}
-	on := func(m map[string]bool) (out []string) {
+	enabled := func(m map[string]bool) (out []string) {
 		for k, v := range m {
 			if v {
 				out = append(out, k)
@@ -311,5 +311,5 @@
 		slices.Sort(out)
 		return out
 	}
-	return a.Digest(w.Now, flight, w.Names, w.cut, on(w.up), on(w.frozen), held)
+	return a.Digest(w.Now, inFlight, w.Names, w.cut, enabled(w.up), enabled(w.frozen), pendingCount)
 }
