--- a/internal/modelcheck/admissionmodel/admissionmodel.go
+++ b/internal/modelcheck/admissionmodel/admissionmodel.go
@@ -68,7 +68,7 @@
 
 func (m *Model) fail(rule, f string, a ...any) {
 	if m.err == nil {
-		m.err = modelcheck.Broken(rule, "at %v: %s", m.world.Now, fmt.Sprintf(f, a...))
+		m.err = modelcheck.NewViolation(rule, "at %v: %s", m.world.Now, fmt.Sprintf(f, a...))
 	}
 }
 
--- a/internal/modelcheck/leasemodel/leasemodel.go
+++ b/internal/modelcheck/leasemodel/leasemodel.go
@@ -120,7 +120,7 @@
 func (m *Model) healthy() bool {
 	for _, d := range m.Duties {
 		if who := m.holders(d); len(who) > 1 && m.err == nil {
-			m.err = modelcheck.Broken(RuleOneHolder, "at %v: %s is held by %s", m.world.Now, d, strings.Join(who, " and "))
+			m.err = modelcheck.NewViolation(RuleOneHolder, "at %v: %s is held by %s", m.world.Now, d, strings.Join(who, " and "))
 		}
 	}
 	return m.err == nil
@@ -296,7 +296,7 @@
 	m.world.Run(m.world.Now+m.Settle, nil, m.healthy)
 	for _, d := range m.Duties {
 		if who := m.holders(d); m.err == nil && len(who) != 1 {
-			m.err = modelcheck.Broken(RuleHeld, "at %v: after %v of quiet %s is held by %d machines", m.world.Now, m.Settle, d, len(who))
+			m.err = modelcheck.NewViolation(RuleHeld, "at %v: after %v of quiet %s is held by %d machines", m.world.Now, m.Settle, d, len(who))
 		}
 	}
 	return m.err
--- a/internal/modelcheck/modelcheck.go
+++ b/internal/modelcheck/modelcheck.go
@@ -35,7 +35,7 @@
 func (v Violation) Error() string { return v.Rule + ": " + v.Detail }
 
 // Broken makes a Violation.
-func Broken(rule, f string, a ...any) error { return Violation{rule, fmt.Sprintf(f, a...)} }
+func NewViolation(rule, f string, a ...any) error { return Violation{rule, fmt.Sprintf(f, a...)} }
 
 func ruleOf(err error) string {
 	var v Violation
--- a/internal/modelcheck/modelcheck_test.go
+++ b/internal/modelcheck/modelcheck_test.go
@@ -37,14 +37,14 @@
 		l.middle = l.middle || l.left >= 0
 	case 4:
 		if l.middle && l.now >= l.left+3 {
-			l.err = Broken("shut", "open at %d", l.now)
+			l.err = NewViolation("shut", "open at %d", l.now)
 		}
 	}
 }
 
 func (l *lock) Quiet() error {
 	if l.quietBroken && l.middle {
-		return Broken("silent", "knocked")
+		return NewViolation("silent", "knocked")
 	}
 	return l.err
 }
@@ -116,7 +116,7 @@
 		t.Errorf("%v is read as %v", s, again)
 	}
 	want := "\t{\"shut\", modelcheck.Schedule{\"left\", \"+3\"}}, // shut: why"
-	if got := (Failure{Rule: "shut", Shrunk: Schedule{"left", "+3"}, Err: Broken("shut", "why")}).Source(); got != want {
+	if got := (Failure{Rule: "shut", Shrunk: Schedule{"left", "+3"}, Err: NewViolation("shut", "why")}).Source(); got != want {
 		t.Errorf("printed %s", got)
 	}
 }
