--- a/internal/modelcheck/admissionmodel/choices.go
+++ b/internal/modelcheck/admissionmodel/choices.go
@@ -158,7 +158,7 @@
 
 // Quiet has all clients spend what there is, and press on while the troubles last;
 // then it ends the troubles, and the pressed key must be served.
-func (m *Model) Quiet() error {
+func (m *Model) CheckLiveness() error {
 	m.setLoad(true)
 	m.world.Run(m.world.Now+finalLoadTime, nil, m.healthy)
 	m.setLoad(false)
--- a/internal/modelcheck/chainmodel/quiet.go
+++ b/internal/modelcheck/chainmodel/quiet.go
@@ -12,7 +12,7 @@
 // read answered. The choices see to it that it may be asked: disks are lost one
 // at a time, with the others whole. A machine that was stopped while all was
 // whole stays down at first: the others have to do without it.
-func (m *Model) Quiet() error {
+func (m *Model) CheckLiveness() error {
 	m.world.Heal()
 	m.platform.down = false
 	for _, n := range m.world.Names {
--- a/internal/modelcheck/leasemodel/leasemodel.go
+++ b/internal/modelcheck/leasemodel/leasemodel.go
@@ -286,7 +286,7 @@
 }
 
 // Quiet ends all trouble; then each duty has its one holder.
-func (m *Model) Quiet() error {
+func (m *Model) CheckLiveness() error {
 	m.world.Heal()
 	for _, n := range m.world.Names {
 		if !m.world.Up(n) {
--- a/internal/modelcheck/modelcheck.go
+++ b/internal/modelcheck/modelcheck.go
@@ -26,7 +26,7 @@
 	Check() error
 	// Quiet ends all trouble, lets the system settle, and is the rule of
 	// liveness that is broken then, or one of safety.
-	Quiet() error
+	CheckLiveness() error
 }
 
 // Violation is a broken rule. Shrinking keeps to the rule, not to the detail.
--- a/internal/modelcheck/modelcheck_test.go
+++ b/internal/modelcheck/modelcheck_test.go
@@ -42,7 +42,7 @@
 	}
 }
 
-func (l *lock) Quiet() error {
+func (l *lock) CheckLiveness() error {
 	if l.quietBroken && l.middle {
 		return NewViolation("silent", "knocked")
 	}
--- a/internal/modelcheck/random.go
+++ b/internal/modelcheck/random.go
@@ -68,7 +68,7 @@
 		s.mu.Unlock()
 	}
 	s.count(sch.normalize(), steps)
-	if err := m.Quiet(); err != nil {
+	if err := m.CheckLiveness(); err != nil {
 		s.fail(m, sch, err)
 	}
 }
--- a/internal/modelcheck/schedule.go
+++ b/internal/modelcheck/schedule.go
@@ -103,7 +103,7 @@
 		return fmt.Errorf("%q: %w", skipped, ErrNotEnabled)
 	}
 	if err == nil {
-		err = m.Quiet()
+		err = m.CheckLiveness()
 	}
 	return err
 }
--- a/internal/modelcheck/search.go
+++ b/internal/modelcheck/search.go
@@ -169,7 +169,7 @@
 		s.mu.Unlock()
 		return nil
 	}
-	if err := m.Quiet(); err != nil {
+	if err := m.CheckLiveness(); err != nil {
 		s.count(sch, steps)
 		s.fail(m, sch, err)
 		return nil
@@ -194,7 +194,7 @@
 	}
 	s.count(sch, steps)
 	if s.markVisited(m.Hash()) {
-		if err := m.Quiet(); err != nil {
+		if err := m.CheckLiveness(); err != nil {
 			s.fail(m, extended(), err)
 			return nil
 		}
--- a/internal/modelcheck/shrink.go
+++ b/internal/modelcheck/shrink.go
@@ -11,7 +11,7 @@
 func reproduces(m Model, s Schedule, rule string) (Schedule, bool) {
 	_, skipped, err := runSchedule(m, s)
 	if err == nil {
-		err = m.Quiet()
+		err = m.CheckLiveness()
 	}
 	if err == nil || ruleOf(err) != rule {
 		return nil, false
