--- a/internal/modelcheck/chainmodel/duties.go
+++ b/internal/modelcheck/chainmodel/duties.go
@@ -111,7 +111,7 @@
 				m.fail(RuleLeased, "%s sends key %d under fence %d", n, x.Key, x.Fence)
 			}
 			life := m.world.Life(n)
-			m.world.After(modelcheck.Delay, func() { m.post(n, life, x) })
+			m.world.After(modelcheck.MessageDelay, func() { m.post(n, life, x) })
 		}
 	}
 }
@@ -137,7 +137,7 @@
 		f.accepted++
 		m.checkAlternation()
 	}
-	m.world.After(modelcheck.Delay, func() {
+	m.world.After(modelcheck.MessageDelay, func() {
 		if m.world.Life(n) == life && m.world.Up(n) {
 			m.world.Act(n, func() { m.applyDutyEffects(n, m.dutyHolders[n].holder.Answered(m.world.Now, p.ID, status)) })
 		}
--- a/internal/modelcheck/world.go
+++ b/internal/modelcheck/world.go
@@ -9,9 +9,9 @@
 
 // Delays of a world's messages.
 const (
-	Delay = 5 * time.Millisecond   // of each message
-	Late  = 400 * time.Millisecond // more, of one that is overtaken: longer than any core waits before it says something again
-	Stall = 300 * time.Millisecond // a restart takes so long
+	MessageDelay = 5 * time.Millisecond   // of each message
+	Late         = 400 * time.Millisecond // more, of one that is overtaken: longer than any core waits before it says something again
+	Stall        = 300 * time.Millisecond // a restart takes so long
 )
 
 // Event is a message on its way, or something timed.
@@ -77,7 +77,7 @@
 // Send puts a message on its way.
 func (w *World) Send(from, to string, msg any) {
 	if !w.cut[[2]string{from, to}] {
-		w.push(&Event{At: w.Now + Delay, From: from, To: to, Msg: msg})
+		w.push(&Event{At: w.Now + MessageDelay, From: from, To: to, Msg: msg})
 	}
 }
 
