--- a/internal/modelcheck/world.go
+++ b/internal/modelcheck/world.go
@@ -10,7 +10,7 @@
 // Delays of a world's messages.
 const (
 	MessageDelay = 5 * time.Millisecond   // of each message
-	Late         = 400 * time.Millisecond // more, of one that is overtaken: longer than any core waits before it says something again
+	LateDelay    = 400 * time.Millisecond // more, of one that is overtaken: longer than any core waits before it says something again
 	Stall        = 300 * time.Millisecond // a restart takes so long
 )
 
@@ -268,11 +268,11 @@
 		heap.Pop(&w.queue)
 	case "double":
 		e := *w.queue[0]
-		e.At += Late
+		e.At += LateDelay
 		w.push(&e)
 	case "late":
 		e := heap.Pop(&w.queue).(*Event)
-		e.At += Late
+		e.At += LateDelay
 		w.push(e)
 	default:
 		return false
