--- a/internal/modelcheck/admissionmodel/choices.go
+++ b/internal/modelcheck/admissionmodel/choices.go
@@ -57,7 +57,7 @@
 }
 
 // mayStart says whether a stopped process may start: a start takes its time.
-func (m *Model) mayStart(n string) bool { return m.world.Now-m.stoppedAt[n] >= modelcheck.Stall }
+func (m *Model) mayStart(n string) bool { return m.world.Now-m.stoppedAt[n] >= modelcheck.RestartTime }
 
 // proxyChoices lists what may happen to a proxy and its paths.
 func (m *Model) proxyChoices(n string, add func(...string)) {
--- a/internal/modelcheck/admissionmodel/processes.go
+++ b/internal/modelcheck/admissionmodel/processes.go
@@ -90,7 +90,7 @@
 
 func (m *Model) restartLater(n string) {
 	life := m.world.Life(n)
-	m.world.After(modelcheck.Stall, func() {
+	m.world.After(modelcheck.RestartTime, func() {
 		if m.world.Life(n) == life {
 			m.start(n)
 		}
--- a/internal/modelcheck/chainmodel/machines.go
+++ b/internal/modelcheck/chainmodel/machines.go
@@ -49,7 +49,7 @@
 // restartLater starts a stopped machine a little later.
 func (m *Model) restartLater(n string) {
 	life := m.world.Life(n)
-	m.world.After(modelcheck.Stall, func() {
+	m.world.After(modelcheck.RestartTime, func() {
 		if m.world.Life(n) == life && slices.Contains(m.world.Names, n) {
 			m.start(n, false)
 			m.world.Trouble = m.world.Now
--- a/internal/modelcheck/leasemodel/leasemodel.go
+++ b/internal/modelcheck/leasemodel/leasemodel.go
@@ -224,7 +224,7 @@
 	case "restart":
 		m.world.Stop(f[1])
 		life := m.world.Life(f[1])
-		m.world.After(modelcheck.Stall, func() {
+		m.world.After(modelcheck.RestartTime, func() {
 			if m.world.Life(f[1]) == life {
 				m.start(f[1])
 			}
@@ -260,7 +260,7 @@
 	m.electorates = append(m.electorates, electorate{peers})
 	num := len(m.electorates)
 	for i, n := range names[:m.Machines+m.Others] {
-		m.world.After(time.Duration(i*i)*modelcheck.Stall, func() { m.learn(n, num) })
+		m.world.After(time.Duration(i*i)*modelcheck.RestartTime, func() { m.learn(n, num) })
 	}
 }
 
--- a/internal/modelcheck/world.go
+++ b/internal/modelcheck/world.go
@@ -11,7 +11,7 @@
 const (
 	MessageDelay = 5 * time.Millisecond   // of each message
 	LateDelay    = 400 * time.Millisecond // more, of one that is overtaken: longer than any core waits before it says something again
-	Stall        = 300 * time.Millisecond // a restart takes so long
+	RestartTime  = 300 * time.Millisecond // a restart takes so long
 )
 
 // Event is a message on its way, or something timed.
