--- a/internal/modelcheck/admissionmodel/admissionmodel.go
+++ b/internal/modelcheck/admissionmodel/admissionmodel.go
@@ -61,7 +61,7 @@
 	}
 	m.world.Run(m.Warm, nil, m.healthy)
 	m.setLoad(m.Pressed)
-	m.world.Trouble = 0
+	m.world.LastFault = 0
 }
 
 func (m *Model) healthy() bool { return m.err == nil }
--- a/internal/modelcheck/chainmodel/choices.go
+++ b/internal/modelcheck/chainmodel/choices.go
@@ -34,7 +34,7 @@
 	if m.Reckless {
 		return true
 	}
-	if m.world.Parted() || len(m.world.Names) < m.Founders || m.world.Now-m.world.Trouble < m.CatchUp {
+	if m.world.Parted() || len(m.world.Names) < m.Founders || m.world.Now-m.world.LastFault < m.CatchUp {
 		return false
 	}
 	for _, n := range m.world.Names {
@@ -48,7 +48,7 @@
 // mayLose says whether one more machine, or disk, may be lost by what is promised:
 // all is whole, or nothing but tolerated losses has happened since it was.
 func (m *Model) mayLoseMachine() bool {
-	return m.allHealthy() || m.recentLosses > 0 && m.recentLosses < m.Tolerate && m.world.Trouble == m.lossAt
+	return m.allHealthy() || m.recentLosses > 0 && m.recentLosses < m.Tolerate && m.world.LastFault == m.lossAt
 }
 
 // lose notes that a machine is stopped or lost; spare says that the others have to
@@ -172,7 +172,7 @@
 		return // no trouble
 	}
 	m.applyMachineChoice(f)
-	m.world.Trouble = m.world.Now
+	m.world.LastFault = m.world.Now
 }
 
 // applyTrouble has something happen to a machine or to the platform.
--- a/internal/modelcheck/chainmodel/machines.go
+++ b/internal/modelcheck/chainmodel/machines.go
@@ -52,7 +52,7 @@
 	m.world.After(modelcheck.RestartTime, func() {
 		if m.world.Life(n) == life && slices.Contains(m.world.Names, n) {
 			m.start(n, false)
-			m.world.Trouble = m.world.Now
+			m.world.LastFault = m.world.Now
 		}
 	})
 }
--- a/internal/modelcheck/leasemodel/leasemodel.go
+++ b/internal/modelcheck/leasemodel/leasemodel.go
@@ -81,7 +81,7 @@
 		m.start(n)
 	}
 	m.world.Run(m.Warm, nil, m.healthy)
-	m.world.Trouble = 0
+	m.world.LastFault = 0
 }
 
 // clock is a machine's steady clock.
@@ -238,7 +238,7 @@
 	case "elect":
 		m.elect(f[1])
 	}
-	m.world.Trouble = m.world.Now
+	m.world.LastFault = m.world.Now
 	m.healthy()
 }
 
--- a/internal/modelcheck/world.go
+++ b/internal/modelcheck/world.go
@@ -42,9 +42,9 @@
 // where nothing is left to chance: a message takes Delay, unless a choice says
 // otherwise.
 type World struct {
-	Now     time.Duration
-	Names   []string      // machines there are, those that left for good not among them
-	Trouble time.Duration // the last there was
+	Now       time.Duration
+	Names     []string      // machines there are, those that left for good not among them
+	LastFault time.Duration // the last there was
 
 	tick        time.Duration
 	onTick      func(n string)
@@ -277,7 +277,7 @@
 	default:
 		return false
 	}
-	w.Trouble = w.Now
+	w.LastFault = w.Now
 	return true
 }
 
