--- a/internal/modelcheck/admissionmodel/processes.go
+++ b/internal/modelcheck/admissionmodel/processes.go
@@ -89,9 +89,9 @@
 }
 
 func (m *Model) restartLater(n string) {
-	life := m.world.Life(n)
+	life := m.world.Incarnation(n)
 	m.world.After(modelcheck.RestartTime, func() {
-		if m.world.Life(n) == life {
+		if m.world.Incarnation(n) == life {
 			m.start(n)
 		}
 	})
--- a/internal/modelcheck/chainmodel/duties.go
+++ b/internal/modelcheck/chainmodel/duties.go
@@ -55,7 +55,7 @@
 	if !m.Duties {
 		return
 	}
-	life := uint64(m.world.Life(n)+1)<<32 | uint64(n[0])
+	life := uint64(m.world.Incarnation(n)+1)<<32 | uint64(n[0])
 	m.dutyHolders[n] = &dutyHolder{
 		lease:  lease.New(m.world.Now, life, n, []string{dutyName}),
 		holder: duty.NewHolder(dutyName, n, alternationWindow, 50, rand.New(rand.NewPCG(life, 2))),
@@ -110,7 +110,7 @@
 			if _, ok := m.dutyHolders[n].lease.Holds(m.world.Now, dutyName); !ok {
 				m.fail(RuleLeased, "%s sends key %d under fence %d", n, x.Key, x.Fence)
 			}
-			life := m.world.Life(n)
+			life := m.world.Incarnation(n)
 			m.world.After(modelcheck.MessageDelay, func() { m.post(n, life, x) })
 		}
 	}
@@ -138,7 +138,7 @@
 		m.checkAlternation()
 	}
 	m.world.After(modelcheck.MessageDelay, func() {
-		if m.world.Life(n) == life && m.world.Up(n) {
+		if m.world.Incarnation(n) == life && m.world.Up(n) {
 			m.world.Act(n, func() { m.applyDutyEffects(n, m.dutyHolders[n].holder.Answered(m.world.Now, p.ID, status)) })
 		}
 	})
--- a/internal/modelcheck/chainmodel/machines.go
+++ b/internal/modelcheck/chainmodel/machines.go
@@ -22,7 +22,7 @@
 	if !founding {
 		peers = append(slices.Clone(m.world.Names), n)
 	}
-	rng := rand.New(rand.NewPCG(uint64(n[0]), uint64(m.world.Life(n)+1)))
+	rng := rand.New(rand.NewPCG(uint64(n[0]), uint64(m.world.Incarnation(n)+1)))
 	c, err := chain.New(m.world.Now, n, slices.Clone(peers), founding, m.disks[n], rng)
 	if err != nil {
 		if !m.disks[n].Refuse {
@@ -48,9 +48,9 @@
 
 // restartLater starts a stopped machine a little later.
 func (m *Model) restartLater(n string) {
-	life := m.world.Life(n)
+	life := m.world.Incarnation(n)
 	m.world.After(modelcheck.RestartTime, func() {
-		if m.world.Life(n) == life && slices.Contains(m.world.Names, n) {
+		if m.world.Incarnation(n) == life && slices.Contains(m.world.Names, n) {
 			m.start(n, false)
 			m.world.LastFault = m.world.Now
 		}
@@ -65,7 +65,7 @@
 	if o := m.dutyHolders[n]; o != nil {
 		m.sendLease(n, o.lease.Leave(m.world.Now))
 	}
-	m.leaving[n] = departure{m.world.Now, m.world.Life(n), m.faults, forGood, well}
+	m.leaving[n] = departure{m.world.Now, m.world.Incarnation(n), m.faults, forGood, well}
 	m.run(n, func(c *chain.Chain) []chain.Effect { return c.Leave(m.world.Now) })
 	m.awaitDeparture(n, m.leaving[n])
 }
@@ -81,7 +81,7 @@
 
 func (m *Model) awaitDeparture(n string, l departure) {
 	c := m.chain[n]
-	if m.world.Life(n) != l.incarnation || c == nil {
+	if m.world.Incarnation(n) != l.incarnation || c == nil {
 		return // stopped before
 	}
 	late := m.world.Now-l.startedAt >= constants.LeaveWait
--- a/internal/modelcheck/leasemodel/leasemodel.go
+++ b/internal/modelcheck/leasemodel/leasemodel.go
@@ -96,7 +96,7 @@
 // start brings a machine up, with what its disk holds of the electorate.
 func (m *Model) start(n string) {
 	m.startedAt[n] = m.world.Now
-	life := uint64(m.world.Life(n)+1) << 32
+	life := uint64(m.world.Incarnation(n)+1) << 32
 	m.managers[n] = lease.New(0, life, n, m.Duties)
 	m.world.Start(n)
 }
@@ -223,9 +223,9 @@
 	switch f[0] {
 	case "restart":
 		m.world.Stop(f[1])
-		life := m.world.Life(f[1])
+		life := m.world.Incarnation(f[1])
 		m.world.After(modelcheck.RestartTime, func() {
-			if m.world.Life(f[1]) == life {
+			if m.world.Incarnation(f[1]) == life {
 				m.start(f[1])
 			}
 		})
--- a/internal/modelcheck/world.go
+++ b/internal/modelcheck/world.go
@@ -88,7 +88,7 @@
 func (w *World) Frozen(n string) bool { return w.frozen[n] }
 
 // Life is the incarnation of a machine's process: it rises with each start and each stop.
-func (w *World) Life(n string) int { return w.incarnation[n] }
+func (w *World) Incarnation(n string) int { return w.incarnation[n] }
 
 // Start has a machine's process step from now on; a new machine is added.
 func (w *World) Start(n string) {
