--- a/internal/modelcheck/admissionmodel/proxy.go
+++ b/internal/modelcheck/admissionmodel/proxy.go
@@ -54,7 +54,7 @@
 	p.pending[id] = pendingCall{m.clock(n), p.tracker, request}
 	m.world.Send(n, p.tracker, grantCall{id, admission.GrantRequest{Proxy: n, Wants: wants, Echo: echo, Proxies: p.limiter.Proxies(), Life: p.limiter.Incarnation(), Sent: m.clock(n)}})
 	m.world.After(wait, func() {
-		m.world.Act(n, func() {
+		m.world.RunOn(n, func() {
 			if m.world.Incarnation(n) == life {
 				m.timeOut(n, id)
 			}
--- a/internal/modelcheck/chainmodel/duties.go
+++ b/internal/modelcheck/chainmodel/duties.go
@@ -139,7 +139,7 @@
 	}
 	m.world.After(modelcheck.MessageDelay, func() {
 		if m.world.Incarnation(n) == life && m.world.Up(n) {
-			m.world.Act(n, func() { m.applyDutyEffects(n, m.dutyHolders[n].holder.Answered(m.world.Now, p.ID, status)) })
+			m.world.RunOn(n, func() { m.applyDutyEffects(n, m.dutyHolders[n].holder.Answered(m.world.Now, p.ID, status)) })
 		}
 	})
 }
--- a/internal/modelcheck/world.go
+++ b/internal/modelcheck/world.go
@@ -104,12 +104,12 @@
 	if w.incarnation[n] != life || !w.up[n] {
 		return
 	}
-	w.Act(n, func() { w.onTick(n) })
+	w.RunOn(n, func() { w.onTick(n) })
 	w.After(w.tick, func() { w.step(n, life) })
 }
 
 // Act does something at a machine, when it thaws if it is frozen.
-func (w *World) Act(n string, f func()) {
+func (w *World) RunOn(n string, f func()) {
 	life := w.incarnation[n]
 	if w.frozen[n] {
 		if len(w.pending[n]) < 100 {
@@ -179,7 +179,7 @@
 	if e.do != nil {
 		e.do()
 	} else if w.up[e.To] && !w.cut[[2]string{e.From, e.To}] {
-		w.Act(e.To, func() { w.onRecv(e) })
+		w.RunOn(e.To, func() { w.onRecv(e) })
 	}
 }
 
