--- a/internal/modelcheck/admissionmodel/choices.go
+++ b/internal/modelcheck/admissionmodel/choices.go
@@ -22,7 +22,7 @@
 		choices.LeaveOut(faultKinds)
 	}
 	add := choices.Add
-	if m.Messages && m.world.Head() != nil {
+	if m.Messages && m.world.NextMessage() != nil {
 		add("lose", "late")
 	}
 	add("press all")
--- a/internal/modelcheck/chainmodel/choices.go
+++ b/internal/modelcheck/chainmodel/choices.go
@@ -22,7 +22,7 @@
 }
 
 func (m *Model) nextProtocolMessage() *modelcheck.Event {
-	if e := m.world.Head(); m.Messages && e != nil && !periodic(e.Msg) {
+	if e := m.world.NextMessage(); m.Messages && e != nil && !periodic(e.Msg) {
 		return e
 	}
 	return nil
--- a/internal/modelcheck/leasemodel/leasemodel.go
+++ b/internal/modelcheck/leasemodel/leasemodel.go
@@ -183,7 +183,7 @@
 		choices.LeaveOut(faultKinds)
 	}
 	add := choices.Add
-	if m.Messages && m.world.Head() != nil {
+	if m.Messages && m.world.NextMessage() != nil {
 		add(m.world.OnHead()...)
 	}
 	for _, n := range m.world.Names {
--- a/internal/modelcheck/world.go
+++ b/internal/modelcheck/world.go
@@ -149,7 +149,7 @@
 }
 
 // Head is the next event if it is a message that will reach a process.
-func (w *World) Head() *Event {
+func (w *World) NextMessage() *Event {
 	if len(w.queue) == 0 || w.queue[0].Msg == nil {
 		return nil
 	}
@@ -162,7 +162,7 @@
 // Run takes events until a moment, or until one is the next that stop names.
 func (w *World) Run(until time.Duration, stop func(*Event) bool, check func() bool) {
 	for first := true; len(w.queue) > 0 && w.queue[0].At <= until; first = false {
-		if e := w.Head(); !first && stop != nil && e != nil && stop(e) {
+		if e := w.NextMessage(); !first && stop != nil && e != nil && stop(e) {
 			return
 		}
 		w.processNext()
