--- a/internal/modelcheck/chainmodel/choices.go
+++ b/internal/modelcheck/chainmodel/choices.go
@@ -93,7 +93,7 @@
 		add("come " + names[m.Founders+m.joined])
 	}
 	add(m.world.Freezes()...)
-	add(m.world.Paths()...)
+	add(m.world.NetworkChoices()...)
 	if m.orders < m.Orders {
 		m.operatorChoices(add)
 	}
--- a/internal/modelcheck/leasemodel/leasemodel.go
+++ b/internal/modelcheck/leasemodel/leasemodel.go
@@ -200,7 +200,7 @@
 		add(m.electorateChoices()...)
 	}
 	add(m.world.Freezes()...)
-	add(m.world.Paths()...)
+	add(m.world.NetworkChoices()...)
 	return choices.List
 }
 
--- a/internal/modelcheck/world.go
+++ b/internal/modelcheck/world.go
@@ -185,7 +185,7 @@
 
 // Paths lists the choices of the network, Freezes those of processes that stand
 // still, OnHead those of the next message.
-func (w *World) Paths() (out []string) {
+func (w *World) NetworkChoices() (out []string) {
 	for _, a := range w.Names {
 		out = append(out, "isolate "+a, "mute "+a, "deafen "+a)
 		for _, b := range w.Names {
