--- a/internal/modelcheck/admissionmodel/choices.go
+++ b/internal/modelcheck/admissionmodel/choices.go
@@ -49,7 +49,7 @@
 			add(w)
 		}
 	}
-	if m.world.Parted() {
+	if m.world.Partitioned() {
 		add("join")
 	}
 	add("power", "long")
--- a/internal/modelcheck/chainmodel/choices.go
+++ b/internal/modelcheck/chainmodel/choices.go
@@ -34,7 +34,7 @@
 	if m.Reckless {
 		return true
 	}
-	if m.world.Parted() || len(m.world.Names) < m.Founders || m.world.Now-m.world.LastFault < m.CatchUp {
+	if m.world.Partitioned() || len(m.world.Names) < m.Founders || m.world.Now-m.world.LastFault < m.CatchUp {
 		return false
 	}
 	for _, n := range m.world.Names {
--- a/internal/modelcheck/world.go
+++ b/internal/modelcheck/world.go
@@ -197,14 +197,14 @@
 			}
 		}
 	}
-	if w.Parted() {
+	if w.Partitioned() {
 		out = append(out, "join")
 	}
 	return out
 }
 
 // Parted says whether any path is cut.
-func (w *World) Parted() bool { return len(w.cut) > 0 }
+func (w *World) Partitioned() bool { return len(w.cut) > 0 }
 
 // Freezes lists the choices that freeze and thaw machines.
 func (w *World) Freezes() (out []string) {
