--- a/internal/modelcheck/admissionmodel/choices.go
+++ b/internal/modelcheck/admissionmodel/choices.go
@@ -44,7 +44,7 @@
 			add("duty " + n)
 		}
 	}
-	for _, w := range m.world.Freezes() {
+	for _, w := range m.world.FreezeChoices() {
 		if w != "freeze "+control {
 			add(w)
 		}
--- a/internal/modelcheck/chainmodel/choices.go
+++ b/internal/modelcheck/chainmodel/choices.go
@@ -92,7 +92,7 @@
 	if m.joined < m.Newcomers {
 		add("come " + names[m.Founders+m.joined])
 	}
-	add(m.world.Freezes()...)
+	add(m.world.FreezeChoices()...)
 	add(m.world.NetworkChoices()...)
 	if m.orders < m.Orders {
 		m.operatorChoices(add)
--- a/internal/modelcheck/leasemodel/leasemodel.go
+++ b/internal/modelcheck/leasemodel/leasemodel.go
@@ -199,7 +199,7 @@
 	if m.sealingMajority() != nil {
 		add(m.electorateChoices()...)
 	}
-	add(m.world.Freezes()...)
+	add(m.world.FreezeChoices()...)
 	add(m.world.NetworkChoices()...)
 	return choices.List
 }
--- a/internal/modelcheck/world.go
+++ b/internal/modelcheck/world.go
@@ -207,7 +207,7 @@
 func (w *World) Partitioned() bool { return len(w.cut) > 0 }
 
 // Freezes lists the choices that freeze and thaw machines.
-func (w *World) Freezes() (out []string) {
+func (w *World) FreezeChoices() (out []string) {
 	for _, n := range w.Names {
 		if w.up[n] && !w.frozen[n] {
 			out = append(out, "freeze "+n)
