--- a/internal/modelcheck/chainmodel/choices.go
+++ b/internal/modelcheck/chainmodel/choices.go
@@ -80,7 +80,7 @@
 	}
 	add := choices.Add
 	if e := m.nextProtocolMessage(); e != nil {
-		add(m.world.OnHead()...)
+		add(m.world.MessageChoices()...)
 	}
 	m.processChoices(add)
 	m.diskChoices(add)
--- a/internal/modelcheck/leasemodel/leasemodel.go
+++ b/internal/modelcheck/leasemodel/leasemodel.go
@@ -184,7 +184,7 @@
 	}
 	add := choices.Add
 	if m.Messages && m.world.NextMessage() != nil {
-		add(m.world.OnHead()...)
+		add(m.world.MessageChoices()...)
 	}
 	for _, n := range m.world.Names {
 		if !m.world.Up(n) {
--- a/internal/modelcheck/world.go
+++ b/internal/modelcheck/world.go
@@ -219,7 +219,7 @@
 }
 
 // OnHead lists the choices for the message that is due next.
-func (w *World) OnHead() []string { return []string{"lose", "double", "late"} }
+func (w *World) MessageChoices() []string { return []string{"lose", "double", "late"} }
 
 // Heal joins all paths and thaws all machines.
 func (w *World) Heal() {
