--- a/internal/modelcheck/admissionmodel/choices.go
+++ b/internal/modelcheck/admissionmodel/choices.go
@@ -92,7 +92,7 @@
 	if slices.Contains(faultKinds, f[0]) {
 		m.faults++
 	}
-	if m.world.Do(choice) {
+	if m.world.ApplyChoice(choice) {
 		return
 	}
 	switch f[0] {
--- a/internal/modelcheck/chainmodel/choices.go
+++ b/internal/modelcheck/chainmodel/choices.go
@@ -165,7 +165,7 @@
 	if slices.Contains(faultKinds, f[0]) {
 		m.faults++
 	}
-	if m.world.Do(choice) {
+	if m.world.ApplyChoice(choice) {
 		return
 	}
 	if m.applyOperatorChoice(f) {
--- a/internal/modelcheck/leasemodel/leasemodel.go
+++ b/internal/modelcheck/leasemodel/leasemodel.go
@@ -216,7 +216,7 @@
 	if slices.Contains(faultKinds, f[0]) {
 		m.faults++
 	}
-	if m.world.Do(choice) {
+	if m.world.ApplyChoice(choice) {
 		m.healthy()
 		return
 	}
--- a/internal/modelcheck/world.go
+++ b/internal/modelcheck/world.go
@@ -233,7 +233,7 @@
 
 // Do carries out a choice of the network's or of standing still; false for
 // others.
-func (w *World) Do(choice string) bool {
+func (w *World) ApplyChoice(choice string) bool {
 	kind, arg, _ := strings.Cut(choice, " ")
 	all := func(f func(o string)) {
 		for _, o := range w.Names {
