--- a/internal/modelcheck/choices.go
+++ b/internal/modelcheck/choices.go
@@ -17,14 +17,14 @@
 // NewChoices begins with the default choice, and takes those of the kinds wanted (none
 // named means all) that are not among those left out.
 func NewChoices(kinds, without []string) *Choices {
-	return &Choices{List: []string{Default}, kinds: kinds, without: slices.Clip(without)}
+	return &Choices{List: []string{DefaultChoice}, kinds: kinds, without: slices.Clip(without)}
 }
 
 // LeaveOut leaves further kinds out, as faults where no more are allowed.
 func (c *Choices) LeaveOut(kinds []string) { c.without = append(c.without, kinds...) }
 
 // Default is the choice that comes first: time goes on.
-const Default = "wait"
+const DefaultChoice = "wait"
 
 // Add adds choices, unless their kind is not offered.
 func (c *Choices) Add(choices ...string) {
