--- a/internal/modelcheck/admissionmodel/choices.go
+++ b/internal/modelcheck/admissionmodel/choices.go
@@ -19,7 +19,7 @@
 func (m *Model) Choices() []string {
 	choices := modelcheck.NewChoices(m.Kinds, m.Without)
 	if m.faults >= m.Faults {
-		choices.LeaveOut(faultKinds)
+		choices.Exclude(faultKinds)
 	}
 	add := choices.Add
 	if m.Messages && m.world.NextMessage() != nil {
--- a/internal/modelcheck/chainmodel/choices.go
+++ b/internal/modelcheck/chainmodel/choices.go
@@ -76,7 +76,7 @@
 func (m *Model) Choices() []string {
 	choices := modelcheck.NewChoices(m.Kinds, m.Without)
 	if m.faults >= m.Faults {
-		choices.LeaveOut(faultKinds)
+		choices.Exclude(faultKinds)
 	}
 	add := choices.Add
 	if e := m.nextProtocolMessage(); e != nil {
--- a/internal/modelcheck/choices.go
+++ b/internal/modelcheck/choices.go
@@ -21,7 +21,7 @@
 }
 
 // LeaveOut leaves further kinds out, as faults where no more are allowed.
-func (c *Choices) LeaveOut(kinds []string) { c.without = append(c.without, kinds...) }
+func (c *Choices) Exclude(kinds []string) { c.without = append(c.without, kinds...) }
 
 // Default is the choice that comes first: time goes on.
 const DefaultChoice = "wait"
--- a/internal/modelcheck/leasemodel/leasemodel.go
+++ b/internal/modelcheck/leasemodel/leasemodel.go
@@ -180,7 +180,7 @@
 func (m *Model) Choices() []string {
 	choices := modelcheck.NewChoices(m.Kinds, m.Without)
 	if m.faults >= m.Faults {
-		choices.LeaveOut(faultKinds)
+		choices.Exclude(faultKinds)
 	}
 	add := choices.Add
 	if m.Messages && m.world.NextMessage() != nil {
