--- a/cmd/slateridge/modelcheck.go
+++ b/cmd/slateridge/modelcheck.go
@@ -161,5 +161,5 @@
 	if r.LevelOf > 0 {
 		level = fmt.Sprintf(", %d of %d with %d deviations", r.LevelDone, r.LevelOf, r.Level)
 	}
-	fmt.Fprintf(os.Stderr, "%4.0f s: %d schedules%s, deepest %d, %d rules broken\n", r.Took.Seconds(), r.Schedules, level, r.Deepest, len(r.Failures))
+	fmt.Fprintf(os.Stderr, "%4.0f s: %d schedules%s, deepest %d, %d rules broken\n", r.Elapsed.Seconds(), r.Schedules, level, r.Deepest, len(r.Failures))
 }
--- a/internal/modelcheck/search.go
+++ b/internal/modelcheck/search.go
@@ -32,7 +32,7 @@
 	Complete           int // the highest level run in full; -1: none
 	Kinds              map[string]int
 	Failures           []Failure
-	Took               time.Duration
+	Elapsed            time.Duration
 }
 
 func (r Report) String() string {
@@ -42,7 +42,7 @@
 	}
 	slices.Sort(kinds)
 	s := fmt.Sprintf("%d schedules (%d more led to a state seen before), %d distinct states, %d steps, deepest %d, %.1f s",
-		r.Schedules, r.Pruned, r.States, r.Steps, r.Deepest, r.Took.Seconds())
+		r.Schedules, r.Pruned, r.States, r.Steps, r.Deepest, r.Elapsed.Seconds())
 	if r.LevelOf > 0 {
 		s += fmt.Sprintf("; in full up to %d deviations", r.Complete)
 		if r.LevelDone < r.LevelOf {
@@ -88,7 +88,7 @@
 
 func (s *search) report() Report {
 	r := s.rep
-	r.Took = time.Since(s.startedAt)
+	r.Elapsed = time.Since(s.startedAt)
 	return r
 }
 
