--- a/cmd/slateridge/modelcheck.go
+++ b/cmd/slateridge/modelcheck.go
@@ -158,8 +158,8 @@
 // printProgress prints how far a search has come.
 func printProgress(r modelcheck.Report) {
 	level := ""
-	if r.LevelOf > 0 {
-		level = fmt.Sprintf(", %d of %d with %d deviations", r.LevelDone, r.LevelOf, r.Level)
+	if r.LevelSize > 0 {
+		level = fmt.Sprintf(", %d of %d with %d deviations", r.LevelDone, r.LevelSize, r.Level)
 	}
 	fmt.Fprintf(os.Stderr, "%4.0f s: %d schedules%s, deepest %d, %d rules broken\n", r.Elapsed.Seconds(), r.Schedules, level, r.Deepest, len(r.Failures))
 }
--- a/internal/modelcheck/search.go
+++ b/internal/modelcheck/search.go
@@ -23,16 +23,16 @@
 
 // Report is how much was covered.
 type Report struct {
-	Schedules, States  int
-	Steps              int
-	Pruned             int // schedules that led to a state seen before
-	Deepest            int // steps of the longest schedule, without the quiet phase
-	Level              int // deviations of the level under way, or the last
-	LevelDone, LevelOf int
-	Complete           int // the highest level run in full; -1: none
-	Kinds              map[string]int
-	Failures           []Failure
-	Elapsed            time.Duration
+	Schedules, States    int
+	Steps                int
+	Pruned               int // schedules that led to a state seen before
+	Deepest              int // steps of the longest schedule, without the quiet phase
+	Level                int // deviations of the level under way, or the last
+	LevelDone, LevelSize int
+	Complete             int // the highest level run in full; -1: none
+	Kinds                map[string]int
+	Failures             []Failure
+	Elapsed              time.Duration
 }
 
 func (r Report) String() string {
@@ -43,10 +43,10 @@
 	slices.Sort(kinds)
 	s := fmt.Sprintf("%d schedules (%d more led to a state seen before), %d distinct states, %d steps, deepest %d, %.1f s",
 		r.Schedules, r.Pruned, r.States, r.Steps, r.Deepest, r.Elapsed.Seconds())
-	if r.LevelOf > 0 {
+	if r.LevelSize > 0 {
 		s += fmt.Sprintf("; in full up to %d deviations", r.Complete)
-		if r.LevelDone < r.LevelOf {
-			s += fmt.Sprintf(", %d of %d schedules with %d", r.LevelDone, r.LevelOf, r.Level)
+		if r.LevelDone < r.LevelSize {
+			s += fmt.Sprintf(", %d of %d schedules with %d", r.LevelDone, r.LevelSize, r.Level)
 		}
 	}
 	return s + "; deviations: " + strings.Join(kinds, ", ")
--- a/internal/modelcheck/systematic.go
+++ b/internal/modelcheck/systematic.go
@@ -16,7 +16,7 @@
 	expanded := map[uint64]bool{} // states that are deviated from already
 	for dev := 0; dev <= s.Deviations && len(level) > 0 && !s.done(); dev++ {
 		s.mu.Lock()
-		s.rep.Level, s.rep.LevelDone, s.rep.LevelOf = dev, 0, len(level)
+		s.rep.Level, s.rep.LevelDone, s.rep.LevelSize = dev, 0, len(level)
 		s.mu.Unlock()
 		var next []*node
 		// Batches bound what is kept of one, and their order of one by one makes
