--- a/internal/modelcheck/digest.go
+++ b/internal/modelcheck/digest.go
@@ -15,9 +15,9 @@
 // one, the fields that Skip names as "Type.Field", and differences of fractional
 // numbers below Grain, if it is given.
 type Abstraction struct {
-	LongAgo time.Duration
-	Skip    []string
-	Grain   float64
+	MaxAge time.Duration
+	Skip   []string
+	Grain  float64
 }
 
 var (
@@ -71,7 +71,7 @@
 		if t <= 0 {
 			return 2 // never
 		}
-		return hashUint64s(3, uint64(max(t-d.now, -d.LongAgo)))
+		return hashUint64s(3, uint64(max(t-d.now, -d.MaxAge)))
 	}
 	switch v.Kind() {
 	case reflect.Pointer:
--- a/internal/modelcheck/leasemodel/leasemodel.go
+++ b/internal/modelcheck/leasemodel/leasemodel.go
@@ -65,7 +65,7 @@
 func New(c Config) *Model { return &Model{Config: c} }
 
 // Grants are over after a second and a machine that has just started waits as long.
-var abstraction = modelcheck.Abstraction{LongAgo: 3 * time.Second}
+var abstraction = modelcheck.Abstraction{MaxAge: 3 * time.Second}
 
 var names = []string{"a", "b", "c", "d", "e", "f", "g", "h"}
 
