--- a/internal/modelcheck/digest.go
+++ b/internal/modelcheck/digest.go
@@ -15,9 +15,9 @@
 // one, the fields that Skip names as "Type.Field", and differences of fractional
 // numbers below Grain, if it is given.
 type Abstraction struct {
-	MaxAge time.Duration
-	Skip   []string
-	Grain  float64
+	MaxAge     time.Duration
+	SkipFields []string
+	Grain      float64
 }
 
 var (
@@ -138,7 +138,7 @@
 func (d digest) structValue(v reflect.Value, depth int) uint64 {
 	out := []uint64{14}
 	for i := range v.NumField() {
-		if !slices.Contains(d.Skip, v.Type().Name()+"."+v.Type().Field(i).Name) {
+		if !slices.Contains(d.SkipFields, v.Type().Name()+"."+v.Type().Field(i).Name) {
 			out = append(out, d.value(v.Field(i), depth+1))
 		}
 	}
--- a/internal/modelcheck/modelcheck_test.go
+++ b/internal/modelcheck/modelcheck_test.go
@@ -151,7 +151,7 @@
 		list []any
 		f    func()
 	}
-	a := Abstraction{MaxAge: 5 * time.Second, Skip: []string{"inner.mark"}}
+	a := Abstraction{MaxAge: 5 * time.Second, SkipFields: []string{"inner.mark"}}
 	mk := func(at time.Duration, mark uint64, names ...string) outer {
 		o := outer{in: map[string]*inner{}, f: func() {}}
 		for _, n := range names {
