--- a/internal/modelcheck/admissionmodel/choices.go
+++ b/internal/modelcheck/admissionmodel/choices.go
@@ -138,7 +138,7 @@
 // Hash distinguishes states, as package modelcheck asks.
 func (m *Model) Hash() uint64 {
 	m.dropOldRuns()
-	a := modelcheck.Abstraction{MaxAge: maxAge, SkipFields: skippedFields, Grain: floatResolution}
+	a := modelcheck.Abstraction{MaxAge: maxAge, SkipFields: skippedFields, Resolution: floatResolution}
 	parts := []any{m.world.Hash(a), m.stoppedAt, m.nextChoiceAt, m.faults, m.joined, m.roster, m.started, m.dutyHolder, m.heldSince, m.vacantSince, m.nextHolder, m.bound, m.recentRuns}
 	for _, n := range m.proxiesUp() {
 		p := m.proxies[n]
--- a/internal/modelcheck/digest.go
+++ b/internal/modelcheck/digest.go
@@ -17,7 +17,7 @@
 type Abstraction struct {
 	MaxAge     time.Duration
 	SkipFields []string
-	Grain      float64
+	Resolution float64
 }
 
 var (
@@ -105,8 +105,8 @@
 		return hashUint64s(6, uint64(v.Int()))
 	case v.CanUint():
 		return hashUint64s(7, v.Uint())
-	case v.CanFloat() && d.Grain > 0:
-		return hashUint64s(8, uint64(int64(math.Round(v.Float()/d.Grain))))
+	case v.CanFloat() && d.Resolution > 0:
+		return hashUint64s(8, uint64(int64(math.Round(v.Float()/d.Resolution))))
 	case v.CanFloat():
 		return hashUint64s(8, math.Float64bits(v.Float()))
 	case v.Kind() == reflect.String:
