--- a/internal/modelcheck/chainmodel/config.go
+++ b/internal/modelcheck/chainmodel/config.go
@@ -9,7 +9,7 @@
 	RuleOneView    = "one view a number"
 	RuleOneContent = "one content a number"
 	RuleOneState   = "one state a revision"
-	RuleForward    = "never back"
+	RuleNoRollback = "never back"
 	RuleFreshRead  = "no old read"
 	RuleLateOrder  = "no order undoes one sent after its end"
 	RuleVoters     = "only voters promise and accept"
--- a/internal/modelcheck/chainmodel/rules.go
+++ b/internal/modelcheck/chainmodel/rules.go
@@ -37,7 +37,7 @@
 // commit checks a state that a machine now knows to be in force.
 func (m *Model) commit(n string, d config.Doc) {
 	if was := m.inForce[n]; was != nil && d.Stamp.Less(was.Stamp) {
-		m.fail(RuleForward, "%s goes back from %v to %v", n, was.Stamp, d.Stamp)
+		m.fail(RuleNoRollback, "%s goes back from %v to %v", n, was.Stamp, d.Stamp)
 	}
 	m.inForce[n] = &d
 	m.checkState(n, d)
@@ -71,7 +71,7 @@
 	}
 	for s, recorded := range m.states {
 		if s.Less(d.Stamp) && recorded.version > state.version || d.Stamp.Less(s) && recorded.version < state.version {
-			m.fail(RuleForward, "%v holds r%d, %v holds r%d", s, recorded.version, d.Stamp, state.version)
+			m.fail(RuleNoRollback, "%v holds r%d, %v holds r%d", s, recorded.version, d.Stamp, state.version)
 		}
 	}
 	m.states[d.Stamp] = state
@@ -92,7 +92,7 @@
 		}
 		delete(m.pendingEvacs[n], id)
 		if i == len(e.IDs)-1 && e.On != o.on {
-			m.fail(RuleForward, "%s: order %v on zone %s confirmed, it is %v", n, o.on, zone, e.On)
+			m.fail(RuleNoRollback, "%s: order %v on zone %s confirmed, it is %v", n, o.on, zone, e.On)
 		}
 		m.confirmedEvacs[zone] = max(m.confirmedEvacs[zone], e.Num-uint64(len(e.IDs)-1-i))
 	}
