--- a/internal/modelcheck/chainmodel/chainmodel_test.go
+++ b/internal/modelcheck/chainmodel/chainmodel_test.go
@@ -14,14 +14,14 @@
 	schedule modelcheck.Schedule
 }{
 	// Voters that left for good counted for the majority for ever.
-	{RuleServes, modelcheck.Schedule{"leave a", "come d", "+3", "leave b"}},
-	{RuleServes, modelcheck.Schedule{"leave a", "come d", "+3", "leave c"}},
-	{RuleServes, modelcheck.Schedule{"leave a", "come d", "+3", "wipe b"}},
-	{RuleServes, modelcheck.Schedule{"leave a", "come d", "+3", "wipe c"}},
-	{RuleServes, modelcheck.Schedule{"leave a", "come d", "+3", "leave b", "come e"}},
-	{RuleServes, modelcheck.Schedule{"leave a", "come d", "+3", "stop c"}},
+	{RuleConfirmed, modelcheck.Schedule{"leave a", "come d", "+3", "leave b"}},
+	{RuleConfirmed, modelcheck.Schedule{"leave a", "come d", "+3", "leave c"}},
+	{RuleConfirmed, modelcheck.Schedule{"leave a", "come d", "+3", "wipe b"}},
+	{RuleConfirmed, modelcheck.Schedule{"leave a", "come d", "+3", "wipe c"}},
+	{RuleConfirmed, modelcheck.Schedule{"leave a", "come d", "+3", "leave b", "come e"}},
+	{RuleConfirmed, modelcheck.Schedule{"leave a", "come d", "+3", "stop c"}},
 	// One that came soon after the founding passed for a founder, and its place was kept.
-	{RuleServes, modelcheck.Schedule{"come d", "+3", "leave a", "+2", "stop c"}},
+	{RuleConfirmed, modelcheck.Schedule{"come d", "+3", "leave a", "+2", "stop c"}},
 	// A number was confirmed whatever stood under it.
 	{RuleOneContent, modelcheck.Schedule{"order p at a: r1", "order q at a: r1"}},
 	{RuleOneContent, modelcheck.Schedule{"order p at a: r1", "order q at b: r1"}},
@@ -90,7 +90,7 @@
 	t.Log(r)
 	for _, f := range r.Failures {
 		t.Log(f.Source())
-		if f.Rule == RuleServes && f.Shrunk.Deviations() == 2 {
+		if f.Rule == RuleConfirmed && f.Shrunk.Deviations() == 2 {
 			return
 		}
 	}
@@ -103,7 +103,7 @@
 	c.Reckless, c.Kinds = true, []string{"leave"}
 	r := modelcheck.Systematic(func() modelcheck.Model { return New(c) }, modelcheck.Options{Deviations: 3, Depth: 0, Jobs: 2})
 	t.Log(r)
-	if len(r.Failures) != 1 || r.Failures[0].Rule != RuleServes || r.Failures[0].Shrunk.Deviations() != 3 {
+	if len(r.Failures) != 1 || r.Failures[0].Rule != RuleConfirmed || r.Failures[0].Shrunk.Deviations() != 3 {
 		t.Errorf("found %+v", r.Failures)
 	}
 }
--- a/internal/modelcheck/chainmodel/config.go
+++ b/internal/modelcheck/chainmodel/config.go
@@ -13,7 +13,7 @@
 	RuleFreshRead  = "no old read"
 	RuleLateOrder  = "no order undoes one sent after its end"
 	RuleVoters     = "only voters promise and accept"
-	RuleServes     = "orders are confirmed after quiet"
+	RuleConfirmed  = "orders are confirmed after quiet"
 	RuleAnswers    = "reads are answered after quiet"
 	RuleStarts     = "a kept disk is enough to start"
 	RuleLeaves     = "an orderly leave ends in time while all is well"
--- a/internal/modelcheck/chainmodel/quiet.go
+++ b/internal/modelcheck/chainmodel/quiet.go
@@ -62,7 +62,7 @@
 			m.world.Run(m.world.Now+constants.SubmitWait, nil, func() bool { return m.healthy() && !confirmed() })
 		}
 		if m.err == nil && !confirmed() {
-			m.fail(RuleServes, "%s: nothing confirmed in %v of quiet and %v: %s", n, m.Settle, m.Serve, m.describe())
+			m.fail(RuleConfirmed, "%s: nothing confirmed in %v of quiet and %v: %s", n, m.Settle, m.Serve, m.describe())
 		}
 	}
 	for _, n := range up {
