--- a/internal/modelcheck/chainmodel/config.go
+++ b/internal/modelcheck/chainmodel/config.go
@@ -6,17 +6,17 @@
 
 // The rules, by the names under which a broken one is reported.
 const (
-	RuleOneView    = "one view a number"
-	RuleOneContent = "one content a number"
-	RuleOneState   = "one state a revision"
-	RuleNoRollback = "never back"
-	RuleFreshRead  = "no old read"
-	RuleLateOrder  = "no order undoes one sent after its end"
-	RuleVoters     = "only voters promise and accept"
-	RuleConfirmed  = "orders are confirmed after quiet"
-	RuleAnswers    = "reads are answered after quiet"
-	RuleStarts     = "a kept disk is enough to start"
-	RuleLeaves     = "an orderly leave ends in time while all is well"
+	RuleOneView      = "one view a number"
+	RuleOneContent   = "one content a number"
+	RuleOneState     = "one state a revision"
+	RuleNoRollback   = "never back"
+	RuleFreshRead    = "no old read"
+	RuleLateOrder    = "no order undoes one sent after its end"
+	RuleVoters       = "only voters promise and accept"
+	RuleConfirmed    = "orders are confirmed after quiet"
+	RuleReadAnswered = "reads are answered after quiet"
+	RuleStarts       = "a kept disk is enough to start"
+	RuleLeaves       = "an orderly leave ends in time while all is well"
 )
 
 // Config bounds a model.
--- a/internal/modelcheck/chainmodel/quiet.go
+++ b/internal/modelcheck/chainmodel/quiet.go
@@ -72,7 +72,7 @@
 			m.world.Run(m.world.Now+constants.SubmitWait, nil, func() bool { return m.healthy() && m.readsAnswered == was })
 		}
 		if m.err == nil && m.readsAnswered == was {
-			m.fail(RuleAnswers, "%s: no read answered in %v of quiet and %v: %s", n, m.Settle, m.Serve, m.describe())
+			m.fail(RuleReadAnswered, "%s: no read answered in %v of quiet and %v: %s", n, m.Settle, m.Serve, m.describe())
 		}
 	}
 }
