--- a/internal/modelcheck/chainmodel/config.go
+++ b/internal/modelcheck/chainmodel/config.go
@@ -15,7 +15,7 @@
 	RuleVoters       = "only voters promise and accept"
 	RuleConfirmed    = "orders are confirmed after quiet"
 	RuleReadAnswered = "reads are answered after quiet"
-	RuleStarts       = "a kept disk is enough to start"
+	RuleRestarts     = "a kept disk is enough to start"
 	RuleLeaves       = "an orderly leave ends in time while all is well"
 )
 
--- a/internal/modelcheck/chainmodel/machines.go
+++ b/internal/modelcheck/chainmodel/machines.go
@@ -26,7 +26,7 @@
 	c, err := chain.New(m.world.Now, n, slices.Clone(peers), founding, m.disks[n], rng)
 	if err != nil {
 		if !m.disks[n].Refuse {
-			m.fail(RuleStarts, "%s: %v", n, err)
+			m.fail(RuleRestarts, "%s: %v", n, err)
 		}
 		return // it stays down
 	}
