--- a/internal/modelcheck/chainmodel/config.go
+++ b/internal/modelcheck/chainmodel/config.go
@@ -16,7 +16,7 @@
 	RuleConfirmed    = "orders are confirmed after quiet"
 	RuleReadAnswered = "reads are answered after quiet"
 	RuleRestarts     = "a kept disk is enough to start"
-	RuleLeaves       = "an orderly leave ends in time while all is well"
+	RuleOrderlyLeave = "an orderly leave ends in time while all is well"
 )
 
 // Config bounds a model.
--- a/internal/modelcheck/chainmodel/machines.go
+++ b/internal/modelcheck/chainmodel/machines.go
@@ -90,7 +90,7 @@
 		return
 	}
 	if !c.HasLeft() && l.checked && m.faults == l.faults {
-		m.fail(RuleLeaves, "%s stops after %v and is still a member: %s", n, m.world.Now-l.startedAt, m.describe())
+		m.fail(RuleOrderlyLeave, "%s stops after %v and is still a member: %s", n, m.world.Now-l.startedAt, m.describe())
 	}
 	if c.HasLeft() {
 		m.leftCount++
