--- a/internal/modelcheck/chainmodel/choices.go
+++ b/internal/modelcheck/chainmodel/choices.go
@@ -48,7 +48,7 @@
 // mayLose says whether one more machine, or disk, may be lost by what is promised:
 // all is whole, or nothing but tolerated losses has happened since it was.
 func (m *Model) mayLoseMachine() bool {
-	return m.allHealthy() || m.recentLosses > 0 && m.recentLosses < m.Tolerate && m.world.LastFault == m.lossAt
+	return m.allHealthy() || m.recentLosses > 0 && m.recentLosses < m.MaxMachineFailures && m.world.LastFault == m.lossAt
 }
 
 // lose notes that a machine is stopped or lost; spare says that the others have to
--- a/internal/modelcheck/chainmodel/config.go
+++ b/internal/modelcheck/chainmodel/config.go
@@ -21,46 +21,46 @@
 
 // Config bounds a model.
 type Config struct {
-	Founders  int
-	Newcomers int
-	Tolerate  int
-	Operators int
-	Faults    int           // most in a schedule; a repair is not one
-	Orders    int           // most in a schedule, reads and evacuations too
-	Step      time.Duration // of the default, between two places for a choice
-	Messages  bool          // also before each message of the protocol, the machines' regular messages excepted
-	Duties    bool          // machines lease a duty, and act at a platform under its fence
-	Kinds     []string      // of choices; empty: all
-	Without   []string      // kinds left out
-	Reckless  bool          // disks may be lost at any time: more than is promised, to see that it shows
-	Warm      time.Duration // before the first choice
-	CatchUp   time.Duration // without trouble before a disk may be lost: one machine at a time
-	Settle    time.Duration // after quiet, before orders must be served
-	Serve     time.Duration // within which an order is confirmed and a read answered then
-	LongAgo   time.Duration // longer than any time that the chain itself waits for anything
+	Founders           int
+	Newcomers          int
+	MaxMachineFailures int
+	Operators          int
+	Faults             int           // most in a schedule; a repair is not one
+	Orders             int           // most in a schedule, reads and evacuations too
+	Step               time.Duration // of the default, between two places for a choice
+	Messages           bool          // also before each message of the protocol, the machines' regular messages excepted
+	Duties             bool          // machines lease a duty, and act at a platform under its fence
+	Kinds              []string      // of choices; empty: all
+	Without            []string      // kinds left out
+	Reckless           bool          // disks may be lost at any time: more than is promised, to see that it shows
+	Warm               time.Duration // before the first choice
+	CatchUp            time.Duration // without trouble before a disk may be lost: one machine at a time
+	Settle             time.Duration // after quiet, before orders must be served
+	Serve              time.Duration // within which an order is confirmed and a read answered then
+	LongAgo            time.Duration // longer than any time that the chain itself waits for anything
 }
 
 // Small is three founders and two newcomers with up to four faults.
 func Small() Config {
 	return Config{
-		Founders:  3,
-		Newcomers: 2,
-		Tolerate:  1,
-		Operators: 2,
-		Faults:    4,
-		Orders:    4,
-		Step:      2 * time.Second,
-		Warm:      4 * time.Second,
-		CatchUp:   4 * time.Second,
-		Settle:    6 * time.Second,
-		Serve:     3 * time.Second,
-		LongAgo:   5 * time.Second,
+		Founders:           3,
+		Newcomers:          2,
+		MaxMachineFailures: 1,
+		Operators:          2,
+		Faults:             4,
+		Orders:             4,
+		Step:               2 * time.Second,
+		Warm:               4 * time.Second,
+		CatchUp:            4 * time.Second,
+		Settle:             6 * time.Second,
+		Serve:              3 * time.Second,
+		LongAgo:            5 * time.Second,
 	}
 }
 
 // Five is five machines, of which two may be lost at once, with up to four faults.
 func Five() Config {
 	c := Small()
-	c.Founders, c.Newcomers, c.Tolerate, c.Operators = 5, 0, 2, 1
+	c.Founders, c.Newcomers, c.MaxMachineFailures, c.Operators = 5, 0, 2, 1
 	return c
 }
--- a/internal/modelcheck/chainmodel/machines.go
+++ b/internal/modelcheck/chainmodel/machines.go
@@ -30,7 +30,7 @@
 		}
 		return // it stays down
 	}
-	c.MaxMachineFailures = m.Tolerate
+	c.MaxMachineFailures = m.MaxMachineFailures
 	m.chain[n] = c
 	m.inForce[n], m.pendingCalls[n] = nil, nil
 	m.pendingReads[n], m.pendingEvacs[n] = map[uint64]pendingRead{}, map[uint64]pendingEvac{}
