--- a/internal/modelcheck/chainmodel/chainmodel_test.go
+++ b/internal/modelcheck/chainmodel/chainmodel_test.go
@@ -85,7 +85,7 @@
 // The search sees what it is there to see: disks lost as no promise allows.
 func TestLossesBeyondThePromiseAreFound(t *testing.T) {
 	c := Small()
-	c.Reckless, c.Kinds = true, []string{"wipe", "order"}
+	c.UnsafeDiskLoss, c.Kinds = true, []string{"wipe", "order"}
 	r := modelcheck.Systematic(func() modelcheck.Model { return New(c) }, modelcheck.Options{Deviations: 2, Depth: 1})
 	t.Log(r)
 	for _, f := range r.Failures {
@@ -100,7 +100,7 @@
 // Three of five lost is beyond the tolerance of two, and found.
 func TestThreeOfFiveLostAreFound(t *testing.T) {
 	c := Five()
-	c.Reckless, c.Kinds = true, []string{"leave"}
+	c.UnsafeDiskLoss, c.Kinds = true, []string{"leave"}
 	r := modelcheck.Systematic(func() modelcheck.Model { return New(c) }, modelcheck.Options{Deviations: 3, Depth: 0, Jobs: 2})
 	t.Log(r)
 	if len(r.Failures) != 1 || r.Failures[0].Rule != RuleConfirmed || r.Failures[0].Shrunk.Deviations() != 3 {
--- a/internal/modelcheck/chainmodel/choices.go
+++ b/internal/modelcheck/chainmodel/choices.go
@@ -31,7 +31,7 @@
 // allHealthy says whether a disk may be lost: all machines are up and one chain, and
 // have had the time to catch up.
 func (m *Model) allHealthy() bool {
-	if m.Reckless {
+	if m.UnsafeDiskLoss {
 		return true
 	}
 	if m.world.Partitioned() || len(m.world.Names) < m.Founders || m.world.Now-m.world.LastFault < m.CatchUp {
--- a/internal/modelcheck/chainmodel/config.go
+++ b/internal/modelcheck/chainmodel/config.go
@@ -32,7 +32,7 @@
 	Duties             bool          // machines lease a duty, and act at a platform under its fence
 	Kinds              []string      // of choices; empty: all
 	Without            []string      // kinds left out
-	Reckless           bool          // disks may be lost at any time: more than is promised, to see that it shows
+	UnsafeDiskLoss     bool          // disks may be lost at any time: more than is promised, to see that it shows
 	Warm               time.Duration // before the first choice
 	CatchUp            time.Duration // without trouble before a disk may be lost: one machine at a time
 	Settle             time.Duration // after quiet, before orders must be served
