--- a/internal/modelcheck/chainmodel/config.go
+++ b/internal/modelcheck/chainmodel/config.go
@@ -35,7 +35,7 @@
 	UnsafeDiskLoss     bool          // disks may be lost at any time: more than is promised, to see that it shows
 	Warm               time.Duration // before the first choice
 	CatchUp            time.Duration // without trouble before a disk may be lost: one machine at a time
-	Settle             time.Duration // after quiet, before orders must be served
+	SettleTime         time.Duration // after quiet, before orders must be served
 	Serve              time.Duration // within which an order is confirmed and a read answered then
 	LongAgo            time.Duration // longer than any time that the chain itself waits for anything
 }
@@ -52,7 +52,7 @@
 		Step:               2 * time.Second,
 		Warm:               4 * time.Second,
 		CatchUp:            4 * time.Second,
-		Settle:             6 * time.Second,
+		SettleTime:         6 * time.Second,
 		Serve:              3 * time.Second,
 		LongAgo:            5 * time.Second,
 	}
--- a/internal/modelcheck/chainmodel/duties.go
+++ b/internal/modelcheck/chainmodel/duties.go
@@ -178,7 +178,7 @@
 // quietDuties: there is one holder, and what it decides is taken.
 func (m *Model) checkDutyProgress() {
 	if m.err == nil && len(m.holders()) != 1 {
-		m.fail(RuleHeld, "held by %d machines after %v of quiet: %s", len(m.holders()), m.Settle, m.describe())
+		m.fail(RuleHeld, "held by %d machines after %v of quiet: %s", len(m.holders()), m.SettleTime, m.describe())
 	}
 	was, until := m.platform.accepted, m.world.Now+alternationWindow+m.Serve
 	m.world.Run(until, nil, func() bool { return m.healthy() && m.platform.accepted == was })
--- a/internal/modelcheck/chainmodel/quiet.go
+++ b/internal/modelcheck/chainmodel/quiet.go
@@ -43,7 +43,7 @@
 
 // serve lets things settle and asks each machine that is up for its service.
 func (m *Model) checkService() {
-	m.world.Run(m.world.Now+m.Settle, nil, m.healthy)
+	m.world.Run(m.world.Now+m.SettleTime, nil, m.healthy)
 	if m.Duties {
 		m.checkDutyProgress()
 	}
@@ -62,7 +62,7 @@
 			m.world.Run(m.world.Now+constants.SubmitWait, nil, func() bool { return m.healthy() && !confirmed() })
 		}
 		if m.err == nil && !confirmed() {
-			m.fail(RuleConfirmed, "%s: nothing confirmed in %v of quiet and %v: %s", n, m.Settle, m.Serve, m.describe())
+			m.fail(RuleConfirmed, "%s: nothing confirmed in %v of quiet and %v: %s", n, m.SettleTime, m.Serve, m.describe())
 		}
 	}
 	for _, n := range up {
@@ -72,7 +72,7 @@
 			m.world.Run(m.world.Now+constants.SubmitWait, nil, func() bool { return m.healthy() && m.readsAnswered == was })
 		}
 		if m.err == nil && m.readsAnswered == was {
-			m.fail(RuleReadAnswered, "%s: no read answered in %v of quiet and %v: %s", n, m.Settle, m.Serve, m.describe())
+			m.fail(RuleReadAnswered, "%s: no read answered in %v of quiet and %v: %s", n, m.SettleTime, m.Serve, m.describe())
 		}
 	}
 }
