--- a/internal/modelcheck/chainmodel/config.go
+++ b/internal/modelcheck/chainmodel/config.go
@@ -36,7 +36,7 @@
 	Warm               time.Duration // before the first choice
 	CatchUp            time.Duration // without trouble before a disk may be lost: one machine at a time
 	SettleTime         time.Duration // after quiet, before orders must be served
-	Serve              time.Duration // within which an order is confirmed and a read answered then
+	ServeTimeout       time.Duration // within which an order is confirmed and a read answered then
 	LongAgo            time.Duration // longer than any time that the chain itself waits for anything
 }
 
@@ -53,7 +53,7 @@
 		Warm:               4 * time.Second,
 		CatchUp:            4 * time.Second,
 		SettleTime:         6 * time.Second,
-		Serve:              3 * time.Second,
+		ServeTimeout:       3 * time.Second,
 		LongAgo:            5 * time.Second,
 	}
 }
--- a/internal/modelcheck/chainmodel/duties.go
+++ b/internal/modelcheck/chainmodel/duties.go
@@ -180,10 +180,10 @@
 	if m.err == nil && len(m.holders()) != 1 {
 		m.fail(RuleHeld, "held by %d machines after %v of quiet: %s", len(m.holders()), m.SettleTime, m.describe())
 	}
-	was, until := m.platform.accepted, m.world.Now+alternationWindow+m.Serve
+	was, until := m.platform.accepted, m.world.Now+alternationWindow+m.ServeTimeout
 	m.world.Run(until, nil, func() bool { return m.healthy() && m.platform.accepted == was })
 	if m.err == nil && m.platform.accepted == was {
-		m.fail(RuleActs, "none in %v: %s", alternationWindow+m.Serve, m.describe())
+		m.fail(RuleActs, "none in %v: %s", alternationWindow+m.ServeTimeout, m.describe())
 	}
 }
 
--- a/internal/modelcheck/chainmodel/quiet.go
+++ b/internal/modelcheck/chainmodel/quiet.go
@@ -56,23 +56,23 @@
 	for _, n := range up {
 		o := Order{"quiet", m.highestVersion + 1, fmt.Sprintf("r%d after quiet", m.highestVersion+1)}
 		confirmed := func() bool { _, ok := m.confirmed[o.Version]; return ok }
-		until := m.world.Now + m.Serve
+		until := m.world.Now + m.ServeTimeout
 		for m.err == nil && !confirmed() && m.world.Now < until {
 			m.submitConfig(n, o)
 			m.world.Run(m.world.Now+constants.SubmitWait, nil, func() bool { return m.healthy() && !confirmed() })
 		}
 		if m.err == nil && !confirmed() {
-			m.fail(RuleConfirmed, "%s: nothing confirmed in %v of quiet and %v: %s", n, m.SettleTime, m.Serve, m.describe())
+			m.fail(RuleConfirmed, "%s: nothing confirmed in %v of quiet and %v: %s", n, m.SettleTime, m.ServeTimeout, m.describe())
 		}
 	}
 	for _, n := range up {
-		was, until := m.readsAnswered, m.world.Now+m.Serve
+		was, until := m.readsAnswered, m.world.Now+m.ServeTimeout
 		for m.err == nil && m.readsAnswered == was && m.world.Now < until {
 			m.read(n)
 			m.world.Run(m.world.Now+constants.SubmitWait, nil, func() bool { return m.healthy() && m.readsAnswered == was })
 		}
 		if m.err == nil && m.readsAnswered == was {
-			m.fail(RuleReadAnswered, "%s: no read answered in %v of quiet and %v: %s", n, m.SettleTime, m.Serve, m.describe())
+			m.fail(RuleReadAnswered, "%s: no read answered in %v of quiet and %v: %s", n, m.SettleTime, m.ServeTimeout, m.describe())
 		}
 	}
 }
