--- a/internal/modelcheck/chainmodel/chainmodel.go
+++ b/internal/modelcheck/chainmodel/chainmodel.go
@@ -99,7 +99,7 @@
 
 // Hash distinguishes states, as package modelcheck asks.
 func (m *Model) Hash() uint64 {
-	a := modelcheck.Abstraction{MaxAge: m.LongAgo, SkipFields: skippedFields}
+	a := modelcheck.Abstraction{MaxAge: m.MaxAge, SkipFields: skippedFields}
 	parts := []any{m.toleratedStops, m.recentLosses, m.lossAt == m.world.LastFault, m.leaving, m.faults, m.orders, m.joined, m.highestVersion, m.lastSubmission, m.confirmed, m.confirmedEvacs, m.evacSentAt, m.states, m.views, m.nextChoiceAt, int(min(m.world.Now-m.world.LastFault, m.CatchUp))}
 	for _, n := range m.world.Names {
 		parts = append(parts, n, m.disks[n], m.inForce[n] != nil, m.pendingCalls[n], m.pendingReads[n], m.pendingEvacs[n])
--- a/internal/modelcheck/chainmodel/config.go
+++ b/internal/modelcheck/chainmodel/config.go
@@ -37,7 +37,7 @@
 	CatchUp            time.Duration // without trouble before a disk may be lost: one machine at a time
 	SettleTime         time.Duration // after quiet, before orders must be served
 	ServeTimeout       time.Duration // within which an order is confirmed and a read answered then
-	LongAgo            time.Duration // longer than any time that the chain itself waits for anything
+	MaxAge             time.Duration // longer than any time that the chain itself waits for anything
 }
 
 // Small is three founders and two newcomers with up to four faults.
@@ -54,7 +54,7 @@
 		CatchUp:            4 * time.Second,
 		SettleTime:         6 * time.Second,
 		ServeTimeout:       3 * time.Second,
-		LongAgo:            5 * time.Second,
+		MaxAge:             5 * time.Second,
 	}
 }
 
