--- a/internal/modelcheck/chainmodel/duties.go
+++ b/internal/modelcheck/chainmodel/duties.go
@@ -16,7 +16,7 @@
 const (
 	RuleOneHolder = "one holder a duty"
 	RuleOneFence  = "one holder a fence"
-	RuleOneAct    = "one body a key"
+	RuleOneBody   = "one body a key"
 	RuleLeased    = "no act without the lease"
 	RuleTurns     = "no turns inside the lease bound"
 	RuleHeld      = "a duty is held after quiet"
@@ -130,7 +130,7 @@
 	if p.Fence >= f.fence {
 		status, f.fence = 200, p.Fence
 		if was, ok := f.bodies[p.Key]; ok && was != string(p.Body) {
-			m.fail(RuleOneAct, "key %d is sent as %s and as %s", p.Key, was, p.Body)
+			m.fail(RuleOneBody, "key %d is sent as %s and as %s", p.Key, was, p.Body)
 		}
 		f.bodies[p.Key] = string(p.Body)
 		f.recentActions = append(f.recentActions, platformAction{m.world.Now, n})
