--- a/internal/modelcheck/chainmodel/duties.go
+++ b/internal/modelcheck/chainmodel/duties.go
@@ -14,13 +14,13 @@
 
 // The rules on duties, checked when Config.Duties is set.
 const (
-	RuleOneHolder = "one holder a duty"
-	RuleOneFence  = "one holder a fence"
-	RuleOneBody   = "one body a key"
-	RuleLeased    = "no act without the lease"
-	RuleTurns     = "no turns inside the lease bound"
-	RuleHeld      = "a duty is held after quiet"
-	RuleActs      = "acts are taken after quiet"
+	RuleOneHolder     = "one holder a duty"
+	RuleOneFence      = "one holder a fence"
+	RuleOneBody       = "one body a key"
+	RuleActUnderLease = "no act without the lease"
+	RuleTurns         = "no turns inside the lease bound"
+	RuleHeld          = "a duty is held after quiet"
+	RuleActs          = "acts are taken after quiet"
 )
 
 const (
@@ -108,7 +108,7 @@
 			m.sendLease(n, m.dutyHolders[n].lease.Leave(m.world.Now, dutyName))
 		case duty.Act:
 			if _, ok := m.dutyHolders[n].lease.Holds(m.world.Now, dutyName); !ok {
-				m.fail(RuleLeased, "%s sends key %d under fence %d", n, x.Key, x.Fence)
+				m.fail(RuleActUnderLease, "%s sends key %d under fence %d", n, x.Key, x.Fence)
 			}
 			life := m.world.Incarnation(n)
 			m.world.After(modelcheck.MessageDelay, func() { m.post(n, life, x) })
