--- a/internal/modelcheck/chainmodel/duties.go
+++ b/internal/modelcheck/chainmodel/duties.go
@@ -18,7 +18,7 @@
 	RuleOneFence      = "one holder a fence"
 	RuleOneBody       = "one body a key"
 	RuleActUnderLease = "no act without the lease"
-	RuleTurns         = "no turns inside the lease bound"
+	RuleNoAlternation = "no turns inside the lease bound"
 	RuleHeld          = "a duty is held after quiet"
 	RuleActs          = "acts are taken after quiet"
 )
@@ -152,7 +152,7 @@
 		if f.recentActions[i].holder != last.holder {
 			other = true
 		} else if other {
-			m.fail(RuleTurns, "%s acts again %v after another did", last.holder, last.at-f.recentActions[i].at)
+			m.fail(RuleNoAlternation, "%s acts again %v after another did", last.holder, last.at-f.recentActions[i].at)
 		}
 	}
 	f.recentActions = f.recentActions[max(0, len(f.recentActions)-200):]
