--- a/internal/modelcheck/chainmodel/duties.go
+++ b/internal/modelcheck/chainmodel/duties.go
@@ -20,7 +20,7 @@
 	RuleActUnderLease = "no act without the lease"
 	RuleNoAlternation = "no turns inside the lease bound"
 	RuleHeld          = "a duty is held after quiet"
-	RuleActs          = "acts are taken after quiet"
+	RuleActsAccepted  = "acts are taken after quiet"
 )
 
 const (
@@ -183,7 +183,7 @@
 	was, until := m.platform.accepted, m.world.Now+alternationWindow+m.ServeTimeout
 	m.world.Run(until, nil, func() bool { return m.healthy() && m.platform.accepted == was })
 	if m.err == nil && m.platform.accepted == was {
-		m.fail(RuleActs, "none in %v: %s", alternationWindow+m.ServeTimeout, m.describe())
+		m.fail(RuleActsAccepted, "none in %v: %s", alternationWindow+m.ServeTimeout, m.describe())
 	}
 }
 
