--- a/internal/modelcheck/chainmodel/chainmodel.go
+++ b/internal/modelcheck/chainmodel/chainmodel.go
@@ -25,12 +25,12 @@
 
 	faults, orders, joined int
 	lastID                 uint64
-	toleratedStops         []string             // machines stopped within what is tolerated, the first while all was whole
-	recentLosses           int                  // machines stopped or lost since all was whole, as long as no other trouble came
-	lossAt                 time.Duration        // the latest of them
-	leaving                map[string]departure // machines that stop in order
-	lastSubmission         map[string]Order     // by operator
-	highestVersion         uint64               // highest version sent
+	toleratedStops         []string              // machines stopped within what is tolerated, the first while all was whole
+	recentLosses           int                   // machines stopped or lost since all was whole, as long as no other trouble came
+	lossAt                 time.Duration         // the latest of them
+	leaving                map[string]departure  // machines that stop in order
+	lastSubmission         map[string]Submission // by operator
+	highestVersion         uint64                // highest version sent
 	pendingCalls           map[string][]pendingCall
 	pendingReads           map[string]map[uint64]pendingRead
 	pendingEvacs           map[string]map[uint64]pendingEvac
@@ -66,7 +66,7 @@
 	m.nextChoiceAt, m.err = m.Warm, nil
 	m.faults, m.orders, m.joined, m.lastID, m.highestVersion = 0, 0, 0, 0, 0
 	m.toleratedStops, m.recentLosses, m.lossAt, m.leaving = nil, 0, 0, map[string]departure{}
-	m.lastSubmission, m.pendingCalls = map[string]Order{}, map[string][]pendingCall{}
+	m.lastSubmission, m.pendingCalls = map[string]Submission{}, map[string][]pendingCall{}
 	m.pendingReads, m.pendingEvacs = map[string]map[uint64]pendingRead{}, map[string]map[uint64]pendingEvac{}
 	m.confirmed, m.confirmedVersion, m.confirmedEvacs = map[uint64]string{}, 0, map[string]uint64{}
 	m.evacSentAt = map[uint64]time.Duration{}
--- a/internal/modelcheck/chainmodel/choices.go
+++ b/internal/modelcheck/chainmodel/choices.go
@@ -219,7 +219,7 @@
 	case "order":
 		m.orders++
 		version, _ := strconv.ParseUint(strings.TrimPrefix(f[4], "r"), 10, 64)
-		m.submitConfig(strings.TrimSuffix(f[3], ":"), Order{f[1], version, fmt.Sprintf("r%d by %s", version, f[1])})
+		m.submitConfig(strings.TrimSuffix(f[3], ":"), Submission{f[1], version, fmt.Sprintf("r%d by %s", version, f[1])})
 	case "again":
 		m.orders++
 		m.submitConfig(f[3], m.lastSubmission[f[1]])
--- a/internal/modelcheck/chainmodel/operators.go
+++ b/internal/modelcheck/chainmodel/operators.go
@@ -8,7 +8,7 @@
 )
 
 // Order is an operator's configuration sent at a machine and waited for.
-type Order struct {
+type Submission struct {
 	Operator string
 	Version  uint64
 	Content  string
@@ -16,7 +16,7 @@
 
 // Confirms says whether a state that a machine knows to be in force confirms an
 // order that waits there, as the API judges it.
-func Confirms(in *config.Doc, o Order) bool {
+func Confirms(in *config.Doc, o Submission) bool {
 	if in == nil {
 		return false
 	}
@@ -25,13 +25,13 @@
 }
 
 // submit hands an order to a machine.
-func submitTo(c *chain.Chain, now time.Duration, o Order) []chain.Effect {
+func submitTo(c *chain.Chain, now time.Duration, o Submission) []chain.Effect {
 	return c.Submit(now, config.Doc{Version: o.Version, Raw: []byte(o.Content)})
 }
 
 // waiting is a call of an operator that has no answer yet.
 type pendingCall struct {
-	Order
+	Submission
 	submittedAt time.Duration
 }
 
@@ -47,7 +47,7 @@
 }
 
 // order sends an operator's configuration to a machine.
-func (m *Model) submitConfig(n string, o Order) {
+func (m *Model) submitConfig(n string, o Submission) {
 	m.lastSubmission[o.Operator] = o
 	m.highestVersion = max(m.highestVersion, o.Version)
 	if m.chain[n] == nil || m.world.Frozen(n) {
--- a/internal/modelcheck/chainmodel/quiet.go
+++ b/internal/modelcheck/chainmodel/quiet.go
@@ -54,7 +54,7 @@
 		}
 	}
 	for _, n := range up {
-		o := Order{"quiet", m.highestVersion + 1, fmt.Sprintf("r%d after quiet", m.highestVersion+1)}
+		o := Submission{"quiet", m.highestVersion + 1, fmt.Sprintf("r%d after quiet", m.highestVersion+1)}
 		confirmed := func() bool { _, ok := m.confirmed[o.Version]; return ok }
 		until := m.world.Now + m.ServeTimeout
 		for m.err == nil && !confirmed() && m.world.Now < until {
--- a/internal/modelcheck/chainmodel/rules.go
+++ b/internal/modelcheck/chainmodel/rules.go
@@ -47,10 +47,10 @@
 	m.pendingCalls[n] = slices.DeleteFunc(m.pendingCalls[n], func(w pendingCall) bool { return m.world.Now-w.submittedAt > constants.SubmitWait })
 	var remaining []pendingCall
 	for _, w := range m.pendingCalls[n] {
-		if !Confirms(&d, w.Order) {
+		if !Confirms(&d, w.Submission) {
 			remaining = append(remaining, w)
 		} else {
-			m.confirm(n, w.Order)
+			m.confirm(n, w.Submission)
 		}
 	}
 	m.pendingCalls[n] = remaining
@@ -99,7 +99,7 @@
 }
 
 // confirm notes that an operator's order is confirmed to it.
-func (m *Model) confirm(n string, o Order) {
+func (m *Model) confirm(n string, o Submission) {
 	if was, ok := m.confirmed[o.Version]; ok && was != o.Content {
 		m.fail(RuleOneContent, "%s confirms r%d %q to %s, %q was confirmed", n, o.Version, o.Content, o.Operator, was)
 	}
