--- a/cmd/slateridge/modelcheck.go
+++ b/cmd/slateridge/modelcheck.go
@@ -123,8 +123,8 @@
 
 // check says which flag is out of its range; kinds are the model's kinds of choices.
 func (c modelcheckCmd) check(kinds []string) error {
-	if c.Model == "admission" && (c.Proxies < 1 || c.Proxies+c.Newcomers > admissionmodel.MostProxies) {
-		return fmt.Errorf("admission has one to %d proxies, newcomers among them", admissionmodel.MostProxies)
+	if c.Model == "admission" && (c.Proxies < 1 || c.Proxies+c.Newcomers > admissionmodel.MaxProxies) {
+		return fmt.Errorf("admission has one to %d proxies, newcomers among them", admissionmodel.MaxProxies)
 	}
 	for _, k := range slices.Concat(c.Kinds, c.Without) {
 		if !slices.Contains(kinds, k) {
--- a/internal/modelcheck/admissionmodel/config.go
+++ b/internal/modelcheck/admissionmodel/config.go
@@ -28,7 +28,7 @@
 )
 
 // MostProxies is how many there may be, newcomers included.
-const MostProxies = 4
+const MaxProxies = 4
 
 // Config bounds a model.
 type Config struct {
