--- a/cmd/slateridge/modelcheck.go
+++ b/cmd/slateridge/modelcheck.go
@@ -73,7 +73,7 @@
 	cfg.Faults, cfg.Messages, cfg.Kinds, cfg.Without, cfg.Newcomers, cfg.Warm = c.Faults, c.Messages, c.Kinds, c.Without, c.Newcomers, c.Warm
 	cfg.Proxies, cfg.Pressed, cfg.Quota.Burst, cfg.Slack, cfg.Tolerance = c.Proxies, c.Pressed, c.Burst, c.Slack, c.Tolerance
 	if c.Plant != "none" {
-		cfg.Planted = admissionmodel.Fault(c.Plant)
+		cfg.InjectedFault = admissionmodel.Fault(c.Plant)
 	}
 	if c.Step > 0 {
 		cfg.Step = c.Step
--- a/internal/modelcheck/admissionmodel/admissionmodel_test.go
+++ b/internal/modelcheck/admissionmodel/admissionmodel_test.go
@@ -103,7 +103,7 @@
 			c := Small()
 			s.change(&c)
 			withoutFault := c
-			c.Planted = s.fault
+			c.InjectedFault = s.fault
 			r := modelcheck.Systematic(func() modelcheck.Model { return New(c) }, modelcheck.Options{Deviations: s.deviations, Depth: 5, Jobs: 1})
 			t.Log(r)
 			if len(r.Failures) != 1 || r.Failures[0].Rule != RuleBound {
--- a/internal/modelcheck/admissionmodel/config.go
+++ b/internal/modelcheck/admissionmodel/config.go
@@ -32,23 +32,23 @@
 
 // Config bounds a model.
 type Config struct {
-	Proxies   int // at the start
-	Newcomers int
-	Trackers  int
-	Quota     admission.Quota
-	Slack     float64 // absolute, of the quota: decides about floors, and so which keys trackers carry alone
-	Faults    int     // most in a schedule; a repair is not one
-	Step      time.Duration
-	Messages  bool     // choices also before each message
-	Kinds     []string // of choices; empty: all
-	Without   []string
-	Pressed   bool // clients press all proxies from the end of the warm time on, when buckets are full
-	Warm      time.Duration
-	Window    time.Duration // of the promise; the design's bound is for any
-	Long      time.Duration // that the choice "long" lets pass
-	Settle    time.Duration // after quiet, before the key must be served
-	Planted   Fault
-	Tolerance float64 // tokens beyond either bound that are let pass, to search on past what is known
+	Proxies       int // at the start
+	Newcomers     int
+	Trackers      int
+	Quota         admission.Quota
+	Slack         float64 // absolute, of the quota: decides about floors, and so which keys trackers carry alone
+	Faults        int     // most in a schedule; a repair is not one
+	Step          time.Duration
+	Messages      bool     // choices also before each message
+	Kinds         []string // of choices; empty: all
+	Without       []string
+	Pressed       bool // clients press all proxies from the end of the warm time on, when buckets are full
+	Warm          time.Duration
+	Window        time.Duration // of the promise; the design's bound is for any
+	Long          time.Duration // that the choice "long" lets pass
+	Settle        time.Duration // after quiet, before the key must be served
+	InjectedFault Fault
+	Tolerance     float64 // tokens beyond either bound that are let pass, to search on past what is known
 }
 
 // Small is two proxies and one to come, with split shares that serve at two and a
--- a/internal/modelcheck/admissionmodel/proxy.go
+++ b/internal/modelcheck/admissionmodel/proxy.go
@@ -43,7 +43,7 @@
 func (m *Model) callTracker(n string, wants []admission.KeyRequest, request bool) {
 	p := m.proxies[n]
 	echo := p.echo[p.tracker].time
-	if m.Planted == LoanOutlives && echo.Life > 0 {
+	if m.InjectedFault == LoanOutlives && echo.Life > 0 {
 		echo.At += 2 * constants.LendLength
 	}
 	m.lastCallID++
@@ -70,7 +70,7 @@
 		return
 	}
 	delete(p.pending, id)
-	if m.trackers[q.tracker] == nil || m.Planted == StandbyTooEarly {
+	if m.trackers[q.tracker] == nil || m.InjectedFault == StandbyTooEarly {
 		p.limiter.MarkTrackerDown(0) // nobody listens there
 	}
 	if q.forRequest {
@@ -148,7 +148,7 @@
 func (m *Model) handleGrantCall(n string, a admission.GrantRequest) admission.Grants {
 	return m.trackers[n].state.HandleRequest(m.world.Now, a, func(int) (time.Duration, bool) {
 		since := m.heldSince
-		if m.Planted == TrackerAtOnce {
+		if m.InjectedFault == TrackerAtOnce {
 			since -= 2 * constants.GrantLong
 		}
 		return since, m.dutyHolder == n
