--- a/internal/modelcheck/admissionmodel/admissionmodel_test.go
+++ b/internal/modelcheck/admissionmodel/admissionmodel_test.go
@@ -94,7 +94,7 @@
 		change     func(*Config)
 		deviations int
 	}{
-		{LoanOutlives, func(c *Config) { c.Kinds = []string{"isolate"} }, 1},
+		{KeepReturnedLoan, func(c *Config) { c.Kinds = []string{"isolate"} }, 1},
 		{TrackerAtOnce, func(c *Config) { c.Kinds, c.Pressed, c.Quota.Burst = []string{"duty"}, true, 60 }, 1},
 		{NewcomerAtOnce, func(c *Config) { noTrackerOnlyKeys(c); c.Kinds, c.Pressed = []string{"come", "part"}, true }, 2},
 		{StandbyTooEarly, func(c *Config) { trackerOnly(c); c.Kinds, c.Tolerance = []string{"isolate"}, 8 }, 1}, // beyond what is known
--- a/internal/modelcheck/admissionmodel/proxy.go
+++ b/internal/modelcheck/admissionmodel/proxy.go
@@ -43,7 +43,7 @@
 func (m *Model) callTracker(n string, wants []admission.KeyRequest, request bool) {
 	p := m.proxies[n]
 	echo := p.echo[p.tracker].time
-	if m.InjectedFault == LoanOutlives && echo.Life > 0 {
+	if m.InjectedFault == KeepReturnedLoan && echo.Life > 0 {
 		echo.At += 2 * constants.LendLength
 	}
 	m.lastCallID++
