--- a/internal/modelcheck/admissionmodel/admissionmodel_test.go
+++ b/internal/modelcheck/admissionmodel/admissionmodel_test.go
@@ -95,7 +95,7 @@
 		deviations int
 	}{
 		{KeepReturnedLoan, func(c *Config) { c.Kinds = []string{"isolate"} }, 1},
-		{TrackerAtOnce, func(c *Config) { c.Kinds, c.Pressed, c.Quota.Burst = []string{"duty"}, true, 60 }, 1},
+		{TrackerWithoutWarmup, func(c *Config) { c.Kinds, c.Pressed, c.Quota.Burst = []string{"duty"}, true, 60 }, 1},
 		{NewcomerAtOnce, func(c *Config) { noTrackerOnlyKeys(c); c.Kinds, c.Pressed = []string{"come", "part"}, true }, 2},
 		{StandbyTooEarly, func(c *Config) { trackerOnly(c); c.Kinds, c.Tolerance = []string{"isolate"}, 8 }, 1}, // beyond what is known
 	} {
--- a/internal/modelcheck/admissionmodel/config.go
+++ b/internal/modelcheck/admissionmodel/config.go
@@ -20,11 +20,11 @@
 
 // The faults that can be planted.
 const (
-	NoFault          Fault = ""
-	KeepReturnedLoan Fault = "loan"     // the tracker goes on with a loan after its proxy took it back
-	TrackerAtOnce    Fault = "tracker"  // a new tracker gives as if it had tracked for long
-	NewcomerAtOnce   Fault = "newcomer" // a newcomer shares before the others reckon with it
-	StandbyTooEarly  Fault = "standby"  // a proxy takes a lost answer for a tracker that is gone
+	NoFault              Fault = ""
+	KeepReturnedLoan     Fault = "loan"     // the tracker goes on with a loan after its proxy took it back
+	TrackerWithoutWarmup Fault = "tracker"  // a new tracker gives as if it had tracked for long
+	NewcomerAtOnce       Fault = "newcomer" // a newcomer shares before the others reckon with it
+	StandbyTooEarly      Fault = "standby"  // a proxy takes a lost answer for a tracker that is gone
 )
 
 // MostProxies is how many there may be, newcomers included.
--- a/internal/modelcheck/admissionmodel/proxy.go
+++ b/internal/modelcheck/admissionmodel/proxy.go
@@ -148,7 +148,7 @@
 func (m *Model) handleGrantCall(n string, a admission.GrantRequest) admission.Grants {
 	return m.trackers[n].state.HandleRequest(m.world.Now, a, func(int) (time.Duration, bool) {
 		since := m.heldSince
-		if m.InjectedFault == TrackerAtOnce {
+		if m.InjectedFault == TrackerWithoutWarmup {
 			since -= 2 * constants.GrantLong
 		}
 		return since, m.dutyHolder == n
