--- a/internal/modelcheck/admissionmodel/control.go
+++ b/internal/modelcheck/admissionmodel/control.go
@@ -52,7 +52,7 @@
 		return
 	}
 	for _, e := range m.roster {
-		if m.started && e.admitted && e.count < len(m.roster) && m.InjectedFault != NewcomerAtOnce {
+		if m.started && e.admitted && e.count < len(m.roster) && m.InjectedFault != NewcomerWithoutWait {
 			return
 		}
 	}
