--- a/internal/modelcheck/admissionmodel/admissionmodel_test.go
+++ b/internal/modelcheck/admissionmodel/admissionmodel_test.go
@@ -97,7 +97,7 @@
 		{KeepReturnedLoan, func(c *Config) { c.Kinds = []string{"isolate"} }, 1},
 		{TrackerWithoutWarmup, func(c *Config) { c.Kinds, c.Pressed, c.Quota.Burst = []string{"duty"}, true, 60 }, 1},
 		{NewcomerWithoutWait, func(c *Config) { noTrackerOnlyKeys(c); c.Kinds, c.Pressed = []string{"come", "part"}, true }, 2},
-		{StandbyTooEarly, func(c *Config) { trackerOnly(c); c.Kinds, c.Tolerance = []string{"isolate"}, 8 }, 1}, // beyond what is known
+		{StandbyOnTimeout, func(c *Config) { trackerOnly(c); c.Kinds, c.Tolerance = []string{"isolate"}, 8 }, 1}, // beyond what is known
 	} {
 		t.Run(string(s.fault), func(t *testing.T) {
 			c := Small()
--- a/internal/modelcheck/admissionmodel/config.go
+++ b/internal/modelcheck/admissionmodel/config.go
@@ -24,7 +24,7 @@
 	KeepReturnedLoan     Fault = "loan"     // the tracker goes on with a loan after its proxy took it back
 	TrackerWithoutWarmup Fault = "tracker"  // a new tracker gives as if it had tracked for long
 	NewcomerWithoutWait  Fault = "newcomer" // a newcomer shares before the others reckon with it
-	StandbyTooEarly      Fault = "standby"  // a proxy takes a lost answer for a tracker that is gone
+	StandbyOnTimeout     Fault = "standby"  // a proxy takes a lost answer for a tracker that is gone
 )
 
 // MostProxies is how many there may be, newcomers included.
--- a/internal/modelcheck/admissionmodel/proxy.go
+++ b/internal/modelcheck/admissionmodel/proxy.go
@@ -70,7 +70,7 @@
 		return
 	}
 	delete(p.pending, id)
-	if m.trackers[q.tracker] == nil || m.InjectedFault == StandbyTooEarly {
+	if m.trackers[q.tracker] == nil || m.InjectedFault == StandbyOnTimeout {
 		p.limiter.MarkTrackerDown(0) // nobody listens there
 	}
 	if q.forRequest {
