--- a/internal/modelcheck/admissionmodel/choices.go
+++ b/internal/modelcheck/admissionmodel/choices.go
@@ -127,7 +127,7 @@
 		m.vacate("")
 		m.vacantSince += powerLossVacancy
 	case "long":
-		m.world.Run(m.world.Now+m.Long, nil, m.healthy)
+		m.world.Run(m.world.Now+m.LongWait, nil, m.healthy)
 		m.nextChoiceAt = max(m.nextChoiceAt, m.world.Now)
 	}
 }
--- a/internal/modelcheck/admissionmodel/config.go
+++ b/internal/modelcheck/admissionmodel/config.go
@@ -45,7 +45,7 @@
 	Pressed       bool // clients press all proxies from the end of the warm time on, when buckets are full
 	Warm          time.Duration
 	Window        time.Duration // of the promise; the design's bound is for any
-	Long          time.Duration // that the choice "long" lets pass
+	LongWait      time.Duration // that the choice "long" lets pass
 	Settle        time.Duration // after quiet, before the key must be served
 	InjectedFault Fault
 	Tolerance     float64 // tokens beyond either bound that are let pass, to search on past what is known
@@ -64,7 +64,7 @@
 		Step:      500 * time.Millisecond,
 		Warm:      4 * time.Second,
 		Window:    5 * time.Second,
-		Long:      constants.SplitHold + time.Second,
+		LongWait:  constants.SplitHold + time.Second,
 		Settle:    12 * time.Second,
 	}
 }
