--- a/internal/modelcheck/admissionmodel/choices.go
+++ b/internal/modelcheck/admissionmodel/choices.go
@@ -168,7 +168,7 @@
 			m.start(n)
 		}
 	}
-	m.world.Run(m.world.Now+m.Settle, nil, m.healthy)
+	m.world.Run(m.world.Now+m.SettleTime, nil, m.healthy)
 	if m.newcomersBlocked() {
 		m.world.Run(m.world.Now+constants.ProxyForget, nil, m.healthy)
 	}
@@ -177,7 +177,7 @@
 	m.world.Run(m.world.Now+serviceLoadTime, nil, m.healthy)
 	got, want := float64(m.served-before), minServedShare*m.Quota.Rate*serviceLoadTime.Seconds()
 	if m.err == nil && got < want && len(m.proxiesUp()) > 0 {
-		m.fail(RuleServes, "%.0f served in %v after %v of quiet, at least %.0f of what is pressed for should be: %s", got, serviceLoadTime, m.Settle, want, m.describe())
+		m.fail(RuleServes, "%.0f served in %v after %v of quiet, at least %.0f of what is pressed for should be: %s", got, serviceLoadTime, m.SettleTime, want, m.describe())
 	}
 	return m.err
 }
--- a/internal/modelcheck/admissionmodel/config.go
+++ b/internal/modelcheck/admissionmodel/config.go
@@ -46,7 +46,7 @@
 	Warm          time.Duration
 	Window        time.Duration // of the promise; the design's bound is for any
 	LongWait      time.Duration // that the choice "long" lets pass
-	Settle        time.Duration // after quiet, before the key must be served
+	SettleTime    time.Duration // after quiet, before the key must be served
 	InjectedFault Fault
 	Tolerance     float64 // tokens beyond either bound that are let pass, to search on past what is known
 }
@@ -55,17 +55,17 @@
 // key that its tracker alone carries at three.
 func Small() Config {
 	return Config{
-		Proxies:   2,
-		Newcomers: 1,
-		Trackers:  2,
-		Quota:     admission.Quota{Rate: 20, Burst: 20},
-		Slack:     2.5,
-		Faults:    3,
-		Step:      500 * time.Millisecond,
-		Warm:      4 * time.Second,
-		Window:    5 * time.Second,
-		LongWait:  constants.SplitHold + time.Second,
-		Settle:    12 * time.Second,
+		Proxies:    2,
+		Newcomers:  1,
+		Trackers:   2,
+		Quota:      admission.Quota{Rate: 20, Burst: 20},
+		Slack:      2.5,
+		Faults:     3,
+		Step:       500 * time.Millisecond,
+		Warm:       4 * time.Second,
+		Window:     5 * time.Second,
+		LongWait:   constants.SplitHold + time.Second,
+		SettleTime: 12 * time.Second,
 	}
 }
 
