--- a/cmd/slateridge/modelcheck.go
+++ b/cmd/slateridge/modelcheck.go
@@ -47,7 +47,7 @@
 func (c modelcheckCmd) model() (func() modelcheck.Model, []string) {
 	if c.Model == "leases" {
 		cfg := leasemodel.Small()
-		cfg.Faults, cfg.Messages, cfg.Kinds, cfg.Without, cfg.Others, cfg.Warm = c.Faults, c.Messages, c.Kinds, c.Without, c.Newcomers, c.Warm
+		cfg.Faults, cfg.Messages, cfg.Kinds, cfg.Without, cfg.ExtraMachines, cfg.Warm = c.Faults, c.Messages, c.Kinds, c.Without, c.Newcomers, c.Warm
 		if c.Step > 0 {
 			cfg.Step = c.Step
 		}
--- a/internal/modelcheck/leasemodel/leasemodel.go
+++ b/internal/modelcheck/leasemodel/leasemodel.go
@@ -20,17 +20,17 @@
 
 // Config bounds a model.
 type Config struct {
-	Machines int // of the first electorate
-	Others   int // more, that an electorate may take in
-	Duties   []string
-	Faults   int
-	Changes  int // of the electorate
-	Step     time.Duration
-	Messages bool     // choices also before each message
-	Kinds    []string // of choices; empty: all
-	Without  []string // kinds left out
-	Warm     time.Duration
-	Settle   time.Duration // after quiet, before a duty must be held
+	Machines      int // of the first electorate
+	ExtraMachines int // more, that an electorate may take in
+	Duties        []string
+	Faults        int
+	Changes       int // of the electorate
+	Step          time.Duration
+	Messages      bool     // choices also before each message
+	Kinds         []string // of choices; empty: all
+	Without       []string // kinds left out
+	Warm          time.Duration
+	Settle        time.Duration // after quiet, before a duty must be held
 	// Skew is how much faster than true time each machine's steady clock counts,
 	// in thousandths, by the machines' order.
 	Skew []int
@@ -39,7 +39,7 @@
 // Small is three machines, one more to come, and one duty; clocks differ by what
 // the margin allows.
 func Small() Config {
-	return Config{Machines: 3, Others: 1, Duties: []string{"x"}, Faults: 4, Changes: 2, Step: 200 * time.Millisecond,
+	return Config{Machines: 3, ExtraMachines: 1, Duties: []string{"x"}, Faults: 4, Changes: 2, Step: 200 * time.Millisecond,
 		Warm: 3 * time.Second, Settle: 8 * time.Second, Skew: []int{-40, 0, 40, 20}}
 }
 
@@ -76,7 +76,7 @@
 	m.nextChoiceAt, m.err, m.faults = m.Warm, nil, 0
 	m.electorates = []electorate{{names[:m.Machines]}}
 	m.known, m.sealed = map[string]int{}, map[string]bool{}
-	for _, n := range names[:m.Machines+m.Others] {
+	for _, n := range names[:m.Machines+m.ExtraMachines] {
 		m.known[n] = 1
 		m.start(n)
 	}
@@ -151,7 +151,7 @@
 	if len(m.electorates) > m.Changes {
 		return nil
 	}
-	for _, n := range names[:m.Machines+m.Others] {
+	for _, n := range names[:m.Machines+m.ExtraMachines] {
 		if !slices.Contains(peers, n) {
 			out = append(out, "elect +"+n)
 		} else if len(peers) > m.Machines {
@@ -259,7 +259,7 @@
 	}
 	m.electorates = append(m.electorates, electorate{peers})
 	num := len(m.electorates)
-	for i, n := range names[:m.Machines+m.Others] {
+	for i, n := range names[:m.Machines+m.ExtraMachines] {
 		m.world.After(time.Duration(i*i)*modelcheck.RestartTime, func() { m.learn(n, num) })
 	}
 }
