--- a/internal/modelcheck/leasemodel/leasemodel.go
+++ b/internal/modelcheck/leasemodel/leasemodel.go
@@ -30,7 +30,7 @@
 	Kinds         []string // of choices; empty: all
 	Without       []string // kinds left out
 	Warm          time.Duration
-	Settle        time.Duration // after quiet, before a duty must be held
+	SettleTime    time.Duration // after quiet, before a duty must be held
 	// Skew is how much faster than true time each machine's steady clock counts,
 	// in thousandths, by the machines' order.
 	Skew []int
@@ -40,7 +40,7 @@
 // the margin allows.
 func Small() Config {
 	return Config{Machines: 3, ExtraMachines: 1, Duties: []string{"x"}, Faults: 4, Changes: 2, Step: 200 * time.Millisecond,
-		Warm: 3 * time.Second, Settle: 8 * time.Second, Skew: []int{-40, 0, 40, 20}}
+		Warm: 3 * time.Second, SettleTime: 8 * time.Second, Skew: []int{-40, 0, 40, 20}}
 }
 
 // electorate is one of those decided so far.
@@ -293,10 +293,10 @@
 			m.start(n)
 		}
 	}
-	m.world.Run(m.world.Now+m.Settle, nil, m.healthy)
+	m.world.Run(m.world.Now+m.SettleTime, nil, m.healthy)
 	for _, d := range m.Duties {
 		if who := m.holders(d); m.err == nil && len(who) != 1 {
-			m.err = modelcheck.NewViolation(RuleHeld, "at %v: after %v of quiet %s is held by %d machines", m.world.Now, m.Settle, d, len(who))
+			m.err = modelcheck.NewViolation(RuleHeld, "at %v: after %v of quiet %s is held by %d machines", m.world.Now, m.SettleTime, d, len(who))
 		}
 	}
 	return m.err
