--- a/internal/controlplane/chain/chain_test.go
+++ b/internal/controlplane/chain/chain_test.go
@@ -459,8 +459,8 @@
 				}
 			})
 		case 3: // disk refuses writes
-			c.disks[n].Refuse = true
-			end(func() { c.disks[n].Refuse = false })
+			c.disks[n].RefuseWrites = true
+			end(func() { c.disks[n].RefuseWrites = false })
 		case 4: // disk lost
 			kill()
 			c.disks[n] = simnet.NewDisk()
@@ -565,7 +565,7 @@
 		for _, o := range c.names {
 			c.network.Cut(n, o, false)
 		}
-		c.disks[n].Refuse = false
+		c.disks[n].RefuseWrites = false
 		if c.frozen[n] {
 			c.frozen[n] = false
 			for _, f := range c.pending[n] {
--- a/internal/counter/group_test.go
+++ b/internal/counter/group_test.go
@@ -187,7 +187,7 @@
 	s.Loss = 0
 	for _, a := range s.names {
 		s.machines[a].until = 0
-		s.machines[a].disk.Refuse = false
+		s.machines[a].disk.RefuseWrites = false
 		s.machines[a].disk.Recover()
 		if !s.machines[a].up {
 			s.start(a, false)
@@ -242,9 +242,9 @@
 	case 3:
 		m.until = s.Now + time.Duration(s.Rng.IntN(800))*time.Millisecond
 	case 4:
-		m.disk.Refuse = true
+		m.disk.RefuseWrites = true
 		s.After(300*time.Millisecond, func() {
-			m.disk.Refuse = false
+			m.disk.RefuseWrites = false
 			m.disk.Recover()
 		})
 	case 5:
--- a/internal/modelcheck/chainmodel/choices.go
+++ b/internal/modelcheck/chainmodel/choices.go
@@ -38,7 +38,7 @@
 		return false
 	}
 	for _, n := range m.world.Names {
-		if m.chain[n] == nil || m.world.Frozen(n) || m.disks[n].Refuse || m.disks[n].Failed() || !slices.ContainsFunc(m.chain[m.world.Names[0]].View().Members, func(x chain.Member) bool { return x == m.chain[n].Me }) {
+		if m.chain[n] == nil || m.world.Frozen(n) || m.disks[n].RefuseWrites || m.disks[n].Failed() || !slices.ContainsFunc(m.chain[m.world.Names[0]].View().Members, func(x chain.Member) bool { return x == m.chain[n].Me }) {
 			return false
 		}
 	}
@@ -118,7 +118,7 @@
 // diskChoices are what may happen to disks, and to machines with theirs.
 func (m *Model) diskChoices(add func(...string)) {
 	for _, n := range m.world.Names {
-		if m.disks[n].Refuse {
+		if m.disks[n].RefuseWrites {
 			add("clear " + n)
 		} else {
 			add("fill " + n)
@@ -195,7 +195,7 @@
 			m.restartLater(n)
 		}
 	case "fill", "clear":
-		m.disks[f[1]].Refuse = f[0] == "fill"
+		m.disks[f[1]].RefuseWrites = f[0] == "fill"
 	case "outage", "recover":
 		m.platform.down = f[0] == "outage"
 	case "wipe":
--- a/internal/modelcheck/chainmodel/machines.go
+++ b/internal/modelcheck/chainmodel/machines.go
@@ -25,7 +25,7 @@
 	rng := rand.New(rand.NewPCG(uint64(n[0]), uint64(m.world.Incarnation(n)+1)))
 	c, err := chain.New(m.world.Now, n, slices.Clone(peers), founding, m.disks[n], rng)
 	if err != nil {
-		if !m.disks[n].Refuse {
+		if !m.disks[n].RefuseWrites {
 			m.fail(RuleRestarts, "%s: %v", n, err)
 		}
 		return // it stays down
--- a/internal/modelcheck/chainmodel/quiet.go
+++ b/internal/modelcheck/chainmodel/quiet.go
@@ -16,7 +16,7 @@
 	m.world.Heal()
 	m.platform.down = false
 	for _, n := range m.world.Names {
-		m.disks[n].Refuse = false
+		m.disks[n].RefuseWrites = false
 	}
 	if len(m.leaving) > 0 {
 		m.world.Run(m.world.Now+constants.LeaveWait+constants.ChainTick, nil, m.healthy)
--- a/internal/simnet/simnet.go
+++ b/internal/simnet/simnet.go
@@ -86,10 +86,10 @@
 
 // Disk is a store that keeps what was put, and can refuse.
 type Disk struct {
-	vals   map[string][]byte
-	Refuse bool
-	Full   int // not 0: writes are refused once so many were taken
-	failed bool
+	vals         map[string][]byte
+	RefuseWrites bool
+	Full         int // not 0: writes are refused once so many were taken
+	failed       bool
 }
 
 // NewDisk makes an empty disk.
@@ -106,7 +106,7 @@
 // Put keeps a value, or fails as a full or broken disk does; after a failure nothing is
 // written until Recover.
 func (d *Disk) Put(key string, v any) error {
-	if d.Refuse || d.failed || d.Full > 0 && len(d.vals) >= d.Full {
+	if d.RefuseWrites || d.failed || d.Full > 0 && len(d.vals) >= d.Full {
 		d.failed = true
 		return errRefused
 	}
@@ -123,7 +123,7 @@
 
 // Recover opens the disk anew after a failure, unless it still refuses.
 func (d *Disk) Recover() error {
-	if d.Refuse {
+	if d.RefuseWrites {
 		return errRefused
 	}
 	d.failed = false
