--- a/internal/controlplane/chain/electorate_test.go
+++ b/internal/controlplane/chain/electorate_test.go
@@ -647,12 +647,12 @@
 	for _, n := range threeMachines {
 		c.wipe(n)
 		partial := simnet.NewDisk()
-		partial.Full = 1 // the second write is refused, which ends the process
+		partial.MaxKeys = 1 // the second write is refused, which ends the process
 		c.disks[n] = partial
 		if _, err := New(0, n, threeMachines, true, partial, rand.New(rand.NewPCG(1, 1))); err == nil {
 			t.Fatal("New succeeded without the second write")
 		}
-		partial.Full = 0
+		partial.MaxKeys = 0
 		partial.Recover()
 	}
 	for _, n := range threeMachines {
--- a/internal/simnet/simnet.go
+++ b/internal/simnet/simnet.go
@@ -88,7 +88,7 @@
 type Disk struct {
 	vals         map[string][]byte
 	RefuseWrites bool
-	Full         int // not 0: writes are refused once so many were taken
+	MaxKeys      int // not 0: writes are refused once so many were taken
 	failed       bool
 }
 
@@ -106,7 +106,7 @@
 // Put keeps a value, or fails as a full or broken disk does; after a failure nothing is
 // written until Recover.
 func (d *Disk) Put(key string, v any) error {
-	if d.RefuseWrites || d.failed || d.Full > 0 && len(d.vals) >= d.Full {
+	if d.RefuseWrites || d.failed || d.MaxKeys > 0 && len(d.vals) >= d.MaxKeys {
 		d.failed = true
 		return errRefused
 	}
