--- a/internal/emulator/client.go
+++ b/internal/emulator/client.go
@@ -9,11 +9,11 @@
 type RequestID uint64
 
 // Told is what a client was told of a request.
-type Told int
+type Outcome int
 
 // What clients are told.
 const (
-	Nothing Told = iota // so far, or for ever
+	Nothing Outcome = iota // so far, or for ever
 	Success
 	Failed
 	TurnedAway // by the tenant's quota
@@ -29,7 +29,7 @@
 	Proxy   string
 	Life    int // of that proxy
 	TakenAt time.Duration
-	Told    Told
+	Outcome Outcome
 	Answers map[string]bool // upstreams whose word that they ran it has reached its proxy
 }
 
@@ -68,9 +68,9 @@
 }
 
 // hear takes a proxy's answer.
-func (c *Client) receiveAnswer(request *Request, told Told) {
-	if request.Told == Nothing {
-		request.Told = told
+func (c *Client) receiveAnswer(request *Request, told Outcome) {
+	if request.Outcome == Nothing {
+		request.Outcome = told
 	}
 }
 
@@ -106,7 +106,7 @@
 		return
 	}
 	t.Taken++
-	switch request.Told {
+	switch request.Outcome {
 	case Success:
 		t.Successes++
 	case Failed:
--- a/internal/emulator/proxy.go
+++ b/internal/emulator/proxy.go
@@ -195,7 +195,7 @@
 
 // answer tells the client and settles the account, once. The proxy notices where it could
 // not write to the client.
-func (g *proxiedRequest) finish(told Told) {
+func (g *proxiedRequest) finish(told Outcome) {
 	if g.done {
 		return
 	}
