--- a/internal/emulator/client.go
+++ b/internal/emulator/client.go
@@ -13,7 +13,7 @@
 
 // What clients are told.
 const (
-	Nothing Outcome = iota // so far, or for ever
+	NoAnswer Outcome = iota // so far, or for ever
 	Success
 	Failed
 	TurnedAway // by the tenant's quota
@@ -69,7 +69,7 @@
 
 // hear takes a proxy's answer.
 func (c *Client) receiveAnswer(request *Request, told Outcome) {
-	if request.Outcome == Nothing {
+	if request.Outcome == NoAnswer {
 		request.Outcome = told
 	}
 }
