--- a/internal/emulator/client.go
+++ b/internal/emulator/client.go
@@ -16,7 +16,7 @@
 	NoAnswer Outcome = iota // so far, or for ever
 	Success
 	Failed
-	TurnedAway // by the tenant's quota
+	Throttled // by the tenant's quota
 )
 
 // Request is one try of a client, with all that is true of it.
@@ -80,7 +80,7 @@
 	Taken       int
 	Successes   int // as clients were told
 	Failures    int
-	TurnedAway  int
+	Throttled   int
 	Untold      int // taken, and the client was told nothing
 	DoubledRuns int // orders that upstreams ran twice or more
 	DoubledSeen int // of which two upstreams' words reached the proxy
@@ -111,8 +111,8 @@
 		t.Successes++
 	case Failed:
 		t.Failures++
-	case TurnedAway:
-		t.TurnedAway++
+	case Throttled:
+		t.Throttled++
 	default:
 		t.Untold++
 	}
--- a/internal/emulator/proxy.go
+++ b/internal/emulator/proxy.go
@@ -123,7 +123,7 @@
 		request.Taken, request.Proxy, request.Life, request.TakenAt = true, p.Name, p.Life, w.Now
 		passage := &proxiedRequest{proxy: p, life: p.Life, client: client, request: request, account: p.meter.Begin(request.Tenant)}
 		if w.Rng.Float64() < p.OverQuota {
-			passage.finish(TurnedAway)
+			passage.finish(Throttled)
 			return
 		}
 		w.After(requestTimeout, func() { p.whenRunning(passage.life, passage.giveUp) })
@@ -204,7 +204,7 @@
 	written := !w.isCut(g.proxy.Name, g.client.Name)
 	w.Send(g.proxy.Name, g.client.Name, func() { g.client.receiveAnswer(g.request, told) })
 	switch {
-	case told == TurnedAway:
+	case told == Throttled:
 		g.account.Failure(accounts.Refused)
 	case !written:
 		g.account.Failure(accounts.Unknown)
