--- a/internal/emulator/client.go
+++ b/internal/emulator/client.go
@@ -21,16 +21,16 @@
 
 // Request is one try of a client, with all that is true of it.
 type Request struct {
-	ID      RequestID
-	Tenant  string
-	Order   bool // may run once
-	SentAt  time.Duration
-	Taken   bool // a proxy took it
-	Proxy   string
-	Life    int // of that proxy
-	TakenAt time.Duration
-	Outcome Outcome
-	Answers map[string]bool // upstreams whose word that they ran it has reached its proxy
+	ID            RequestID
+	Tenant        string
+	NonIdempotent bool // may run once
+	SentAt        time.Duration
+	Taken         bool // a proxy took it
+	Proxy         string
+	Life          int // of that proxy
+	TakenAt       time.Duration
+	Outcome       Outcome
+	Answers       map[string]bool // upstreams whose word that they ran it has reached its proxy
 }
 
 // Client sends the requests of one tenant to proxies by turns.
@@ -61,7 +61,7 @@
 	w.After(time.Duration(w.Rng.Int64N(int64(2*c.Every)))+1, c.send)
 	c.sent++
 	w.lastID++
-	request := &Request{ID: w.lastID, Tenant: c.Tenant, Order: w.Rng.Float64() < c.OrderPart, SentAt: w.Now, Answers: map[string]bool{}}
+	request := &Request{ID: w.lastID, Tenant: c.Tenant, NonIdempotent: w.Rng.Float64() < c.OrderPart, SentAt: w.Now, Answers: map[string]bool{}}
 	c.Requests = append(c.Requests, request)
 	proxy := w.Proxies[w.proxyNames[c.sent%len(w.proxyNames)]]
 	w.Send(c.Name, proxy.Name, func() { proxy.receive(c, request) })
@@ -116,10 +116,10 @@
 	default:
 		t.Untold++
 	}
-	if request.Order && runs > 1 {
+	if request.NonIdempotent && runs > 1 {
 		t.DoubledRuns++
 	}
-	if request.Order && len(request.Answers) > 1 {
+	if request.NonIdempotent && len(request.Answers) > 1 {
 		t.DoubledSeen++
 	}
 }
--- a/internal/emulator/proxy.go
+++ b/internal/emulator/proxy.go
@@ -128,7 +128,7 @@
 		}
 		w.After(requestTimeout, func() { p.whenRunning(passage.life, passage.giveUp) })
 		passage.attempt()
-		if !request.Order {
+		if !request.NonIdempotent {
 			w.After(hedgeAfter, func() { p.whenRunning(passage.life, passage.attempt) })
 		}
 	})
@@ -169,7 +169,7 @@
 	})
 	w.After(attemptTimeout, func() {
 		g.proxy.whenRunning(g.life, func() {
-			if !answered && (!g.request.Order || w.Rng.Float64() < g.proxy.RepeatOrder) {
+			if !answered && (!g.request.NonIdempotent || w.Rng.Float64() < g.proxy.RepeatOrder) {
 				g.attempt()
 			}
 		})
@@ -184,7 +184,7 @@
 		return
 	}
 	g.request.Answers[upstream] = true
-	if g.request.Order && len(g.request.Answers) > 1 {
+	if g.request.NonIdempotent && len(g.request.Answers) > 1 {
 		g.account.Doubled()
 	}
 	g.finish(Success)
@@ -210,7 +210,7 @@
 		g.account.Failure(accounts.Unknown)
 	case told == Success:
 		g.account.Success(w.Now - g.request.TakenAt)
-	case g.request.Order && g.outcomeUnknown:
+	case g.request.NonIdempotent && g.outcomeUnknown:
 		g.account.Failure(accounts.Unknown)
 	default:
 		g.account.Failure(accounts.Lost)
