--- a/internal/accounts/model_test.go
+++ b/internal/accounts/model_test.go
@@ -153,13 +153,13 @@
 		for tenant, truth := range m.Truth() {
 			account := totals[tenant]
 			checkAccount(t, fmt.Sprintf("seed %d: %s", seed, tenant), account, truth)
-			if account.Open() != 0 || int(account.Taken) != truth.Taken {
-				t.Errorf("seed %d: %s: %d taken and %d open in the account, %d were taken", seed, tenant, account.Taken, account.Open(), truth.Taken)
+			if account.Open() != 0 || int(account.Taken) != truth.Accepted {
+				t.Errorf("seed %d: %s: %d taken and %d open in the account, %d were taken", seed, tenant, account.Taken, account.Open(), truth.Accepted)
 			}
 			if int(account.Doubled) != truth.DoubledSeen {
 				t.Errorf("seed %d: %s: %d doubled in the account, %d were seen", seed, tenant, account.Doubled, truth.DoubledSeen)
 			}
-			taken, unknown, doubled = taken+truth.Taken, unknown+int(account.Settled[accounts.Unknown]), doubled+truth.DoubledSeen
+			taken, unknown, doubled = taken+truth.Accepted, unknown+int(account.Settled[accounts.Unknown]), doubled+truth.DoubledSeen
 		}
 		if t.Failed() && seed%5 == 0 {
 			break // seeds like it say the same
@@ -209,11 +209,11 @@
 		for tenant, truth := range truths {
 			account := totals[tenant]
 			checkAccount(t, fmt.Sprintf("seed %d: %s", seed, tenant), account, truth)
-			lacks := truth.Taken - int(account.Taken)
+			lacks := truth.Accepted - int(account.Taken)
 			if lacks < 0 || lacks > atRisk[tenant] {
-				t.Errorf("seed %d: %s: the account lacks %d of %d, at most %d may be lost", seed, tenant, lacks, truth.Taken, atRisk[tenant])
+				t.Errorf("seed %d: %s: the account lacks %d of %d, at most %d may be lost", seed, tenant, lacks, truth.Accepted, atRisk[tenant])
 			}
-			taken, lost, open = taken+truth.Taken, lost+lacks, open+int(account.Open())
+			taken, lost, open = taken+truth.Accepted, lost+lacks, open+int(account.Open())
 		}
 	}
 	t.Logf("%d requests taken, %d lost by 180 wipes, %d left open", taken, lost, open)
@@ -224,7 +224,7 @@
 	out := map[string]int{}
 	for _, client := range m.Clients {
 		for _, request := range client.Requests {
-			if !request.Taken {
+			if !request.Accepted {
 				continue
 			}
 			for _, wipe := range m.Proxies[request.Proxy].Wipes {
@@ -246,8 +246,8 @@
 		totals := m.Totals()
 		for tenant, truth := range m.Truth() {
 			checkAccount(t, fmt.Sprintf("seed %d: %s", seed, tenant), totals[tenant], truth)
-			if int(totals[tenant].Taken) > truth.Taken {
-				t.Errorf("seed %d: %s: %d in the account, %d were taken", seed, tenant, totals[tenant].Taken, truth.Taken)
+			if int(totals[tenant].Taken) > truth.Accepted {
+				t.Errorf("seed %d: %s: %d in the account, %d were taken", seed, tenant, totals[tenant].Taken, truth.Accepted)
 			}
 		}
 	}
--- a/internal/emulator/client.go
+++ b/internal/emulator/client.go
@@ -25,7 +25,7 @@
 	Tenant        string
 	NonIdempotent bool // may run once
 	SentAt        time.Duration
-	Taken         bool // a proxy took it
+	Accepted      bool // a proxy took it
 	Proxy         string
 	Life          int // of that proxy
 	TakenAt       time.Duration
@@ -77,7 +77,7 @@
 // Truth is what is true of all requests of one tenant.
 type Truth struct {
 	Sent        int
-	Taken       int
+	Accepted    int
 	Successes   int // as clients were told
 	Failures    int
 	Throttled   int
@@ -102,10 +102,10 @@
 
 func (t *Truth) add(request *Request, runs int) {
 	t.Sent++
-	if !request.Taken {
+	if !request.Accepted {
 		return
 	}
-	t.Taken++
+	t.Accepted++
 	switch request.Outcome {
 	case Success:
 		t.Successes++
--- a/internal/emulator/example_test.go
+++ b/internal/emulator/example_test.go
@@ -31,7 +31,7 @@
 	world.Run(10*time.Second, nil)
 
 	account, truth := world.Totals()["acme"], world.Truth()["acme"]
-	fmt.Println("every request taken is in the account:", int(account.Taken) == truth.Taken)
+	fmt.Println("every request taken is in the account:", int(account.Taken) == truth.Accepted)
 	fmt.Println("none is open:", account.Open() == 0)
 	// Output:
 	// every request taken is in the account: true
--- a/internal/emulator/proxy.go
+++ b/internal/emulator/proxy.go
@@ -120,7 +120,7 @@
 func (p *Proxy) receive(client *Client, request *Request) {
 	p.whenRunning(p.Life, func() {
 		w := p.world
-		request.Taken, request.Proxy, request.Life, request.TakenAt = true, p.Name, p.Life, w.Now
+		request.Accepted, request.Proxy, request.Life, request.TakenAt = true, p.Name, p.Life, w.Now
 		passage := &proxiedRequest{proxy: p, life: p.Life, client: client, request: request, account: p.meter.Begin(request.Tenant)}
 		if w.Rng.Float64() < p.OverQuota {
 			passage.finish(Throttled)
