--- a/internal/emulator/client.go
+++ b/internal/emulator/client.go
@@ -27,7 +27,7 @@
 	SentAt        time.Duration
 	Accepted      bool // a proxy took it
 	Proxy         string
-	Life          int // of that proxy
+	Incarnation   int // of that proxy
 	TakenAt       time.Duration
 	Outcome       Outcome
 	Answers       map[string]bool // upstreams whose word that they ran it has reached its proxy
--- a/internal/emulator/control.go
+++ b/internal/emulator/control.go
@@ -16,7 +16,7 @@
 type Control struct {
 	Name        string
 	Up          bool
-	Life        int
+	Incarnation int
 	FrozenUntil time.Duration
 	Disk        *simnet.Disk
 	Holder      *accounts.Holder
@@ -42,10 +42,10 @@
 
 func (c *Control) start(founding bool) {
 	c.Up = true
-	c.Life++
+	c.Incarnation++
 	c.clockStart = c.world.Now - time.Duration(c.world.Rng.IntN(1000))*time.Millisecond
-	c.Holder = accounts.NewHolder(c.Name, c.world.Objectives, c.world.Options, c.Disk, founding, uint64(c.Life), func(string, string) {})
-	c.tick(c.Life)
+	c.Holder = accounts.NewHolder(c.Name, c.world.Objectives, c.world.Options, c.Disk, founding, uint64(c.Incarnation), func(string, string) {})
+	c.tick(c.Incarnation)
 }
 
 // Kill ends the process; its disk stays.
@@ -64,7 +64,7 @@
 func (c *Control) Now() time.Duration { return c.world.Now - c.clockStart }
 
 func (c *Control) whenRunning(life int, do func()) {
-	if !c.Up || c.Life != life {
+	if !c.Up || c.Incarnation != life {
 		return
 	}
 	if wait := c.FrozenUntil - c.world.Now; wait > 0 {
@@ -75,7 +75,7 @@
 }
 
 func (c *Control) tick(life int) {
-	if !c.Up || c.Life != life {
+	if !c.Up || c.Incarnation != life {
 		return
 	}
 	c.world.After(controlTick, func() { c.tick(life) })
@@ -96,7 +96,7 @@
 	for _, send := range out {
 		to := c.world.Controls[send.To]
 		c.world.sendDuplicated(c.Name, to.Name, func() {
-			to.whenRunning(to.Life, func() {
+			to.whenRunning(to.Incarnation, func() {
 				to.sendAll(to.Holder.Receive(c.Name, send.Message))
 				c.world.observe(to)
 			})
--- a/internal/emulator/proxy.go
+++ b/internal/emulator/proxy.go
@@ -22,7 +22,7 @@
 type Proxy struct {
 	Name        string
 	Up          bool
-	Life        int           // rises with each start
+	Incarnation int           // rises with each start
 	FrozenUntil time.Duration // until then it does nothing
 	OverQuota   float64       // share of requests it turns away
 	RepeatOrder float64       // share of silent orders that it wrongly offers again
@@ -35,8 +35,8 @@
 
 // Wipe is a loss of a proxy's process together with its journals.
 type Wipe struct {
-	Life int
-	At   time.Duration
+	Incarnation int
+	At          time.Duration
 }
 
 // memoryJournal outlasts the process, as a mapped file does.
@@ -73,7 +73,7 @@
 		return
 	}
 	p.Up = true
-	p.Life++
+	p.Incarnation++
 	var ended []accounts.EndedLife
 	for _, life := range slices.Sorted(maps.Keys(p.journals)) {
 		journal := p.journals[life]
@@ -83,7 +83,7 @@
 	journal := &memoryJournal{acknowledged: make([]uint64, p.world.Objectives.Shards), accounts: map[string]accounts.Account{}}
 	p.journals[p.incarnation] = journal
 	p.meter = accounts.NewMeter(p.Name, p.incarnation, p.world.Objectives, journal, ended)
-	p.sendReports(p.Life)
+	p.sendReports(p.Incarnation)
 }
 
 // Kill ends the process; its journal stays.
@@ -94,7 +94,7 @@
 // Wipe ends the process and loses its journals, as when the machine is replaced.
 func (p *Proxy) Wipe() {
 	if p.Up {
-		p.Wipes = append(p.Wipes, Wipe{p.Life, p.world.Now})
+		p.Wipes = append(p.Wipes, Wipe{p.Incarnation, p.world.Now})
 	}
 	p.Up = false
 	p.journals = map[counter.LifeID]*memoryJournal{}
@@ -106,7 +106,7 @@
 // when runs something in a life of the process: at once, after a freeze, or never if that
 // life is over.
 func (p *Proxy) whenRunning(life int, do func()) {
-	if !p.Up || p.Life != life {
+	if !p.Up || p.Incarnation != life {
 		return
 	}
 	if wait := p.FrozenUntil - p.world.Now; wait > 0 {
@@ -118,10 +118,10 @@
 
 // receive takes a request that has reached this machine; with no process there, it is lost.
 func (p *Proxy) receive(client *Client, request *Request) {
-	p.whenRunning(p.Life, func() {
+	p.whenRunning(p.Incarnation, func() {
 		w := p.world
-		request.Accepted, request.Proxy, request.Life, request.TakenAt = true, p.Name, p.Life, w.Now
-		passage := &proxiedRequest{proxy: p, life: p.Life, client: client, request: request, account: p.meter.Begin(request.Tenant)}
+		request.Accepted, request.Proxy, request.Incarnation, request.TakenAt = true, p.Name, p.Incarnation, w.Now
+		passage := &proxiedRequest{proxy: p, life: p.Incarnation, client: client, request: request, account: p.meter.Begin(request.Tenant)}
 		if w.Rng.Float64() < p.OverQuota {
 			passage.finish(Throttled)
 			return
@@ -219,7 +219,7 @@
 
 // tell brings reports to the holders of all shards, again and again.
 func (p *Proxy) sendReports(life int) {
-	if !p.Up || p.Life != life {
+	if !p.Up || p.Incarnation != life {
 		return
 	}
 	p.world.After(p.world.TellEvery, func() { p.sendReports(life) })
@@ -241,7 +241,7 @@
 	}
 	w.Bytes += len(report.Packed)
 	w.sendDuplicated(p.Name, holder.Name, func() {
-		holder.whenRunning(holder.Life, func() {
+		holder.whenRunning(holder.Incarnation, func() {
 			ack := holder.handleReport(report)
 			w.sendDuplicated(holder.Name, p.Name, func() {
 				p.whenRunning(life, func() {
