--- a/internal/accounts/model_test.go
+++ b/internal/accounts/model_test.go
@@ -228,7 +228,7 @@
 				continue
 			}
 			for _, wipe := range m.Proxies[request.Proxy].Wipes {
-				if wipe.Incarnation == request.Incarnation && request.TakenAt >= wipe.At-span {
+				if wipe.Incarnation == request.Incarnation && request.AcceptedAt >= wipe.At-span {
 					out[request.Tenant]++
 				}
 			}
--- a/internal/emulator/client.go
+++ b/internal/emulator/client.go
@@ -28,7 +28,7 @@
 	Accepted      bool // a proxy took it
 	Proxy         string
 	Incarnation   int // of that proxy
-	TakenAt       time.Duration
+	AcceptedAt    time.Duration
 	Outcome       Outcome
 	Answers       map[string]bool // upstreams whose word that they ran it has reached its proxy
 }
--- a/internal/emulator/proxy.go
+++ b/internal/emulator/proxy.go
@@ -120,7 +120,7 @@
 func (p *Proxy) receive(client *Client, request *Request) {
 	p.whenRunning(p.Incarnation, func() {
 		w := p.world
-		request.Accepted, request.Proxy, request.Incarnation, request.TakenAt = true, p.Name, p.Incarnation, w.Now
+		request.Accepted, request.Proxy, request.Incarnation, request.AcceptedAt = true, p.Name, p.Incarnation, w.Now
 		passage := &proxiedRequest{proxy: p, life: p.Incarnation, client: client, request: request, account: p.meter.Begin(request.Tenant)}
 		if w.Rng.Float64() < p.OverQuota {
 			passage.finish(Throttled)
@@ -209,7 +209,7 @@
 	case !written:
 		g.account.Failure(accounts.Unknown)
 	case told == Success:
-		g.account.Success(w.Now - g.request.TakenAt)
+		g.account.Success(w.Now - g.request.AcceptedAt)
 	case g.request.NonIdempotent && g.outcomeUnknown:
 		g.account.Failure(accounts.Unknown)
 	default:
