--- a/internal/emulator/client.go
+++ b/internal/emulator/client.go
@@ -37,7 +37,7 @@
 type Client struct {
 	Name      string
 	Tenant    string
-	Every     time.Duration // between two requests, on average
+	Interval  time.Duration // between two requests, on average
 	OrderPart float64       // share of requests that may run once
 	Until     time.Duration // when it stops sending
 	world     *World
@@ -47,7 +47,7 @@
 
 // NewClient makes a client that begins to send.
 func (w *World) NewClient(tenant string, every, until time.Duration) *Client {
-	c := &Client{Name: fmt.Sprint("client-", len(w.Clients)), Tenant: tenant, Every: every, OrderPart: 0.4, Until: until, world: w}
+	c := &Client{Name: fmt.Sprint("client-", len(w.Clients)), Tenant: tenant, Interval: every, OrderPart: 0.4, Until: until, world: w}
 	w.Clients = append(w.Clients, c)
 	w.After(time.Duration(w.Rng.Int64N(int64(every))), c.send)
 	return c
@@ -58,7 +58,7 @@
 	if w.Now >= c.Until {
 		return
 	}
-	w.After(time.Duration(w.Rng.Int64N(int64(2*c.Every)))+1, c.send)
+	w.After(time.Duration(w.Rng.Int64N(int64(2*c.Interval)))+1, c.send)
 	c.sent++
 	w.lastID++
 	request := &Request{ID: w.lastID, Tenant: c.Tenant, NonIdempotent: w.Rng.Float64() < c.OrderPart, SentAt: w.Now, Answers: map[string]bool{}}
