--- a/internal/emulator/client.go
+++ b/internal/emulator/client.go
@@ -35,19 +35,19 @@
 
 // Client sends the requests of one tenant to proxies by turns.
 type Client struct {
-	Name      string
-	Tenant    string
-	Interval  time.Duration // between two requests, on average
-	OrderPart float64       // share of requests that may run once
-	Until     time.Duration // when it stops sending
-	world     *World
-	sent      int
-	Requests  []*Request
+	Name               string
+	Tenant             string
+	Interval           time.Duration // between two requests, on average
+	NonIdempotentShare float64       // share of requests that may run once
+	Until              time.Duration // when it stops sending
+	world              *World
+	sent               int
+	Requests           []*Request
 }
 
 // NewClient makes a client that begins to send.
 func (w *World) NewClient(tenant string, every, until time.Duration) *Client {
-	c := &Client{Name: fmt.Sprint("client-", len(w.Clients)), Tenant: tenant, Interval: every, OrderPart: 0.4, Until: until, world: w}
+	c := &Client{Name: fmt.Sprint("client-", len(w.Clients)), Tenant: tenant, Interval: every, NonIdempotentShare: 0.4, Until: until, world: w}
 	w.Clients = append(w.Clients, c)
 	w.After(time.Duration(w.Rng.Int64N(int64(every))), c.send)
 	return c
@@ -61,7 +61,7 @@
 	w.After(time.Duration(w.Rng.Int64N(int64(2*c.Interval)))+1, c.send)
 	c.sent++
 	w.lastID++
-	request := &Request{ID: w.lastID, Tenant: c.Tenant, NonIdempotent: w.Rng.Float64() < c.OrderPart, SentAt: w.Now, Answers: map[string]bool{}}
+	request := &Request{ID: w.lastID, Tenant: c.Tenant, NonIdempotent: w.Rng.Float64() < c.NonIdempotentShare, SentAt: w.Now, Answers: map[string]bool{}}
 	c.Requests = append(c.Requests, request)
 	proxy := w.Proxies[w.proxyNames[c.sent%len(w.proxyNames)]]
 	w.Send(c.Name, proxy.Name, func() { proxy.receive(c, request) })
