--- a/internal/accounts/model_test.go
+++ b/internal/accounts/model_test.go
@@ -150,7 +150,7 @@
 		m := newModel(t, seed)
 		m.play(false)
 		totals := m.Totals()
-		for tenant, truth := range m.Truth() {
+		for tenant, truth := range m.GroundTruth() {
 			account := totals[tenant]
 			checkAccount(t, fmt.Sprintf("seed %d: %s", seed, tenant), account, truth)
 			if account.Open() != 0 || int(account.Taken) != truth.Accepted {
@@ -170,7 +170,7 @@
 
 // checkAccount compares an account with what clients and upstreams know. What a client
 // was not told is unknown, or an answer that was lost after it had been written.
-func checkAccount(t *testing.T, label string, account accounts.Account, truth *emulator.Truth) {
+func checkAccount(t *testing.T, label string, account accounts.Account, truth *emulator.GroundTruth) {
 	t.Helper()
 	settled := uint64(0)
 	for _, n := range account.Settled {
@@ -205,7 +205,7 @@
 			})
 		}
 		m.Run(modelSpan+modelSettle, nil)
-		totals, truths, atRisk := m.Totals(), m.Truth(), m.atRisk(m.TellEvery+m.Delay+m.Delay/20)
+		totals, truths, atRisk := m.Totals(), m.GroundTruth(), m.atRisk(m.TellEvery+m.Delay+m.Delay/20)
 		for tenant, truth := range truths {
 			account := totals[tenant]
 			checkAccount(t, fmt.Sprintf("seed %d: %s", seed, tenant), account, truth)
@@ -244,7 +244,7 @@
 		m := newModel(t, seed)
 		m.play(true)
 		totals := m.Totals()
-		for tenant, truth := range m.Truth() {
+		for tenant, truth := range m.GroundTruth() {
 			checkAccount(t, fmt.Sprintf("seed %d: %s", seed, tenant), totals[tenant], truth)
 			if int(totals[tenant].Taken) > truth.Accepted {
 				t.Errorf("seed %d: %s: %d in the account, %d were taken", seed, tenant, totals[tenant].Taken, truth.Accepted)
--- a/internal/emulator/client.go
+++ b/internal/emulator/client.go
@@ -75,7 +75,7 @@
 }
 
 // Truth is what is true of all requests of one tenant.
-type Truth struct {
+type GroundTruth struct {
 	Sent        int
 	Accepted    int
 	Successes   int // as clients were told
@@ -87,11 +87,11 @@
 }
 
 // Truth adds up the facts by tenant.
-func (w *World) Truth() map[string]*Truth {
-	out := map[string]*Truth{}
+func (w *World) GroundTruth() map[string]*GroundTruth {
+	out := map[string]*GroundTruth{}
 	for _, client := range w.Clients {
 		if out[client.Tenant] == nil {
-			out[client.Tenant] = &Truth{}
+			out[client.Tenant] = &GroundTruth{}
 		}
 		for _, request := range client.Requests {
 			out[client.Tenant].add(request, w.runs(request.ID))
@@ -100,7 +100,7 @@
 	return out
 }
 
-func (t *Truth) add(request *Request, runs int) {
+func (t *GroundTruth) add(request *Request, runs int) {
 	t.Sent++
 	if !request.Accepted {
 		return
--- a/internal/emulator/example_test.go
+++ b/internal/emulator/example_test.go
@@ -30,7 +30,7 @@
 	world.After(3*time.Second, proxy.Start)
 	world.Run(10*time.Second, nil)
 
-	account, truth := world.Totals()["acme"], world.Truth()["acme"]
+	account, truth := world.Totals()["acme"], world.GroundTruth()["acme"]
 	fmt.Println("every request taken is in the account:", int(account.Taken) == truth.Accepted)
 	fmt.Println("none is open:", account.Open() == 0)
 	// Output:
