--- a/internal/accounts/model_test.go
+++ b/internal/accounts/model_test.go
@@ -179,8 +179,8 @@
 	if settled+account.Open() != account.Taken {
 		t.Errorf("%s: known %d and open %d do not add up to %d taken", label, settled, account.Open(), account.Taken)
 	}
-	if successes := int(account.Settled[accounts.InAim] + account.Settled[accounts.Late]); successes > truth.Successes+truth.Untold {
-		t.Errorf("%s: %d successes, clients were told of %d, and nothing of %d", label, successes, truth.Successes, truth.Untold)
+	if successes := int(account.Settled[accounts.InAim] + account.Settled[accounts.Late]); successes > truth.Successes+truth.Unanswered {
+		t.Errorf("%s: %d successes, clients were told of %d, and nothing of %d", label, successes, truth.Successes, truth.Unanswered)
 	}
 	if int(account.Doubled) > truth.DoubledRuns {
 		t.Errorf("%s: %d doubled, upstreams ran %d twice", label, account.Doubled, truth.DoubledRuns)
--- a/internal/emulator/client.go
+++ b/internal/emulator/client.go
@@ -81,7 +81,7 @@
 	Successes   int // as clients were told
 	Failures    int
 	Throttled   int
-	Untold      int // taken, and the client was told nothing
+	Unanswered  int // taken, and the client was told nothing
 	DoubledRuns int // orders that upstreams ran twice or more
 	DoubledSeen int // of which two upstreams' words reached the proxy
 }
@@ -114,7 +114,7 @@
 	case Throttled:
 		t.Throttled++
 	default:
-		t.Untold++
+		t.Unanswered++
 	}
 	if request.NonIdempotent && runs > 1 {
 		t.DoubledRuns++
