--- a/internal/accounts/model_test.go
+++ b/internal/accounts/model_test.go
@@ -182,8 +182,8 @@
 	if successes := int(account.Settled[accounts.InAim] + account.Settled[accounts.Late]); successes > truth.Successes+truth.Unanswered {
 		t.Errorf("%s: %d successes, clients were told of %d, and nothing of %d", label, successes, truth.Successes, truth.Unanswered)
 	}
-	if int(account.Doubled) > truth.DoubledRuns {
-		t.Errorf("%s: %d doubled, upstreams ran %d twice", label, account.Doubled, truth.DoubledRuns)
+	if int(account.Doubled) > truth.DuplicateRuns {
+		t.Errorf("%s: %d doubled, upstreams ran %d twice", label, account.Doubled, truth.DuplicateRuns)
 	}
 	if account.Latency.Count() > account.Settled[accounts.InAim]+account.Settled[accounts.Late] {
 		t.Errorf("%s: %d latencies of %d successes", label, account.Latency.Count(), account.Settled[accounts.InAim]+account.Settled[accounts.Late])
