--- a/internal/accounts/model_test.go
+++ b/internal/accounts/model_test.go
@@ -156,10 +156,10 @@
 			if account.Open() != 0 || int(account.Taken) != truth.Accepted {
 				t.Errorf("seed %d: %s: %d taken and %d open in the account, %d were taken", seed, tenant, account.Taken, account.Open(), truth.Accepted)
 			}
-			if int(account.Doubled) != truth.DoubledSeen {
-				t.Errorf("seed %d: %s: %d doubled in the account, %d were seen", seed, tenant, account.Doubled, truth.DoubledSeen)
+			if int(account.Doubled) != truth.DuplicateRunsSeen {
+				t.Errorf("seed %d: %s: %d doubled in the account, %d were seen", seed, tenant, account.Doubled, truth.DuplicateRunsSeen)
 			}
-			taken, unknown, doubled = taken+truth.Accepted, unknown+int(account.Settled[accounts.Unknown]), doubled+truth.DoubledSeen
+			taken, unknown, doubled = taken+truth.Accepted, unknown+int(account.Settled[accounts.Unknown]), doubled+truth.DuplicateRunsSeen
 		}
 		if t.Failed() && seed%5 == 0 {
 			break // seeds like it say the same
--- a/internal/emulator/client.go
+++ b/internal/emulator/client.go
@@ -76,14 +76,14 @@
 
 // Truth is what is true of all requests of one tenant.
 type GroundTruth struct {
-	Sent          int
-	Accepted      int
-	Successes     int // as clients were told
-	Failures      int
-	Throttled     int
-	Unanswered    int // taken, and the client was told nothing
-	DuplicateRuns int // orders that upstreams ran twice or more
-	DoubledSeen   int // of which two upstreams' words reached the proxy
+	Sent              int
+	Accepted          int
+	Successes         int // as clients were told
+	Failures          int
+	Throttled         int
+	Unanswered        int // taken, and the client was told nothing
+	DuplicateRuns     int // orders that upstreams ran twice or more
+	DuplicateRunsSeen int // of which two upstreams' words reached the proxy
 }
 
 // Truth adds up the facts by tenant.
@@ -120,7 +120,7 @@
 		t.DuplicateRuns++
 	}
 	if request.NonIdempotent && len(request.Answers) > 1 {
-		t.DoubledSeen++
+		t.DuplicateRunsSeen++
 	}
 }
 
