--- a/internal/emulator/proxy.go
+++ b/internal/emulator/proxy.go
@@ -20,17 +20,17 @@
 // Proxy is a stand-in for a proxy: it takes requests, offers them to upstreams, and
 // accounts for them with the real meter.
 type Proxy struct {
-	Name        string
-	Up          bool
-	Incarnation int           // rises with each start
-	FrozenUntil time.Duration // until then it does nothing
-	OverQuota   float64       // share of requests it turns away
-	RepeatOrder float64       // share of silent orders that it wrongly offers again
-	world       *World
-	meter       *accounts.Meter
-	journals    map[counter.LifeID]*memoryJournal
-	incarnation counter.LifeID
-	Wipes       []Wipe
+	Name             string
+	Up               bool
+	Incarnation      int           // rises with each start
+	FrozenUntil      time.Duration // until then it does nothing
+	OverQuota        float64       // share of requests it turns away
+	UnsafeRetryShare float64       // share of silent orders that it wrongly offers again
+	world            *World
+	meter            *accounts.Meter
+	journals         map[counter.LifeID]*memoryJournal
+	incarnation      counter.LifeID
+	Wipes            []Wipe
 }
 
 // Wipe is a loss of a proxy's process together with its journals.
@@ -60,7 +60,7 @@
 
 // NewProxy makes a proxy and starts it.
 func (w *World) NewProxy(name string) *Proxy {
-	p := &Proxy{Name: name, OverQuota: 0.03, RepeatOrder: 0.3, world: w, journals: map[counter.LifeID]*memoryJournal{}}
+	p := &Proxy{Name: name, OverQuota: 0.03, UnsafeRetryShare: 0.3, world: w, journals: map[counter.LifeID]*memoryJournal{}}
 	w.Proxies[name] = p
 	w.proxyNames = append(w.proxyNames, name)
 	p.Start()
@@ -169,7 +169,7 @@
 	})
 	w.After(attemptTimeout, func() {
 		g.proxy.whenRunning(g.life, func() {
-			if !answered && (!g.request.NonIdempotent || w.Rng.Float64() < g.proxy.RepeatOrder) {
+			if !answered && (!g.request.NonIdempotent || w.Rng.Float64() < g.proxy.UnsafeRetryShare) {
 				g.attempt()
 			}
 		})
