--- a/internal/emulator/upstream.go
+++ b/internal/emulator/upstream.go
@@ -4,18 +4,18 @@
 
 // Upstream runs requests and counts the runs of each.
 type Upstream struct {
-	Name     string
-	Up       bool
-	Work     time.Duration // longest time for one request; the shortest is a tenth
-	SlowPart float64       // share of requests that take six times as long
-	FullPart float64       // share that it turns away without having run them
-	world    *World
-	Runs     map[RequestID]int
+	Name        string
+	Up          bool
+	MaxWorkTime time.Duration // longest time for one request; the shortest is a tenth
+	SlowPart    float64       // share of requests that take six times as long
+	FullPart    float64       // share that it turns away without having run them
+	world       *World
+	Runs        map[RequestID]int
 }
 
 // NewUpstream makes an upstream that works, and puts it on the platform's list.
 func (w *World) NewUpstream(name string) *Upstream {
-	u := &Upstream{Name: name, Up: true, Work: 150 * time.Millisecond, SlowPart: 0.05, FullPart: 0.05, world: w, Runs: map[RequestID]int{}}
+	u := &Upstream{Name: name, Up: true, MaxWorkTime: 150 * time.Millisecond, SlowPart: 0.05, FullPart: 0.05, world: w, Runs: map[RequestID]int{}}
 	w.Upstreams[name] = u
 	w.Platform.Add(u)
 	return u
@@ -31,7 +31,7 @@
 		return
 	}
 	u.Runs[id]++
-	work := u.Work/10 + time.Duration(u.world.Rng.Int64N(int64(u.Work)))
+	work := u.MaxWorkTime/10 + time.Duration(u.world.Rng.Int64N(int64(u.MaxWorkTime)))
 	if u.world.Rng.Float64() < u.SlowPart {
 		work *= 6
 	}
