--- a/internal/emulator/upstream.go
+++ b/internal/emulator/upstream.go
@@ -7,7 +7,7 @@
 	Name        string
 	Up          bool
 	MaxWorkTime time.Duration // longest time for one request; the shortest is a tenth
-	SlowPart    float64       // share of requests that take six times as long
+	SlowShare   float64       // share of requests that take six times as long
 	FullPart    float64       // share that it turns away without having run them
 	world       *World
 	Runs        map[RequestID]int
@@ -15,7 +15,7 @@
 
 // NewUpstream makes an upstream that works, and puts it on the platform's list.
 func (w *World) NewUpstream(name string) *Upstream {
-	u := &Upstream{Name: name, Up: true, MaxWorkTime: 150 * time.Millisecond, SlowPart: 0.05, FullPart: 0.05, world: w, Runs: map[RequestID]int{}}
+	u := &Upstream{Name: name, Up: true, MaxWorkTime: 150 * time.Millisecond, SlowShare: 0.05, FullPart: 0.05, world: w, Runs: map[RequestID]int{}}
 	w.Upstreams[name] = u
 	w.Platform.Add(u)
 	return u
@@ -32,7 +32,7 @@
 	}
 	u.Runs[id]++
 	work := u.MaxWorkTime/10 + time.Duration(u.world.Rng.Int64N(int64(u.MaxWorkTime)))
-	if u.world.Rng.Float64() < u.SlowPart {
+	if u.world.Rng.Float64() < u.SlowShare {
 		work *= 6
 	}
 	u.world.After(work, func() {
