--- a/internal/emulator/upstream.go
+++ b/internal/emulator/upstream.go
@@ -8,14 +8,14 @@
 	Up          bool
 	MaxWorkTime time.Duration // longest time for one request; the shortest is a tenth
 	SlowShare   float64       // share of requests that take six times as long
-	FullPart    float64       // share that it turns away without having run them
+	RejectShare float64       // share that it turns away without having run them
 	world       *World
 	Runs        map[RequestID]int
 }
 
 // NewUpstream makes an upstream that works, and puts it on the platform's list.
 func (w *World) NewUpstream(name string) *Upstream {
-	u := &Upstream{Name: name, Up: true, MaxWorkTime: 150 * time.Millisecond, SlowShare: 0.05, FullPart: 0.05, world: w, Runs: map[RequestID]int{}}
+	u := &Upstream{Name: name, Up: true, MaxWorkTime: 150 * time.Millisecond, SlowShare: 0.05, RejectShare: 0.05, world: w, Runs: map[RequestID]int{}}
 	w.Upstreams[name] = u
 	w.Platform.Add(u)
 	return u
@@ -26,7 +26,7 @@
 	if !u.Up {
 		return
 	}
-	if u.world.Rng.Float64() < u.FullPart {
+	if u.world.Rng.Float64() < u.RejectShare {
 		answer(false)
 		return
 	}
