--- a/internal/accounts/model_test.go
+++ b/internal/accounts/model_test.go
@@ -205,7 +205,7 @@
 			})
 		}
 		m.Run(modelSpan+modelSettle, nil)
-		totals, truths, atRisk := m.Totals(), m.GroundTruth(), m.atRisk(m.TellEvery+m.Delay+m.Delay/20)
+		totals, truths, atRisk := m.Totals(), m.GroundTruth(), m.atRisk(m.ReportInterval+m.Delay+m.Delay/20)
 		for tenant, truth := range truths {
 			account := totals[tenant]
 			checkAccount(t, fmt.Sprintf("seed %d: %s", seed, tenant), account, truth)
--- a/internal/emulator/proxy.go
+++ b/internal/emulator/proxy.go
@@ -222,7 +222,7 @@
 	if !p.Up || p.Incarnation != life {
 		return
 	}
-	p.world.After(p.world.TellEvery, func() { p.sendReports(life) })
+	p.world.After(p.world.ReportInterval, func() { p.sendReports(life) })
 	if p.FrozenUntil > p.world.Now {
 		return
 	}
--- a/internal/emulator/world.go
+++ b/internal/emulator/world.go
@@ -14,19 +14,19 @@
 // seed.
 type World struct {
 	*simnet.Network
-	Platform   *Platform
-	Upstreams  map[string]*Upstream
-	Clients    []*Client
-	Proxies    map[string]*Proxy
-	Controls   map[string]*Control
-	Objectives *accounts.Objectives
-	Options    counter.Options
-	TellEvery  time.Duration // between a proxy's reports
-	DoublePart float64       // share of messages about accounts that arrive twice
-	Leases     []string      // the control machine that holds each shard
-	Known      []string      // the one that proxies believe to hold it
-	Bytes      int           // of packed accounts in reports sent
-	OnTotals   func(control *Control, shard int, totals map[string]accounts.Account)
+	Platform       *Platform
+	Upstreams      map[string]*Upstream
+	Clients        []*Client
+	Proxies        map[string]*Proxy
+	Controls       map[string]*Control
+	Objectives     *accounts.Objectives
+	Options        counter.Options
+	ReportInterval time.Duration // between a proxy's reports
+	DoublePart     float64       // share of messages about accounts that arrive twice
+	Leases         []string      // the control machine that holds each shard
+	Known          []string      // the one that proxies believe to hold it
+	Bytes          int           // of packed accounts in reports sent
+	OnTotals       func(control *Control, shard int, totals map[string]accounts.Account)
 
 	proxyNames   []string
 	controlNames []string
@@ -42,7 +42,7 @@
 func New(seed uint64, objectives *accounts.Objectives) *World {
 	return &World{Network: simnet.New(seed), Platform: &Platform{upstreams: map[string]*Upstream{}}, Upstreams: map[string]*Upstream{},
 		Proxies: map[string]*Proxy{}, Controls: map[string]*Control{}, Objectives: objectives, Options: fastOptions,
-		TellEvery: 250 * time.Millisecond, Leases: make([]string, objectives.Shards), Known: make([]string, objectives.Shards), cuts: map[[2]string]bool{}}
+		ReportInterval: 250 * time.Millisecond, Leases: make([]string, objectives.Shards), Known: make([]string, objectives.Shards), cuts: map[[2]string]bool{}}
 }
 
 // MoveShard gives a shard's lease to another control machine, or to none; proxies hear of
