--- a/internal/accounts/model_test.go
+++ b/internal/accounts/model_test.go
@@ -36,7 +36,7 @@
 func newModel(t *testing.T, seed uint64) *model {
 	m := &model{World: emulator.New(seed, modelObjectives(t)), t: t, seed: seed, published: map[string]accounts.Account{}}
 	m.Delay = []time.Duration{2, 10, 40}[seed%3] * time.Millisecond
-	m.DoublePart = 0.2
+	m.DuplicateShare = 0.2
 	for i := range 3 {
 		m.NewControl(fmt.Sprint("control-", i))
 	}
--- a/internal/emulator/world.go
+++ b/internal/emulator/world.go
@@ -22,7 +22,7 @@
 	Objectives     *accounts.Objectives
 	Options        counter.Options
 	ReportInterval time.Duration // between a proxy's reports
-	DoublePart     float64       // share of messages about accounts that arrive twice
+	DuplicateShare float64       // share of messages about accounts that arrive twice
 	Leases         []string      // the control machine that holds each shard
 	Known          []string      // the one that proxies believe to hold it
 	Bytes          int           // of packed accounts in reports sent
@@ -78,7 +78,7 @@
 // send delivers a message about accounts, sometimes twice.
 func (w *World) sendDuplicated(from, to string, deliver func()) {
 	w.Send(from, to, deliver)
-	if w.Rng.Float64() < w.DoublePart {
+	if w.Rng.Float64() < w.DuplicateShare {
 		w.Send(from, to, deliver)
 	}
 }
