--- a/internal/emulator/control.go
+++ b/internal/emulator/control.go
@@ -86,10 +86,10 @@
 	c.world.observe(c)
 }
 
-func (c *Control) leads(shard int) bool { return c.world.Leases[shard] == c.Name }
+func (c *Control) leads(shard int) bool { return c.world.LeaseHolders[shard] == c.Name }
 
 func (c *Control) handleReport(report accounts.Report) accounts.ReportAck {
-	return c.Holder.Take(report, report.Shard >= 0 && report.Shard < len(c.world.Leases) && c.leads(report.Shard))
+	return c.Holder.Take(report, report.Shard >= 0 && report.Shard < len(c.world.LeaseHolders) && c.leads(report.Shard))
 }
 
 func (c *Control) sendAll(out []counter.Send) {
