--- a/internal/emulator/proxy.go
+++ b/internal/emulator/proxy.go
@@ -235,7 +235,7 @@
 
 func (p *Proxy) sendReport(life int, report accounts.Report) {
 	w := p.world
-	holder := w.Controls[w.Known[report.Shard]]
+	holder := w.Controls[w.KnownHolders[report.Shard]]
 	if holder == nil {
 		return
 	}
--- a/internal/emulator/world.go
+++ b/internal/emulator/world.go
@@ -24,7 +24,7 @@
 	ReportInterval time.Duration // between a proxy's reports
 	DuplicateShare float64       // share of messages about accounts that arrive twice
 	LeaseHolders   []string      // the control machine that holds each shard
-	Known          []string      // the one that proxies believe to hold it
+	KnownHolders   []string      // the one that proxies believe to hold it
 	Bytes          int           // of packed accounts in reports sent
 	OnTotals       func(control *Control, shard int, totals map[string]accounts.Account)
 
@@ -42,14 +42,14 @@
 func New(seed uint64, objectives *accounts.Objectives) *World {
 	return &World{Network: simnet.New(seed), Platform: &Platform{upstreams: map[string]*Upstream{}}, Upstreams: map[string]*Upstream{},
 		Proxies: map[string]*Proxy{}, Controls: map[string]*Control{}, Objectives: objectives, Options: fastOptions,
-		ReportInterval: 250 * time.Millisecond, LeaseHolders: make([]string, objectives.Shards), Known: make([]string, objectives.Shards), cuts: map[[2]string]bool{}}
+		ReportInterval: 250 * time.Millisecond, LeaseHolders: make([]string, objectives.Shards), KnownHolders: make([]string, objectives.Shards), cuts: map[[2]string]bool{}}
 }
 
 // MoveShard gives a shard's lease to another control machine, or to none; proxies hear of
 // it a little later.
 func (w *World) MoveShard(shard int, control string) {
 	w.LeaseHolders[shard] = control
-	w.After(100*time.Millisecond, func() { w.Known[shard] = w.LeaseHolders[shard] })
+	w.After(100*time.Millisecond, func() { w.KnownHolders[shard] = w.LeaseHolders[shard] })
 }
 
 // CutBoth cuts or joins both directions between two machines.
