--- a/internal/emulator/proxy.go
+++ b/internal/emulator/proxy.go
@@ -239,7 +239,7 @@
 	if holder == nil {
 		return
 	}
-	w.Bytes += len(report.Packed)
+	w.ReportBytes += len(report.Packed)
 	w.sendDuplicated(p.Name, holder.Name, func() {
 		holder.whenRunning(holder.Incarnation, func() {
 			ack := holder.handleReport(report)
--- a/internal/emulator/world.go
+++ b/internal/emulator/world.go
@@ -25,7 +25,7 @@
 	DuplicateShare float64       // share of messages about accounts that arrive twice
 	LeaseHolders   []string      // the control machine that holds each shard
 	KnownHolders   []string      // the one that proxies believe to hold it
-	Bytes          int           // of packed accounts in reports sent
+	ReportBytes    int           // of packed accounts in reports sent
 	OnTotals       func(control *Control, shard int, totals map[string]accounts.Account)
 
 	proxyNames   []string
