--- a/internal/gobtest/gobtest.go
+++ b/internal/gobtest/gobtest.go
@@ -1,6 +1,6 @@
-// Package gobtest helps tests of compatibility: it fills a value of any type with
-// content that depends only on the names that gob encodes, and describes a type by
-// them. Two builds that fill alike and describe alike understand each other.
+// Package gobtest provides helpers for compatibility tests: it fills a value of any type with
+// content that depends only on the names that gob encodes, and describes a type by those names.
+// Two builds that fill and describe a type alike can decode each other's messages.
 package gobtest
 
 import (
@@ -11,16 +11,16 @@
 	"strings"
 )
 
-// indent stands before each line of a description.
+// indent precedes each line of a description.
 const indent = "    "
 
-// sliceLength is how many elements a filled slice has.
+// sliceLength is the number of elements of a filled slice.
 const sliceLength = 2
 
-// Fill sets everything that gob would encode of what pointer points to, as far as
-// fields names it, which is what Describe said of the type once; with empty fields all
-// of it. The content follows from name and from the names of the fields on the way to
-// each part, and is never the zero value, which gob leaves out.
+// Fill sets everything that gob would encode of the value pointer points to, limited to the
+// fields listed in fields, an earlier result of Describe; if fields is empty, all of it. The
+// content is derived from name and the path of field names to each part. It is never the zero
+// value, which gob omits.
 func Fill(name string, pointer any, fields string) {
 	var selectedLines []string
 	if fields != "" {
@@ -30,10 +30,11 @@
 	f.fill(name, "", reflect.ValueOf(pointer).Elem())
 }
 
-// filler fills what its lines of a description name; all, if it has none.
+// filler fills the parts that the lines of a description list, or all parts if there are no
+// lines.
 type filler struct{ known []string }
 
-// names says whether a part, or something within it, is to be filled.
+// selected reports whether a part, or something within it, is to be filled.
 func (f *filler) selected(fieldPath string) bool {
 	return f.known == nil || slices.ContainsFunc(f.known, func(line string) bool {
 		rest, found := strings.CutPrefix(line, indent+fieldPath)
@@ -41,7 +42,7 @@
 	})
 }
 
-// fill sets one part; path leads to it, and described is its path in a description.
+// fill sets one part; path leads to it, and fieldPath is its path in a description.
 func (f *filler) fill(path, described string, v reflect.Value) {
 	if !f.selected(described) {
 		return
@@ -85,19 +86,19 @@
 	case reflect.Uint, reflect.Uint8, reflect.Uint16, reflect.Uint32, reflect.Uint64:
 		v.SetUint(uint64(hashNumber(path)))
 	default:
-		panic(fmt.Sprintf("gobtest: %s is a %s, which gob does not encode here", path, v.Type()))
+		panic(fmt.Sprintf("gobtest: %s has unsupported type %s", path, v.Type()))
 	}
 }
 
-// number gives one from 1 to 127, which fits every kind of number.
+// hashNumber hashes path to a number from 1 to 127, which fits every numeric type.
 func hashNumber(path string) uint32 {
 	hash := fnv.New32a()
 	hash.Write([]byte(path))
 	return hash.Sum32()%127 + 1
 }
 
-// Describe lists what gob encodes of a type: a line for each field, with its path and
-// its kind. The Go names of types are not part of it.
+// Describe lists what gob encodes of a type: one line for each field, with its path and its
+// kind. The Go names of types are not included.
 func Describe(value any) string {
 	var lines []string
 	describe("", reflect.TypeOf(value), &lines)
@@ -106,7 +107,7 @@
 
 func describe(path string, t reflect.Type, lines *[]string) {
 	switch t.Kind() {
-	case reflect.Pointer: // gob encodes what it points to
+	case reflect.Pointer: // gob encodes the value it points to
 		describe(path, t.Elem(), lines)
 	case reflect.Slice:
 		describe(path+"[]", t.Elem(), lines)
--- a/internal/modelcheck/choices.go
+++ b/internal/modelcheck/choices.go
@@ -6,27 +6,27 @@
 	"time"
 )
 
-// Choices collects what may happen next: the default, and the choices of those kinds that
-// a model's configuration wants. A choice is its kind and its arguments, in a line.
+// Choices collects the enabled choices: the default, and the choices whose kinds a model's
+// configuration selects. A choice is its kind and its arguments, separated by spaces.
 type Choices struct {
-	List    []string // the choices, the default first
-	kinds   []string // wanted; empty: all
-	without []string // kinds left out
+	List    []string // the choices, default first
+	kinds   []string // selected kinds; empty means all
+	without []string // excluded kinds
 }
 
-// NewChoices begins with the default choice, and takes those of the kinds wanted (none
-// named means all) that are not among those left out.
+// NewChoices returns a list with only the default choice. Add accepts the given kinds (none
+// means all), except those in without.
 func NewChoices(kinds, without []string) *Choices {
 	return &Choices{List: []string{DefaultChoice}, kinds: kinds, without: slices.Clip(without)}
 }
 
-// LeaveOut leaves further kinds out, as faults where no more are allowed.
+// Exclude excludes further kinds, such as faults when a schedule may have no more of them.
 func (c *Choices) Exclude(kinds []string) { c.without = append(c.without, kinds...) }
 
-// Default is the choice that comes first: time goes on.
+// DefaultChoice is the choice that comes first: time advances.
 const DefaultChoice = "wait"
 
-// Add adds choices, unless their kind is not offered.
+// Add adds the choices whose kinds are selected.
 func (c *Choices) Add(choices ...string) {
 	for _, choice := range choices {
 		if c.offers(KindOf(choice)) {
@@ -35,21 +35,21 @@
 	}
 }
 
-// offers says whether a kind of choice is among those wanted, and not left out.
+// offers reports whether a kind is selected and not excluded.
 func (c *Choices) offers(kind string) bool {
 	wanted := len(c.kinds) == 0 || slices.Contains(c.kinds, kind)
 	return wanted && !slices.Contains(c.without, kind)
 }
 
-// KindOf is the kind of a choice.
+// KindOf returns the kind of a choice.
 func KindOf(choice string) string { return strings.Fields(choice)[0] }
 
-// RunDefault lets time go on to the next place for a choice, and returns the place after
-// it: places are a step apart, and wherever until says so before a message.
-func (w *World) RunDefault(place, step time.Duration, until func(*Event) bool, healthy func() bool) time.Duration {
-	w.Run(place, until, healthy)
-	if w.Now >= place {
-		return place + step
+// RunDefault advances time to nextChoiceAt or to the first message for which until returns
+// true, and returns the time of the next choice point. Choice points are step apart.
+func (w *World) RunDefault(nextChoiceAt, step time.Duration, until func(*Event) bool, healthy func() bool) time.Duration {
+	w.Run(nextChoiceAt, until, healthy)
+	if w.Now >= nextChoiceAt {
+		return nextChoiceAt + step
 	}
-	return place
+	return nextChoiceAt
 }
--- a/internal/modelcheck/digest.go
+++ b/internal/modelcheck/digest.go
@@ -10,10 +10,10 @@
 	"time"
 )
 
-// Abstraction is what does not distinguish states: moments longer ago than
-// LongAgo, which must be longer than any time after which a machine still acts on
-// one, the fields that Skip names as "Type.Field", and differences of fractional
-// numbers below Grain, if it is given.
+// Abstraction defines which differences a digest ignores: times more than MaxAge ago, fields
+// named in SkipFields as "Type.Field", and differences of floating-point numbers below
+// Resolution, if it is set. MaxAge must be longer than any time after which a machine still
+// acts on a past event.
 type Abstraction struct {
 	MaxAge     time.Duration
 	SkipFields []string
@@ -25,9 +25,9 @@
 	randType     = reflect.TypeFor[*rand.Rand]()
 )
 
-// Digest hashes values whole, hidden fields too. Moments (time.Duration) count
-// by their distance from now, so that a state that comes again later is the same
-// one. Random sources and functions are left out.
+// Digest hashes complete values, including unexported fields. Points in time (time.Duration)
+// are hashed relative to now, so that a state that recurs later has the same hash. Random
+// sources and functions are ignored.
 func (a Abstraction) Digest(now time.Duration, vs ...any) uint64 {
 	d := digest{a, now}
 	var out []uint64
@@ -58,10 +58,11 @@
 	return h.Sum64()
 }
 
-// maxDigestDepth bounds how deep values are followed, since they may refer to each other.
+// maxDigestDepth bounds the recursion, since values may refer to each other.
 const maxDigestDepth = 40
 
-// of hashes one value; each kind has a number of its own, so that kinds differ.
+// value hashes one value. Each kind mixes in its own number, so that values of different kinds
+// differ.
 func (d digest) value(v reflect.Value, depth int) uint64 {
 	if !v.IsValid() || depth > maxDigestDepth {
 		return 1
@@ -69,7 +70,7 @@
 	if v.Type() == durationType {
 		t := time.Duration(v.Int())
 		if t <= 0 {
-			return 2 // never
+			return 2 // zero means never
 		}
 		return hashUint64s(3, uint64(max(t-d.now, -d.MaxAge)))
 	}
@@ -94,7 +95,8 @@
 	return d.scalar(v)
 }
 
-// ofScalar hashes what holds no further values; functions and channels are all alike.
+// scalar hashes a value that contains no other values. All functions and channels have the same
+// hash.
 func (d digest) scalar(v reflect.Value) uint64 {
 	switch {
 	case v.Kind() == reflect.Bool && v.Bool():
--- a/internal/modelcheck/modelcheck.go
+++ b/internal/modelcheck/modelcheck.go
@@ -1,8 +1,8 @@
-// Package modelcheck is a bounded, stateless model checker for the deterministic state
-// machines. A schedule is the default one (oldest message first, time goes on) with a few
-// deviations from it; all schedules with up to so many deviations are run, level by level
-// (delay bounding with iterative deepening), states seen before are not gone on from, and a
-// schedule that breaks a rule is shrunk to a short list that replays.
+// Package modelcheck is a bounded, stateless model checker for deterministic state machines. A
+// schedule is the default schedule (oldest message first, time advances) with a few deviations.
+// The checker runs all schedules up to a maximum number of deviations, level by level (delay
+// bounding with iterative deepening). It does not continue from states it has visited before,
+// and it shrinks a schedule that violates a rule to a short list that can be replayed.
 package modelcheck
 
 import (
@@ -10,31 +10,31 @@
 	"fmt"
 )
 
-// Model is a system that is driven one choice at a time. The same choices bring
-// it to the same state each time.
+// Model is a system that is driven one choice at a time. The same sequence of choices always
+// leads to the same state.
 type Model interface {
-	// Reset goes back to the start.
+	// Reset returns to the initial state.
 	Reset()
-	// Choices lists what may happen next, each as a kind and its arguments, the default
-	// first. No two are alike.
+	// Choices lists the enabled choices, each as a kind followed by its arguments. The default
+	// comes first, and no two choices are equal.
 	Choices() []string
-	// Apply has one of them happen, by its place in the list.
+	// Apply executes the choice at index n of Choices.
 	Apply(n int)
-	// Hash distinguishes states, as far as what comes after depends on them.
+	// Hash returns a value that differs between states whose future behavior differs.
 	Hash() uint64
-	// Check is the first rule of safety that was broken since the start.
+	// Check returns the first safety rule violated since Reset, or nil.
 	Check() error
-	// Quiet ends all trouble, lets the system settle, and is the rule of
-	// liveness that is broken then, or one of safety.
+	// CheckLiveness ends all faults, lets the system settle and returns the liveness rule that
+	// does not hold then, or a violated safety rule.
 	CheckLiveness() error
 }
 
-// Violation is a broken rule. Shrinking keeps to the rule, not to the detail.
+// Violation is a violated rule. Shrinking preserves the rule, but not the detail.
 type Violation struct{ Rule, Detail string }
 
 func (v Violation) Error() string { return v.Rule + ": " + v.Detail }
 
-// Broken makes a Violation.
+// NewViolation returns a Violation of a rule with a formatted detail.
 func NewViolation(rule, f string, a ...any) error { return Violation{rule, fmt.Sprintf(f, a...)} }
 
 func ruleOf(err error) string {
--- a/internal/modelcheck/modelcheck_test.go
+++ b/internal/modelcheck/modelcheck_test.go
@@ -7,8 +7,8 @@
 	"time"
 )
 
-// lock is a toy that breaks when "left" and, at least three steps later, "right"
-// is turned, with "knock" in between; "noise" does nothing that lasts.
+// lock is a test model. It violates a rule when "left" is followed by "knock" and, at least
+// three default steps after "left", by "right". "noise" has no lasting effect.
 type lock struct {
 	now, left   int
 	middle      bool
@@ -49,10 +49,10 @@
 	return l.err
 }
 
-func TestSystematicFindsTheShortest(t *testing.T) {
+func TestSystematicFindsShortestSchedule(t *testing.T) {
 	mk := func() Model { return &lock{} }
 	if r := Systematic(mk, Options{Deviations: 2, Depth: 8}); len(r.Failures) > 0 || r.Complete != 2 {
-		t.Fatalf("two deviations are not enough: %v %v", r, r.Failures)
+		t.Fatalf("a violation needs three deviations, two found one: %v %v", r, r.Failures)
 	}
 	var last string
 	for _, jobs := range []int{1, 1, 3} {
@@ -62,28 +62,28 @@
 		}
 		f := r.Failures[0]
 		if got := f.Shrunk.String(); last != "" && got != last && jobs == 1 {
-			t.Errorf("another run shrinks to %s, not %s", got, last)
+			t.Errorf("a second run shrank to %s, want %s", got, last)
 		} else {
 			last = got
 		}
 		if err := Replay(mk(), f.Shrunk); err == nil || err.Error() != f.Err.Error() {
-			t.Errorf("replayed: %v, found: %v", err, f.Err)
+			t.Errorf("replay returned %v, want %v", err, f.Err)
 		}
 	}
 }
 
-func TestQuietIsChecked(t *testing.T) {
+func TestSearchChecksLiveness(t *testing.T) {
 	r := Systematic(func() Model { return &lock{quietBroken: true} }, Options{Deviations: 3, Depth: 4})
 	if len(r.Failures) != 1 || r.Failures[0].Rule != "silent" || r.Failures[0].Shrunk.String() != "left; knock" {
 		t.Fatalf("%+v", r.Failures)
 	}
 	r = Systematic(func() Model { return &lock{quietBroken: true} }, Options{Deviations: 3, Depth: 4, KeepGoing: true})
 	if len(r.Failures) != 1 || r.Complete != 3 {
-		t.Fatalf("going on: %v %+v", r, r.Failures)
+		t.Fatalf("with KeepGoing: %v %+v", r, r.Failures)
 	}
 }
 
-func TestRandomFindsAndRepeats(t *testing.T) {
+func TestRandomIsReproducible(t *testing.T) {
 	run := func() Report {
 		return Random(func() Model { return &lock{} }, Options{Deviations: 6, Depth: 8, Seed: 3, Schedules: 20_000})
 	}
@@ -104,7 +104,7 @@
 	}
 }
 
-func TestReplayRefusesWhatIsNotEnabled(t *testing.T) {
+func TestReplayRejectsDisabledChoice(t *testing.T) {
 	if err := Replay(&lock{}, Parse("left; +2; sing ;knock")); !errors.Is(err, ErrNotEnabled) {
 		t.Errorf("got %v", err)
 	}
@@ -113,15 +113,15 @@
 		t.Errorf("got %v", err)
 	}
 	if again := Parse(s.String()); !slices.Equal(again, s) {
-		t.Errorf("%v is read as %v", s, again)
+		t.Errorf("Parse of %v returned %v", s, again)
 	}
 	want := "\t{\"shut\", modelcheck.Schedule{\"left\", \"+3\"}}, // shut: why"
 	if got := (Failure{Rule: "shut", Shrunk: Schedule{"left", "+3"}, Err: NewViolation("shut", "why")}).Source(); got != want {
-		t.Errorf("printed %s", got)
+		t.Errorf("Source returned %s, want %s", got, want)
 	}
 }
 
-func TestBoundsEndTheSearch(t *testing.T) {
+func TestSearchStopsAtBounds(t *testing.T) {
 	mk := func() Model { return &lock{} }
 	if r := Systematic(mk, Options{Deviations: 2, Depth: 8, Schedules: 10}); r.Schedules != 10 || r.Complete >= 2 {
 		t.Errorf("%v", r)
@@ -131,9 +131,9 @@
 	}
 }
 
-// States that are seen again are not gone on from: without that, there would be
-// far more schedules.
-func TestStatesPrune(t *testing.T) {
+// Guards against searches that continue from visited states: without pruning there would be far
+// more than 150 schedules.
+func TestVisitedStatesArePruned(t *testing.T) {
 	l := &lock{}
 	r := Systematic(func() Model { return l }, Options{Deviations: 2, Depth: 8})
 	if r.Pruned == 0 || r.Schedules > 150 {
@@ -166,33 +166,33 @@
 		v    outer
 		same bool
 	}{
-		"again":                 {10 * time.Second, mk(9*time.Second, 1, "x", "y"), true},
-		"a field left out":      {10 * time.Second, mk(9*time.Second, 2, "x", "y"), true},
-		"all later":             {30 * time.Second, mk(29*time.Second, 1, "x", "y"), true},
-		"longer ago":            {30 * time.Second, mk(28*time.Second, 1, "x", "y"), false},
-		"never":                 {10 * time.Second, mk(0, 1, "x", "y"), false},
-		"other names":           {10 * time.Second, mk(9*time.Second, 1, "x", "z"), false},
-		"another order of them": {10 * time.Second, mk(9*time.Second, 1, "y", "x"), false},
+		"same value":            {10 * time.Second, mk(9*time.Second, 1, "x", "y"), true},
+		"skipped field differs": {10 * time.Second, mk(9*time.Second, 2, "x", "y"), true},
+		"all times shifted":     {30 * time.Second, mk(29*time.Second, 1, "x", "y"), true},
+		"different age":         {30 * time.Second, mk(28*time.Second, 1, "x", "y"), false},
+		"zero time":             {10 * time.Second, mk(0, 1, "x", "y"), false},
+		"different names":       {10 * time.Second, mk(9*time.Second, 1, "x", "z"), false},
+		"different order":       {10 * time.Second, mk(9*time.Second, 1, "y", "x"), false},
 	} {
 		if got := a.Digest(c.now, c.v) == base; got != c.same {
-			t.Errorf("%s: the same is %v", name, got)
+			t.Errorf("%s: digests are equal: %v, want %v", name, got, c.same)
 		}
 	}
 	if a.Digest(30*time.Second, mk(1*time.Second, 1, "x")) != a.Digest(40*time.Second, mk(2*time.Second, 1, "x")) {
-		t.Error("what is long ago is told apart")
+		t.Error("digests differ for times that are both beyond MaxAge")
 	}
 }
 
-// A frozen machine takes what reached it when it thaws; one that was stopped
-// meanwhile does not.
-func TestWorld(t *testing.T) {
+// A frozen machine processes the messages that reached it once it thaws, but drops them if it
+// was stopped in between. The test also covers cut, late, duplicated and lost messages.
+func TestWorldDeliversMessages(t *testing.T) {
 	var got []string
 	w := NewWorld(time.Second, func(string) {}, func(e *Event) { got = append(got, e.From+e.To+e.Msg.(string)) })
 	for _, n := range []string{"a", "b", "c"} {
 		w.Start(n)
 	}
 	send := func() { w.Send("a", "b", "1"); w.Send("a", "c", "2") }
-	to := func(d time.Duration) { w.Run(w.Now+d, nil, nil) }
+	advance := func(d time.Duration) { w.Run(w.Now+d, nil, nil) }
 	expect := func(what string, want ...string) {
 		t.Helper()
 		if !slices.Equal(got, want) {
@@ -203,37 +203,37 @@
 	w.Run(10*time.Millisecond, nil, nil)
 	w.ApplyChoice("freeze b")
 	send()
-	to(MessageDelay)
+	advance(MessageDelay)
 	expect("b is frozen", "ac2")
 	w.ApplyChoice("thaw b")
-	expect("b thaws", "ab1")
+	expect("b thawed", "ab1")
 	w.ApplyChoice("freeze b")
 	send()
-	to(MessageDelay)
+	advance(MessageDelay)
 	w.Stop("b")
 	w.Start("b")
 	w.ApplyChoice("thaw b")
-	expect("b was stopped", "ac2")
+	expect("b was stopped while frozen", "ac2")
 	w.ApplyChoice("cut a>b")
 	send()
 	w.Send("b", "a", "3")
-	to(MessageDelay)
-	expect("one way", "ac2", "ba3")
+	advance(MessageDelay)
+	expect("path from a to b is cut", "ac2", "ba3")
 	w.ApplyChoice("join")
 	send()
 	w.ApplyChoice("late")
-	to(MessageDelay)
-	expect("late", "ac2")
-	to(LateDelay)
-	expect("then", "ab1")
+	advance(MessageDelay)
+	expect("message to b is late", "ac2")
+	advance(LateDelay)
+	expect("late message arrived", "ab1")
 	send()
 	w.ApplyChoice("double")
 	w.ApplyChoice("isolate c")
-	to(LateDelay + MessageDelay)
-	expect("double, and c is alone", "ab1", "ab1")
+	advance(LateDelay + MessageDelay)
+	expect("message to b is duplicated, c is isolated", "ab1", "ab1")
 	w.Heal()
 	send()
 	w.ApplyChoice("lose")
-	to(LateDelay + MessageDelay)
-	expect("lost", "ac2")
+	advance(LateDelay + MessageDelay)
+	expect("message to b is lost", "ac2")
 }
--- a/internal/modelcheck/modelchecktest/modelchecktest.go
+++ b/internal/modelcheck/modelchecktest/modelchecktest.go
@@ -1,5 +1,5 @@
-// Package modelchecktest helps the tests of models: it runs searches and reports what they
-// find as failures of the test.
+// Package modelchecktest provides helpers for tests of models: it runs searches and reports the
+// violations they find as test failures.
 package modelchecktest
 
 import (
@@ -8,7 +8,7 @@
 	"slateridge/internal/modelcheck"
 )
 
-// Search runs a search, random or systematic, with two jobs, and checks its report.
+// Search runs a random or systematic search with two jobs and checks its report.
 func Search(t *testing.T, newModel func() modelcheck.Model, random bool, o modelcheck.Options, atLeast int) {
 	t.Helper()
 	o.Jobs = 2
@@ -19,8 +19,8 @@
 	Check(t, search(newModel, o), atLeast)
 }
 
-// Check fails the test for each rule that a search found broken, and when it ran fewer
-// schedules than would mean anything.
+// Check fails the test for each violated rule, and when the search ran fewer than atLeast
+// schedules.
 func Check(t *testing.T, r modelcheck.Report, atLeast int) {
 	t.Helper()
 	t.Log(r)
@@ -28,6 +28,6 @@
 		t.Errorf("%v\n%s", f.Err, f.Source())
 	}
 	if len(r.Failures) == 0 && r.Schedules < atLeast {
-		t.Errorf("%d schedules: too few to mean anything", r.Schedules)
+		t.Errorf("%d schedules were run, want at least %d", r.Schedules, atLeast)
 	}
 }
--- a/internal/modelcheck/random.go
+++ b/internal/modelcheck/random.go
@@ -7,8 +7,8 @@
 	"sync"
 )
 
-// Random walks within the same bounds: each schedule has up to so many
-// deviations, at random places and of random kinds.
+// Random runs random walks within the same bounds: each schedule has up to o.Deviations
+// deviations, at random points and of random kinds.
 func Random(mk func() Model, o Options) Report {
 	s := newSearch(o)
 	states := map[uint64]bool{}
@@ -35,10 +35,11 @@
 	var sch Schedule
 	steps := 0
 	last := rng.IntN(max(1, s.Deviations))
-	for dev := range last + 2 { // and once more without one: troubles last
+	for dev := range last + 2 { // one more round without a deviation, so that the faults last for a while
 		wait := 0
 		if s.Depth > 0 && rng.IntN(3) > 0 {
-			// Of any size alike: trouble mostly lies close to trouble.
+			// Choose the magnitude uniformly: faults that follow each other closely find most
+			// violations.
 			wait = rng.IntN(s.Depth>>rng.IntN(bits.Len(uint(s.Depth))) + 1)
 		}
 		for range wait {
@@ -73,7 +74,8 @@
 	}
 }
 
-// draw picks a kind first, so that the many ways of one do not drown the rest.
+// pickChoice selects a kind first and then a choice of that kind, so that kinds with many
+// choices do not crowd out the others.
 func pickChoice(rng *rand.Rand, choices []string) int {
 	var kinds []string
 	for _, w := range choices {
--- a/internal/modelcheck/schedule.go
+++ b/internal/modelcheck/schedule.go
@@ -8,13 +8,13 @@
 	"strings"
 )
 
-// Schedule is a plain list that replays: "+3" is the default three times, all
-// else a deviation as Choices lists it.
+// Schedule is a list of steps that can be replayed: "+3" takes the default three times, and any
+// other step is a deviation as Choices lists it.
 type Schedule []string
 
 func (s Schedule) String() string { return strings.Join(s, "; ") }
 
-// Parse reads what String wrote.
+// Parse parses the format of Schedule.String.
 func Parse(text string) (s Schedule) {
 	for w := range strings.SplitSeq(text, ";") {
 		if w = strings.TrimSpace(w); w != "" {
@@ -24,7 +24,8 @@
 	return s
 }
 
-// defaults is how often the default is meant; false for a deviation.
+// parseWait returns the number of default steps of a step such as "+3", and false for a
+// deviation.
 func parseWait(w string) (int, bool) {
 	if !strings.HasPrefix(w, "+") {
 		return 0, false
@@ -33,7 +34,7 @@
 	return n, err == nil && n >= 0
 }
 
-// Deviations counts the schedule's deviations.
+// Deviations returns the number of deviations.
 func (s Schedule) Deviations() (n int) {
 	for _, w := range s {
 		if _, ok := parseWait(w); !ok {
@@ -43,7 +44,7 @@
 	return n
 }
 
-// tidy joins runs of defaults.
+// normalize merges consecutive default steps.
 func (s Schedule) normalize() (out Schedule) {
 	run := 0
 	for _, w := range s {
@@ -63,11 +64,11 @@
 	return out
 }
 
-// ErrNotEnabled says that a schedule names what can't happen at its place.
+// ErrNotEnabled is returned for a schedule with a choice that is not enabled at its point.
 var ErrNotEnabled = errors.New("not enabled")
 
-// drive resets the model and brings it through a schedule: the steps taken, and
-// the rule broken. What is not enabled is skipped, and returned.
+// runSchedule resets the model and runs a schedule. It returns the number of steps taken, the
+// choices skipped because they were not enabled, and the rule violated.
 func runSchedule(m Model, s Schedule) (steps int, skipped []string, err error) {
 	m.Reset()
 	for _, w := range s {
@@ -95,8 +96,8 @@
 	return steps, skipped, m.Check()
 }
 
-// Replay runs a schedule, with the quiet phase after it, and gives the rule
-// that it breaks, or ErrNotEnabled when it names what can't happen at its place.
+// Replay runs a schedule, checks liveness after it and returns the rule that is violated, or
+// ErrNotEnabled if a choice of the schedule is not enabled at its point.
 func Replay(m Model, s Schedule) error {
 	_, skipped, err := runSchedule(m, s)
 	if len(skipped) > 0 {
--- a/internal/modelcheck/search.go
+++ b/internal/modelcheck/search.go
@@ -9,27 +9,27 @@
 	"time"
 )
 
-// Options are a search's bounds.
+// Options bounds a search.
 type Options struct {
-	Deviations int           // most in a schedule
-	Depth      int           // most steps of the default after the last deviation, at which another may come
-	Schedules  int           // 0: no bound
-	Limit      time.Duration // 0: no bound
-	Seed       uint64        // of random walks
-	Jobs       int           // models driven at once; counts are the same each time only with one
-	KeepGoing  bool          // look for a failure of each rule, not just the first
-	Progress   func(Report)  // called now and then
+	Deviations int           // maximum per schedule
+	Depth      int           // maximum number of default steps between one deviation and the next
+	Schedules  int           // maximum number of schedules; 0 means no limit
+	Limit      time.Duration // maximum run time; 0 means no limit
+	Seed       uint64        // for random walks
+	Jobs       int           // number of models run concurrently; counts are reproducible only with one
+	KeepGoing  bool          // find a failure of each rule instead of stopping at the first
+	Progress   func(Report)  // called at intervals during the search
 }
 
-// Report is how much was covered.
+// Report describes the coverage and the failures of a search.
 type Report struct {
 	Schedules, States    int
 	Steps                int
-	Pruned               int // schedules that led to a state seen before
-	Deepest              int // steps of the longest schedule, without the quiet phase
-	Level                int // deviations of the level under way, or the last
+	Pruned               int // schedules that led to a state visited before
+	Deepest              int // number of steps of the longest schedule, without its liveness check
+	Level                int // number of deviations of the current or last level
 	LevelDone, LevelSize int
-	Complete             int // the highest level run in full; -1: none
+	Complete             int // the highest level that was run completely; -1 if none
 	Kinds                map[string]int
 	Failures             []Failure
 	Elapsed              time.Duration
@@ -58,7 +58,7 @@
 	rep        Report
 	startedAt  time.Time
 	reportedAt time.Time
-	visited    map[uint64]bool // states in which the quiet phase was run
+	visited    map[uint64]bool // states whose liveness was checked
 }
 
 func newSearch(o Options) *search {
@@ -72,7 +72,7 @@
 	}
 }
 
-// over says whether the search has to end.
+// done reports whether the search has to stop.
 func (s *search) done() bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -129,13 +129,15 @@
 	s.mu.Unlock()
 }
 
-// place is a state on the way of the default after a schedule.
+// branchPoint is a state on the default path after a schedule, from which schedules can
+// deviate.
 type branchPoint struct {
 	hash    uint64
 	choices []string
 }
 
-// node is a schedule as the one before it and one deviation more.
+// node is a schedule, expressed as its parent schedule, a number of default steps and one more
+// deviation.
 type node struct {
 	parent *node
 	wait   int
@@ -153,9 +155,9 @@
 	return s
 }
 
-// visit runs one schedule with the quiet phase at once after it, and again with
-// its troubles lasting for as many steps as another deviation might wait. It
-// returns where the schedule can be deviated from next.
+// visit runs one schedule and checks liveness immediately after it. It then runs the schedule
+// again, lets the faults last for as many default steps as another deviation may wait, and
+// checks liveness after those. It returns the states from which the schedule can deviate next.
 func (s *search) visit(m Model, sch Schedule) (points []branchPoint) {
 	steps, _, err := runSchedule(m, sch)
 	if err != nil {
@@ -180,7 +182,7 @@
 	for len(points) <= s.Depth {
 		h := m.Hash()
 		if onPath[h] {
-			break // the default goes round
+			break // the default path is a cycle
 		}
 		onPath[h] = true
 		points = append(points, branchPoint{h, slices.Clone(m.Choices()[1:])})
@@ -202,7 +204,7 @@
 	return points
 }
 
-// fresh says whether a state has not had its quiet phase yet; it is about to.
+// markVisited marks a state as visited and reports whether it was not visited before.
 func (s *search) markVisited(h uint64) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/internal/modelcheck/shrink.go
+++ b/internal/modelcheck/shrink.go
@@ -7,7 +7,8 @@
 	"strings"
 )
 
-// breaks says whether a schedule, less what is not enabled in it, breaks a rule.
+// reproduces reports whether a schedule, without its choices that are not enabled, violates a
+// rule, and returns the schedule without them.
 func reproduces(m Model, s Schedule, rule string) (Schedule, bool) {
 	_, skipped, err := runSchedule(m, s)
 	if err == nil {
@@ -16,7 +17,7 @@
 	if err == nil || ruleOf(err) != rule {
 		return nil, false
 	}
-	if len(skipped) > 0 { // by its text only: the same choice may be enabled elsewhere
+	if len(skipped) > 0 { // choices are matched by text only: the same choice may be enabled at another point
 		var remaining Schedule
 		for _, w := range s {
 			if i := slices.Index(skipped, w); i >= 0 {
@@ -30,8 +31,8 @@
 	return s, true
 }
 
-// Shrink makes a schedule that breaks a rule shorter as long as it breaks the
-// same rule: chunks are left out, then single choices, then defaults are made fewer.
+// Shrink shortens a schedule while it still violates the same rule: it removes chunks, then
+// single steps, and then reduces the numbers of default steps.
 func Shrink(m Model, s Schedule, rule string) Schedule {
 	try := func(c Schedule) bool {
 		c = c.normalize()
@@ -73,7 +74,7 @@
 	return s
 }
 
-// Source is a schedule as an entry of a test table in Go.
+// Source returns the shrunk schedule as an entry of a Go test table.
 func (f Failure) Source() string {
 	var b strings.Builder
 	fmt.Fprintf(&b, "\t{%q, modelcheck.Schedule{", f.Rule)
@@ -87,10 +88,10 @@
 	return b.String()
 }
 
-// Failure is a schedule that breaks a rule.
+// Failure is a schedule that violates a rule.
 type Failure struct {
 	Rule   string
-	Err    error // as the shrunk schedule breaks it
+	Err    error // the violation by the shrunk schedule
 	Found  Schedule
 	Shrunk Schedule
 }
--- a/internal/modelcheck/systematic.go
+++ b/internal/modelcheck/systematic.go
@@ -4,8 +4,7 @@
 	"sync"
 )
 
-// Systematic runs all schedules within the bounds, those with fewer deviations
-// first.
+// Systematic runs all schedules within the bounds, in order of their number of deviations.
 func Systematic(mk func() Model, o Options) Report {
 	s := newSearch(o)
 	models := make([]Model, s.Jobs)
@@ -13,14 +12,14 @@
 		models[i] = mk()
 	}
 	level := []*node{nil}
-	expanded := map[uint64]bool{} // states that are deviated from already
+	expanded := map[uint64]bool{} // states whose deviations are in a level already
 	for dev := 0; dev <= s.Deviations && len(level) > 0 && !s.done(); dev++ {
 		s.mu.Lock()
 		s.rep.Level, s.rep.LevelDone, s.rep.LevelSize = dev, 0, len(level)
 		s.mu.Unlock()
 		var next []*node
-		// Batches bound what is kept of one, and their order of one by one makes
-		// the next level the same whatever the number of jobs.
+		// Batches bound the memory for results. Processing them in order makes the next level
+		// independent of the number of jobs.
 		for start := 0; start < len(level) && !s.done(); start += 64 * s.Jobs {
 			batch := level[start:min(len(level), start+64*s.Jobs)]
 			found := make([][]branchPoint, len(batch))
@@ -42,7 +41,7 @@
 				}
 				for wait, p := range found[i] {
 					if expanded[p.hash] {
-						break // what comes after it was seen too
+						break // all later states on this path were expanded too
 					}
 					expanded[p.hash] = true
 					for _, w := range p.choices {
--- a/internal/modelcheck/world.go
+++ b/internal/modelcheck/world.go
@@ -7,14 +7,14 @@
 	"time"
 )
 
-// Delays of a world's messages.
+// Times of a World.
 const (
 	MessageDelay = 5 * time.Millisecond   // of each message
-	LateDelay    = 400 * time.Millisecond // more, of one that is overtaken: longer than any core waits before it says something again
-	RestartTime  = 300 * time.Millisecond // a restart takes so long
+	LateDelay    = 400 * time.Millisecond // additional delay of a late message; longer than any state machine waits before it resends
+	RestartTime  = 300 * time.Millisecond // downtime of a restarted process
 )
 
-// Event is a message on its way, or something timed.
+// Event is a message in flight or a timer.
 type Event struct {
 	At       time.Duration
 	Seq      uint64
@@ -38,13 +38,12 @@
 	return x
 }
 
-// World is simulated machines, their processes and the network between them,
-// where nothing is left to chance: a message takes Delay, unless a choice says
-// otherwise.
+// World simulates machines, their processes and the network between them, without randomness: a
+// message takes MessageDelay unless a choice changes that.
 type World struct {
 	Now       time.Duration
-	Names     []string      // machines there are, those that left for good not among them
-	LastFault time.Duration // the last there was
+	Names     []string      // the current machines, without those that left permanently
+	LastFault time.Duration // time of the latest fault or repair
 
 	tick        time.Duration
 	onTick      func(n string)
@@ -59,7 +58,8 @@
 	phase       map[string]time.Duration
 }
 
-// NewWorld makes one whose machines step every tick.
+// NewWorld returns a world whose running processes call onTick every tick and onRecv for each
+// message.
 func NewWorld(tick time.Duration, onTick func(n string), onRecv func(e *Event)) *World {
 	return &World{tick: tick, onTick: onTick, onRecv: onRecv, cut: map[[2]string]bool{}, up: map[string]bool{},
 		frozen: map[string]bool{}, incarnation: map[string]int{}, pending: map[string][]func(){}, phase: map[string]time.Duration{}}
@@ -71,26 +71,27 @@
 	heap.Push(&w.queue, e)
 }
 
-// After does something later.
+// After runs do after d.
 func (w *World) After(d time.Duration, do func()) { w.push(&Event{At: w.Now + d, do: do}) }
 
-// Send puts a message on its way.
+// Send sends a message, unless the path is cut.
 func (w *World) Send(from, to string, msg any) {
 	if !w.cut[[2]string{from, to}] {
 		w.push(&Event{At: w.Now + MessageDelay, From: from, To: to, Msg: msg})
 	}
 }
 
-// Up says whether a machine's process is running.
+// Up reports whether a machine's process is running.
 func (w *World) Up(n string) bool { return w.up[n] }
 
-// Frozen says whether a machine's process is paused.
+// Frozen reports whether a machine's process is paused.
 func (w *World) Frozen(n string) bool { return w.frozen[n] }
 
-// Life is the incarnation of a machine's process: it rises with each start and each stop.
+// Incarnation returns the incarnation of a machine's process, which increases with each start
+// and each stop.
 func (w *World) Incarnation(n string) int { return w.incarnation[n] }
 
-// Start has a machine's process step from now on; a new machine is added.
+// Start starts a machine's process and its periodic ticks. A new machine is added.
 func (w *World) Start(n string) {
 	if !slices.Contains(w.Names, n) {
 		w.Names = append(w.Names, n)
@@ -108,7 +109,8 @@
 	w.After(w.tick, func() { w.step(n, life) })
 }
 
-// Act does something at a machine, when it thaws if it is frozen.
+// RunOn runs f on a machine. If the process is frozen, f runs when it thaws, unless the process
+// has stopped by then; at most 100 calls are kept.
 func (w *World) RunOn(n string, f func()) {
 	life := w.incarnation[n]
 	if w.frozen[n] {
@@ -130,13 +132,13 @@
 	w.incarnation[n]++
 }
 
-// Leave takes a machine away for good.
+// Leave removes a machine permanently.
 func (w *World) Leave(n string) {
 	w.Stop(n)
 	w.Names = slices.DeleteFunc(slices.Clone(w.Names), func(o string) bool { return o == n })
 }
 
-// Freeze has a machine's process stand still, or go on with all it missed.
+// Freeze pauses a machine's process, or resumes it and runs everything that was deferred.
 func (w *World) Freeze(n string, frozen bool) {
 	w.frozen[n] = frozen
 	if !frozen {
@@ -148,7 +150,8 @@
 	}
 }
 
-// Head is the next event if it is a message that will reach a process.
+// NextMessage returns the next event if it is a message that will reach a process, and nil
+// otherwise.
 func (w *World) NextMessage() *Event {
 	if len(w.queue) == 0 || w.queue[0].Msg == nil {
 		return nil
@@ -159,7 +162,8 @@
 	return nil
 }
 
-// Run takes events until a moment, or until one is the next that stop names.
+// Run processes events up to the time until. After at least one event it returns early before a
+// message for which stop returns true; it also returns when check returns false.
 func (w *World) Run(until time.Duration, stop func(*Event) bool, check func() bool) {
 	for first := true; len(w.queue) > 0 && w.queue[0].At <= until; first = false {
 		if e := w.NextMessage(); !first && stop != nil && e != nil && stop(e) {
@@ -183,8 +187,7 @@
 	}
 }
 
-// Paths lists the choices of the network, Freezes those of processes that stand
-// still, OnHead those of the next message.
+// NetworkChoices lists the choices that cut and restore network paths.
 func (w *World) NetworkChoices() (out []string) {
 	for _, a := range w.Names {
 		out = append(out, "isolate "+a, "mute "+a, "deafen "+a)
@@ -203,10 +206,10 @@
 	return out
 }
 
-// Parted says whether any path is cut.
+// Partitioned reports whether any path is cut.
 func (w *World) Partitioned() bool { return len(w.cut) > 0 }
 
-// Freezes lists the choices that freeze and thaw machines.
+// FreezeChoices lists the choices that freeze and thaw processes.
 func (w *World) FreezeChoices() (out []string) {
 	for _, n := range w.Names {
 		if w.up[n] && !w.frozen[n] {
@@ -218,10 +221,10 @@
 	return out
 }
 
-// OnHead lists the choices for the message that is due next.
+// MessageChoices lists the choices for the next message.
 func (w *World) MessageChoices() []string { return []string{"lose", "double", "late"} }
 
-// Heal joins all paths and thaws all machines.
+// Heal restores all paths and thaws all processes.
 func (w *World) Heal() {
 	w.cut = map[[2]string]bool{}
 	for _, n := range w.Names {
@@ -231,8 +234,8 @@
 	}
 }
 
-// Do carries out a choice of the network's or of standing still; false for
-// others.
+// ApplyChoice applies a choice on the network, a message or a process's freeze. It returns
+// false for choices of other kinds.
 func (w *World) ApplyChoice(choice string) bool {
 	kind, arg, _ := strings.Cut(choice, " ")
 	all := func(f func(o string)) {
@@ -281,9 +284,8 @@
 	return true
 }
 
-// Hash is of the network and the processes' being there; what they hold is the
-// model's. Of what is timed only the distance
-// counts, and not how long ago the last trouble was.
+// Hash digests the network and which processes are running or frozen; the model hashes their
+// state. Times are relative to now, and LastFault is not included.
 func (w *World) Hash(a Abstraction) uint64 {
 	var inFlight []uint64
 	q := slices.Clone(w.queue)
--- a/internal/simnet/simnet.go
+++ b/internal/simnet/simnet.go
@@ -1,5 +1,5 @@
-// Package simnet is a seeded, simulated network, clock and disk, on which the deterministic
-// state machines are tested.
+// Package simnet provides a seeded simulation of a network, a clock and a disk for tests of
+// deterministic state machines.
 package simnet
 
 import (
@@ -36,75 +36,75 @@
 type Network struct {
 	Rng   *rand.Rand
 	Now   time.Duration
-	Loss  float64       // share of messages lost
-	Delay time.Duration // longest delay of a message; shortest is a twentieth
+	Loss  float64       // fraction of messages lost
+	Delay time.Duration // maximum random part of a message's delay; Delay/20 is added to it
 	queue events
 	seq   uint64
 	cut   map[[2]string]bool
 }
 
-// New makes a network whose run is decided by its seed.
+// New returns a network whose run is determined by its seed.
 func New(seed uint64) *Network {
 	return &Network{Rng: rand.New(rand.NewPCG(seed, 7)), Delay: 20 * time.Millisecond, cut: map[[2]string]bool{}}
 }
 
-// After does something later.
-func (b *Network) After(d time.Duration, do func()) {
-	b.seq++
-	heap.Push(&b.queue, event{b.Now + d, b.seq, do})
+// After runs do after d.
+func (n *Network) After(d time.Duration, do func()) {
+	n.seq++
+	heap.Push(&n.queue, event{n.Now + d, n.seq, do})
 }
 
-// Send delivers a message after a random delay, unless it is lost or the path
-// is cut when it is sent or when it arrives.
-func (b *Network) Send(from, to string, deliver func()) {
-	if b.cut[[2]string{from, to}] || b.Rng.Float64() < b.Loss {
+// Send delivers a message after a random delay, unless it is lost or the path is cut when it is
+// sent or when it arrives.
+func (n *Network) Send(from, to string, deliver func()) {
+	if n.cut[[2]string{from, to}] || n.Rng.Float64() < n.Loss {
 		return
 	}
-	d := b.Delay/20 + time.Duration(b.Rng.Int64N(int64(b.Delay)))
-	b.After(d, func() {
-		if !b.cut[[2]string{from, to}] {
+	d := n.Delay/20 + time.Duration(n.Rng.Int64N(int64(n.Delay)))
+	n.After(d, func() {
+		if !n.cut[[2]string{from, to}] {
 			deliver()
 		}
 	})
 }
 
-// Cut cuts or joins one direction between two machines.
-func (b *Network) Cut(from, to string, cut bool) { b.cut[[2]string{from, to}] = cut }
+// Cut cuts or restores the path in one direction between two machines.
+func (n *Network) Cut(from, to string, cut bool) { n.cut[[2]string{from, to}] = cut }
 
-// Run advances to a time, one event after the other, calling check after each.
-func (b *Network) Run(until time.Duration, check func()) {
-	for len(b.queue) > 0 && b.queue[0].at <= until {
-		e := heap.Pop(&b.queue).(event)
-		b.Now = e.at
+// Run processes events in order up to the time until and calls check after each.
+func (n *Network) Run(until time.Duration, check func()) {
+	for len(n.queue) > 0 && n.queue[0].at <= until {
+		e := heap.Pop(&n.queue).(event)
+		n.Now = e.at
 		e.do()
 		if check != nil {
 			check()
 		}
 	}
-	b.Now = until
+	n.Now = until
 }
 
-// Disk is a store that keeps what was put, and can refuse.
+// Disk is an in-memory key-value store that can simulate failed writes.
 type Disk struct {
 	vals         map[string][]byte
-	RefuseWrites bool
-	MaxKeys      int // not 0: writes are refused once so many were taken
+	RefuseWrites bool // writes fail
+	MaxKeys      int  // if not 0, writes fail once the disk holds this many keys
 	failed       bool
 }
 
-// NewDisk makes an empty disk.
+// NewDisk returns an empty disk.
 func NewDisk() *Disk { return &Disk{vals: map[string][]byte{}} }
 
 var errRefused = errors.New("refused")
 
-// Get reads a value into v, and says whether there was one.
+// Get decodes a value into v and reports whether it was found.
 func (d *Disk) Get(key string, v any) bool {
 	b, ok := d.vals[key]
 	return ok && gob.NewDecoder(bytes.NewReader(b)).Decode(v) == nil
 }
 
-// Put keeps a value, or fails as a full or broken disk does; after a failure nothing is
-// written until Recover.
+// Put stores a value, or fails as a full or broken disk does. After a failure all writes fail
+// until Recover.
 func (d *Disk) Put(key string, v any) error {
 	if d.RefuseWrites || d.failed || d.MaxKeys > 0 && len(d.vals) >= d.MaxKeys {
 		d.failed = true
@@ -118,10 +118,10 @@
 	return nil
 }
 
-// Failed says whether a write has failed since the disk was opened.
+// Failed reports whether a write has failed since the disk was opened.
 func (d *Disk) Failed() bool { return d.failed }
 
-// Recover opens the disk anew after a failure, unless it still refuses.
+// Recover reopens the disk after a failure. It fails while RefuseWrites is set.
 func (d *Disk) Recover() error {
 	if d.RefuseWrites {
 		return errRefused
