--- a/internal/modelcheck/admissionmodel/processes.go
+++ b/internal/modelcheck/admissionmodel/processes.go
@@ -89,9 +89,9 @@
 }
 
 func (m *Model) restartLater(n string) {
-	life := m.world.Incarnation(n)
+	incarnation := m.world.Incarnation(n)
 	m.world.After(modelcheck.RestartTime, func() {
-		if m.world.Incarnation(n) == life {
+		if m.world.Incarnation(n) == incarnation {
 			m.start(n)
 		}
 	})
--- a/internal/modelcheck/admissionmodel/proxy.go
+++ b/internal/modelcheck/admissionmodel/proxy.go
@@ -47,7 +47,7 @@
 		echo.At += 2 * constants.LendLength
 	}
 	m.lastCallID++
-	id, life, wait := m.lastCallID, m.world.Incarnation(n), constants.CallTimeout
+	id, incarnation, wait := m.lastCallID, m.world.Incarnation(n), constants.CallTimeout
 	if request {
 		wait = constants.TrackerBusy
 	}
@@ -55,7 +55,7 @@
 	m.world.Send(n, p.tracker, grantCall{id, admission.GrantRequest{Proxy: n, Wants: wants, Echo: echo, Proxies: p.limiter.Proxies(), Life: p.limiter.Incarnation(), Sent: m.clock(n)}})
 	m.world.After(wait, func() {
 		m.world.RunOn(n, func() {
-			if m.world.Incarnation(n) == life {
+			if m.world.Incarnation(n) == incarnation {
 				m.timeOut(n, id)
 			}
 		})
--- a/internal/modelcheck/chainmodel/chainmodel.go
+++ b/internal/modelcheck/chainmodel/chainmodel.go
@@ -1,6 +1,6 @@
-// Package chainmodel has package modelcheck drive the chain of control machines: founders
-// and newcomers, operators that order and ask again after lost answers, and the rules that
-// must hold through all of it.
+// Package chainmodel models the chain of control machines for package modelcheck: founders and
+// newcomers, operators that submit configurations and retry after lost answers, and the rules
+// that must always hold.
 package chainmodel
 
 import (
@@ -14,7 +14,7 @@
 	"slateridge/internal/simnet"
 )
 
-// Model is the chain as package modelcheck drives it.
+// Model implements modelcheck.Model for the chain.
 type Model struct {
 	Config
 	world        *modelcheck.World
@@ -25,41 +25,41 @@
 
 	faults, orders, joined int
 	lastID                 uint64
-	toleratedStops         []string              // machines stopped within what is tolerated, the first while all was whole
-	recentLosses           int                   // machines stopped or lost since all was whole, as long as no other trouble came
-	lossAt                 time.Duration         // the latest of them
-	leaving                map[string]departure  // machines that stop in order
+	toleratedStops         []string              // machines stopped within the tolerance, the first of them while all machines were healthy
+	recentLosses           int                   // machines stopped or lost since all were healthy, as long as no other fault occurred
+	lossAt                 time.Duration         // time of the latest of these losses
+	leaving                map[string]departure  // machines in an orderly shutdown
 	lastSubmission         map[string]Submission // by operator
-	highestVersion         uint64                // highest version sent
+	highestVersion         uint64                // highest version submitted
 	pendingCalls           map[string][]pendingCall
 	pendingReads           map[string]map[uint64]pendingRead
 	pendingEvacs           map[string]map[uint64]pendingEvac
 
 	confirmed        map[uint64]string // by version: its content
-	confirmedVersion uint64            // the highest version confirmed
+	confirmedVersion uint64            // highest confirmed version
 	confirmedEvacs   map[string]uint64
 	evacSentAt       map[uint64]time.Duration
 	views            map[uint64]string
 	viewNumber       map[string]uint64
 	states           map[config.Revision]committedState
-	inForce          map[string]*config.Doc // of a process
+	inForce          map[string]*config.Doc // by machine: the state its process last committed
 	dutyHolders      map[string]*dutyHolder
 	platform         platform
-	readsAnswered    int // reads answered
+	readsAnswered    int // number of reads answered
 	confirmations    int
-	leftCount        int // orderly leaves that ended with a view without the leaver
+	leftCount        int // number of orderly shutdowns that ended with a view without the machine
 }
 
-// New makes one.
+// New returns a model with a configuration.
 func New(c Config) *Model { return &Model{Config: c} }
 
 var names = []string{"a", "b", "c", "d", "e", "f", "g", "h"}
 
-// skip are the marks of moments that are numbers, not durations, and so differ
-// each time.
+// skippedFields are points in time stored as integers rather than durations, which differ in
+// every state.
 var skippedFields = []string{"Heartbeat.At", "Heartbeat.Echo", "Heartbeat.Wall", "Chain.readIndexAt"}
 
-// Reset goes back to the start, as package modelcheck asks.
+// Reset implements modelcheck.Model.
 func (m *Model) Reset() {
 	m.world = modelcheck.NewWorld(constants.ChainTick, m.tick, m.recv)
 	m.chain, m.disks = map[string]*chain.Chain{}, map[string]*simnet.Disk{}
@@ -80,7 +80,8 @@
 	m.world.LastFault = 0
 }
 
-// healthy checks what must hold at every moment.
+// healthy checks the rules that must hold at every moment and reports whether none was
+// violated.
 func (m *Model) healthy() bool {
 	if m.Duties {
 		m.checkOneHolder()
@@ -94,10 +95,10 @@
 	}
 }
 
-// Check is the first rule of safety that was broken.
+// Check implements modelcheck.Model.
 func (m *Model) Check() error { return m.err }
 
-// Hash distinguishes states, as package modelcheck asks.
+// Hash implements modelcheck.Model.
 func (m *Model) Hash() uint64 {
 	a := modelcheck.Abstraction{MaxAge: m.MaxAge, SkipFields: skippedFields}
 	parts := []any{m.toleratedStops, m.recentLosses, m.lossAt == m.world.LastFault, m.leaving, m.faults, m.orders, m.joined, m.highestVersion, m.lastSubmission, m.confirmed, m.confirmedEvacs, m.evacSentAt, m.states, m.views, m.nextChoiceAt, int(min(m.world.Now-m.world.LastFault, m.CatchUp))}
--- a/internal/modelcheck/chainmodel/chainmodel_test.go
+++ b/internal/modelcheck/chainmodel/chainmodel_test.go
@@ -8,27 +8,28 @@
 	"slateridge/internal/modelcheck/modelchecktest"
 )
 
-// found are schedules that broke a rule once, as the model checker printed them.
+// regressions are schedules that once violated a rule, as the model checker printed them.
 var regressions = []struct {
 	rule     string
 	schedule modelcheck.Schedule
 }{
-	// Voters that left for good counted for the majority for ever.
+	// Voters that left permanently kept counting toward the majority.
 	{RuleConfirmed, modelcheck.Schedule{"leave a", "come d", "+3", "leave b"}},
 	{RuleConfirmed, modelcheck.Schedule{"leave a", "come d", "+3", "leave c"}},
 	{RuleConfirmed, modelcheck.Schedule{"leave a", "come d", "+3", "wipe b"}},
 	{RuleConfirmed, modelcheck.Schedule{"leave a", "come d", "+3", "wipe c"}},
 	{RuleConfirmed, modelcheck.Schedule{"leave a", "come d", "+3", "leave b", "come e"}},
 	{RuleConfirmed, modelcheck.Schedule{"leave a", "come d", "+3", "stop c"}},
-	// One that came soon after the founding passed for a founder, and its place was kept.
+	// A machine that joined soon after the founding was taken for a founder, and its place was
+	// kept.
 	{RuleConfirmed, modelcheck.Schedule{"come d", "+3", "leave a", "+2", "stop c"}},
-	// A number was confirmed whatever stood under it.
+	// A version was confirmed without comparing its content.
 	{RuleOneContent, modelcheck.Schedule{"order p at a: r1", "order q at a: r1"}},
 	{RuleOneContent, modelcheck.Schedule{"order p at a: r1", "order q at b: r1"}},
 	{RuleOneContent, modelcheck.Schedule{"order p at a: r1", "+1", "order q at c: r1"}},
 }
 
-func TestFound(t *testing.T) {
+func TestRegressions(t *testing.T) {
 	for _, f := range regressions {
 		t.Run(f.rule+"/"+f.schedule.String(), func(t *testing.T) {
 			if err := modelcheck.Replay(New(Small()), f.schedule); err != nil {
@@ -38,7 +39,7 @@
 	}
 }
 
-// Short searches in bounds that stay the same; slateridge modelcheck runs long ones.
+// Runs short searches with fixed bounds; the command slateridge modelcheck runs long ones.
 func TestChain(t *testing.T) {
 	for _, s := range []struct {
 		name   string
@@ -62,8 +63,8 @@
 	}
 }
 
-// Duties ride on the chain's views and records. Their keys count with time, so no
-// state comes twice: walks, not levels.
+// Duties depend on the chain's views and records. Their keys contain the time, so that no state
+// recurs; the test uses random walks, since systematic levels could not prune.
 func TestDuties(t *testing.T) {
 	c := Small()
 	c.Duties, c.Operators, c.Newcomers, c.Step = true, 1, 1, 300*time.Millisecond
@@ -78,12 +79,13 @@
 		t.Error(err)
 	}
 	if m.platform.accepted < 8 || len(m.platform.fenceHolder) < 2 {
-		t.Errorf("%d acts under %d fences: too few to mean anything", m.platform.accepted, len(m.platform.fenceHolder))
+		t.Errorf("%d actions were accepted under %d fences, want at least 8 under 2", m.platform.accepted, len(m.platform.fenceHolder))
 	}
 }
 
-// The search sees what it is there to see: disks lost as no promise allows.
-func TestLossesBeyondThePromiseAreFound(t *testing.T) {
+// Verifies that the search detects violations at all: disks are lost more often than the
+// guarantees allow.
+func TestDetectsUnsafeDiskLoss(t *testing.T) {
 	c := Small()
 	c.UnsafeDiskLoss, c.Kinds = true, []string{"wipe", "order"}
 	r := modelcheck.Systematic(func() modelcheck.Model { return New(c) }, modelcheck.Options{Deviations: 2, Depth: 1})
@@ -94,21 +96,22 @@
 			return
 		}
 	}
-	t.Error("not found")
+	t.Error("no violation of RuleConfirmed with two deviations was found")
 }
 
-// Three of five lost is beyond the tolerance of two, and found.
-func TestThreeOfFiveLostAreFound(t *testing.T) {
+// Losing three of five machines exceeds the tolerance of two, and the search must detect it.
+func TestDetectsThreeOfFiveLost(t *testing.T) {
 	c := Five()
 	c.UnsafeDiskLoss, c.Kinds = true, []string{"leave"}
 	r := modelcheck.Systematic(func() modelcheck.Model { return New(c) }, modelcheck.Options{Deviations: 3, Depth: 0, Jobs: 2})
 	t.Log(r)
 	if len(r.Failures) != 1 || r.Failures[0].Rule != RuleConfirmed || r.Failures[0].Shrunk.Deviations() != 3 {
-		t.Errorf("found %+v", r.Failures)
+		t.Errorf("got failures %+v, want one of RuleConfirmed with three deviations", r.Failures)
 	}
 }
 
-// Leavers, one after the other, stop with a view without them while all is well.
+// Machines that shut down one after the other must stop with a view without them while all
+// machines are healthy.
 func TestOrderlyLeaves(t *testing.T) {
 	m := New(Five())
 	for _, s := range []struct {
@@ -122,13 +125,13 @@
 		{modelcheck.Schedule{"isolate a", "quit a", "+2"}, 0},
 	} {
 		if err := modelcheck.Replay(m, s.schedule); err != nil || m.leftCount != s.left {
-			t.Errorf("%v: %d left with a view without them, want %d; %v", s.schedule, m.leftCount, s.left, err)
+			t.Errorf("%v: %d machines left with a view without them, want %d; error: %v", s.schedule, m.leftCount, s.left, err)
 		}
 	}
 }
 
-// The same schedule comes to the same state, by way of the same steps.
-func TestReplaysAlike(t *testing.T) {
+// The same schedule must lead to the same state with the same steps.
+func TestReplayIsDeterministic(t *testing.T) {
 	s := modelcheck.Schedule{"order p at a: r1", "+2", "restart b", "+1", "mute c", "evacuate a on", "+2", "join", "+3"}
 	a, b := New(Small()), New(Small())
 	for range 3 {
@@ -137,10 +140,10 @@
 		}
 		modelcheck.Replay(b, s)
 		if a.Hash() != b.Hash() {
-			t.Fatal("two runs differ")
+			t.Fatal("two runs have different hashes")
 		}
 	}
 	if a.readsAnswered != 3 || a.confirmations < 4 {
-		t.Errorf("%d reads answered and %d orders confirmed", a.readsAnswered, a.confirmations)
+		t.Errorf("%d reads were answered and %d submissions confirmed, want 3 and at least 4", a.readsAnswered, a.confirmations)
 	}
 }
--- a/internal/modelcheck/chainmodel/choices.go
+++ b/internal/modelcheck/chainmodel/choices.go
@@ -12,7 +12,7 @@
 	"slateridge/internal/simnet"
 )
 
-// regular says whether a message is one that machines send all the time.
+// periodic reports whether a message is one that machines send periodically.
 func periodic(msg any) bool {
 	switch msg.(type) {
 	case chain.Heartbeat, lease.Request, lease.Grant:
@@ -21,6 +21,7 @@
 	return false
 }
 
+// nextProtocolMessage returns the next message if it is a choice point.
 func (m *Model) nextProtocolMessage() *modelcheck.Event {
 	if e := m.world.NextMessage(); m.Messages && e != nil && !periodic(e.Msg) {
 		return e
@@ -28,8 +29,8 @@
 	return nil
 }
 
-// allHealthy says whether a disk may be lost: all machines are up and one chain, and
-// have had the time to catch up.
+// allHealthy reports whether a disk may be lost: all machines are running members of one view
+// and have had time to catch up.
 func (m *Model) allHealthy() bool {
 	if m.UnsafeDiskLoss {
 		return true
@@ -45,14 +46,14 @@
 	return true
 }
 
-// mayLose says whether one more machine, or disk, may be lost by what is promised:
-// all is whole, or nothing but tolerated losses has happened since it was.
+// mayLoseMachine reports whether the guarantees allow one more machine or disk to be lost: all
+// machines are healthy, or only tolerated losses have occurred since they were.
 func (m *Model) mayLoseMachine() bool {
 	return m.allHealthy() || m.recentLosses > 0 && m.recentLosses < m.MaxMachineFailures && m.world.LastFault == m.lossAt
 }
 
-// lose notes that a machine is stopped or lost; spare says that the others have to
-// do without it.
+// recordLoss records that a machine is stopped or lost. spare is set if the others must be able
+// to serve without it.
 func (m *Model) recordLoss(n string, spare bool) {
 	if m.allHealthy() {
 		m.recentLosses, m.toleratedStops = 0, nil
@@ -66,13 +67,13 @@
 	}
 }
 
-// faultKinds count as faults; the others repair, or are work.
+// faultKinds are the kinds that count as faults. The other kinds are repairs or operator calls.
 var faultKinds = []string{"isolate", "mute", "deafen", "cut", "part", "freeze", "lose", "double", "late", "restart", "stop", "power", "fill", "wipe", "leave", "quit", "depart", "outage"}
 
-// ChoiceKinds names all kinds of choices.
+// ChoiceKinds lists all kinds of choices.
 var ChoiceKinds = append(slices.Clone(faultKinds), "join", "thaw", "start", "clear", "recover", "come", "order", "again", "read", "evacuate")
 
-// Choices lists what may happen next, as package modelcheck asks.
+// Choices implements modelcheck.Model.
 func (m *Model) Choices() []string {
 	choices := modelcheck.NewChoices(m.Kinds, m.Without)
 	if m.faults >= m.Faults {
@@ -100,7 +101,7 @@
 	return choices.List
 }
 
-// processChoices are the ways in which processes end and start.
+// processChoices adds the choices that stop and start processes.
 func (m *Model) processChoices(add func(...string)) {
 	for _, n := range m.world.Names {
 		if !m.world.Up(n) {
@@ -115,7 +116,8 @@
 	add("power")
 }
 
-// diskChoices are what may happen to disks, and to machines with theirs.
+// diskChoices adds the choices that affect disks, and those that lose machines with their
+// disks.
 func (m *Model) diskChoices(add func(...string)) {
 	for _, n := range m.world.Names {
 		if m.disks[n].RefuseWrites {
@@ -134,7 +136,7 @@
 	}
 }
 
-// operatorChoices are the orders and reads that operators may send.
+// operatorChoices adds the submissions, reads and evacuations that operators may send.
 func (m *Model) operatorChoices(add func(...string)) {
 	for _, n := range m.world.Names {
 		if !m.world.Up(n) {
@@ -154,7 +156,7 @@
 	}
 }
 
-// Apply has one of the choices happen, as package modelcheck asks.
+// Apply implements modelcheck.Model.
 func (m *Model) Apply(n int) {
 	if n == 0 {
 		m.nextChoiceAt = m.world.RunDefault(m.nextChoiceAt, m.Step, func(*modelcheck.Event) bool { return m.nextProtocolMessage() != nil }, m.healthy)
@@ -169,13 +171,13 @@
 		return
 	}
 	if m.applyOperatorChoice(f) {
-		return // no trouble
+		return // not a fault
 	}
 	m.applyMachineChoice(f)
 	m.world.LastFault = m.world.Now
 }
 
-// applyTrouble has something happen to a machine or to the platform.
+// applyMachineChoice applies a choice that affects a machine or the platform.
 func (m *Model) applyMachineChoice(f []string) {
 	switch f[0] {
 	case "restart":
@@ -213,7 +215,7 @@
 	}
 }
 
-// applyOrder has an operator order or read something, and says whether the choice was that.
+// applyOperatorChoice applies an operator's call and reports whether the choice was one.
 func (m *Model) applyOperatorChoice(f []string) bool {
 	switch f[0] {
 	case "order":
--- a/internal/modelcheck/chainmodel/config.go
+++ b/internal/modelcheck/chainmodel/config.go
@@ -4,7 +4,7 @@
 	"time"
 )
 
-// The rules, by the names under which a broken one is reported.
+// Rules, by the names under which a violation is reported.
 const (
 	RuleOneView      = "one view a number"
 	RuleOneContent   = "one content a number"
@@ -25,22 +25,22 @@
 	Newcomers          int
 	MaxMachineFailures int
 	Operators          int
-	Faults             int           // most in a schedule; a repair is not one
-	Orders             int           // most in a schedule, reads and evacuations too
-	Step               time.Duration // of the default, between two places for a choice
-	Messages           bool          // also before each message of the protocol, the machines' regular messages excepted
-	Duties             bool          // machines lease a duty, and act at a platform under its fence
-	Kinds              []string      // of choices; empty: all
-	Without            []string      // kinds left out
-	UnsafeDiskLoss     bool          // disks may be lost at any time: more than is promised, to see that it shows
-	Warm               time.Duration // before the first choice
-	CatchUp            time.Duration // without trouble before a disk may be lost: one machine at a time
-	SettleTime         time.Duration // after quiet, before orders must be served
-	ServeTimeout       time.Duration // within which an order is confirmed and a read answered then
-	MaxAge             time.Duration // longer than any time that the chain itself waits for anything
+	Faults             int           // maximum per schedule; repairs do not count
+	Orders             int           // maximum number of operator calls per schedule, including reads and evacuations
+	Step               time.Duration // default step between two choice points
+	Messages           bool          // also choose before each protocol message, except the machines' periodic messages
+	Duties             bool          // machines lease a duty and act on a platform under its fence
+	Kinds              []string      // kinds of choices; empty means all
+	Without            []string      // excluded kinds
+	UnsafeDiskLoss     bool          // disks may be lost at any time, which exceeds the guarantees, to verify that the search detects it
+	Warm               time.Duration // time before the first choice
+	CatchUp            time.Duration // time without faults before a disk may be lost, so that machines are lost one at a time
+	SettleTime         time.Duration // time after the end of faults before submissions must be confirmed
+	ServeTimeout       time.Duration // time within which a submission must be confirmed and a read answered after that
+	MaxAge             time.Duration // longer than any timeout of the chain
 }
 
-// Small is three founders and two newcomers with up to four faults.
+// Small returns a configuration with three founders, two newcomers and up to four faults.
 func Small() Config {
 	return Config{
 		Founders:           3,
@@ -58,7 +58,8 @@
 	}
 }
 
-// Five is five machines, of which two may be lost at once, with up to four faults.
+// Five returns a configuration with five founders, of which two may be lost at once, and up to
+// four faults.
 func Five() Config {
 	c := Small()
 	c.Founders, c.Newcomers, c.MaxMachineFailures, c.Operators = 5, 0, 2, 1
--- a/internal/modelcheck/chainmodel/duties.go
+++ b/internal/modelcheck/chainmodel/duties.go
@@ -12,7 +12,7 @@
 	"slateridge/internal/modelcheck"
 )
 
-// The rules on duties, checked when Config.Duties is set.
+// Rules on duties, checked if Config.Duties is set.
 const (
 	RuleOneHolder     = "one holder a duty"
 	RuleOneFence      = "one holder a fence"
@@ -25,28 +25,28 @@
 
 const (
 	dutyName          = "usage"
-	alternationWindow = 6 * time.Second // within which no two holders may take turns
+	alternationWindow = 6 * time.Second // time within which a duty must not alternate between two holders
 	actInterval       = time.Second
 )
 
-// dutyHolder are one machine's leases and its part in the duty.
+// dutyHolder is a machine's lease manager and duty state machine.
 type dutyHolder struct {
 	lease  *lease.Manager
 	holder *duty.Holder
 }
 
-// act is one that the platform has taken.
+// platformAction is an action that the platform has accepted.
 type platformAction struct {
 	at     time.Duration
 	holder string
 }
 
-// platform is the stand-in: it refuses fences below the highest it has seen.
+// platform simulates the cloud platform. It rejects fences below the highest it has received.
 type platform struct {
 	down          bool
 	fence         uint64
-	fenceHolder   map[uint64]string // fence: whose
-	bodies        map[uint64]string // key: what was sent
+	fenceHolder   map[uint64]string // by fence: the machine that uses it
+	bodies        map[uint64]string // by key: the body received
 	recentActions []platformAction
 	accepted      int
 }
@@ -55,14 +55,14 @@
 	if !m.Duties {
 		return
 	}
-	life := uint64(m.world.Incarnation(n)+1)<<32 | uint64(n[0])
+	incarnation := uint64(m.world.Incarnation(n)+1)<<32 | uint64(n[0])
 	m.dutyHolders[n] = &dutyHolder{
-		lease:  lease.New(m.world.Now, life, n, []string{dutyName}),
-		holder: duty.NewHolder(dutyName, n, alternationWindow, 50, rand.New(rand.NewPCG(life, 2))),
+		lease:  lease.New(m.world.Now, incarnation, n, []string{dutyName}),
+		holder: duty.NewHolder(dutyName, n, alternationWindow, 50, rand.New(rand.NewPCG(incarnation, 2))),
 	}
 }
 
-// stepDuties is the duties' step at a machine.
+// stepDuties runs one step of a machine's duties.
 func (m *Model) stepDuties(n string) {
 	o, c := m.dutyHolders[n], m.chain[n]
 	if o == nil || c == nil {
@@ -87,7 +87,7 @@
 	}
 }
 
-// recvLease takes a message if it is one on leases.
+// recvLease handles a lease message and reports whether the message was one.
 func (m *Model) recvLease(e *modelcheck.Event) bool {
 	switch e.Msg.(type) {
 	case lease.Request, lease.Grant, lease.Release:
@@ -108,29 +108,30 @@
 			m.sendLease(n, m.dutyHolders[n].lease.Leave(m.world.Now, dutyName))
 		case duty.Act:
 			if _, ok := m.dutyHolders[n].lease.Holds(m.world.Now, dutyName); !ok {
-				m.fail(RuleActUnderLease, "%s sends key %d under fence %d", n, x.Key, x.Fence)
+				m.fail(RuleActUnderLease, "%s sent key %d under fence %d without holding the lease", n, x.Key, x.Fence)
 			}
-			life := m.world.Incarnation(n)
-			m.world.After(modelcheck.MessageDelay, func() { m.post(n, life, x) })
+			incarnation := m.world.Incarnation(n)
+			m.world.After(modelcheck.MessageDelay, func() { m.post(n, incarnation, x) })
 		}
 	}
 }
 
-// post is a call at the platform; its answer may find its caller frozen or gone.
-func (m *Model) post(n string, life int, p duty.Act) {
+// post simulates a call to the platform. The caller may be frozen or gone when the answer
+// arrives.
+func (m *Model) post(n string, incarnation int, p duty.Act) {
 	f := &m.platform
 	if f.down {
 		return
 	}
 	if was, ok := f.fenceHolder[p.Fence]; ok && was != n {
-		m.fail(RuleOneFence, "fence %d is sent by %s and by %s", p.Fence, was, n)
+		m.fail(RuleOneFence, "fence %d was used by %s and by %s", p.Fence, was, n)
 	}
 	f.fenceHolder[p.Fence] = n
 	status := 409
 	if p.Fence >= f.fence {
 		status, f.fence = 200, p.Fence
 		if was, ok := f.bodies[p.Key]; ok && was != string(p.Body) {
-			m.fail(RuleOneBody, "key %d is sent as %s and as %s", p.Key, was, p.Body)
+			m.fail(RuleOneBody, "key %d was sent with body %s and with body %s", p.Key, was, p.Body)
 		}
 		f.bodies[p.Key] = string(p.Body)
 		f.recentActions = append(f.recentActions, platformAction{m.world.Now, n})
@@ -138,13 +139,14 @@
 		m.checkAlternation()
 	}
 	m.world.After(modelcheck.MessageDelay, func() {
-		if m.world.Incarnation(n) == life && m.world.Up(n) {
+		if m.world.Incarnation(n) == incarnation && m.world.Up(n) {
 			m.world.RunOn(n, func() { m.applyDutyEffects(n, m.dutyHolders[n].holder.Answered(m.world.Now, p.ID, status)) })
 		}
 	})
 }
 
-// checkTurns looks whether the newest act ends an A-B-A inside the lease bound.
+// checkAlternation checks whether the latest action completes an A-B-A alternation of holders
+// within alternationWindow.
 func (m *Model) checkAlternation() {
 	f := &m.platform
 	last, other := f.recentActions[len(f.recentActions)-1], false
@@ -152,7 +154,7 @@
 		if f.recentActions[i].holder != last.holder {
 			other = true
 		} else if other {
-			m.fail(RuleNoAlternation, "%s acts again %v after another did", last.holder, last.at-f.recentActions[i].at)
+			m.fail(RuleNoAlternation, "%s acted again %v after its previous action, with an action of another machine in between", last.holder, last.at-f.recentActions[i].at)
 		}
 	}
 	f.recentActions = f.recentActions[max(0, len(f.recentActions)-200):]
@@ -170,24 +172,25 @@
 }
 
 func (m *Model) checkOneHolder() {
-	if who := m.holders(); len(who) > 1 {
-		m.fail(RuleOneHolder, "held by %s", strings.Join(who, " and "))
+	if holders := m.holders(); len(holders) > 1 {
+		m.fail(RuleOneHolder, "the duty is held by %s", strings.Join(holders, " and "))
 	}
 }
 
-// quietDuties: there is one holder, and what it decides is taken.
+// checkDutyProgress checks that the duty has exactly one holder and that the platform accepts
+// its actions.
 func (m *Model) checkDutyProgress() {
 	if m.err == nil && len(m.holders()) != 1 {
-		m.fail(RuleHeld, "held by %d machines after %v of quiet: %s", len(m.holders()), m.SettleTime, m.describe())
+		m.fail(RuleHeld, "the duty is held by %d machines %v after faults ended: %s", len(m.holders()), m.SettleTime, m.describe())
 	}
 	was, until := m.platform.accepted, m.world.Now+alternationWindow+m.ServeTimeout
 	m.world.Run(until, nil, func() bool { return m.healthy() && m.platform.accepted == was })
 	if m.err == nil && m.platform.accepted == was {
-		m.fail(RuleActsAccepted, "none in %v: %s", alternationWindow+m.ServeTimeout, m.describe())
+		m.fail(RuleActsAccepted, "no action was accepted within %v: %s", alternationWindow+m.ServeTimeout, m.describe())
 	}
 }
 
-// dutiesHash is of what the duties' coming depends on.
+// hashDuties digests the state that the further course of the duties depends on.
 func (m *Model) hashDuties(a modelcheck.Abstraction) uint64 {
 	parts := []any{m.platform.down, m.platform.fence, m.platform.recentActions[max(0, len(m.platform.recentActions)-3):], int(m.world.Now % actInterval)}
 	for _, n := range m.world.Names {
--- a/internal/modelcheck/chainmodel/machines.go
+++ b/internal/modelcheck/chainmodel/machines.go
@@ -11,13 +11,13 @@
 	"slateridge/internal/simnet"
 )
 
-// start brings a machine's process up: a founder, a newcomer that is sent the
-// others, or one that comes back.
+// start starts a machine's process: a founder, a newcomer that is given the addresses of the
+// others, or a machine that restarts.
 func (m *Model) start(n string, founding bool) {
 	if m.disks[n] == nil {
 		m.disks[n] = simnet.NewDisk()
 	}
-	m.disks[n].Recover() // a new process opens it anew
+	m.disks[n].Recover() // the new process reopens the disk
 	peers := names[:m.Founders]
 	if !founding {
 		peers = append(slices.Clone(m.world.Names), n)
@@ -28,7 +28,7 @@
 		if !m.disks[n].RefuseWrites {
 			m.fail(RuleRestarts, "%s: %v", n, err)
 		}
-		return // it stays down
+		return // the process stays down
 	}
 	c.MaxMachineFailures = m.MaxMachineFailures
 	m.chain[n] = c
@@ -46,19 +46,19 @@
 	m.pendingCalls[n], m.pendingReads[n], m.pendingEvacs[n] = nil, nil, nil
 }
 
-// restartLater starts a stopped machine a little later.
+// restartLater starts a stopped machine after modelcheck.RestartTime.
 func (m *Model) restartLater(n string) {
-	life := m.world.Incarnation(n)
+	incarnation := m.world.Incarnation(n)
 	m.world.After(modelcheck.RestartTime, func() {
-		if m.world.Incarnation(n) == life && slices.Contains(m.world.Names, n) {
+		if m.world.Incarnation(n) == incarnation && slices.Contains(m.world.Names, n) {
 			m.start(n, false)
 			m.world.LastFault = m.world.Now
 		}
 	})
 }
 
-// quit stops a machine in order, as its daemon does: its leases are handed over, the
-// others are notified, and it waits for a view without it, if they can make one.
+// shutDown stops a machine in order, as its daemon does: it releases its leases, notifies the
+// other machines and waits for a view without it, if they can form one.
 func (m *Model) shutDown(n string, forGood bool) {
 	well := m.allHealthy() && m.chain[n].CanLeave() && len(m.leaving) == 0
 	m.recordLoss(n, true)
@@ -70,19 +70,19 @@
 	m.awaitDeparture(n, m.leaving[n])
 }
 
-// leave is a machine's orderly stop under way.
+// departure is an orderly shutdown in progress.
 type departure struct {
 	startedAt   time.Duration
 	incarnation int
-	faults      int // so far; with one more it may take longer
+	faults      int // number of faults when it began; after another fault it may take longer
 	forGood     bool
-	checked     bool // all was whole as it began: it has to end in time
+	checked     bool // all machines were healthy when it began, so it must end in time
 }
 
 func (m *Model) awaitDeparture(n string, l departure) {
 	c := m.chain[n]
 	if m.world.Incarnation(n) != l.incarnation || c == nil {
-		return // stopped before
+		return // stopped in the meantime
 	}
 	late := m.world.Now-l.startedAt >= constants.LeaveWait
 	if !c.HasLeft() && c.CanLeave() && !late || m.world.Frozen(n) {
@@ -90,7 +90,7 @@
 		return
 	}
 	if !c.HasLeft() && l.checked && m.faults == l.faults {
-		m.fail(RuleOrderlyLeave, "%s stops after %v and is still a member: %s", n, m.world.Now-l.startedAt, m.describe())
+		m.fail(RuleOrderlyLeave, "%s stopped after %v while still a member: %s", n, m.world.Now-l.startedAt, m.describe())
 	}
 	if c.HasLeft() {
 		m.leftCount++
@@ -113,7 +113,7 @@
 	m.run(e.To, func(c *chain.Chain) []chain.Effect { return c.Recv(m.world.Now, e.From, e.Msg) })
 }
 
-// run has a machine do something and checks the rules on what came of it.
+// run executes f on a machine's chain, applies its effects and checks the rules on them.
 func (m *Model) run(n string, f func(*chain.Chain) []chain.Effect) {
 	c := m.chain[n]
 	if c == nil {
--- a/internal/modelcheck/chainmodel/operators.go
+++ b/internal/modelcheck/chainmodel/operators.go
@@ -7,15 +7,15 @@
 	"slateridge/internal/controlplane/chain"
 )
 
-// Order is an operator's configuration sent at a machine and waited for.
+// Submission is a configuration that an operator submits to a machine and waits for.
 type Submission struct {
 	Operator string
 	Version  uint64
 	Content  string
 }
 
-// Confirms says whether a state that a machine knows to be in force confirms an
-// order that waits there, as the API judges it.
+// Confirms reports whether a state in force at a machine confirms a submission pending there,
+// by the criterion of the API.
 func Confirms(in *config.Doc, o Submission) bool {
 	if in == nil {
 		return false
@@ -24,12 +24,12 @@
 	return ok && sum == config.SumOf([]byte(o.Content))
 }
 
-// submit hands an order to a machine.
+// submitTo submits a configuration to a machine's chain.
 func submitTo(c *chain.Chain, now time.Duration, o Submission) []chain.Effect {
 	return c.Submit(now, config.Doc{Version: o.Version, Raw: []byte(o.Content)})
 }
 
-// waiting is a call of an operator that has no answer yet.
+// pendingCall is an operator's submission that has not been answered.
 type pendingCall struct {
 	Submission
 	submittedAt time.Duration
@@ -37,8 +37,8 @@
 
 type pendingRead struct {
 	startedAt        time.Duration
-	confirmedVersion uint64            // confirmed when it began
-	confirmedEvacs   map[string]uint64 // likewise, by zone
+	confirmedVersion uint64            // highest confirmed version when the read began
+	confirmedEvacs   map[string]uint64 // by zone: number of the latest confirmed order when the read began
 }
 
 type pendingEvac struct {
@@ -46,7 +46,7 @@
 	on   bool
 }
 
-// order sends an operator's configuration to a machine.
+// submitConfig sends a submission to a machine.
 func (m *Model) submitConfig(n string, o Submission) {
 	m.lastSubmission[o.Operator] = o
 	m.highestVersion = max(m.highestVersion, o.Version)
--- a/internal/modelcheck/chainmodel/quiet.go
+++ b/internal/modelcheck/chainmodel/quiet.go
@@ -8,10 +8,11 @@
 	"slateridge/internal/constants"
 )
 
-// Quiet ends all trouble; then every machine must have an order confirmed and a
-// read answered. The choices see to it that it may be asked: disks are lost one
-// at a time, with the others whole. A machine that was stopped while all was
-// whole stays down at first: the others have to do without it.
+// CheckLiveness implements modelcheck.Model: after all faults have ended, every machine must
+// have a submission confirmed and a read answered. The choices guarantee that this is a fair
+// demand, since disks are lost one at a time while the others are intact. Machines stopped
+// within the tolerance stay down at first, because the others must be able to serve without
+// them.
 func (m *Model) CheckLiveness() error {
 	m.world.Heal()
 	m.platform.down = false
@@ -41,7 +42,8 @@
 	return m.err
 }
 
-// serve lets things settle and asks each machine that is up for its service.
+// checkService lets the system settle and checks that each running machine serves submissions
+// and reads.
 func (m *Model) checkService() {
 	m.world.Run(m.world.Now+m.SettleTime, nil, m.healthy)
 	if m.Duties {
@@ -62,7 +64,7 @@
 			m.world.Run(m.world.Now+constants.SubmitWait, nil, func() bool { return m.healthy() && !confirmed() })
 		}
 		if m.err == nil && !confirmed() {
-			m.fail(RuleConfirmed, "%s: nothing confirmed in %v of quiet and %v: %s", n, m.SettleTime, m.ServeTimeout, m.describe())
+			m.fail(RuleConfirmed, "%s: no submission was confirmed within %v after faults ended plus %v: %s", n, m.SettleTime, m.ServeTimeout, m.describe())
 		}
 	}
 	for _, n := range up {
@@ -72,12 +74,12 @@
 			m.world.Run(m.world.Now+constants.SubmitWait, nil, func() bool { return m.healthy() && m.readsAnswered == was })
 		}
 		if m.err == nil && m.readsAnswered == was {
-			m.fail(RuleReadAnswered, "%s: no read answered in %v of quiet and %v: %s", n, m.SettleTime, m.ServeTimeout, m.describe())
+			m.fail(RuleReadAnswered, "%s: no read was answered within %v after faults ended plus %v: %s", n, m.SettleTime, m.ServeTimeout, m.describe())
 		}
 	}
 }
 
-// describe says what each machine knows.
+// describe formats each machine's view for error messages.
 func (m *Model) describe() string {
 	var out []string
 	for _, n := range m.world.Names {
--- a/internal/modelcheck/leasemodel/leasemodel.go
+++ b/internal/modelcheck/leasemodel/leasemodel.go
@@ -1,5 +1,5 @@
-// Package leasemodel has package modelcheck drive the leases of single duties: never two
-// holders of a duty at one moment, and one after quiet, also while the electorate changes.
+// Package leasemodel models the leases of duties for package modelcheck: a duty never has two
+// holders at the same time, and has one after faults end, even while the electorate changes.
 package leasemodel
 
 import (
@@ -12,7 +12,7 @@
 	"slateridge/internal/modelcheck"
 )
 
-// The rules.
+// Rules, by the names under which a violation is reported.
 const (
 	RuleOneHolder = "one holder a duty"
 	RuleHeld      = "a duty is held after quiet"
@@ -20,33 +20,33 @@
 
 // Config bounds a model.
 type Config struct {
-	Machines      int // of the first electorate
-	ExtraMachines int // more, that an electorate may take in
+	Machines      int // number of machines of the first electorate
+	ExtraMachines int // number of further machines that an electorate may add
 	Duties        []string
-	Faults        int
-	Changes       int // of the electorate
+	Faults        int // maximum per schedule; repairs do not count
+	Changes       int // maximum number of electorate changes
 	Step          time.Duration
-	Messages      bool     // choices also before each message
-	Kinds         []string // of choices; empty: all
-	Without       []string // kinds left out
+	Messages      bool     // also choose before each message
+	Kinds         []string // kinds of choices; empty means all
+	Without       []string // excluded kinds
 	Warm          time.Duration
-	SettleTime    time.Duration // after quiet, before a duty must be held
-	// Skew is how much faster than true time each machine's steady clock counts,
-	// in thousandths, by the machines' order.
+	SettleTime    time.Duration // time after the end of faults before a duty must be held
+	// Skew is how much faster than true time each machine's monotonic clock runs, in
+	// thousandths, in the order of the machines.
 	Skew []int
 }
 
-// Small is three machines, one more to come, and one duty; clocks differ by what
-// the margin allows.
+// Small returns a configuration with three machines, one extra machine and one duty. The clocks
+// differ by the allowed margin.
 func Small() Config {
 	return Config{Machines: 3, ExtraMachines: 1, Duties: []string{"x"}, Faults: 4, Changes: 2, Step: 200 * time.Millisecond,
 		Warm: 3 * time.Second, SettleTime: 8 * time.Second, Skew: []int{-40, 0, 40, 20}}
 }
 
-// electorate is one of those decided so far.
+// electorate is one of the electorates decided so far.
 type electorate struct{ peers []string }
 
-// Model is the leases as package modelcheck drives them.
+// Model implements modelcheck.Model for leases.
 type Model struct {
 	Config
 	world        *modelcheck.World
@@ -61,15 +61,16 @@
 	sealed      map[string]bool
 }
 
-// New makes one.
+// New returns a model with a configuration.
 func New(c Config) *Model { return &Model{Config: c} }
 
-// Grants are over after a second and a machine that has just started waits as long.
+// MaxAge exceeds the times that matter: grants expire after a second, and a machine that has
+// just started waits as long.
 var abstraction = modelcheck.Abstraction{MaxAge: 3 * time.Second}
 
 var names = []string{"a", "b", "c", "d", "e", "f", "g", "h"}
 
-// Reset goes back to the start, as package modelcheck asks.
+// Reset implements modelcheck.Model.
 func (m *Model) Reset() {
 	m.world = modelcheck.NewWorld(constants.LeaseTick, m.tick, m.recv)
 	m.managers, m.startedAt = map[string]*lease.Manager{}, map[string]time.Duration{}
@@ -84,7 +85,7 @@
 	m.world.LastFault = 0
 }
 
-// clock is a machine's steady clock.
+// clock returns a machine's monotonic clock.
 func (m *Model) clock(n string) time.Duration {
 	skew := 0
 	if i := slices.Index(names, n); i < len(m.Skew) {
@@ -93,11 +94,11 @@
 	return (m.world.Now - m.startedAt[n]) * time.Duration(1000+skew) / 1000
 }
 
-// start brings a machine up, with what its disk holds of the electorate.
+// start starts a machine's process. It keeps the electorate that its disk holds.
 func (m *Model) start(n string) {
 	m.startedAt[n] = m.world.Now
-	life := uint64(m.world.Incarnation(n)+1) << 32
-	m.managers[n] = lease.New(0, life, n, m.Duties)
+	incarnation := uint64(m.world.Incarnation(n)+1) << 32
+	m.managers[n] = lease.New(0, incarnation, n, m.Duties)
 	m.world.Start(n)
 }
 
@@ -119,8 +120,8 @@
 
 func (m *Model) healthy() bool {
 	for _, d := range m.Duties {
-		if who := m.holders(d); len(who) > 1 && m.err == nil {
-			m.err = modelcheck.NewViolation(RuleOneHolder, "at %v: %s is held by %s", m.world.Now, d, strings.Join(who, " and "))
+		if holders := m.holders(d); len(holders) > 1 && m.err == nil {
+			m.err = modelcheck.NewViolation(RuleOneHolder, "at %v: duty %s is held by %s", m.world.Now, d, strings.Join(holders, " and "))
 		}
 	}
 	return m.err == nil
@@ -137,15 +138,15 @@
 	return holders
 }
 
-// Check is the first rule of safety that was broken.
+// Check implements modelcheck.Model.
 func (m *Model) Check() error { return m.err }
 
 var faultKinds = []string{"isolate", "mute", "deafen", "cut", "part", "freeze", "lose", "double", "late", "restart", "stop"}
 
-// ChoiceKinds names all kinds of choices.
+// ChoiceKinds lists all kinds of choices.
 var ChoiceKinds = append(slices.Clone(faultKinds), "join", "thaw", "start", "yield", "elect")
 
-// electable lists the electorates that may come next: one machine more, or one less.
+// electorateChoices lists the possible next electorates: one machine more or one less.
 func (m *Model) electorateChoices() (out []string) {
 	peers := m.electorates[len(m.electorates)-1].peers
 	if len(m.electorates) > m.Changes {
@@ -161,8 +162,8 @@
 	return out
 }
 
-// deciders are the first machines that can decide on a next electorate: a
-// majority of the present one that is there and knows it.
+// sealingMajority returns the first machines that can decide on the next electorate: a majority
+// of the current one that is running and knows it, or nil.
 func (m *Model) sealingMajority() (out []string) {
 	now := m.electorates[len(m.electorates)-1].peers
 	for _, n := range now {
@@ -176,7 +177,7 @@
 	return nil
 }
 
-// Choices lists what may happen next, the default first, as package modelcheck asks.
+// Choices implements modelcheck.Model.
 func (m *Model) Choices() []string {
 	choices := modelcheck.NewChoices(m.Kinds, m.Without)
 	if m.faults >= m.Faults {
@@ -204,7 +205,7 @@
 	return choices.List
 }
 
-// Apply has one of the choices happen, as package modelcheck asks.
+// Apply implements modelcheck.Model.
 func (m *Model) Apply(n int) {
 	if n == 0 {
 		m.nextChoiceAt = m.world.RunDefault(m.nextChoiceAt, m.Step, func(*modelcheck.Event) bool { return m.Messages }, m.healthy)
@@ -223,9 +224,9 @@
 	switch f[0] {
 	case "restart":
 		m.world.Stop(f[1])
-		life := m.world.Incarnation(f[1])
+		incarnation := m.world.Incarnation(f[1])
 		m.world.After(modelcheck.RestartTime, func() {
-			if m.world.Incarnation(f[1]) == life {
+			if m.world.Incarnation(f[1]) == incarnation {
 				m.start(f[1])
 			}
 		})
@@ -242,9 +243,9 @@
 	m.healthy()
 }
 
-// elect decides on a next electorate as the views do: a majority of the present
-// one is sealed first; the first of it learns of the outcome at once, the others
-// one after the other, the latest much later.
+// elect decides on the next electorate in the way that views change: a majority of the current
+// electorate is sealed first. The first machine learns the outcome immediately and the others
+// one after the other, the last much later.
 func (m *Model) elect(change string) {
 	peers := slices.Clone(m.electorates[len(m.electorates)-1].peers)
 	if n := change[1:]; change[0] == '+' {
@@ -270,7 +271,7 @@
 	}
 }
 
-// Hash distinguishes states, as package modelcheck asks.
+// Hash implements modelcheck.Model.
 func (m *Model) Hash() uint64 {
 	parts := []any{m.faults, m.nextChoiceAt, m.known, m.sealed}
 	for _, e := range m.electorates {
@@ -285,7 +286,8 @@
 	return abstraction.Digest(m.world.Now, out...)
 }
 
-// Quiet ends all trouble; then each duty has its one holder.
+// CheckLiveness implements modelcheck.Model: after all faults have ended, each duty must have
+// exactly one holder.
 func (m *Model) CheckLiveness() error {
 	m.world.Heal()
 	for _, n := range m.world.Names {
@@ -295,8 +297,8 @@
 	}
 	m.world.Run(m.world.Now+m.SettleTime, nil, m.healthy)
 	for _, d := range m.Duties {
-		if who := m.holders(d); m.err == nil && len(who) != 1 {
-			m.err = modelcheck.NewViolation(RuleHeld, "at %v: after %v of quiet %s is held by %d machines", m.world.Now, m.SettleTime, d, len(who))
+		if holders := m.holders(d); m.err == nil && len(holders) != 1 {
+			m.err = modelcheck.NewViolation(RuleHeld, "at %v: %v after faults ended, duty %s is held by %d machines", m.world.Now, m.SettleTime, d, len(holders))
 		}
 	}
 	return m.err
--- a/internal/modelcheck/world.go
+++ b/internal/modelcheck/world.go
@@ -101,22 +101,22 @@
 	w.step(n, w.incarnation[n])
 }
 
-func (w *World) step(n string, life int) {
-	if w.incarnation[n] != life || !w.up[n] {
+func (w *World) step(n string, incarnation int) {
+	if w.incarnation[n] != incarnation || !w.up[n] {
 		return
 	}
 	w.RunOn(n, func() { w.onTick(n) })
-	w.After(w.tick, func() { w.step(n, life) })
+	w.After(w.tick, func() { w.step(n, incarnation) })
 }
 
 // RunOn runs f on a machine. If the process is frozen, f runs when it thaws, unless the process
 // has stopped by then; at most 100 calls are kept.
 func (w *World) RunOn(n string, f func()) {
-	life := w.incarnation[n]
+	incarnation := w.incarnation[n]
 	if w.frozen[n] {
 		if len(w.pending[n]) < 100 {
 			w.pending[n] = append(w.pending[n], func() {
-				if w.incarnation[n] == life {
+				if w.incarnation[n] == incarnation {
 					f()
 				}
 			})
