--- a/internal/emulator/client.go
+++ b/internal/emulator/client.go
@@ -5,47 +5,47 @@
 	"time"
 )
 
-// RequestID identifies a request: one try of a client.
+// RequestID identifies one request of a client.
 type RequestID uint64
 
-// Told is what a client was told of a request.
+// Outcome is the answer that a client received for a request.
 type Outcome int
 
-// What clients are told.
+// Outcomes of a request.
 const (
-	NoAnswer Outcome = iota // so far, or for ever
+	NoAnswer Outcome = iota // not yet, or never
 	Success
 	Failed
-	Throttled // by the tenant's quota
+	Throttled // refused by the tenant's quota
 )
 
-// Request is one try of a client, with all that is true of it.
+// Request is one request of a client and the facts about it.
 type Request struct {
 	ID            RequestID
 	Tenant        string
-	NonIdempotent bool // may run once
+	NonIdempotent bool // must run at most once
 	SentAt        time.Duration
-	Accepted      bool // a proxy took it
+	Accepted      bool // a proxy received it
 	Proxy         string
 	Incarnation   int // of that proxy
 	AcceptedAt    time.Duration
 	Outcome       Outcome
-	Answers       map[string]bool // upstreams whose word that they ran it has reached its proxy
+	Answers       map[string]bool // upstreams whose confirmation that they ran the request reached its proxy
 }
 
-// Client sends the requests of one tenant to proxies by turns.
+// Client sends the requests of one tenant to the proxies in round-robin order.
 type Client struct {
 	Name               string
 	Tenant             string
-	Interval           time.Duration // between two requests, on average
-	NonIdempotentShare float64       // share of requests that may run once
+	Interval           time.Duration // average time between two requests
+	NonIdempotentShare float64       // fraction of requests that must run at most once
 	Until              time.Duration // when it stops sending
 	world              *World
 	sent               int
 	Requests           []*Request
 }
 
-// NewClient makes a client that begins to send.
+// NewClient adds a client that starts sending immediately.
 func (w *World) NewClient(tenant string, every, until time.Duration) *Client {
 	c := &Client{Name: fmt.Sprint("client-", len(w.Clients)), Tenant: tenant, Interval: every, NonIdempotentShare: 0.4, Until: until, world: w}
 	w.Clients = append(w.Clients, c)
@@ -67,26 +67,26 @@
 	w.Send(c.Name, proxy.Name, func() { proxy.receive(c, request) })
 }
 
-// hear takes a proxy's answer.
-func (c *Client) receiveAnswer(request *Request, told Outcome) {
+// receiveAnswer records a proxy's first answer.
+func (c *Client) receiveAnswer(request *Request, outcome Outcome) {
 	if request.Outcome == NoAnswer {
-		request.Outcome = told
+		request.Outcome = outcome
 	}
 }
 
-// Truth is what is true of all requests of one tenant.
+// GroundTruth is the sum of the facts about all requests of one tenant.
 type GroundTruth struct {
 	Sent              int
 	Accepted          int
-	Successes         int // as clients were told
+	Successes         int // as received by clients
 	Failures          int
 	Throttled         int
-	Unanswered        int // taken, and the client was told nothing
-	DuplicateRuns     int // orders that upstreams ran twice or more
-	DuplicateRunsSeen int // of which two upstreams' words reached the proxy
+	Unanswered        int // accepted, but the client received no answer
+	DuplicateRuns     int // non-idempotent requests that upstreams ran more than once
+	DuplicateRunsSeen int // of these, requests for which the confirmations of two upstreams reached the proxy
 }
 
-// Truth adds up the facts by tenant.
+// GroundTruth returns the sums by tenant.
 func (w *World) GroundTruth() map[string]*GroundTruth {
 	out := map[string]*GroundTruth{}
 	for _, client := range w.Clients {
@@ -124,7 +124,7 @@
 	}
 }
 
-// runs is how often upstreams ran a request.
+// runs returns the number of times that upstreams ran a request.
 func (w *World) runs(id RequestID) int {
 	count := 0
 	for _, upstream := range w.Upstreams {
--- a/internal/emulator/control.go
+++ b/internal/emulator/control.go
@@ -8,11 +8,11 @@
 	"slateridge/internal/simnet"
 )
 
-// controlTick is the step of a control machine.
+// controlTick is the tick interval of a control machine.
 const controlTick = 25 * time.Millisecond
 
-// Control is a control machine: it keeps the accounts with the real code. Its leases are
-// the world's to give.
+// Control is a control machine that keeps the accounts with the real code. The world assigns
+// its leases.
 type Control struct {
 	Name        string
 	Up          bool
@@ -21,10 +21,10 @@
 	Disk        *simnet.Disk
 	Holder      *accounts.Holder
 	world       *World
-	clockStart  time.Duration // its steady clock counts from here
+	clockStart  time.Duration // simulated time at which its monotonic clock was zero
 }
 
-// NewControl makes a control machine and starts it.
+// NewControl adds a control machine and starts it.
 func (w *World) NewControl(name string) *Control {
 	c := &Control{Name: name, Disk: simnet.NewDisk(), world: w}
 	w.Controls[name] = c
@@ -33,7 +33,7 @@
 	return c
 }
 
-// Start begins a process, on whatever the disk holds.
+// Start starts a process with the current content of the disk.
 func (c *Control) Start() {
 	if !c.Up {
 		c.start(false)
@@ -48,37 +48,37 @@
 	c.tick(c.Incarnation)
 }
 
-// Kill ends the process; its disk stays.
+// Kill ends the process and keeps its disk.
 func (c *Control) Kill() { c.Up = false }
 
-// Wipe ends the process and loses the disk.
+// Wipe ends the process and erases the disk.
 func (c *Control) Wipe() {
 	c.Up = false
 	c.Disk = simnet.NewDisk()
 }
 
-// Freeze has the process stand still for a while.
+// Freeze pauses the process for a time span.
 func (c *Control) Freeze(span time.Duration) { c.FrozenUntil = c.world.Now + span }
 
-// Now is the process's steady clock.
+// Now returns the process's monotonic clock.
 func (c *Control) Now() time.Duration { return c.world.Now - c.clockStart }
 
-func (c *Control) whenRunning(life int, do func()) {
-	if !c.Up || c.Incarnation != life {
+func (c *Control) whenRunning(incarnation int, do func()) {
+	if !c.Up || c.Incarnation != incarnation {
 		return
 	}
 	if wait := c.FrozenUntil - c.world.Now; wait > 0 {
-		c.world.After(wait, func() { c.whenRunning(life, do) })
+		c.world.After(wait, func() { c.whenRunning(incarnation, do) })
 		return
 	}
 	do()
 }
 
-func (c *Control) tick(life int) {
-	if !c.Up || c.Incarnation != life {
+func (c *Control) tick(incarnation int) {
+	if !c.Up || c.Incarnation != incarnation {
 		return
 	}
-	c.world.After(controlTick, func() { c.tick(life) })
+	c.world.After(controlTick, func() { c.tick(incarnation) })
 	if c.FrozenUntil > c.world.Now {
 		return
 	}
--- a/internal/emulator/example_test.go
+++ b/internal/emulator/example_test.go
@@ -8,8 +8,8 @@
 	"slateridge/internal/emulator"
 )
 
-// A world of three control machines, two proxies, two upstreams and one tenant's client;
-// a proxy is killed and comes back. In the end the tenant's account has every request.
+// Runs three control machines, two proxies, two upstreams and one tenant's client. A proxy is
+// killed and restarted; at the end the tenant's account contains every request.
 func Example() {
 	objectives, err := accounts.ParseObjectives([]byte(`{"version":1,"shards":1,"defaultClass":"all",
 		"classes":{"all":{"target":0.99,"latency":"250ms","window":"720h"}}}`))
@@ -31,9 +31,9 @@
 	world.Run(10*time.Second, nil)
 
 	account, truth := world.Totals()["acme"], world.GroundTruth()["acme"]
-	fmt.Println("every request taken is in the account:", int(account.Taken) == truth.Accepted)
-	fmt.Println("none is open:", account.Open() == 0)
+	fmt.Println("every accepted request is in the account:", int(account.Taken) == truth.Accepted)
+	fmt.Println("no request is open:", account.Open() == 0)
 	// Output:
-	// every request taken is in the account: true
-	// none is open: true
+	// every accepted request is in the account: true
+	// no request is open: true
 }
--- a/internal/emulator/proxy.go
+++ b/internal/emulator/proxy.go
@@ -9,37 +9,37 @@
 	"slateridge/internal/counter"
 )
 
-// Times of the stand-in proxies.
+// Limits of simulated proxies.
 const (
-	attemptTimeout = 400 * time.Millisecond // an upstream silent so long is given up
+	attemptTimeout = 400 * time.Millisecond // an attempt without an answer is abandoned after this time
 	requestTimeout = 1200 * time.Millisecond
-	hedgeAfter     = 200 * time.Millisecond // a read is sent to a second upstream beside the first
+	hedgeAfter     = 200 * time.Millisecond // an idempotent request is then sent to a second upstream as well
 	maxAttempts    = 3
 )
 
-// Proxy is a stand-in for a proxy: it takes requests, offers them to upstreams, and
-// accounts for them with the real meter.
+// Proxy simulates a proxy: it accepts requests, forwards them to upstreams and accounts for
+// them with the real meter.
 type Proxy struct {
 	Name             string
 	Up               bool
-	Incarnation      int           // rises with each start
-	FrozenUntil      time.Duration // until then it does nothing
-	OverQuota        float64       // share of requests it turns away
-	UnsafeRetryShare float64       // share of silent orders that it wrongly offers again
+	Incarnation      int           // increases with each start
+	FrozenUntil      time.Duration // the process is paused until then
+	OverQuota        float64       // fraction of requests that it refuses
+	UnsafeRetryShare float64       // fraction of unanswered non-idempotent requests that it wrongly retries
 	world            *World
 	meter            *accounts.Meter
 	journals         map[counter.LifeID]*memoryJournal
-	incarnation      counter.LifeID
+	lifeID           counter.LifeID
 	Wipes            []Wipe
 }
 
-// Wipe is a loss of a proxy's process together with its journals.
+// Wipe records the loss of a proxy's process together with its journals.
 type Wipe struct {
 	Incarnation int
 	At          time.Duration
 }
 
-// memoryJournal outlasts the process, as a mapped file does.
+// memoryJournal survives the process, as a memory-mapped file does.
 type memoryJournal struct {
 	acknowledged []uint64
 	accounts     map[string]accounts.Account
@@ -58,7 +58,7 @@
 	return true
 }
 
-// NewProxy makes a proxy and starts it.
+// NewProxy adds a proxy and starts it.
 func (w *World) NewProxy(name string) *Proxy {
 	p := &Proxy{Name: name, OverQuota: 0.03, UnsafeRetryShare: 0.3, world: w, journals: map[counter.LifeID]*memoryJournal{}}
 	w.Proxies[name] = p
@@ -67,7 +67,7 @@
 	return p
 }
 
-// Start begins a process, which takes up the journals of those before.
+// Start starts a process, which takes over the journals of earlier processes.
 func (p *Proxy) Start() {
 	if p.Up {
 		return
@@ -75,23 +75,23 @@
 	p.Up = true
 	p.Incarnation++
 	var ended []accounts.EndedLife
-	for _, life := range slices.Sorted(maps.Keys(p.journals)) {
-		journal := p.journals[life]
-		ended = append(ended, accounts.EndedLife{Life: life, Told: journal.acknowledged, Accounts: maps.Clone(journal.accounts)})
+	for _, id := range slices.Sorted(maps.Keys(p.journals)) {
+		journal := p.journals[id]
+		ended = append(ended, accounts.EndedLife{Life: id, Told: journal.acknowledged, Accounts: maps.Clone(journal.accounts)})
 	}
-	p.incarnation = counter.LifeID(p.world.Rng.Uint64() | 1)
+	p.lifeID = counter.LifeID(p.world.Rng.Uint64() | 1)
 	journal := &memoryJournal{acknowledged: make([]uint64, p.world.Objectives.Shards), accounts: map[string]accounts.Account{}}
-	p.journals[p.incarnation] = journal
-	p.meter = accounts.NewMeter(p.Name, p.incarnation, p.world.Objectives, journal, ended)
+	p.journals[p.lifeID] = journal
+	p.meter = accounts.NewMeter(p.Name, p.lifeID, p.world.Objectives, journal, ended)
 	p.sendReports(p.Incarnation)
 }
 
-// Kill ends the process; its journal stays.
+// Kill ends the process and keeps its journals.
 func (p *Proxy) Kill() {
 	p.Up = false
 }
 
-// Wipe ends the process and loses its journals, as when the machine is replaced.
+// Wipe ends the process and erases its journals, as when the machine is replaced.
 func (p *Proxy) Wipe() {
 	if p.Up {
 		p.Wipes = append(p.Wipes, Wipe{p.Incarnation, p.world.Now})
@@ -100,53 +100,54 @@
 	p.journals = map[counter.LifeID]*memoryJournal{}
 }
 
-// Freeze has the process stand still for a while.
+// Freeze pauses the process for a time span.
 func (p *Proxy) Freeze(span time.Duration) { p.FrozenUntil = p.world.Now + span }
 
-// when runs something in a life of the process: at once, after a freeze, or never if that
-// life is over.
-func (p *Proxy) whenRunning(life int, do func()) {
-	if !p.Up || p.Incarnation != life {
+// whenRunning runs do in an incarnation of the process: immediately, or after a freeze, or
+// never if that incarnation has ended.
+func (p *Proxy) whenRunning(incarnation int, do func()) {
+	if !p.Up || p.Incarnation != incarnation {
 		return
 	}
 	if wait := p.FrozenUntil - p.world.Now; wait > 0 {
-		p.world.After(wait, func() { p.whenRunning(life, do) })
+		p.world.After(wait, func() { p.whenRunning(incarnation, do) })
 		return
 	}
 	do()
 }
 
-// receive takes a request that has reached this machine; with no process there, it is lost.
+// receive handles a request that has reached this machine. Without a running process the
+// request is lost.
 func (p *Proxy) receive(client *Client, request *Request) {
 	p.whenRunning(p.Incarnation, func() {
 		w := p.world
 		request.Accepted, request.Proxy, request.Incarnation, request.AcceptedAt = true, p.Name, p.Incarnation, w.Now
-		passage := &proxiedRequest{proxy: p, life: p.Incarnation, client: client, request: request, account: p.meter.Begin(request.Tenant)}
+		proxied := &proxiedRequest{proxy: p, incarnation: p.Incarnation, client: client, request: request, account: p.meter.Begin(request.Tenant)}
 		if w.Rng.Float64() < p.OverQuota {
-			passage.finish(Throttled)
+			proxied.finish(Throttled)
 			return
 		}
-		w.After(requestTimeout, func() { p.whenRunning(passage.life, passage.giveUp) })
-		passage.attempt()
+		w.After(requestTimeout, func() { p.whenRunning(proxied.incarnation, proxied.giveUp) })
+		proxied.attempt()
 		if !request.NonIdempotent {
-			w.After(hedgeAfter, func() { p.whenRunning(passage.life, passage.attempt) })
+			w.After(hedgeAfter, func() { p.whenRunning(proxied.incarnation, proxied.attempt) })
 		}
 	})
 }
 
-// passage is a request on its way through a proxy.
+// proxiedRequest is a request that a proxy is handling.
 type proxiedRequest struct {
 	proxy          *Proxy
-	life           int
+	incarnation    int
 	client         *Client
 	request        *Request
 	account        *accounts.Request
 	attempts       int
-	outcomeUnknown bool // an upstream was sent it and has not said whether it ran
+	outcomeUnknown bool // an upstream received it and has not reported whether it ran it
 	done           bool
 }
 
-// try offers the request to an upstream.
+// attempt forwards the request to an upstream.
 func (g *proxiedRequest) attempt() {
 	w := g.proxy.world
 	names := w.Platform.List()
@@ -160,7 +161,7 @@
 	w.Send(g.proxy.Name, upstream.Name, func() {
 		upstream.handle(g.request.ID, func(ran bool) {
 			w.Send(upstream.Name, g.proxy.Name, func() {
-				g.proxy.whenRunning(g.life, func() {
+				g.proxy.whenRunning(g.incarnation, func() {
 					answered = true
 					g.receiveAnswer(upstream.Name, ran)
 				})
@@ -168,7 +169,7 @@
 		})
 	})
 	w.After(attemptTimeout, func() {
-		g.proxy.whenRunning(g.life, func() {
+		g.proxy.whenRunning(g.incarnation, func() {
 			if !answered && (!g.request.NonIdempotent || w.Rng.Float64() < g.proxy.UnsafeRetryShare) {
 				g.attempt()
 			}
@@ -176,7 +177,7 @@
 	})
 }
 
-// hear takes an upstream's word.
+// receiveAnswer handles an upstream's answer.
 func (g *proxiedRequest) receiveAnswer(upstream string, ran bool) {
 	if !ran {
 		g.outcomeUnknown = g.attempts > 1
@@ -190,25 +191,25 @@
 	g.finish(Success)
 }
 
-// giveUp ends a request that has taken too long.
+// giveUp ends a request that has timed out.
 func (g *proxiedRequest) giveUp() { g.finish(Failed) }
 
-// answer tells the client and settles the account, once. The proxy notices where it could
-// not write to the client.
-func (g *proxiedRequest) finish(told Outcome) {
+// finish answers the client and settles the account, once. The proxy detects that it could not
+// write to the client.
+func (g *proxiedRequest) finish(outcome Outcome) {
 	if g.done {
 		return
 	}
 	g.done = true
 	w := g.proxy.world
 	written := !w.isCut(g.proxy.Name, g.client.Name)
-	w.Send(g.proxy.Name, g.client.Name, func() { g.client.receiveAnswer(g.request, told) })
+	w.Send(g.proxy.Name, g.client.Name, func() { g.client.receiveAnswer(g.request, outcome) })
 	switch {
-	case told == Throttled:
+	case outcome == Throttled:
 		g.account.Failure(accounts.Refused)
 	case !written:
 		g.account.Failure(accounts.Unknown)
-	case told == Success:
+	case outcome == Success:
 		g.account.Success(w.Now - g.request.AcceptedAt)
 	case g.request.NonIdempotent && g.outcomeUnknown:
 		g.account.Failure(accounts.Unknown)
@@ -217,23 +218,23 @@
 	}
 }
 
-// tell brings reports to the holders of all shards, again and again.
-func (p *Proxy) sendReports(life int) {
-	if !p.Up || p.Incarnation != life {
+// sendReports periodically sends reports to the holders of all shards.
+func (p *Proxy) sendReports(incarnation int) {
+	if !p.Up || p.Incarnation != incarnation {
 		return
 	}
-	p.world.After(p.world.ReportInterval, func() { p.sendReports(life) })
+	p.world.After(p.world.ReportInterval, func() { p.sendReports(incarnation) })
 	if p.FrozenUntil > p.world.Now {
 		return
 	}
 	for shard := range p.world.Objectives.Shards {
 		for _, report := range p.meter.Reports(shard) {
-			p.sendReport(life, report)
+			p.sendReport(incarnation, report)
 		}
 	}
 }
 
-func (p *Proxy) sendReport(life int, report accounts.Report) {
+func (p *Proxy) sendReport(incarnation int, report accounts.Report) {
 	w := p.world
 	holder := w.Controls[w.KnownHolders[report.Shard]]
 	if holder == nil {
@@ -244,7 +245,7 @@
 		holder.whenRunning(holder.Incarnation, func() {
 			ack := holder.handleReport(report)
 			w.sendDuplicated(holder.Name, p.Name, func() {
-				p.whenRunning(life, func() {
+				p.whenRunning(incarnation, func() {
 					for _, finished := range p.meter.Acknowledge(ack) {
 						delete(p.journals, finished)
 					}
--- a/internal/emulator/upstream.go
+++ b/internal/emulator/upstream.go
@@ -6,14 +6,14 @@
 type Upstream struct {
 	Name        string
 	Up          bool
-	MaxWorkTime time.Duration // longest time for one request; the shortest is a tenth
-	SlowShare   float64       // share of requests that take six times as long
-	RejectShare float64       // share that it turns away without having run them
+	MaxWorkTime time.Duration // random part of the time for one request; MaxWorkTime/10 is added to it
+	SlowShare   float64       // fraction of requests that take six times as long
+	RejectShare float64       // fraction of requests that it rejects without running them
 	world       *World
 	Runs        map[RequestID]int
 }
 
-// NewUpstream makes an upstream that works, and puts it on the platform's list.
+// NewUpstream adds a running upstream to the world and to the platform's list.
 func (w *World) NewUpstream(name string) *Upstream {
 	u := &Upstream{Name: name, Up: true, MaxWorkTime: 150 * time.Millisecond, SlowShare: 0.05, RejectShare: 0.05, world: w, Runs: map[RequestID]int{}}
 	w.Upstreams[name] = u
@@ -21,7 +21,8 @@
 	return u
 }
 
-// offer takes a request; answer is called with whether it was run, once it is done.
+// handle runs a request and then calls answer, or calls answer immediately if it rejects the
+// request.
 func (u *Upstream) handle(id RequestID, answer func(ran bool)) {
 	if !u.Up {
 		return
--- a/internal/emulator/world.go
+++ b/internal/emulator/world.go
@@ -10,8 +10,7 @@
 	"slateridge/internal/simnet"
 )
 
-// World is everything that there is, on one simulated network. Its run is decided by its
-// seed.
+// World is the whole simulation on one simulated network. Its run is determined by its seed.
 type World struct {
 	*simnet.Network
 	Platform       *Platform
@@ -22,10 +21,10 @@
 	Objectives     *accounts.Objectives
 	Options        counter.Options
 	ReportInterval time.Duration // between a proxy's reports
-	DuplicateShare float64       // share of messages about accounts that arrive twice
-	LeaseHolders   []string      // the control machine that holds each shard
-	KnownHolders   []string      // the one that proxies believe to hold it
-	ReportBytes    int           // of packed accounts in reports sent
+	DuplicateShare float64       // fraction of messages about accounts that are delivered twice
+	LeaseHolders   []string      // by shard: the control machine that holds it
+	KnownHolders   []string      // by shard: the control machine that proxies believe to hold it
+	ReportBytes    int           // total size of the packed accounts in sent reports
 	OnTotals       func(control *Control, shard int, totals map[string]accounts.Account)
 
 	proxyNames   []string
@@ -38,21 +37,21 @@
 var fastOptions = counter.Options{RoundEvery: 300 * time.Millisecond, ResendAfter: 150 * time.Millisecond, FoldEvery: time.Second,
 	FoldAtMost: 4, CellsAtOnce: 3, SavesAtOnce: 4}
 
-// New makes an empty world for some objectives.
+// New returns a world without machines for the given objectives.
 func New(seed uint64, objectives *accounts.Objectives) *World {
 	return &World{Network: simnet.New(seed), Platform: &Platform{upstreams: map[string]*Upstream{}}, Upstreams: map[string]*Upstream{},
 		Proxies: map[string]*Proxy{}, Controls: map[string]*Control{}, Objectives: objectives, Options: fastOptions,
 		ReportInterval: 250 * time.Millisecond, LeaseHolders: make([]string, objectives.Shards), KnownHolders: make([]string, objectives.Shards), cuts: map[[2]string]bool{}}
 }
 
-// MoveShard gives a shard's lease to another control machine, or to none; proxies hear of
-// it a little later.
+// MoveShard gives a shard's lease to another control machine, or to none. Proxies learn of it a
+// little later.
 func (w *World) MoveShard(shard int, control string) {
 	w.LeaseHolders[shard] = control
 	w.After(100*time.Millisecond, func() { w.KnownHolders[shard] = w.LeaseHolders[shard] })
 }
 
-// CutBoth cuts or joins both directions between two machines.
+// CutBoth cuts or restores both directions between two machines.
 func (w *World) CutBoth(a, b string, cut bool) {
 	for _, pair := range [][2]string{{a, b}, {b, a}} {
 		w.Cut(pair[0], pair[1], cut)
@@ -60,7 +59,7 @@
 	}
 }
 
-// JoinAll ends all cuts.
+// JoinAll restores all paths.
 func (w *World) JoinAll() {
 	for pair := range w.cuts {
 		w.CutBoth(pair[0], pair[1], false)
@@ -69,13 +68,13 @@
 
 func (w *World) isCut(from, to string) bool { return w.cuts[[2]string{from, to}] }
 
-// ProxyNames are the proxies, in the order in which they were made.
+// ProxyNames returns the names of the proxies in the order of their creation.
 func (w *World) ProxyNames() []string { return slices.Clone(w.proxyNames) }
 
-// ControlNames are the control machines, in the order in which they were made.
+// ControlNames returns the names of the control machines in the order of their creation.
 func (w *World) ControlNames() []string { return slices.Clone(w.controlNames) }
 
-// send delivers a message about accounts, sometimes twice.
+// sendDuplicated sends a message about accounts, sometimes twice.
 func (w *World) sendDuplicated(from, to string, deliver func()) {
 	w.Send(from, to, deliver)
 	if w.Rng.Float64() < w.DuplicateShare {
@@ -83,7 +82,7 @@
 	}
 }
 
-// observe hands what a control machine publishes to whoever watches.
+// observe passes the totals that a control machine publishes to OnTotals.
 func (w *World) observe(c *Control) {
 	if w.OnTotals == nil {
 		return
@@ -95,7 +94,7 @@
 	}
 }
 
-// Totals are the accounts of all tenants, as the holders of their shards publish them.
+// Totals returns the accounts of all tenants as published by the holders of their shards.
 func (w *World) Totals() map[string]accounts.Account {
 	out := map[string]accounts.Account{}
 	for _, control := range w.Controls {
--- a/internal/modelcheck/admissionmodel/admissionmodel.go
+++ b/internal/modelcheck/admissionmodel/admissionmodel.go
@@ -1,6 +1,6 @@
-// Package admissionmodel has package modelcheck drive admission: the token buckets of
-// a few proxies, the trackers that lend and grant, and the live proxy count. What
-// runs in any window must stay within the quota's bound, and after quiet what is
+// Package admissionmodel models admission for package modelcheck: the token buckets of a few
+// proxies, the trackers that lend and grant tokens, and the live proxy count. The requests
+// admitted in any window must stay within the quota's bound, and after faults end, requests
 // within the quota must be served.
 package admissionmodel
 
@@ -13,7 +13,7 @@
 	"slateridge/internal/modelcheck"
 )
 
-// Model is admission as package modelcheck drives it.
+// Model implements modelcheck.Model for admission.
 type Model struct {
 	Config
 	world           *modelcheck.World
@@ -24,26 +24,26 @@
 	lastIncarnation uint64
 	lastCallID      uint64
 
-	stoppedAt map[string]time.Duration // when a process that is down ended
+	stoppedAt map[string]time.Duration // by process that is down
 	proxies   map[string]*proxy
 	trackers  map[string]*tracker
 	roster    map[string]*rosterEntry
-	started   bool // the first proxies share
+	started   bool // the initial proxies have been admitted
 
-	dutyHolder  string // of the tracker's duty; empty while it moves
+	dutyHolder  string // the machine that holds the tracker's duty; empty while it moves
 	heldSince   time.Duration
 	vacantSince time.Duration // when the duty was last given up
-	nextHolder  string        // who takes it, if it is up
+	nextHolder  string        // the machine that takes the duty next if it is up
 
 	bound      allowance
-	recentRuns []time.Duration // when requests ran within the last Window
+	recentRuns []time.Duration // times of the requests admitted within the last Window
 	served     int
 }
 
-// New makes one.
+// New returns a model with a configuration.
 func New(c Config) *Model { return &Model{Config: c} }
 
-// Reset goes back to the start, as package modelcheck asks.
+// Reset implements modelcheck.Model.
 func (m *Model) Reset() {
 	m.world = modelcheck.NewWorld(constants.GrantEvery, m.tick, m.recv)
 	m.nextChoiceAt, m.err, m.faults, m.joined, m.lastIncarnation, m.lastCallID, m.served = m.Warm, nil, 0, 0, 0, 0, 0
@@ -72,7 +72,7 @@
 	}
 }
 
-// Check is the first rule of safety that was broken.
+// Check implements modelcheck.Model.
 func (m *Model) Check() error { return m.err }
 
 func (m *Model) quotas() map[string]admission.Quota { return map[string]admission.Quota{key: m.Quota} }
--- a/internal/modelcheck/admissionmodel/choices.go
+++ b/internal/modelcheck/admissionmodel/choices.go
@@ -9,13 +9,13 @@
 	"slateridge/internal/modelcheck"
 )
 
-// faultKinds count as faults; the others repair, or are work.
+// faultKinds are the kinds that count as faults. The other kinds are repairs or client load.
 var faultKinds = []string{"isolate", "mute", "deafen", "part", "freeze", "lose", "late", "restart", "stop", "go", "duty", "power"}
 
-// ChoiceKinds names all kinds of choices.
+// ChoiceKinds lists all kinds of choices.
 var ChoiceKinds = append(slices.Clone(faultKinds), "join", "thaw", "start", "come", "long", "press", "rest")
 
-// Choices lists what may happen next, the default first, as package modelcheck asks.
+// Choices implements modelcheck.Model.
 func (m *Model) Choices() []string {
 	choices := modelcheck.NewChoices(m.Kinds, m.Without)
 	if m.faults >= m.Faults {
@@ -56,13 +56,13 @@
 	return choices.List
 }
 
-// mayStart says whether a stopped process may start: a start takes its time.
+// mayStart reports whether a stopped process has been down long enough to start.
 func (m *Model) mayStart(n string) bool { return m.world.Now-m.stoppedAt[n] >= modelcheck.RestartTime }
 
-// proxyChoices lists what may happen to a proxy and its paths.
+// proxyChoices adds the choices that affect a proxy and its network paths.
 func (m *Model) proxyChoices(n string, add func(...string)) {
 	if !slices.Contains(m.world.Names, n) {
-		return // not come yet, or gone for good
+		return // not started yet, or removed permanently
 	}
 	if m.proxies[n] == nil {
 		if m.mayStart(n) {
@@ -81,7 +81,7 @@
 	}
 }
 
-// Apply has one of the choices happen, as package modelcheck asks.
+// Apply implements modelcheck.Model.
 func (m *Model) Apply(n int) {
 	if n == 0 {
 		m.nextChoiceAt = m.world.RunDefault(m.nextChoiceAt, m.Step, func(*modelcheck.Event) bool { return m.Messages }, m.healthy)
@@ -132,10 +132,10 @@
 	}
 }
 
-// skip are numbers that only rise, and counts that decide nothing.
+// skippedFields are numbers that only increase, and counters that do not affect behavior.
 var skippedFields = []string{"keyState.count", "keyState.wholeQuota", "Tracker.Requests", "Tracker.Granted", "Tracker.Exhausted", "Tracker.contactScan", "pool.contactScan", "grantCall.ID", "grantReply.ID", "World.seq"}
 
-// Hash distinguishes states, as package modelcheck asks.
+// Hash implements modelcheck.Model.
 func (m *Model) Hash() uint64 {
 	m.dropOldRuns()
 	a := modelcheck.Abstraction{MaxAge: maxAge, SkipFields: skippedFields, Resolution: floatResolution}
@@ -156,8 +156,9 @@
 	return a.Digest(m.world.Now, parts...)
 }
 
-// Quiet has all clients spend what there is, and press on while the troubles last;
-// then it ends the troubles, and the pressed key must be served.
+// CheckLiveness implements modelcheck.Model. Clients first spend all available tokens and keep
+// exceeding the quota while the faults last. Then the faults end, and the key must be served
+// under load.
 func (m *Model) CheckLiveness() error {
 	m.setLoad(true)
 	m.world.Run(m.world.Now+finalLoadTime, nil, m.healthy)
@@ -177,13 +178,13 @@
 	m.world.Run(m.world.Now+serviceLoadTime, nil, m.healthy)
 	got, want := float64(m.served-before), minServedShare*m.Quota.Rate*serviceLoadTime.Seconds()
 	if m.err == nil && got < want && len(m.proxiesUp()) > 0 {
-		m.fail(RuleServes, "%.0f served in %v after %v of quiet, at least %.0f of what is pressed for should be: %s", got, serviceLoadTime, m.SettleTime, want, m.describe())
+		m.fail(RuleServes, "%.0f requests were served in %v, starting %v after faults ended, want at least %.0f: %s", got, serviceLoadTime, m.SettleTime, want, m.describe())
 	}
 	return m.err
 }
 
-// waitsForTheGone says whether control holds newcomers up for a proxy that is gone
-// and not yet forgotten.
+// newcomersBlocked reports whether control delays the admission of newcomers because of a proxy
+// that is gone and has not been forgotten.
 func (m *Model) newcomersBlocked() bool {
 	blocked, waiting := false, false
 	for n, e := range m.roster {
@@ -193,11 +194,12 @@
 	return blocked && waiting
 }
 
-// pressAll has the clients of all proxies press, at once, or rest.
-func (m *Model) setLoad(press bool) {
+// setLoad starts or stops load beyond the quota at all proxies. A start sends requests
+// immediately.
+func (m *Model) setLoad(on bool) {
 	for _, n := range m.proxiesUp() {
-		m.proxies[n].underLoad = press
-		if press && !m.world.Frozen(n) {
+		m.proxies[n].underLoad = on
+		if on && !m.world.Frozen(n) {
 			m.sendRequests(n, loadedArrivals)
 		}
 	}
--- a/internal/modelcheck/admissionmodel/config.go
+++ b/internal/modelcheck/admissionmodel/config.go
@@ -7,52 +7,52 @@
 	"slateridge/internal/constants"
 )
 
-// The rules, by the names under which a broken one is reported.
+// Rules, by the names under which a violation is reported.
 const (
 	RuleBound   = "no window sees more than the quota and its floors"
 	RulePromise = "no window of the promised length sees more than is promised"
 	RuleServes  = "a pressed key is served after quiet"
 )
 
-// Fault is a defect planted in the surroundings of the machines, to see that the
-// search finds it.
+// Fault is a defect injected into the model around the state machines, to verify that the
+// search detects it.
 type Fault string
 
-// The faults that can be planted.
+// The faults that can be injected.
 const (
 	NoFault              Fault = ""
-	KeepReturnedLoan     Fault = "loan"     // the tracker goes on with a loan after its proxy took it back
-	TrackerWithoutWarmup Fault = "tracker"  // a new tracker gives as if it had tracked for long
-	NewcomerWithoutWait  Fault = "newcomer" // a newcomer shares before the others reckon with it
-	StandbyOnTimeout     Fault = "standby"  // a proxy takes a lost answer for a tracker that is gone
+	KeepReturnedLoan     Fault = "loan"     // the tracker keeps using a loan after its proxy has taken it back
+	TrackerWithoutWarmup Fault = "tracker"  // a new tracker grants as if it had been tracking for a long time
+	NewcomerWithoutWait  Fault = "newcomer" // a new proxy gets a share before the others account for it
+	StandbyOnTimeout     Fault = "standby"  // a proxy takes a lost answer to mean that the tracker is gone
 )
 
-// MostProxies is how many there may be, newcomers included.
+// MaxProxies is the maximum number of proxies, including newcomers.
 const MaxProxies = 4
 
 // Config bounds a model.
 type Config struct {
-	Proxies       int // at the start
+	Proxies       int // number of initial proxies
 	Newcomers     int
 	Trackers      int
 	Quota         admission.Quota
-	Slack         float64 // absolute, of the quota: decides about floors, and so which keys trackers carry alone
-	Faults        int     // most in a schedule; a repair is not one
+	Slack         float64 // absolute slack of the quota; determines the floors, and so which keys are served by trackers alone
+	Faults        int     // maximum per schedule; repairs do not count
 	Step          time.Duration
-	Messages      bool     // choices also before each message
-	Kinds         []string // of choices; empty: all
+	Messages      bool     // also choose before each message
+	Kinds         []string // kinds of choices; empty means all
 	Without       []string
-	Pressed       bool // clients press all proxies from the end of the warm time on, when buckets are full
+	Pressed       bool // clients exceed the quota at all proxies from the end of the warm-up, when the buckets are full
 	Warm          time.Duration
-	Window        time.Duration // of the promise; the design's bound is for any
-	LongWait      time.Duration // that the choice "long" lets pass
-	SettleTime    time.Duration // after quiet, before the key must be served
+	Window        time.Duration // window of the promise; the design's bound holds for windows of any length
+	LongWait      time.Duration // duration of the choice "long"
+	SettleTime    time.Duration // time after the end of faults before the key must be served
 	InjectedFault Fault
-	Tolerance     float64 // tokens beyond either bound that are let pass, to search on past what is known
+	Tolerance     float64 // number of tokens by which both bounds may be exceeded, to search beyond known violations
 }
 
-// Small is two proxies and one to come, with split shares that serve at two and a
-// key that its tracker alone carries at three.
+// Small returns a configuration with two proxies and one newcomer. With two proxies the split
+// shares are large enough to serve the key; with three the tracker alone serves it.
 func Small() Config {
 	return Config{
 		Proxies:    2,
@@ -74,23 +74,25 @@
 	shards  = 1
 	control = "c"
 
-	// arrivals a turn under pressure make the key hot at each proxy.
+	// loadedArrivals is the number of requests per tick under load, which makes the key hot at
+	// each proxy.
 	loadedArrivals = 12
-	// lastPress is how long clients press at the end of a schedule, its troubles lasting.
+	// finalLoadTime is how long clients exceed the quota at the end of a schedule, while its
+	// faults last.
 	finalLoadTime = 2500 * time.Millisecond
-	// servedPress is how long they press after quiet, and servedPart what part of the
-	// rate must be served then.
+	// serviceLoadTime is how long clients exceed the quota after faults end, and minServedShare
+	// the fraction of the rate that must be served in that time.
 	serviceLoadTime = 4 * time.Second
 	minServedShare  = 0.4
-	// promisedOverage is the part beyond the quota that the promise allows.
+	// promisedOverage is the fraction beyond the quota that the promise allows.
 	promisedOverage = 0.1
-	// vacancy is how long nobody tracks when the duty moves.
+	// dutyVacancy is how long nobody tracks while the duty moves.
 	dutyVacancy = 300 * time.Millisecond
-	// powerVacancy is how much longer it is vacant after all processes were stopped.
+	// powerLossVacancy is the additional vacancy after all processes were stopped.
 	powerLossVacancy = 2 * time.Second
-	// longAgo is beyond the longest time that anybody here waits for anything.
+	// maxAge exceeds every timeout in the model.
 	maxAge = constants.ProxyForget + 2*time.Second
-	// grain is the part of a token, or of a rate, that does not distinguish states.
+	// floatResolution is the difference in tokens or rates below which states are the same.
 	floatResolution = 0.01
 )
 
--- a/internal/modelcheck/admissionmodel/control.go
+++ b/internal/modelcheck/admissionmodel/control.go
@@ -6,19 +6,20 @@
 	"slateridge/internal/constants"
 )
 
-// rosterEntry is what control knows of a proxy.
+// rosterEntry is the control process's record of a proxy.
 type rosterEntry struct {
 	lastHeard time.Duration
 	count     int
 	admitted  bool
 }
 
-// vacate ends the tracker's duty where it is; another takes it a little later.
+// vacate ends the current holder's duty. Another machine takes it after dutyVacancy, preferably
+// next.
 func (m *Model) vacate(next string) {
 	m.dutyHolder, m.vacantSince, m.nextHolder = "", m.world.Now, next
 }
 
-// appoint gives the vacant duty to the one that was named, or to any that is up.
+// assignDuty gives a vacant duty to nextHolder, or to any tracker that is running.
 func (m *Model) assignDuty() {
 	if m.dutyHolder != "" || m.world.Now-m.vacantSince < dutyVacancy {
 		return
@@ -31,7 +32,8 @@
 	}
 }
 
-// controlTick forgets silent proxies, sends trackers the live count and fills the duty.
+// controlTick removes silent proxies, assigns the duty and sends the live count to the
+// trackers.
 func (m *Model) controlTick() {
 	for n, e := range m.roster {
 		if m.world.Now-e.lastHeard > constants.ProxyForget {
@@ -45,7 +47,7 @@
 	}
 }
 
-// admitNewcomers lets newcomers share once all that do reckon with them, as control
+// admitNewcomers gives newcomers a share once all admitted proxies account for them, as control
 // machines do.
 func (m *Model) admitNewcomers() {
 	if !m.started && len(m.roster) < m.Proxies {
@@ -70,7 +72,7 @@
 	}
 	e.lastHeard, e.count = m.world.Now, h.Count
 	m.admitNewcomers()
-	out := heartbeatReply{Heard: h.Sent, Tracker: m.dutyHolder}
+	out := heartbeatReply{HeartbeatSent: h.Sent, Tracker: m.dutyHolder}
 	if e.admitted {
 		out.Count = len(m.roster)
 	}
--- a/internal/modelcheck/admissionmodel/messages.go
+++ b/internal/modelcheck/admissionmodel/messages.go
@@ -9,23 +9,23 @@
 // Messages between the model's processes.
 type (
 	grantCall struct {
-		ID  uint64
-		Ask admission.GrantRequest
+		ID      uint64
+		Request admission.GrantRequest
 	}
 	grantReply struct {
-		ID    uint64
-		Given admission.Grants
+		ID     uint64
+		Grants admission.Grants
 	}
-	// heartbeat is a proxy's report to control, news the answer.
+	// heartbeat is a proxy's report to control, and heartbeatReply the answer.
 	heartbeat struct {
 		Sent  time.Duration // by the proxy's clock
-		Count int           // the live count it reckons with
+		Count int           // the live count that the proxy uses
 	}
 	heartbeatReply struct {
-		Heard   time.Duration // Sent of the heartbeat that it answers
-		Count   int           // the live count; 0 to one that may not share yet
-		Tracker string
+		HeartbeatSent time.Duration // Sent of the heartbeat that is answered
+		Count         int           // the live count; 0 for a proxy that has not been admitted
+		Tracker       string
 	}
-	// rosterSize is the live count, sent to a tracker.
+	// liveCount is the number of live proxies, sent to a tracker.
 	liveCount struct{ Count int }
 )
--- a/internal/modelcheck/admissionmodel/processes.go
+++ b/internal/modelcheck/admissionmodel/processes.go
@@ -8,33 +8,34 @@
 	"slateridge/internal/modelcheck"
 )
 
-// trackerEcho is a tracker's latest time, and when it came, by the proxy's clock.
+// trackerEcho is the latest time received from a tracker, and when it arrived by the proxy's
+// clock.
 type trackerEcho struct {
 	time admission.TrackerTime
 	at   time.Duration
 }
 
-// openQuestion waits for its answer.
+// pendingCall is a call to a tracker that has not been answered.
 type pendingCall struct {
 	sentAt     time.Duration
 	tracker    string
-	forRequest bool // asked for a request that waits, not in the regular turn
+	forRequest bool // sent for a waiting request, not periodically
 }
 
-// proxy is one proxy's process.
+// proxy is a proxy's process.
 type proxy struct {
 	limiter   *admission.Limiter
 	startedAt time.Duration
-	tracker   string // as control sent it
+	tracker   string // as received from control
 	echo      map[string]trackerEcho
 	pending   map[uint64]pendingCall
-	underLoad bool // its clients send more than the quota
+	underLoad bool // its clients exceed the quota
 }
 
-// tracker is one tracker's process.
+// tracker is a tracker's process.
 type tracker struct {
 	state *admission.Tracker
-	count int // as control sent it
+	count int // as received from control
 }
 
 func (m *Model) proxiesUp() (out []string) {
@@ -97,7 +98,7 @@
 	})
 }
 
-// clock is a proxy's steady clock.
+// clock returns a proxy's monotonic clock.
 func (m *Model) clock(n string) time.Duration { return m.world.Now - m.proxies[n].startedAt }
 
 func (m *Model) tick(n string) {
@@ -118,7 +119,7 @@
 	case liveCount:
 		m.trackers[e.To].count = x.Count
 	case grantCall:
-		m.world.Send(e.To, e.From, grantReply{x.ID, m.handleGrantCall(e.To, x.Ask)})
+		m.world.Send(e.To, e.From, grantReply{x.ID, m.handleGrantCall(e.To, x.Request)})
 	case grantReply:
 		m.receiveGrants(e.To, x)
 	}
--- a/internal/modelcheck/admissionmodel/proxy.go
+++ b/internal/modelcheck/admissionmodel/proxy.go
@@ -18,8 +18,8 @@
 
 func (m *Model) receiveHeartbeatReply(n string, x heartbeatReply) {
 	p := m.proxies[n]
-	if m.clock(n)-x.Heard > constants.SubscriptionSilence {
-		return // long under way: no longer believed
+	if m.clock(n)-x.HeartbeatSent > constants.SubscriptionSilence {
+		return // too old to be valid
 	}
 	p.tracker = x.Tracker
 	if x.Count > 0 {
@@ -27,7 +27,7 @@
 	}
 }
 
-// renew reports to the tracker what is lent and wanted.
+// renew reports to the tracker the loans and demands of the proxy.
 func (m *Model) renew(n string) {
 	p := m.proxies[n]
 	now := m.clock(n)
@@ -39,7 +39,7 @@
 	m.callTracker(n, wants, false)
 }
 
-// askTracker sends a question; its answer is waited for as long as the daemon waits.
+// callTracker sends a call to the tracker, with the same timeout as in the daemon.
 func (m *Model) callTracker(n string, wants []admission.KeyRequest, request bool) {
 	p := m.proxies[n]
 	echo := p.echo[p.tracker].time
@@ -62,7 +62,7 @@
 	})
 }
 
-// unanswered gives a question up.
+// timeOut ends a call that was not answered in time.
 func (m *Model) timeOut(n string, id uint64) {
 	p := m.proxies[n]
 	q, ok := p.pending[id]
@@ -71,7 +71,7 @@
 	}
 	delete(p.pending, id)
 	if m.trackers[q.tracker] == nil || m.InjectedFault == StandbyOnTimeout {
-		p.limiter.MarkTrackerDown(0) // nobody listens there
+		p.limiter.MarkTrackerDown(0) // connection refused: no process is listening
 	}
 	if q.forRequest {
 		p.limiter.MarkUnanswered(m.clock(n), key)
@@ -84,21 +84,21 @@
 	p := m.proxies[n]
 	q, ok := p.pending[a.ID]
 	if !ok {
-		return // given up
+		return // timed out
 	}
 	delete(p.pending, a.ID)
 	now := m.clock(n)
-	if a.Given.Refused {
+	if a.Grants.Refused {
 		if q.forRequest {
 			p.limiter.MarkUnanswered(now, key)
 		}
 		return
 	}
-	m.recordTrackerTime(n, q.tracker, a.Given.Stamp)
-	for _, g := range a.Given.Given {
+	m.recordTrackerTime(n, q.tracker, a.Grants.Stamp)
+	for _, g := range a.Grants.Given {
 		p.limiter.ApplyGrant(now, q.sentAt, g)
 	}
-	if a.Given.Retell {
+	if a.Grants.Retell {
 		p.limiter.RequestFullReport(0)
 	}
 	if q.forRequest {
@@ -106,7 +106,7 @@
 	}
 }
 
-// hear notes a tracker's time.
+// recordTrackerTime records a tracker's time from an answer.
 func (m *Model) recordTrackerTime(n, from string, s admission.TrackerTime) {
 	p := m.proxies[n]
 	was := p.echo[from].time
@@ -119,8 +119,7 @@
 	p.limiter.MarkTrackerAnswered(m.clock(n), 0)
 }
 
-// press has so many clients more send requests, and goes on as long as they are let
-// through.
+// sendRequests sends at least the given number of requests, and continues until one is refused.
 func (m *Model) sendRequests(n string, arrivals int) {
 	p := m.proxies[n]
 	for sent := 0; m.err == nil; sent++ {
@@ -135,7 +134,7 @@
 	}
 }
 
-// waits says whether a request waits for the tracker.
+// hasWaitingRequest reports whether a request is waiting for the tracker.
 func (p *proxy) hasWaitingRequest() bool {
 	for _, q := range p.pending {
 		if q.forRequest {
