--- a/internal/emulator/client.go
+++ b/internal/emulator/client.go
@@ -46,10 +46,10 @@
 }
 
 // NewClient adds a client that starts sending immediately.
-func (w *World) NewClient(tenant string, every, until time.Duration) *Client {
-	c := &Client{Name: fmt.Sprint("client-", len(w.Clients)), Tenant: tenant, Interval: every, NonIdempotentShare: 0.4, Until: until, world: w}
+func (w *World) NewClient(tenant string, interval, until time.Duration) *Client {
+	c := &Client{Name: fmt.Sprint("client-", len(w.Clients)), Tenant: tenant, Interval: interval, NonIdempotentShare: 0.4, Until: until, world: w}
 	w.Clients = append(w.Clients, c)
-	w.After(time.Duration(w.Rng.Int64N(int64(every))), c.send)
+	w.After(time.Duration(w.Rng.Int64N(int64(interval))), c.send)
 	return c
 }
 
--- a/internal/emulator/proxy.go
+++ b/internal/emulator/proxy.go
@@ -148,73 +148,73 @@
 }
 
 // attempt forwards the request to an upstream.
-func (g *proxiedRequest) attempt() {
-	w := g.proxy.world
+func (r *proxiedRequest) attempt() {
+	w := r.proxy.world
 	names := w.Platform.List()
-	if g.done || g.attempts == maxAttempts || len(names) == 0 {
+	if r.done || r.attempts == maxAttempts || len(names) == 0 {
 		return
 	}
-	g.attempts++
+	r.attempts++
 	upstream := w.Upstreams[names[w.Rng.IntN(len(names))]]
 	answered := false
-	g.outcomeUnknown = true
-	w.Send(g.proxy.Name, upstream.Name, func() {
-		upstream.handle(g.request.ID, func(ran bool) {
-			w.Send(upstream.Name, g.proxy.Name, func() {
-				g.proxy.whenRunning(g.incarnation, func() {
+	r.outcomeUnknown = true
+	w.Send(r.proxy.Name, upstream.Name, func() {
+		upstream.handle(r.request.ID, func(ran bool) {
+			w.Send(upstream.Name, r.proxy.Name, func() {
+				r.proxy.whenRunning(r.incarnation, func() {
 					answered = true
-					g.receiveAnswer(upstream.Name, ran)
+					r.receiveAnswer(upstream.Name, ran)
 				})
 			})
 		})
 	})
 	w.After(attemptTimeout, func() {
-		g.proxy.whenRunning(g.incarnation, func() {
-			if !answered && (!g.request.NonIdempotent || w.Rng.Float64() < g.proxy.UnsafeRetryShare) {
-				g.attempt()
+		r.proxy.whenRunning(r.incarnation, func() {
+			if !answered && (!r.request.NonIdempotent || w.Rng.Float64() < r.proxy.UnsafeRetryShare) {
+				r.attempt()
 			}
 		})
 	})
 }
 
 // receiveAnswer handles an upstream's answer.
-func (g *proxiedRequest) receiveAnswer(upstream string, ran bool) {
+func (r *proxiedRequest) receiveAnswer(upstream string, ran bool) {
 	if !ran {
-		g.outcomeUnknown = g.attempts > 1
-		g.attempt()
+		r.outcomeUnknown = r.attempts > 1
+		r.attempt()
 		return
 	}
-	g.request.Answers[upstream] = true
-	if g.request.NonIdempotent && len(g.request.Answers) > 1 {
-		g.account.Doubled()
+	r.request.Answers[upstream] = true
+	if r.request.NonIdempotent && len(r.request.Answers) > 1 {
+		r.account.Doubled()
 	}
-	g.finish(Success)
+	r.finish(Success)
 }
 
 // giveUp ends a request that has timed out.
-func (g *proxiedRequest) giveUp() { g.finish(Failed) }
+func (r *proxiedRequest) giveUp() { r.finish(Failed) }
 
 // finish answers the client and settles the account, once. The proxy detects that it could not
 // write to the client.
-func (g *proxiedRequest) finish(outcome Outcome) {
-	if g.done {
+func (r *proxiedRequest) finish(outcome Outcome) {
+	if r.done {
 		return
 	}
-	g.done = true
-	w := g.proxy.world
-	written := !w.isCut(g.proxy.Name, g.client.Name)
-	w.Send(g.proxy.Name, g.client.Name, func() { g.client.receiveAnswer(g.request, outcome) })
+	r.done = true
+	w := r.proxy.world
+	written := !w.isCut(r.proxy.Name, r.client.Name)
+	w.Send(r.proxy.Name, r.client.Name, func() { r.client.receiveAnswer(r.request, outcome) })
 	switch {
 	case outcome == Throttled:
-		g.account.Failure(accounts.Refused)
+		r.account.Failure(accounts.Refused)
 	case !written:
-		g.account.Failure(accounts.Unknown)
+		r.account.Failure(accounts.Unknown)
 	case outcome == Success:
-		g.account.Success(w.Now - g.request.AcceptedAt)
-	case g.request.NonIdempotent && g.outcomeUnknown:
-		g.account.Failure(accounts.Unknown)
+		r.account.Success(w.Now - r.request.AcceptedAt)
+	case r.request.NonIdempotent && r.outcomeUnknown:
+		r.account.Failure(accounts.Unknown)
 	default:
-		g.account.Failure(accounts.Lost)
+		r.account.Failure(accounts.Lost)
 	}
 }
 
--- a/internal/gobtest/gobtest.go
+++ b/internal/gobtest/gobtest.go
@@ -32,41 +32,41 @@
 
 // filler fills the parts that the lines of a description list, or all parts if there are no
 // lines.
-type filler struct{ known []string }
+type filler struct{ selectedLines []string }
 
 // selected reports whether a part, or something within it, is to be filled.
 func (f *filler) selected(fieldPath string) bool {
-	return f.known == nil || slices.ContainsFunc(f.known, func(line string) bool {
+	return f.selectedLines == nil || slices.ContainsFunc(f.selectedLines, func(line string) bool {
 		rest, found := strings.CutPrefix(line, indent+fieldPath)
 		return found && (rest == "" || strings.ContainsAny(rest[:1], ".[( "))
 	})
 }
 
 // fill sets one part; path leads to it, and fieldPath is its path in a description.
-func (f *filler) fill(path, described string, v reflect.Value) {
-	if !f.selected(described) {
+func (f *filler) fill(path, fieldPath string, v reflect.Value) {
+	if !f.selected(fieldPath) {
 		return
 	}
 	switch v.Kind() {
 	case reflect.Struct:
 		for i := range v.NumField() {
 			if field := v.Type().Field(i); field.IsExported() {
-				f.fill(path+"."+field.Name, described+"."+field.Name, v.Field(i))
+				f.fill(path+"."+field.Name, fieldPath+"."+field.Name, v.Field(i))
 			}
 		}
 	case reflect.Pointer:
 		v.Set(reflect.New(v.Type().Elem()))
-		f.fill(path, described, v.Elem())
+		f.fill(path, fieldPath, v.Elem())
 	case reflect.Slice:
 		v.Set(reflect.MakeSlice(v.Type(), sliceLength, sliceLength))
 		for i := range v.Len() {
-			f.fill(fmt.Sprintf("%s[%d]", path, i), described+"[]", v.Index(i))
+			f.fill(fmt.Sprintf("%s[%d]", path, i), fieldPath+"[]", v.Index(i))
 		}
 	case reflect.Map:
 		v.Set(reflect.MakeMap(v.Type()))
 		key, value := reflect.New(v.Type().Key()).Elem(), reflect.New(v.Type().Elem()).Elem()
-		f.fill(path+"(key)", described+"(key)", key)
-		f.fill(path+"(value)", described+"(value)", value)
+		f.fill(path+"(key)", fieldPath+"(key)", key)
+		f.fill(path+"(value)", fieldPath+"(value)", value)
 		v.SetMapIndex(key, value)
 	default:
 		fillScalar(path, v)
--- a/internal/modelcheck/chainmodel/chainmodel.go
+++ b/internal/modelcheck/chainmodel/chainmodel.go
@@ -23,17 +23,17 @@
 	nextChoiceAt time.Duration
 	err          error
 
-	faults, orders, joined int
-	lastID                 uint64
-	toleratedStops         []string              // machines stopped within the tolerance, the first of them while all machines were healthy
-	recentLosses           int                   // machines stopped or lost since all were healthy, as long as no other fault occurred
-	lossAt                 time.Duration         // time of the latest of these losses
-	leaving                map[string]departure  // machines in an orderly shutdown
-	lastSubmission         map[string]Submission // by operator
-	highestVersion         uint64                // highest version submitted
-	pendingCalls           map[string][]pendingCall
-	pendingReads           map[string]map[uint64]pendingRead
-	pendingEvacs           map[string]map[uint64]pendingEvac
+	faults, operatorCalls, joined int
+	lastID                        uint64
+	toleratedStops                []string              // machines stopped within the tolerance, the first of them while all machines were healthy
+	recentLosses                  int                   // machines stopped or lost since all were healthy, as long as no other fault occurred
+	lossAt                        time.Duration         // time of the latest of these losses
+	leaving                       map[string]departure  // machines in an orderly shutdown
+	lastSubmission                map[string]Submission // by operator
+	highestVersion                uint64                // highest version submitted
+	pendingCalls                  map[string][]pendingCall
+	pendingReads                  map[string]map[uint64]pendingRead
+	pendingEvacs                  map[string]map[uint64]pendingEvac
 
 	confirmed        map[uint64]string // by version: its content
 	confirmedVersion uint64            // highest confirmed version
@@ -64,7 +64,7 @@
 	m.world = modelcheck.NewWorld(constants.ChainTick, m.tick, m.recv)
 	m.chain, m.disks = map[string]*chain.Chain{}, map[string]*simnet.Disk{}
 	m.nextChoiceAt, m.err = m.Warm, nil
-	m.faults, m.orders, m.joined, m.lastID, m.highestVersion = 0, 0, 0, 0, 0
+	m.faults, m.operatorCalls, m.joined, m.lastID, m.highestVersion = 0, 0, 0, 0, 0
 	m.toleratedStops, m.recentLosses, m.lossAt, m.leaving = nil, 0, 0, map[string]departure{}
 	m.lastSubmission, m.pendingCalls = map[string]Submission{}, map[string][]pendingCall{}
 	m.pendingReads, m.pendingEvacs = map[string]map[uint64]pendingRead{}, map[string]map[uint64]pendingEvac{}
@@ -101,7 +101,7 @@
 // Hash implements modelcheck.Model.
 func (m *Model) Hash() uint64 {
 	a := modelcheck.Abstraction{MaxAge: m.MaxAge, SkipFields: skippedFields}
-	parts := []any{m.toleratedStops, m.recentLosses, m.lossAt == m.world.LastFault, m.leaving, m.faults, m.orders, m.joined, m.highestVersion, m.lastSubmission, m.confirmed, m.confirmedEvacs, m.evacSentAt, m.states, m.views, m.nextChoiceAt, int(min(m.world.Now-m.world.LastFault, m.CatchUp))}
+	parts := []any{m.toleratedStops, m.recentLosses, m.lossAt == m.world.LastFault, m.leaving, m.faults, m.operatorCalls, m.joined, m.highestVersion, m.lastSubmission, m.confirmed, m.confirmedEvacs, m.evacSentAt, m.states, m.views, m.nextChoiceAt, int(min(m.world.Now-m.world.LastFault, m.CatchUp))}
 	for _, n := range m.world.Names {
 		parts = append(parts, n, m.disks[n], m.inForce[n] != nil, m.pendingCalls[n], m.pendingReads[n], m.pendingEvacs[n])
 		if c := m.chain[n]; c != nil {
--- a/internal/modelcheck/chainmodel/choices.go
+++ b/internal/modelcheck/chainmodel/choices.go
@@ -52,9 +52,9 @@
 	return m.allHealthy() || m.recentLosses > 0 && m.recentLosses < m.MaxMachineFailures && m.world.LastFault == m.lossAt
 }
 
-// recordLoss records that a machine is stopped or lost. spare is set if the others must be able
-// to serve without it.
-func (m *Model) recordLoss(n string, spare bool) {
+// recordLoss records that a machine is stopped or lost. If mustTolerate is set, the others must
+// be able to serve without it.
+func (m *Model) recordLoss(n string, mustTolerate bool) {
 	if m.allHealthy() {
 		m.recentLosses, m.toleratedStops = 0, nil
 	} else if !m.mayLoseMachine() {
@@ -62,7 +62,7 @@
 	}
 	m.recentLosses++
 	m.lossAt = m.world.Now
-	if spare {
+	if mustTolerate {
 		m.toleratedStops = append(m.toleratedStops, n)
 	}
 }
@@ -95,7 +95,7 @@
 	}
 	add(m.world.FreezeChoices()...)
 	add(m.world.NetworkChoices()...)
-	if m.orders < m.Orders {
+	if m.operatorCalls < m.Orders {
 		m.operatorChoices(add)
 	}
 	return choices.List
@@ -219,17 +219,17 @@
 func (m *Model) applyOperatorChoice(f []string) bool {
 	switch f[0] {
 	case "order":
-		m.orders++
+		m.operatorCalls++
 		version, _ := strconv.ParseUint(strings.TrimPrefix(f[4], "r"), 10, 64)
 		m.submitConfig(strings.TrimSuffix(f[3], ":"), Submission{f[1], version, fmt.Sprintf("r%d by %s", version, f[1])})
 	case "again":
-		m.orders++
+		m.operatorCalls++
 		m.submitConfig(f[3], m.lastSubmission[f[1]])
 	case "read":
-		m.orders++
+		m.operatorCalls++
 		m.read(f[1])
 	case "evacuate":
-		m.orders++
+		m.operatorCalls++
 		m.evacuate(f[1], f[2] == "on")
 	default:
 		return false
--- a/internal/modelcheck/chainmodel/duties.go
+++ b/internal/modelcheck/chainmodel/duties.go
@@ -64,18 +64,18 @@
 
 // stepDuties runs one step of a machine's duties.
 func (m *Model) stepDuties(n string) {
-	o, c := m.dutyHolders[n], m.chain[n]
-	if o == nil || c == nil {
+	h, c := m.dutyHolders[n], m.chain[n]
+	if h == nil || c == nil {
 		return
 	}
 	v := c.View()
-	o.lease.SetElectorate(m.world.Now, v.Epoch, v.VoterAddrs(), c.ElectorateUncertain())
-	m.sendLease(n, o.lease.Tick(m.world.Now))
+	h.lease.SetElectorate(m.world.Now, v.Epoch, v.VoterAddrs(), c.ElectorateUncertain())
+	m.sendLease(n, h.lease.Tick(m.world.Now))
 	var rec duty.Record
 	if d := c.Committed(); d != nil {
 		rec = d.Duties[dutyName]
 	}
-	m.applyDutyEffects(n, o.holder.Step(m.world.Now, o.lease.Until(m.world.Now, dutyName), rec, func(after uint64) (uint64, []byte, bool) {
+	m.applyDutyEffects(n, h.holder.Step(m.world.Now, h.lease.Until(m.world.Now, dutyName), rec, func(after uint64) (uint64, []byte, bool) {
 		key := uint64(m.world.Now / actInterval)
 		return key, []byte(n + strconv.FormatUint(key, 10)), key > after
 	}))
@@ -91,56 +91,56 @@
 func (m *Model) recvLease(e *modelcheck.Event) bool {
 	switch e.Msg.(type) {
 	case lease.Request, lease.Grant, lease.Release:
-		if o := m.dutyHolders[e.To]; o != nil {
-			m.sendLease(e.To, o.lease.Recv(m.world.Now, e.From, e.Msg))
+		if h := m.dutyHolders[e.To]; h != nil {
+			m.sendLease(e.To, h.lease.Recv(m.world.Now, e.From, e.Msg))
 		}
 		return true
 	}
 	return false
 }
 
-func (m *Model) applyDutyEffects(n string, out []duty.Effect) {
-	for _, x := range out {
-		switch x := x.(type) {
+func (m *Model) applyDutyEffects(n string, effects []duty.Effect) {
+	for _, effect := range effects {
+		switch effect := effect.(type) {
 		case duty.Order:
-			m.run(n, func(c *chain.Chain) []chain.Effect { return c.SubmitDutyOrder(m.world.Now, x) })
+			m.run(n, func(c *chain.Chain) []chain.Effect { return c.SubmitDutyOrder(m.world.Now, effect) })
 		case duty.Yield:
 			m.sendLease(n, m.dutyHolders[n].lease.Leave(m.world.Now, dutyName))
 		case duty.Act:
 			if _, ok := m.dutyHolders[n].lease.Holds(m.world.Now, dutyName); !ok {
-				m.fail(RuleActUnderLease, "%s sent key %d under fence %d without holding the lease", n, x.Key, x.Fence)
+				m.fail(RuleActUnderLease, "%s sent key %d under fence %d without holding the lease", n, effect.Key, effect.Fence)
 			}
 			incarnation := m.world.Incarnation(n)
-			m.world.After(modelcheck.MessageDelay, func() { m.post(n, incarnation, x) })
+			m.world.After(modelcheck.MessageDelay, func() { m.post(n, incarnation, effect) })
 		}
 	}
 }
 
 // post simulates a call to the platform. The caller may be frozen or gone when the answer
 // arrives.
-func (m *Model) post(n string, incarnation int, p duty.Act) {
-	f := &m.platform
-	if f.down {
+func (m *Model) post(n string, incarnation int, action duty.Act) {
+	p := &m.platform
+	if p.down {
 		return
 	}
-	if was, ok := f.fenceHolder[p.Fence]; ok && was != n {
-		m.fail(RuleOneFence, "fence %d was used by %s and by %s", p.Fence, was, n)
+	if was, ok := p.fenceHolder[action.Fence]; ok && was != n {
+		m.fail(RuleOneFence, "fence %d was used by %s and by %s", action.Fence, was, n)
 	}
-	f.fenceHolder[p.Fence] = n
+	p.fenceHolder[action.Fence] = n
 	status := 409
-	if p.Fence >= f.fence {
-		status, f.fence = 200, p.Fence
-		if was, ok := f.bodies[p.Key]; ok && was != string(p.Body) {
-			m.fail(RuleOneBody, "key %d was sent with body %s and with body %s", p.Key, was, p.Body)
+	if action.Fence >= p.fence {
+		status, p.fence = 200, action.Fence
+		if was, ok := p.bodies[action.Key]; ok && was != string(action.Body) {
+			m.fail(RuleOneBody, "key %d was sent with body %s and with body %s", action.Key, was, action.Body)
 		}
-		f.bodies[p.Key] = string(p.Body)
-		f.recentActions = append(f.recentActions, platformAction{m.world.Now, n})
-		f.accepted++
+		p.bodies[action.Key] = string(action.Body)
+		p.recentActions = append(p.recentActions, platformAction{m.world.Now, n})
+		p.accepted++
 		m.checkAlternation()
 	}
 	m.world.After(modelcheck.MessageDelay, func() {
 		if m.world.Incarnation(n) == incarnation && m.world.Up(n) {
-			m.world.RunOn(n, func() { m.applyDutyEffects(n, m.dutyHolders[n].holder.Answered(m.world.Now, p.ID, status)) })
+			m.world.RunOn(n, func() { m.applyDutyEffects(n, m.dutyHolders[n].holder.Answered(m.world.Now, action.ID, status)) })
 		}
 	})
 }
@@ -148,22 +148,22 @@
 // checkAlternation checks whether the latest action completes an A-B-A alternation of holders
 // within alternationWindow.
 func (m *Model) checkAlternation() {
-	f := &m.platform
-	last, other := f.recentActions[len(f.recentActions)-1], false
-	for i := len(f.recentActions) - 2; i >= 0 && last.at-f.recentActions[i].at < alternationWindow; i-- {
-		if f.recentActions[i].holder != last.holder {
+	p := &m.platform
+	last, other := p.recentActions[len(p.recentActions)-1], false
+	for i := len(p.recentActions) - 2; i >= 0 && last.at-p.recentActions[i].at < alternationWindow; i-- {
+		if p.recentActions[i].holder != last.holder {
 			other = true
 		} else if other {
-			m.fail(RuleNoAlternation, "%s acted again %v after its previous action, with an action of another machine in between", last.holder, last.at-f.recentActions[i].at)
+			m.fail(RuleNoAlternation, "%s acted again %v after its previous action, with an action of another machine in between", last.holder, last.at-p.recentActions[i].at)
 		}
 	}
-	f.recentActions = f.recentActions[max(0, len(f.recentActions)-200):]
+	p.recentActions = p.recentActions[max(0, len(p.recentActions)-200):]
 }
 
 func (m *Model) holders() (holders []string) {
 	for _, n := range m.world.Names {
-		if o := m.dutyHolders[n]; o != nil && m.world.Up(n) {
-			if _, ok := o.lease.Holds(m.world.Now, dutyName); ok {
+		if h := m.dutyHolders[n]; h != nil && m.world.Up(n) {
+			if _, ok := h.lease.Holds(m.world.Now, dutyName); ok {
 				holders = append(holders, n)
 			}
 		}
@@ -183,9 +183,9 @@
 	if m.err == nil && len(m.holders()) != 1 {
 		m.fail(RuleHeld, "the duty is held by %d machines %v after faults ended: %s", len(m.holders()), m.SettleTime, m.describe())
 	}
-	was, until := m.platform.accepted, m.world.Now+alternationWindow+m.ServeTimeout
-	m.world.Run(until, nil, func() bool { return m.healthy() && m.platform.accepted == was })
-	if m.err == nil && m.platform.accepted == was {
+	before, until := m.platform.accepted, m.world.Now+alternationWindow+m.ServeTimeout
+	m.world.Run(until, nil, func() bool { return m.healthy() && m.platform.accepted == before })
+	if m.err == nil && m.platform.accepted == before {
 		m.fail(RuleActsAccepted, "no action was accepted within %v: %s", alternationWindow+m.ServeTimeout, m.describe())
 	}
 }
--- a/internal/modelcheck/chainmodel/liveness.go
+++ b/internal/modelcheck/chainmodel/liveness.go
@@ -56,11 +56,11 @@
 		}
 	}
 	for _, n := range up {
-		o := Submission{"quiet", m.highestVersion + 1, fmt.Sprintf("r%d after quiet", m.highestVersion+1)}
-		confirmed := func() bool { _, ok := m.confirmed[o.Version]; return ok }
+		s := Submission{"quiet", m.highestVersion + 1, fmt.Sprintf("r%d after quiet", m.highestVersion+1)}
+		confirmed := func() bool { _, ok := m.confirmed[s.Version]; return ok }
 		until := m.world.Now + m.ServeTimeout
 		for m.err == nil && !confirmed() && m.world.Now < until {
-			m.submitConfig(n, o)
+			m.submitConfig(n, s)
 			m.world.Run(m.world.Now+constants.SubmitWait, nil, func() bool { return m.healthy() && !confirmed() })
 		}
 		if m.err == nil && !confirmed() {
@@ -68,12 +68,12 @@
 		}
 	}
 	for _, n := range up {
-		was, until := m.readsAnswered, m.world.Now+m.ServeTimeout
-		for m.err == nil && m.readsAnswered == was && m.world.Now < until {
+		before, until := m.readsAnswered, m.world.Now+m.ServeTimeout
+		for m.err == nil && m.readsAnswered == before && m.world.Now < until {
 			m.read(n)
-			m.world.Run(m.world.Now+constants.SubmitWait, nil, func() bool { return m.healthy() && m.readsAnswered == was })
+			m.world.Run(m.world.Now+constants.SubmitWait, nil, func() bool { return m.healthy() && m.readsAnswered == before })
 		}
-		if m.err == nil && m.readsAnswered == was {
+		if m.err == nil && m.readsAnswered == before {
 			m.fail(RuleReadAnswered, "%s: no read was answered within %v after faults ended plus %v: %s", n, m.SettleTime, m.ServeTimeout, m.describe())
 		}
 	}
@@ -84,12 +84,12 @@
 	var out []string
 	for _, n := range m.world.Names {
 		if c := m.chain[n]; c != nil {
-			g := c.Status()
-			var ms []string
-			for _, x := range g.View.Members {
-				ms = append(ms, x.Addr)
+			status := c.Status()
+			var members []string
+			for _, x := range status.View.Members {
+				members = append(members, x.Addr)
 			}
-			out = append(out, fmt.Sprintf("%s has view %d of %s, voters %s, sealed %v", n, g.View.Num, strings.Join(ms, ""), strings.Join(g.View.VoterAddrs(), ""), g.Sealed))
+			out = append(out, fmt.Sprintf("%s has view %d of %s, voters %s, sealed %v", n, status.View.Num, strings.Join(members, ""), strings.Join(status.View.VoterAddrs(), ""), status.Sealed))
 		}
 	}
 	return strings.Join(out, "; ")
--- a/internal/modelcheck/chainmodel/machines.go
+++ b/internal/modelcheck/chainmodel/machines.go
@@ -59,13 +59,13 @@
 
 // shutDown stops a machine in order, as its daemon does: it releases its leases, notifies the
 // other machines and waits for a view without it, if they can form one.
-func (m *Model) shutDown(n string, forGood bool) {
-	well := m.allHealthy() && m.chain[n].CanLeave() && len(m.leaving) == 0
+func (m *Model) shutDown(n string, permanent bool) {
+	healthy := m.allHealthy() && m.chain[n].CanLeave() && len(m.leaving) == 0
 	m.recordLoss(n, true)
-	if o := m.dutyHolders[n]; o != nil {
-		m.sendLease(n, o.lease.Leave(m.world.Now))
+	if h := m.dutyHolders[n]; h != nil {
+		m.sendLease(n, h.lease.Leave(m.world.Now))
 	}
-	m.leaving[n] = departure{m.world.Now, m.world.Incarnation(n), m.faults, forGood, well}
+	m.leaving[n] = departure{m.world.Now, m.world.Incarnation(n), m.faults, permanent, healthy}
 	m.run(n, func(c *chain.Chain) []chain.Effect { return c.Leave(m.world.Now) })
 	m.awaitDeparture(n, m.leaving[n])
 }
@@ -75,28 +75,28 @@
 	startedAt   time.Duration
 	incarnation int
 	faults      int // number of faults when it began; after another fault it may take longer
-	forGood     bool
+	permanent   bool
 	checked     bool // all machines were healthy when it began, so it must end in time
 }
 
-func (m *Model) awaitDeparture(n string, l departure) {
+func (m *Model) awaitDeparture(n string, d departure) {
 	c := m.chain[n]
-	if m.world.Incarnation(n) != l.incarnation || c == nil {
+	if m.world.Incarnation(n) != d.incarnation || c == nil {
 		return // stopped in the meantime
 	}
-	late := m.world.Now-l.startedAt >= constants.LeaveWait
-	if !c.HasLeft() && c.CanLeave() && !late || m.world.Frozen(n) {
-		m.world.After(constants.ChainTick/2, func() { m.awaitDeparture(n, l) })
+	timedOut := m.world.Now-d.startedAt >= constants.LeaveWait
+	if !c.HasLeft() && c.CanLeave() && !timedOut || m.world.Frozen(n) {
+		m.world.After(constants.ChainTick/2, func() { m.awaitDeparture(n, d) })
 		return
 	}
-	if !c.HasLeft() && l.checked && m.faults == l.faults {
-		m.fail(RuleOrderlyLeave, "%s stopped after %v while still a member: %s", n, m.world.Now-l.startedAt, m.describe())
+	if !c.HasLeft() && d.checked && m.faults == d.faults {
+		m.fail(RuleOrderlyLeave, "%s stopped after %v while still a member: %s", n, m.world.Now-d.startedAt, m.describe())
 	}
 	if c.HasLeft() {
 		m.leftCount++
 	}
 	m.stop(n)
-	if l.forGood {
+	if d.permanent {
 		m.world.Leave(n)
 	}
 }
@@ -120,20 +120,20 @@
 		return
 	}
 	before := c.View()
-	for _, o := range f(c) {
-		switch o := o.(type) {
+	for _, effect := range f(c) {
+		switch effect := effect.(type) {
 		case chain.Send:
-			switch s := o.Msg.(type) {
+			switch s := effect.Msg.(type) {
 			case chain.Promise:
 				m.checkVote(c, before, s.Slot, "promises")
 			case chain.Accepted:
 				m.checkVote(c, before, s.Slot, "accepts")
 			}
-			m.world.Send(n, o.To, o.Msg)
+			m.world.Send(n, effect.To, effect.Msg)
 		case chain.Commit:
-			m.commit(n, o.Doc)
+			m.commit(n, effect.Doc)
 		case chain.ReadDone:
-			m.readDone(n, o)
+			m.readDone(n, effect)
 		}
 	}
 	if v := c.View(); v.Num != m.viewNumber[n] {
--- a/internal/modelcheck/chainmodel/operators.go
+++ b/internal/modelcheck/chainmodel/operators.go
@@ -16,17 +16,17 @@
 
 // Confirms reports whether a state in force at a machine confirms a submission pending there,
 // by the criterion of the API.
-func Confirms(in *config.Doc, o Submission) bool {
-	if in == nil {
+func Confirms(inForce *config.Doc, s Submission) bool {
+	if inForce == nil {
 		return false
 	}
-	sum, ok := in.Ledger.Find(o.Version)
-	return ok && sum == config.SumOf([]byte(o.Content))
+	sum, ok := inForce.Ledger.Find(s.Version)
+	return ok && sum == config.SumOf([]byte(s.Content))
 }
 
 // submitTo submits a configuration to a machine's chain.
-func submitTo(c *chain.Chain, now time.Duration, o Submission) []chain.Effect {
-	return c.Submit(now, config.Doc{Version: o.Version, Raw: []byte(o.Content)})
+func submitTo(c *chain.Chain, now time.Duration, s Submission) []chain.Effect {
+	return c.Submit(now, config.Doc{Version: s.Version, Raw: []byte(s.Content)})
 }
 
 // pendingCall is an operator's submission that has not been answered.
@@ -47,18 +47,18 @@
 }
 
 // submitConfig sends a submission to a machine.
-func (m *Model) submitConfig(n string, o Submission) {
-	m.lastSubmission[o.Operator] = o
-	m.highestVersion = max(m.highestVersion, o.Version)
+func (m *Model) submitConfig(n string, s Submission) {
+	m.lastSubmission[s.Operator] = s
+	m.highestVersion = max(m.highestVersion, s.Version)
 	if m.chain[n] == nil || m.world.Frozen(n) {
 		return // no answer
 	}
-	if Confirms(m.inForce[n], o) {
-		m.confirm(n, o)
+	if Confirms(m.inForce[n], s) {
+		m.confirm(n, s)
 		return
 	}
-	m.pendingCalls[n] = append(m.pendingCalls[n], pendingCall{o, m.world.Now})
-	m.run(n, func(c *chain.Chain) []chain.Effect { return submitTo(c, m.world.Now, o) })
+	m.pendingCalls[n] = append(m.pendingCalls[n], pendingCall{s, m.world.Now})
+	m.run(n, func(c *chain.Chain) []chain.Effect { return submitTo(c, m.world.Now, s) })
 }
 
 func (m *Model) read(n string) {
@@ -67,8 +67,8 @@
 	}
 	m.lastID++
 	evacs := map[string]uint64{}
-	for z, k := range m.confirmedEvacs {
-		evacs[z] = k
+	for zone, num := range m.confirmedEvacs {
+		evacs[zone] = num
 	}
 	m.pendingReads[n][m.lastID] = pendingRead{m.world.Now, m.confirmedVersion, evacs}
 	id := m.lastID
--- a/internal/modelcheck/modelcheck_test.go
+++ b/internal/modelcheck/modelcheck_test.go
@@ -10,18 +10,18 @@
 // lock is a test model. It violates a rule when "left" is followed by "knock" and, at least
 // three default steps after "left", by "right". "noise" has no lasting effect.
 type lock struct {
-	now, left   int
-	middle      bool
-	err         error
-	quietBroken bool
-	applied     int
+	now, left      int
+	knocked        bool
+	err            error
+	livenessBroken bool
+	applied        int
 }
 
-func (l *lock) Reset()            { *l = lock{left: -1, quietBroken: l.quietBroken, applied: l.applied} }
+func (l *lock) Reset()            { *l = lock{left: -1, livenessBroken: l.livenessBroken, applied: l.applied} }
 func (l *lock) Check() error      { return l.err }
 func (l *lock) Choices() []string { return []string{"wait", "noise", "left", "knock", "right"} }
 func (l *lock) Hash() uint64 {
-	return uint64(min(l.now, 9)) | uint64(l.left+1)<<8 | map[bool]uint64{true: 1 << 20}[l.middle]
+	return uint64(min(l.now, 9)) | uint64(l.left+1)<<8 | map[bool]uint64{true: 1 << 20}[l.knocked]
 }
 
 func (l *lock) Apply(n int) {
@@ -34,29 +34,29 @@
 			l.left = l.now
 		}
 	case 3:
-		l.middle = l.middle || l.left >= 0
+		l.knocked = l.knocked || l.left >= 0
 	case 4:
-		if l.middle && l.now >= l.left+3 {
+		if l.knocked && l.now >= l.left+3 {
 			l.err = NewViolation("shut", "open at %d", l.now)
 		}
 	}
 }
 
 func (l *lock) CheckLiveness() error {
-	if l.quietBroken && l.middle {
+	if l.livenessBroken && l.knocked {
 		return NewViolation("silent", "knocked")
 	}
 	return l.err
 }
 
 func TestSystematicFindsShortestSchedule(t *testing.T) {
-	mk := func() Model { return &lock{} }
-	if r := Systematic(mk, Options{Deviations: 2, Depth: 8}); len(r.Failures) > 0 || r.Complete != 2 {
-		t.Fatalf("a violation needs three deviations, two found one: %v %v", r, r.Failures)
+	newModel := func() Model { return &lock{} }
+	if r := Systematic(newModel, Options{Deviations: 2, Depth: 8}); len(r.Failures) > 0 || r.Complete != 2 {
+		t.Fatalf("with two deviations got %v with failures %v, want a complete search without any", r, r.Failures)
 	}
 	var last string
 	for _, jobs := range []int{1, 1, 3} {
-		r := Systematic(mk, Options{Deviations: 4, Depth: 8, Jobs: jobs})
+		r := Systematic(newModel, Options{Deviations: 4, Depth: 8, Jobs: jobs})
 		if len(r.Failures) != 1 || r.Failures[0].Shrunk.Deviations() != 3 || r.Complete != 2 {
 			t.Fatalf("%v: %+v", r, r.Failures)
 		}
@@ -66,18 +66,18 @@
 		} else {
 			last = got
 		}
-		if err := Replay(mk(), f.Shrunk); err == nil || err.Error() != f.Err.Error() {
+		if err := Replay(newModel(), f.Shrunk); err == nil || err.Error() != f.Err.Error() {
 			t.Errorf("replay returned %v, want %v", err, f.Err)
 		}
 	}
 }
 
 func TestSearchChecksLiveness(t *testing.T) {
-	r := Systematic(func() Model { return &lock{quietBroken: true} }, Options{Deviations: 3, Depth: 4})
+	r := Systematic(func() Model { return &lock{livenessBroken: true} }, Options{Deviations: 3, Depth: 4})
 	if len(r.Failures) != 1 || r.Failures[0].Rule != "silent" || r.Failures[0].Shrunk.String() != "left; knock" {
 		t.Fatalf("%+v", r.Failures)
 	}
-	r = Systematic(func() Model { return &lock{quietBroken: true} }, Options{Deviations: 3, Depth: 4, KeepGoing: true})
+	r = Systematic(func() Model { return &lock{livenessBroken: true} }, Options{Deviations: 3, Depth: 4, KeepGoing: true})
 	if len(r.Failures) != 1 || r.Complete != 3 {
 		t.Fatalf("with KeepGoing: %v %+v", r, r.Failures)
 	}
@@ -152,7 +152,7 @@
 		f    func()
 	}
 	a := Abstraction{MaxAge: 5 * time.Second, SkipFields: []string{"inner.mark"}}
-	mk := func(at time.Duration, mark uint64, names ...string) outer {
+	newValue := func(at time.Duration, mark uint64, names ...string) outer {
 		o := outer{in: map[string]*inner{}, f: func() {}}
 		for _, n := range names {
 			o.in[n] = &inner{at, mark}
@@ -160,25 +160,25 @@
 		}
 		return o
 	}
-	base := a.Digest(10*time.Second, mk(9*time.Second, 1, "x", "y"))
+	base := a.Digest(10*time.Second, newValue(9*time.Second, 1, "x", "y"))
 	for name, c := range map[string]struct {
 		now  time.Duration
 		v    outer
 		same bool
 	}{
-		"same value":            {10 * time.Second, mk(9*time.Second, 1, "x", "y"), true},
-		"skipped field differs": {10 * time.Second, mk(9*time.Second, 2, "x", "y"), true},
-		"all times shifted":     {30 * time.Second, mk(29*time.Second, 1, "x", "y"), true},
-		"different age":         {30 * time.Second, mk(28*time.Second, 1, "x", "y"), false},
-		"zero time":             {10 * time.Second, mk(0, 1, "x", "y"), false},
-		"different names":       {10 * time.Second, mk(9*time.Second, 1, "x", "z"), false},
-		"different order":       {10 * time.Second, mk(9*time.Second, 1, "y", "x"), false},
+		"same value":            {10 * time.Second, newValue(9*time.Second, 1, "x", "y"), true},
+		"skipped field differs": {10 * time.Second, newValue(9*time.Second, 2, "x", "y"), true},
+		"all times shifted":     {30 * time.Second, newValue(29*time.Second, 1, "x", "y"), true},
+		"different age":         {30 * time.Second, newValue(28*time.Second, 1, "x", "y"), false},
+		"zero time":             {10 * time.Second, newValue(0, 1, "x", "y"), false},
+		"different names":       {10 * time.Second, newValue(9*time.Second, 1, "x", "z"), false},
+		"different order":       {10 * time.Second, newValue(9*time.Second, 1, "y", "x"), false},
 	} {
 		if got := a.Digest(c.now, c.v) == base; got != c.same {
 			t.Errorf("%s: digests are equal: %v, want %v", name, got, c.same)
 		}
 	}
-	if a.Digest(30*time.Second, mk(1*time.Second, 1, "x")) != a.Digest(40*time.Second, mk(2*time.Second, 1, "x")) {
+	if a.Digest(30*time.Second, newValue(1*time.Second, 1, "x")) != a.Digest(40*time.Second, newValue(2*time.Second, 1, "x")) {
 		t.Error("digests differ for times that are both beyond MaxAge")
 	}
 }
--- a/internal/modelcheck/random.go
+++ b/internal/modelcheck/random.go
@@ -9,14 +9,14 @@
 
 // Random runs random walks within the same bounds: each schedule has up to o.Deviations
 // deviations, at random points and of random kinds.
-func Random(mk func() Model, o Options) Report {
+func Random(newModel func() Model, o Options) Report {
 	s := newSearch(o)
 	states := map[uint64]bool{}
 	var walks uint64
 	var wg sync.WaitGroup
 	for range s.Jobs {
 		wg.Go(func() {
-			m := mk()
+			m := newModel()
 			for !s.done() {
 				s.mu.Lock()
 				walks++
@@ -32,10 +32,10 @@
 
 func (s *search) walk(m Model, rng *rand.Rand, states map[uint64]bool) {
 	m.Reset()
-	var sch Schedule
+	var schedule Schedule
 	steps := 0
-	last := rng.IntN(max(1, s.Deviations))
-	for dev := range last + 2 { // one more round without a deviation, so that the faults last for a while
+	lastRound := rng.IntN(max(1, s.Deviations))
+	for round := range lastRound + 2 { // one more round without a deviation, so that the faults last for a while
 		wait := 0
 		if s.Depth > 0 && rng.IntN(3) > 0 {
 			// Choose the magnitude uniformly: faults that follow each other closely find most
@@ -45,21 +45,21 @@
 		for range wait {
 			m.Apply(0)
 			steps++
-			sch = append(sch, "+1")
+			schedule = append(schedule, "+1")
 			if err := m.Check(); err != nil {
-				s.count(sch.normalize(), steps)
-				s.fail(m, sch, err)
+				s.count(schedule.normalize(), steps)
+				s.fail(m, schedule, err)
 				return
 			}
 		}
-		if choices := m.Choices()[1:]; len(choices) > 0 && dev <= last {
+		if choices := m.Choices()[1:]; len(choices) > 0 && round <= lastRound {
 			i := pickChoice(rng, choices)
 			m.Apply(i + 1)
 			steps++
-			sch = append(sch, choices[i])
+			schedule = append(schedule, choices[i])
 			if err := m.Check(); err != nil {
-				s.count(sch.normalize(), steps)
-				s.fail(m, sch, err)
+				s.count(schedule.normalize(), steps)
+				s.fail(m, schedule, err)
 				return
 			}
 		}
@@ -68,9 +68,9 @@
 		states[h] = true
 		s.mu.Unlock()
 	}
-	s.count(sch.normalize(), steps)
+	s.count(schedule.normalize(), steps)
 	if err := m.CheckLiveness(); err != nil {
-		s.fail(m, sch, err)
+		s.fail(m, schedule, err)
 	}
 }
 
@@ -78,15 +78,15 @@
 // choices do not crowd out the others.
 func pickChoice(rng *rand.Rand, choices []string) int {
 	var kinds []string
-	for _, w := range choices {
-		if !slices.Contains(kinds, KindOf(w)) {
-			kinds = append(kinds, KindOf(w))
+	for _, choice := range choices {
+		if !slices.Contains(kinds, KindOf(choice)) {
+			kinds = append(kinds, KindOf(choice))
 		}
 	}
-	k := kinds[rng.IntN(len(kinds))]
+	kind := kinds[rng.IntN(len(kinds))]
 	var indexes []int
-	for i, w := range choices {
-		if KindOf(w) == k {
+	for i, choice := range choices {
+		if KindOf(choice) == kind {
 			indexes = append(indexes, i)
 		}
 	}
--- a/internal/modelcheck/schedule.go
+++ b/internal/modelcheck/schedule.go
@@ -16,9 +16,9 @@
 
 // Parse parses the format of Schedule.String.
 func Parse(text string) (s Schedule) {
-	for w := range strings.SplitSeq(text, ";") {
-		if w = strings.TrimSpace(w); w != "" {
-			s = append(s, w)
+	for step := range strings.SplitSeq(text, ";") {
+		if step = strings.TrimSpace(step); step != "" {
+			s = append(s, step)
 		}
 	}
 	return s
@@ -26,11 +26,11 @@
 
 // parseWait returns the number of default steps of a step such as "+3", and false for a
 // deviation.
-func parseWait(w string) (int, bool) {
-	if !strings.HasPrefix(w, "+") {
+func parseWait(step string) (int, bool) {
+	if !strings.HasPrefix(step, "+") {
 		return 0, false
 	}
-	n, err := strconv.Atoi(w[1:])
+	n, err := strconv.Atoi(step[1:])
 	return n, err == nil && n >= 0
 }
 
--- a/internal/modelcheck/search.go
+++ b/internal/modelcheck/search.go
@@ -55,7 +55,7 @@
 type search struct {
 	Options
 	mu         sync.Mutex
-	rep        Report
+	totals     Report
 	startedAt  time.Time
 	reportedAt time.Time
 	visited    map[uint64]bool // states whose liveness was checked
@@ -68,7 +68,7 @@
 		startedAt:  time.Now(),
 		reportedAt: time.Now(),
 		visited:    map[uint64]bool{},
-		rep:        Report{Complete: -1, Kinds: map[string]int{}},
+		totals:     Report{Complete: -1, Kinds: map[string]int{}},
 	}
 }
 
@@ -81,48 +81,48 @@
 		s.Progress(s.report())
 	}
 	outOfTime := s.Limit > 0 && time.Since(s.startedAt) > s.Limit
-	enough := s.Schedules > 0 && s.rep.Schedules >= s.Schedules
-	failed := len(s.rep.Failures) > 0 && !s.KeepGoing
+	enough := s.Schedules > 0 && s.totals.Schedules >= s.Schedules
+	failed := len(s.totals.Failures) > 0 && !s.KeepGoing
 	return outOfTime || enough || failed
 }
 
 func (s *search) report() Report {
-	r := s.rep
+	r := s.totals
 	r.Elapsed = time.Since(s.startedAt)
 	return r
 }
 
-func (s *search) count(sch Schedule, steps int) {
+func (s *search) count(schedule Schedule, steps int) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.rep.Schedules++
-	s.rep.Steps += steps
-	s.rep.Deepest = max(s.rep.Deepest, steps)
-	for _, w := range sch {
-		if _, ok := parseWait(w); !ok {
-			s.rep.Kinds[KindOf(w)]++
+	s.totals.Schedules++
+	s.totals.Steps += steps
+	s.totals.Deepest = max(s.totals.Deepest, steps)
+	for _, step := range schedule {
+		if _, ok := parseWait(step); !ok {
+			s.totals.Kinds[KindOf(step)]++
 		}
 	}
 }
 
-func (s *search) fail(m Model, sch Schedule, err error) {
+func (s *search) fail(m Model, schedule Schedule, err error) {
 	rule := ruleOf(err)
 	s.mu.Lock()
-	known := slices.ContainsFunc(s.rep.Failures, func(f Failure) bool { return f.Rule == rule })
+	known := slices.ContainsFunc(s.totals.Failures, func(f Failure) bool { return f.Rule == rule })
 	if !known {
-		s.rep.Failures = append(s.rep.Failures, Failure{Rule: rule, Err: err, Found: slices.Clone(sch.normalize())})
+		s.totals.Failures = append(s.totals.Failures, Failure{Rule: rule, Err: err, Found: slices.Clone(schedule.normalize())})
 	}
 	s.mu.Unlock()
 	if known {
 		return
 	}
-	short := Shrink(m, sch, rule)
+	short := Shrink(m, schedule, rule)
 	if e := Replay(m, short); e != nil {
 		err = e
 	}
 	s.mu.Lock()
-	for i := range s.rep.Failures {
-		if f := &s.rep.Failures[i]; f.Rule == rule {
+	for i := range s.totals.Failures {
+		if f := &s.totals.Failures[i]; f.Rule == rule {
 			f.Shrunk, f.Err = short, err
 		}
 	}
@@ -158,27 +158,27 @@
 // visit runs one schedule and checks liveness immediately after it. It then runs the schedule
 // again, lets the faults last for as many default steps as another deviation may wait, and
 // checks liveness after those. It returns the states from which the schedule can deviate next.
-func (s *search) visit(m Model, sch Schedule) (points []branchPoint) {
-	steps, _, err := runSchedule(m, sch)
+func (s *search) visit(m Model, schedule Schedule) (points []branchPoint) {
+	steps, _, err := runSchedule(m, schedule)
 	if err != nil {
-		s.count(sch, steps)
-		s.fail(m, sch, err)
+		s.count(schedule, steps)
+		s.fail(m, schedule, err)
 		return nil
 	}
 	if !s.markVisited(m.Hash()) {
 		s.mu.Lock()
-		s.rep.Pruned++
+		s.totals.Pruned++
 		s.mu.Unlock()
 		return nil
 	}
 	if err := m.CheckLiveness(); err != nil {
-		s.count(sch, steps)
-		s.fail(m, sch, err)
+		s.count(schedule, steps)
+		s.fail(m, schedule, err)
 		return nil
 	}
-	runSchedule(m, sch)
+	runSchedule(m, schedule)
 	onPath := map[uint64]bool{}
-	extended := func() Schedule { return append(slices.Clone(sch), "+"+strconv.Itoa(len(points))) }
+	extended := func() Schedule { return append(slices.Clone(schedule), "+"+strconv.Itoa(len(points))) }
 	for len(points) <= s.Depth {
 		h := m.Hash()
 		if onPath[h] {
@@ -189,12 +189,12 @@
 		m.Apply(0)
 		steps++
 		if err := m.Check(); err != nil {
-			s.count(sch, steps)
+			s.count(schedule, steps)
 			s.fail(m, extended(), err)
 			return nil
 		}
 	}
-	s.count(sch, steps)
+	s.count(schedule, steps)
 	if s.markVisited(m.Hash()) {
 		if err := m.CheckLiveness(); err != nil {
 			s.fail(m, extended(), err)
@@ -217,6 +217,6 @@
 	for h := range s.visited {
 		expanded[h] = true
 	}
-	s.rep.States = len(expanded)
+	s.totals.States = len(expanded)
 	return s.report()
 }
--- a/internal/modelcheck/shrink.go
+++ b/internal/modelcheck/shrink.go
@@ -19,12 +19,12 @@
 	}
 	if len(skipped) > 0 { // choices are matched by text only: the same choice may be enabled at another point
 		var remaining Schedule
-		for _, w := range s {
-			if i := slices.Index(skipped, w); i >= 0 {
+		for _, step := range s {
+			if i := slices.Index(skipped, step); i >= 0 {
 				skipped = slices.Delete(skipped, i, i+1)
 				continue
 			}
-			remaining = append(remaining, w)
+			remaining = append(remaining, step)
 		}
 		return remaining, Replay(m, remaining) != nil && ruleOf(Replay(m, remaining)) == rule
 	}
@@ -34,14 +34,14 @@
 // Shrink shortens a schedule while it still violates the same rule: it removes chunks, then
 // single steps, and then reduces the numbers of default steps.
 func Shrink(m Model, s Schedule, rule string) Schedule {
-	try := func(c Schedule) bool {
-		c = c.normalize()
-		if len(c) > len(s) || len(c) == len(s) && slices.Equal(c, s) {
+	try := func(candidate Schedule) bool {
+		candidate = candidate.normalize()
+		if len(candidate) > len(s) || len(candidate) == len(s) && slices.Equal(candidate, s) {
 			return false
 		}
-		left, ok := reproduces(m, c, rule)
+		enabled, ok := reproduces(m, candidate, rule)
 		if ok {
-			s = left.normalize()
+			s = enabled.normalize()
 		}
 		return ok
 	}
--- a/internal/modelcheck/world.go
+++ b/internal/modelcheck/world.go
@@ -238,23 +238,23 @@
 // false for choices of other kinds.
 func (w *World) ApplyChoice(choice string) bool {
 	kind, arg, _ := strings.Cut(choice, " ")
-	all := func(f func(o string)) {
+	forOthers := func(f func(o string)) {
 		for _, o := range w.Names {
 			if o != arg {
 				f(o)
 			}
 		}
 	}
-	out := func(o string) { w.cut[[2]string{arg, o}] = true }
-	in := func(o string) { w.cut[[2]string{o, arg}] = true }
+	cutOutgoing := func(o string) { w.cut[[2]string{arg, o}] = true }
+	cutIncoming := func(o string) { w.cut[[2]string{o, arg}] = true }
 	switch kind {
 	case "isolate":
-		all(out)
-		all(in)
+		forOthers(cutOutgoing)
+		forOthers(cutIncoming)
 	case "mute":
-		all(out)
+		forOthers(cutOutgoing)
 	case "deafen":
-		all(in)
+		forOthers(cutIncoming)
 	case "cut":
 		a, b, _ := strings.Cut(arg, ">")
 		w.cut[[2]string{a, b}] = true
