--- a/internal/modelcheck/chainmodel/choices.go
+++ b/internal/modelcheck/chainmodel/choices.go
@@ -95,7 +95,7 @@
 	}
 	add(m.world.FreezeChoices()...)
 	add(m.world.NetworkChoices()...)
-	if m.operatorCalls < m.Orders {
+	if m.operatorCalls < m.OperatorCalls {
 		m.operatorChoices(add)
 	}
 	return choices.List
--- a/internal/modelcheck/chainmodel/config.go
+++ b/internal/modelcheck/chainmodel/config.go
@@ -26,7 +26,7 @@
 	MaxMachineFailures int
 	Operators          int
 	Faults             int           // maximum per schedule; repairs do not count
-	Orders             int           // maximum number of operator calls per schedule, including reads and evacuations
+	OperatorCalls      int           // maximum number of operator calls per schedule, including reads and evacuations
 	Step               time.Duration // default step between two choice points
 	Messages           bool          // also choose before each protocol message, except the machines' periodic messages
 	Duties             bool          // machines lease a duty and act on a platform under its fence
@@ -48,7 +48,7 @@
 		MaxMachineFailures: 1,
 		Operators:          2,
 		Faults:             4,
-		Orders:             4,
+		OperatorCalls:      4,
 		Step:               2 * time.Second,
 		Warm:               4 * time.Second,
 		CatchUp:            4 * time.Second,
