--- a/internal/accounts/model_test.go
+++ b/internal/accounts/model_test.go
@@ -118,7 +118,7 @@
 		m.After(span, func() { m.CutBoth(proxy.Name, control.Name, false) })
 	case 6:
 		m.CutBoth(proxy.Name, fmt.Sprint("client-", m.Rng.IntN(6)), true)
-		m.After(span, m.JoinAll)
+		m.After(span, m.HealAll)
 	case 7:
 		shard := m.Rng.IntN(m.Objectives.Shards)
 		m.MoveShard(shard, "")
@@ -136,7 +136,7 @@
 		m.After(at, func() { m.trouble(wipes) })
 	}
 	m.Run(modelSpan+2*modelTrouble, nil)
-	m.JoinAll()
+	m.HealAll()
 	m.Run(modelSpan+2*modelTrouble+modelSettle, nil)
 }
 
