--- a/internal/emulator/world.go
+++ b/internal/emulator/world.go
@@ -59,7 +59,7 @@
 	}
 }
 
-// JoinAll restores all paths.
+// HealAll restores all paths.
 func (w *World) HealAll() {
 	for pair := range w.cuts {
 		w.CutBoth(pair[0], pair[1], false)
