--- a/cmd/slateridge/modelcheck.go
+++ b/cmd/slateridge/modelcheck.go
@@ -47,7 +47,7 @@
 func (c modelcheckCmd) model() (func() modelcheck.Model, []string) {
 	if c.Model == "leases" {
 		cfg := leasemodel.Small()
-		cfg.Faults, cfg.Messages, cfg.Kinds, cfg.Without, cfg.Others, cfg.Warm = c.Faults, c.Messages, c.Kinds, c.Without, c.Newcomers, c.Warm
+		cfg.Faults, cfg.Messages, cfg.Kinds, cfg.Without, cfg.ExtraMachines, cfg.Warm = c.Faults, c.Messages, c.Kinds, c.Without, c.Newcomers, c.Warm
 		if c.Step > 0 {
 			cfg.Step = c.Step
 		}
@@ -73,7 +73,7 @@
 	cfg.Faults, cfg.Messages, cfg.Kinds, cfg.Without, cfg.Newcomers, cfg.Warm = c.Faults, c.Messages, c.Kinds, c.Without, c.Newcomers, c.Warm
 	cfg.Proxies, cfg.Pressed, cfg.Quota.Burst, cfg.Slack, cfg.Tolerance = c.Proxies, c.Pressed, c.Burst, c.Slack, c.Tolerance
 	if c.Plant != "none" {
-		cfg.Planted = admissionmodel.Fault(c.Plant)
+		cfg.InjectedFault = admissionmodel.Fault(c.Plant)
 	}
 	if c.Step > 0 {
 		cfg.Step = c.Step
@@ -124,8 +124,8 @@
 // validate returns an error if a flag is out of range or names a kind that is not in kinds,
 // the kinds of deviations of the model.
 func (c modelcheckCmd) validate(kinds []string) error {
-	if c.Model == "admission" && (c.Proxies < 1 || c.Proxies+c.Newcomers > admissionmodel.MostProxies) {
-		return fmt.Errorf("the admission model has 1 to %d proxies, including newcomers", admissionmodel.MostProxies)
+	if c.Model == "admission" && (c.Proxies < 1 || c.Proxies+c.Newcomers > admissionmodel.MaxProxies) {
+		return fmt.Errorf("the admission model has 1 to %d proxies, including newcomers", admissionmodel.MaxProxies)
 	}
 	for _, kind := range slices.Concat(c.Kinds, c.Without) {
 		if !slices.Contains(kinds, kind) {
@@ -159,8 +159,8 @@
 // printProgress prints the progress of a search on standard error.
 func printProgress(r modelcheck.Report) {
 	level := ""
-	if r.LevelOf > 0 {
-		level = fmt.Sprintf(", %d of %d with %d deviations", r.LevelDone, r.LevelOf, r.Level)
+	if r.LevelSize > 0 {
+		level = fmt.Sprintf(", %d of %d with %d deviations", r.LevelDone, r.LevelSize, r.Level)
 	}
-	fmt.Fprintf(os.Stderr, "%4.0f s: %d schedules%s, deepest %d, %d rules broken\n", r.Took.Seconds(), r.Schedules, level, r.Deepest, len(r.Failures))
+	fmt.Fprintf(os.Stderr, "%4.0f s: %d schedules%s, deepest %d, %d rules broken\n", r.Elapsed.Seconds(), r.Schedules, level, r.Deepest, len(r.Failures))
 }
--- a/internal/accounts/simulation_test.go
+++ b/internal/accounts/simulation_test.go
@@ -37,7 +37,7 @@
 func newSimulation(t *testing.T, seed uint64) *simulation {
 	s := &simulation{World: emulator.New(seed, simulationObjectives(t)), t: t, seed: seed, published: map[string]accounts.Account{}}
 	s.Delay = []time.Duration{2, 10, 40}[seed%3] * time.Millisecond
-	s.DoublePart = 0.2
+	s.DuplicateShare = 0.2
 	for i := range 3 {
 		s.NewControl(fmt.Sprint("control-", i))
 	}
@@ -120,7 +120,7 @@
 		s.After(span, func() { s.CutBoth(proxy.Name, control.Name, false) })
 	case 6:
 		s.CutBoth(proxy.Name, fmt.Sprint("client-", s.Rng.IntN(6)), true)
-		s.After(span, s.JoinAll)
+		s.After(span, s.HealAll)
 	case 7:
 		shard := s.Rng.IntN(s.Objectives.Shards)
 		s.MoveShard(shard, "")
@@ -139,7 +139,7 @@
 		s.After(at, func() { s.injectFault(wipes) })
 	}
 	s.Run(activeSpan+2*maxFaultSpan, nil)
-	s.JoinAll()
+	s.HealAll()
 	s.Run(activeSpan+2*maxFaultSpan+settleSpan, nil)
 }
 
@@ -154,16 +154,16 @@
 		s := newSimulation(t, seed)
 		s.runWithFaults(false)
 		totals := s.Totals()
-		for tenant, truth := range s.Truth() {
+		for tenant, truth := range s.GroundTruth() {
 			account := totals[tenant]
 			checkAccount(t, fmt.Sprintf("seed %d: %s", seed, tenant), account, truth)
-			if account.Open() != 0 || int(account.Taken) != truth.Taken {
-				t.Errorf("seed %d: %s: the account has %d taken and %d open, %d were accepted", seed, tenant, account.Taken, account.Open(), truth.Taken)
+			if account.Open() != 0 || int(account.Taken) != truth.Accepted {
+				t.Errorf("seed %d: %s: the account has %d taken and %d open, %d were accepted", seed, tenant, account.Taken, account.Open(), truth.Accepted)
 			}
-			if int(account.Doubled) != truth.DoubledSeen {
-				t.Errorf("seed %d: %s: the account has %d doubled, the proxies saw %d", seed, tenant, account.Doubled, truth.DoubledSeen)
+			if int(account.Doubled) != truth.DuplicateRunsSeen {
+				t.Errorf("seed %d: %s: the account has %d doubled, the proxies saw %d", seed, tenant, account.Doubled, truth.DuplicateRunsSeen)
 			}
-			taken, unknown, doubled = taken+truth.Taken, unknown+int(account.Settled[accounts.Unknown]), doubled+truth.DoubledSeen
+			taken, unknown, doubled = taken+truth.Accepted, unknown+int(account.Settled[accounts.Unknown]), doubled+truth.DuplicateRunsSeen
 		}
 		if t.Failed() && seed%5 == 0 {
 			break // further seeds are likely to fail in the same way
@@ -174,7 +174,7 @@
 
 // checkAccount compares an account with the observations of clients and upstreams. A request
 // without a response is unknown, or its response was lost after the proxy had written it.
-func checkAccount(t *testing.T, label string, account accounts.Account, truth *emulator.Truth) {
+func checkAccount(t *testing.T, label string, account accounts.Account, truth *emulator.GroundTruth) {
 	t.Helper()
 	settled := uint64(0)
 	for _, n := range account.Settled {
@@ -183,11 +183,11 @@
 	if settled+account.Open() != account.Taken {
 		t.Errorf("%s: %d settled and %d open do not add up to %d taken", label, settled, account.Open(), account.Taken)
 	}
-	if successes := int(account.Settled[accounts.OnTime] + account.Settled[accounts.Late]); successes > truth.Successes+truth.Untold {
-		t.Errorf("%s: %d successes, but clients received %d successes and no response to %d requests", label, successes, truth.Successes, truth.Untold)
+	if successes := int(account.Settled[accounts.OnTime] + account.Settled[accounts.Late]); successes > truth.Successes+truth.Unanswered {
+		t.Errorf("%s: %d successes, but clients received %d successes and no response to %d requests", label, successes, truth.Successes, truth.Unanswered)
 	}
-	if int(account.Doubled) > truth.DoubledRuns {
-		t.Errorf("%s: %d doubled, but upstreams executed only %d twice", label, account.Doubled, truth.DoubledRuns)
+	if int(account.Doubled) > truth.DuplicateRuns {
+		t.Errorf("%s: %d doubled, but upstreams executed only %d twice", label, account.Doubled, truth.DuplicateRuns)
 	}
 	if account.Latency.Count() > account.Settled[accounts.OnTime]+account.Settled[accounts.Late] {
 		t.Errorf("%s: %d latencies for %d successes", label, account.Latency.Count(), account.Settled[accounts.OnTime]+account.Settled[accounts.Late])
@@ -209,15 +209,15 @@
 			})
 		}
 		s.Run(activeSpan+settleSpan, nil)
-		totals, truths, atRisk := s.Totals(), s.Truth(), s.atRisk(s.TellEvery+s.Delay+s.Delay/20)
+		totals, truths, atRisk := s.Totals(), s.GroundTruth(), s.atRisk(s.ReportInterval+s.Delay+s.Delay/20)
 		for tenant, truth := range truths {
 			account := totals[tenant]
 			checkAccount(t, fmt.Sprintf("seed %d: %s", seed, tenant), account, truth)
-			missing := truth.Taken - int(account.Taken)
+			missing := truth.Accepted - int(account.Taken)
 			if missing < 0 || missing > atRisk[tenant] {
-				t.Errorf("seed %d: %s: the account lacks %d of %d requests, at most %d may be lost", seed, tenant, missing, truth.Taken, atRisk[tenant])
+				t.Errorf("seed %d: %s: the account lacks %d of %d requests, at most %d may be lost", seed, tenant, missing, truth.Accepted, atRisk[tenant])
 			}
-			taken, lost, open = taken+truth.Taken, lost+missing, open+int(account.Open())
+			taken, lost, open = taken+truth.Accepted, lost+missing, open+int(account.Open())
 		}
 	}
 	t.Logf("%d requests accepted, %d lost by 180 wipes, %d left open", taken, lost, open)
@@ -229,11 +229,11 @@
 	out := map[string]int{}
 	for _, client := range s.Clients {
 		for _, request := range client.Requests {
-			if !request.Taken {
+			if !request.Accepted {
 				continue
 			}
 			for _, wipe := range s.Proxies[request.Proxy].Wipes {
-				if wipe.Life == request.Life && request.TakenAt >= wipe.At-span {
+				if wipe.Incarnation == request.Incarnation && request.AcceptedAt >= wipe.At-span {
 					out[request.Tenant]++
 				}
 			}
@@ -249,10 +249,10 @@
 		s := newSimulation(t, seed)
 		s.runWithFaults(true)
 		totals := s.Totals()
-		for tenant, truth := range s.Truth() {
+		for tenant, truth := range s.GroundTruth() {
 			checkAccount(t, fmt.Sprintf("seed %d: %s", seed, tenant), totals[tenant], truth)
-			if int(totals[tenant].Taken) > truth.Taken {
-				t.Errorf("seed %d: %s: the account has %d requests, but only %d were accepted", seed, tenant, totals[tenant].Taken, truth.Taken)
+			if int(totals[tenant].Taken) > truth.Accepted {
+				t.Errorf("seed %d: %s: the account has %d requests, but only %d were accepted", seed, tenant, totals[tenant].Taken, truth.Accepted)
 			}
 		}
 	}
--- a/internal/emulator/client.go
+++ b/internal/emulator/client.go
@@ -5,51 +5,51 @@
 	"time"
 )
 
-// RequestID identifies a request: one try of a client.
+// RequestID identifies one request of a client.
 type RequestID uint64
 
-// Told is what a client was told of a request.
-type Told int
+// Outcome is the answer that a client received for a request.
+type Outcome int
 
-// What clients are told.
+// Outcomes of a request.
 const (
-	Nothing Told = iota // so far, or for ever
+	NoAnswer Outcome = iota // not yet, or never
 	Success
 	Failed
-	TurnedAway // by the tenant's quota
+	Throttled // refused by the tenant's quota
 )
 
-// Request is one try of a client, with all that is true of it.
+// Request is one request of a client and the facts about it.
 type Request struct {
-	ID      RequestID
-	Tenant  string
-	Order   bool // may run once
-	SentAt  time.Duration
-	Taken   bool // a proxy took it
-	Proxy   string
-	Life    int // of that proxy
-	TakenAt time.Duration
-	Told    Told
-	Answers map[string]bool // upstreams whose word that they ran it has reached its proxy
+	ID            RequestID
+	Tenant        string
+	NonIdempotent bool // must run at most once
+	SentAt        time.Duration
+	Accepted      bool // a proxy received it
+	Proxy         string
+	Incarnation   int // of that proxy
+	AcceptedAt    time.Duration
+	Outcome       Outcome
+	Answers       map[string]bool // upstreams whose confirmation that they ran the request reached its proxy
 }
 
-// Client sends the requests of one tenant to proxies by turns.
+// Client sends the requests of one tenant to the proxies in round-robin order.
 type Client struct {
-	Name      string
-	Tenant    string
-	Every     time.Duration // between two requests, on average
-	OrderPart float64       // share of requests that may run once
-	Until     time.Duration // when it stops sending
-	world     *World
-	turn      int
-	Requests  []*Request
+	Name               string
+	Tenant             string
+	Interval           time.Duration // average time between two requests
+	NonIdempotentShare float64       // fraction of requests that must run at most once
+	Until              time.Duration // when it stops sending
+	world              *World
+	sent               int
+	Requests           []*Request
 }
 
-// NewClient makes a client that begins to send.
-func (w *World) NewClient(tenant string, every, until time.Duration) *Client {
-	c := &Client{Name: fmt.Sprint("client-", len(w.Clients)), Tenant: tenant, Every: every, OrderPart: 0.4, Until: until, world: w}
+// NewClient adds a client that starts sending immediately.
+func (w *World) NewClient(tenant string, interval, until time.Duration) *Client {
+	c := &Client{Name: fmt.Sprint("client-", len(w.Clients)), Tenant: tenant, Interval: interval, NonIdempotentShare: 0.4, Until: until, world: w}
 	w.Clients = append(w.Clients, c)
-	w.After(time.Duration(w.Rng.Int64N(int64(every))), c.send)
+	w.After(time.Duration(w.Rng.Int64N(int64(interval))), c.send)
 	return c
 }
 
@@ -58,40 +58,40 @@
 	if w.Now >= c.Until {
 		return
 	}
-	w.After(time.Duration(w.Rng.Int64N(int64(2*c.Every)))+1, c.send)
-	c.turn++
+	w.After(time.Duration(w.Rng.Int64N(int64(2*c.Interval)))+1, c.send)
+	c.sent++
 	w.lastID++
-	request := &Request{ID: w.lastID, Tenant: c.Tenant, Order: w.Rng.Float64() < c.OrderPart, SentAt: w.Now, Answers: map[string]bool{}}
+	request := &Request{ID: w.lastID, Tenant: c.Tenant, NonIdempotent: w.Rng.Float64() < c.NonIdempotentShare, SentAt: w.Now, Answers: map[string]bool{}}
 	c.Requests = append(c.Requests, request)
-	proxy := w.Proxies[w.proxyNames[c.turn%len(w.proxyNames)]]
+	proxy := w.Proxies[w.proxyNames[c.sent%len(w.proxyNames)]]
 	w.Send(c.Name, proxy.Name, func() { proxy.receive(c, request) })
 }
 
-// hear takes a proxy's answer.
-func (c *Client) hear(request *Request, told Told) {
-	if request.Told == Nothing {
-		request.Told = told
+// receiveAnswer records a proxy's first answer.
+func (c *Client) receiveAnswer(request *Request, outcome Outcome) {
+	if request.Outcome == NoAnswer {
+		request.Outcome = outcome
 	}
 }
 
-// Truth is what is true of all requests of one tenant.
-type Truth struct {
-	Sent        int
-	Taken       int
-	Successes   int // as clients were told
-	Failures    int
-	TurnedAway  int
-	Untold      int // taken, and the client was told nothing
-	DoubledRuns int // orders that upstreams ran twice or more
-	DoubledSeen int // of which two upstreams' words reached the proxy
+// GroundTruth is the sum of the facts about all requests of one tenant.
+type GroundTruth struct {
+	Sent              int
+	Accepted          int
+	Successes         int // as received by clients
+	Failures          int
+	Throttled         int
+	Unanswered        int // accepted, but the client received no answer
+	DuplicateRuns     int // non-idempotent requests that upstreams ran more than once
+	DuplicateRunsSeen int // of these, requests for which the confirmations of two upstreams reached the proxy
 }
 
-// Truth adds up the facts by tenant.
-func (w *World) Truth() map[string]*Truth {
-	out := map[string]*Truth{}
+// GroundTruth returns the sums by tenant.
+func (w *World) GroundTruth() map[string]*GroundTruth {
+	out := map[string]*GroundTruth{}
 	for _, client := range w.Clients {
 		if out[client.Tenant] == nil {
-			out[client.Tenant] = &Truth{}
+			out[client.Tenant] = &GroundTruth{}
 		}
 		for _, request := range client.Requests {
 			out[client.Tenant].add(request, w.runs(request.ID))
@@ -100,31 +100,31 @@
 	return out
 }
 
-func (t *Truth) add(request *Request, runs int) {
+func (t *GroundTruth) add(request *Request, runs int) {
 	t.Sent++
-	if !request.Taken {
+	if !request.Accepted {
 		return
 	}
-	t.Taken++
-	switch request.Told {
+	t.Accepted++
+	switch request.Outcome {
 	case Success:
 		t.Successes++
 	case Failed:
 		t.Failures++
-	case TurnedAway:
-		t.TurnedAway++
+	case Throttled:
+		t.Throttled++
 	default:
-		t.Untold++
+		t.Unanswered++
 	}
-	if request.Order && runs > 1 {
-		t.DoubledRuns++
+	if request.NonIdempotent && runs > 1 {
+		t.DuplicateRuns++
 	}
-	if request.Order && len(request.Answers) > 1 {
-		t.DoubledSeen++
+	if request.NonIdempotent && len(request.Answers) > 1 {
+		t.DuplicateRunsSeen++
 	}
 }
 
-// runs is how often upstreams ran a request.
+// runs returns the number of times that upstreams ran a request.
 func (w *World) runs(id RequestID) int {
 	count := 0
 	for _, upstream := range w.Upstreams {
--- a/internal/emulator/proxy.go
+++ b/internal/emulator/proxy.go
@@ -9,40 +9,40 @@
 	"slateridge/internal/counter"
 )
 
-// Times of the stand-in proxies.
+// Limits of simulated proxies.
 const (
-	tryTimeout     = 400 * time.Millisecond // an upstream silent so long is given up
+	attemptTimeout = 400 * time.Millisecond // an attempt without an answer is abandoned after this time
 	requestTimeout = 1200 * time.Millisecond
-	hedgeAfter     = 200 * time.Millisecond // a read is sent to a second upstream beside the first
-	mostTries      = 3
+	hedgeAfter     = 200 * time.Millisecond // an idempotent request is then sent to a second upstream as well
+	maxAttempts    = 3
 )
 
-// Proxy is a stand-in for a proxy: it takes requests, offers them to upstreams, and
-// accounts for them with the real meter.
+// Proxy simulates a proxy: it accepts requests, forwards them to upstreams and accounts for
+// them with the real meter.
 type Proxy struct {
-	Name        string
-	Up          bool
-	Life        int           // rises with each start
-	FrozenUntil time.Duration // until then it does nothing
-	OverQuota   float64       // share of requests it turns away
-	RepeatOrder float64       // share of silent orders that it wrongly offers again
-	world       *World
-	meter       *accounts.Meter
-	journals    map[counter.IncarnationID]*memoryJournal
-	life        counter.IncarnationID
-	Wipes       []Wipe
-}
-
-// Wipe is a loss of a proxy's process together with its journals.
+	Name             string
+	Up               bool
+	Incarnation      int           // increases with each start
+	FrozenUntil      time.Duration // the process is paused until then
+	OverQuota        float64       // fraction of requests that it refuses
+	UnsafeRetryShare float64       // fraction of unanswered non-idempotent requests that it wrongly retries
+	world            *World
+	meter            *accounts.Meter
+	journals         map[counter.IncarnationID]*memoryJournal
+	lifeID           counter.IncarnationID
+	Wipes            []Wipe
+}
+
+// Wipe records the loss of a proxy's process together with its journals.
 type Wipe struct {
-	Life int
-	At   time.Duration
+	Incarnation int
+	At          time.Duration
 }
 
-// memoryJournal outlasts the process, as a mapped file does.
+// memoryJournal survives the process, as a memory-mapped file does.
 type memoryJournal struct {
-	told     []uint64
-	accounts map[string]accounts.Account
+	acknowledged []uint64
+	accounts     map[string]accounts.Account
 }
 
 // Record implements accounts.Journal.
@@ -54,197 +54,198 @@
 
 // RecordSent implements accounts.Journal.
 func (j *memoryJournal) RecordSent(shard int, version uint64) bool {
-	j.told[shard] = version
+	j.acknowledged[shard] = version
 	return true
 }
 
-// NewProxy makes a proxy and starts it.
+// NewProxy adds a proxy and starts it.
 func (w *World) NewProxy(name string) *Proxy {
-	p := &Proxy{Name: name, OverQuota: 0.03, RepeatOrder: 0.3, world: w, journals: map[counter.IncarnationID]*memoryJournal{}}
+	p := &Proxy{Name: name, OverQuota: 0.03, UnsafeRetryShare: 0.3, world: w, journals: map[counter.IncarnationID]*memoryJournal{}}
 	w.Proxies[name] = p
 	w.proxyNames = append(w.proxyNames, name)
 	p.Start()
 	return p
 }
 
-// Start begins a process, which takes up the journals of those before.
+// Start starts a process, which takes over the journals of earlier processes.
 func (p *Proxy) Start() {
 	if p.Up {
 		return
 	}
 	p.Up = true
-	p.Life++
+	p.Incarnation++
 	var ended []accounts.EndedIncarnation
-	for _, life := range slices.Sorted(maps.Keys(p.journals)) {
-		journal := p.journals[life]
-		ended = append(ended, accounts.EndedIncarnation{Incarnation: life, SentVersions: journal.told, Accounts: maps.Clone(journal.accounts)})
+	for _, id := range slices.Sorted(maps.Keys(p.journals)) {
+		journal := p.journals[id]
+		ended = append(ended, accounts.EndedIncarnation{Incarnation: id, SentVersions: journal.acknowledged, Accounts: maps.Clone(journal.accounts)})
 	}
-	p.life = counter.IncarnationID(p.world.Rng.Uint64() | 1)
-	journal := &memoryJournal{told: make([]uint64, p.world.Objectives.Shards), accounts: map[string]accounts.Account{}}
-	p.journals[p.life] = journal
-	p.meter = accounts.NewMeter(p.Name, p.life, p.world.Objectives, journal, ended)
-	p.tell(p.Life)
+	p.lifeID = counter.IncarnationID(p.world.Rng.Uint64() | 1)
+	journal := &memoryJournal{acknowledged: make([]uint64, p.world.Objectives.Shards), accounts: map[string]accounts.Account{}}
+	p.journals[p.lifeID] = journal
+	p.meter = accounts.NewMeter(p.Name, p.lifeID, p.world.Objectives, journal, ended)
+	p.sendReports(p.Incarnation)
 }
 
-// Kill ends the process; its journal stays.
+// Kill ends the process and keeps its journals.
 func (p *Proxy) Kill() {
 	p.Up = false
 }
 
-// Wipe ends the process and loses its journals, as when the machine is replaced.
+// Wipe ends the process and erases its journals, as when the machine is replaced.
 func (p *Proxy) Wipe() {
 	if p.Up {
-		p.Wipes = append(p.Wipes, Wipe{p.Life, p.world.Now})
+		p.Wipes = append(p.Wipes, Wipe{p.Incarnation, p.world.Now})
 	}
 	p.Up = false
 	p.journals = map[counter.IncarnationID]*memoryJournal{}
 }
 
-// Freeze has the process stand still for a while.
+// Freeze pauses the process for a time span.
 func (p *Proxy) Freeze(span time.Duration) { p.FrozenUntil = p.world.Now + span }
 
-// when runs something in a life of the process: at once, after a freeze, or never if that
-// life is over.
-func (p *Proxy) when(life int, do func()) {
-	if !p.Up || p.Life != life {
+// whenRunning runs do in an incarnation of the process: immediately, or after a freeze, or
+// never if that incarnation has ended.
+func (p *Proxy) whenRunning(incarnation int, do func()) {
+	if !p.Up || p.Incarnation != incarnation {
 		return
 	}
 	if wait := p.FrozenUntil - p.world.Now; wait > 0 {
-		p.world.After(wait, func() { p.when(life, do) })
+		p.world.After(wait, func() { p.whenRunning(incarnation, do) })
 		return
 	}
 	do()
 }
 
-// receive takes a request that has reached this machine; with no process there, it is lost.
+// receive handles a request that has reached this machine. Without a running process the
+// request is lost.
 func (p *Proxy) receive(client *Client, request *Request) {
-	p.when(p.Life, func() {
+	p.whenRunning(p.Incarnation, func() {
 		w := p.world
-		request.Taken, request.Proxy, request.Life, request.TakenAt = true, p.Name, p.Life, w.Now
-		passage := &passage{proxy: p, life: p.Life, client: client, request: request, account: p.meter.Begin(request.Tenant)}
+		request.Accepted, request.Proxy, request.Incarnation, request.AcceptedAt = true, p.Name, p.Incarnation, w.Now
+		proxied := &proxiedRequest{proxy: p, incarnation: p.Incarnation, client: client, request: request, account: p.meter.Begin(request.Tenant)}
 		if w.Rng.Float64() < p.OverQuota {
-			passage.answer(TurnedAway)
+			proxied.finish(Throttled)
 			return
 		}
-		w.After(requestTimeout, func() { p.when(passage.life, passage.giveUp) })
-		passage.try()
-		if !request.Order {
-			w.After(hedgeAfter, func() { p.when(passage.life, passage.try) })
+		w.After(requestTimeout, func() { p.whenRunning(proxied.incarnation, proxied.giveUp) })
+		proxied.attempt()
+		if !request.NonIdempotent {
+			w.After(hedgeAfter, func() { p.whenRunning(proxied.incarnation, proxied.attempt) })
 		}
 	})
 }
 
-// passage is a request on its way through a proxy.
-type passage struct {
-	proxy   *Proxy
-	life    int
-	client  *Client
-	request *Request
-	account *accounts.Request
-	tries   int
-	unsure  bool // an upstream was sent it and has not said whether it ran
-	over    bool
+// proxiedRequest is a request that a proxy is handling.
+type proxiedRequest struct {
+	proxy          *Proxy
+	incarnation    int
+	client         *Client
+	request        *Request
+	account        *accounts.Request
+	attempts       int
+	outcomeUnknown bool // an upstream received it and has not reported whether it ran it
+	done           bool
 }
 
-// try offers the request to an upstream.
-func (g *passage) try() {
-	w := g.proxy.world
+// attempt forwards the request to an upstream.
+func (r *proxiedRequest) attempt() {
+	w := r.proxy.world
 	names := w.Platform.List()
-	if g.over || g.tries == mostTries || len(names) == 0 {
+	if r.done || r.attempts == maxAttempts || len(names) == 0 {
 		return
 	}
-	g.tries++
+	r.attempts++
 	upstream := w.Upstreams[names[w.Rng.IntN(len(names))]]
-	heard := false
-	g.unsure = true
-	w.Send(g.proxy.Name, upstream.Name, func() {
-		upstream.offer(g.request.ID, func(ran bool) {
-			w.Send(upstream.Name, g.proxy.Name, func() {
-				g.proxy.when(g.life, func() {
-					heard = true
-					g.hear(upstream.Name, ran)
+	answered := false
+	r.outcomeUnknown = true
+	w.Send(r.proxy.Name, upstream.Name, func() {
+		upstream.handle(r.request.ID, func(ran bool) {
+			w.Send(upstream.Name, r.proxy.Name, func() {
+				r.proxy.whenRunning(r.incarnation, func() {
+					answered = true
+					r.receiveAnswer(upstream.Name, ran)
 				})
 			})
 		})
 	})
-	w.After(tryTimeout, func() {
-		g.proxy.when(g.life, func() {
-			if !heard && (!g.request.Order || w.Rng.Float64() < g.proxy.RepeatOrder) {
-				g.try()
+	w.After(attemptTimeout, func() {
+		r.proxy.whenRunning(r.incarnation, func() {
+			if !answered && (!r.request.NonIdempotent || w.Rng.Float64() < r.proxy.UnsafeRetryShare) {
+				r.attempt()
 			}
 		})
 	})
 }
 
-// hear takes an upstream's word.
-func (g *passage) hear(upstream string, ran bool) {
+// receiveAnswer handles an upstream's answer.
+func (r *proxiedRequest) receiveAnswer(upstream string, ran bool) {
 	if !ran {
-		g.unsure = g.tries > 1
-		g.try()
+		r.outcomeUnknown = r.attempts > 1
+		r.attempt()
 		return
 	}
-	g.request.Answers[upstream] = true
-	if g.request.Order && len(g.request.Answers) > 1 {
-		g.account.Doubled()
+	r.request.Answers[upstream] = true
+	if r.request.NonIdempotent && len(r.request.Answers) > 1 {
+		r.account.Doubled()
 	}
-	g.answer(Success)
+	r.finish(Success)
 }
 
-// giveUp ends a request that has taken too long.
-func (g *passage) giveUp() { g.answer(Failed) }
+// giveUp ends a request that has timed out.
+func (r *proxiedRequest) giveUp() { r.finish(Failed) }
 
-// answer tells the client and settles the account, once. The proxy notices where it could
-// not write to the client.
-func (g *passage) answer(told Told) {
-	if g.over {
+// finish answers the client and settles the account, once. The proxy detects that it could not
+// write to the client.
+func (r *proxiedRequest) finish(outcome Outcome) {
+	if r.done {
 		return
 	}
-	g.over = true
-	w := g.proxy.world
-	written := !w.isCut(g.proxy.Name, g.client.Name)
-	w.Send(g.proxy.Name, g.client.Name, func() { g.client.hear(g.request, told) })
+	r.done = true
+	w := r.proxy.world
+	written := !w.isCut(r.proxy.Name, r.client.Name)
+	w.Send(r.proxy.Name, r.client.Name, func() { r.client.receiveAnswer(r.request, outcome) })
 	switch {
-	case told == TurnedAway:
-		g.account.Failure(accounts.Refused)
+	case outcome == Throttled:
+		r.account.Failure(accounts.Refused)
 	case !written:
-		g.account.Failure(accounts.Unknown)
-	case told == Success:
-		g.account.Success(w.Now - g.request.TakenAt)
-	case g.request.Order && g.unsure:
-		g.account.Failure(accounts.Unknown)
+		r.account.Failure(accounts.Unknown)
+	case outcome == Success:
+		r.account.Success(w.Now - r.request.AcceptedAt)
+	case r.request.NonIdempotent && r.outcomeUnknown:
+		r.account.Failure(accounts.Unknown)
 	default:
-		g.account.Failure(accounts.Lost)
+		r.account.Failure(accounts.Lost)
 	}
 }
 
-// tell brings reports to the holders of all shards, again and again.
-func (p *Proxy) tell(life int) {
-	if !p.Up || p.Life != life {
+// sendReports periodically sends reports to the holders of all shards.
+func (p *Proxy) sendReports(incarnation int) {
+	if !p.Up || p.Incarnation != incarnation {
 		return
 	}
-	p.world.After(p.world.TellEvery, func() { p.tell(life) })
+	p.world.After(p.world.ReportInterval, func() { p.sendReports(incarnation) })
 	if p.FrozenUntil > p.world.Now {
 		return
 	}
 	for shard := range p.world.Objectives.Shards {
 		for _, report := range p.meter.PendingReports(shard) {
-			p.report(life, report)
+			p.sendReport(incarnation, report)
 		}
 	}
 }
 
-func (p *Proxy) report(life int, report accounts.Report) {
+func (p *Proxy) sendReport(incarnation int, report accounts.Report) {
 	w := p.world
-	holder := w.Controls[w.Known[report.Shard]]
+	holder := w.Controls[w.KnownHolders[report.Shard]]
 	if holder == nil {
 		return
 	}
-	w.Bytes += len(report.Packed)
-	w.send(p.Name, holder.Name, func() {
-		holder.when(holder.Life, func() {
-			ack := holder.take(report)
-			w.send(holder.Name, p.Name, func() {
-				p.when(life, func() {
+	w.ReportBytes += len(report.Packed)
+	w.sendDuplicated(p.Name, holder.Name, func() {
+		holder.whenRunning(holder.Incarnation, func() {
+			ack := holder.handleReport(report)
+			w.sendDuplicated(holder.Name, p.Name, func() {
+				p.whenRunning(incarnation, func() {
 					for _, finished := range p.meter.Acknowledge(ack) {
 						delete(p.journals, finished)
 					}
--- a/internal/modelcheck/admissionmodel/admissionmodel.go
+++ b/internal/modelcheck/admissionmodel/admissionmodel.go
@@ -1,6 +1,6 @@
-// Package admissionmodel has package modelcheck drive admission: the token buckets of
-// a few proxies, the trackers that lend and grant, and the live proxy count. What
-// runs in any window must stay within the quota's bound, and after quiet what is
+// Package admissionmodel models admission for package modelcheck: the token buckets of a few
+// proxies, the trackers that lend and grant tokens, and the live proxy count. The requests
+// admitted in any window must stay within the quota's bound, and after faults end, requests
 // within the quota must be served.
 package admissionmodel
 
@@ -13,45 +13,45 @@
 	"slateridge/internal/modelcheck"
 )
 
-// Model is admission as package modelcheck drives it.
+// Model implements modelcheck.Model for admission.
 type Model struct {
 	Config
-	world  *modelcheck.World
-	grid   time.Duration
-	err    error
-	faults int
-	came   int
-	lives  uint64
-	ids    uint64
+	world           *modelcheck.World
+	nextChoiceAt    time.Duration
+	err             error
+	faults          int
+	joined          int
+	lastIncarnation uint64
+	lastCallID      uint64
 
-	stopped  map[string]time.Duration // when a process that is down ended
-	proxies  map[string]*proxy
-	trackers map[string]*tracker
-	roster   map[string]*rosterEntry
-	started  bool // the first proxies share
+	stoppedAt map[string]time.Duration // by process that is down
+	proxies   map[string]*proxy
+	trackers  map[string]*tracker
+	roster    map[string]*rosterEntry
+	started   bool // the initial proxies have been admitted
 
-	holder string // of the tracker's duty; empty while it moves
-	since  time.Duration
-	ended  time.Duration // when the duty was last given up
-	next   string        // who takes it, if it is up
+	dutyHolder  string // the machine that holds the tracker's duty; empty while it moves
+	heldSince   time.Duration
+	vacantSince time.Duration // when the duty was last given up
+	nextHolder  string        // the machine that takes the duty next if it is up
 
-	bound  allowance
-	recent []time.Duration // when requests ran within the last Window
-	served int
+	bound      allowance
+	recentRuns []time.Duration // times of the requests admitted within the last Window
+	served     int
 }
 
-// New makes one.
+// New returns a model with a configuration.
 func New(c Config) *Model { return &Model{Config: c} }
 
-// Reset goes back to the start, as package modelcheck asks.
+// Reset implements modelcheck.Model.
 func (m *Model) Reset() {
 	m.world = modelcheck.NewWorld(constants.GrantInterval, m.tick, m.recv)
-	m.grid, m.err, m.faults, m.came, m.lives, m.ids, m.served = m.Warm, nil, 0, 0, 0, 0, 0
-	m.stopped = map[string]time.Duration{}
+	m.nextChoiceAt, m.err, m.faults, m.joined, m.lastIncarnation, m.lastCallID, m.served = m.Warm, nil, 0, 0, 0, 0, 0
+	m.stoppedAt = map[string]time.Duration{}
 	m.proxies, m.trackers, m.roster = map[string]*proxy{}, map[string]*tracker{}, map[string]*rosterEntry{}
-	m.holder, m.since, m.ended, m.next, m.started = "", 0, -vacancy, trackerNames[0], false
-	m.bound = newAllowance(m.Quota.Rate, m.Quota.Burst+m.extra())
-	m.recent = nil
+	m.dutyHolder, m.heldSince, m.vacantSince, m.nextHolder, m.started = "", 0, -dutyVacancy, trackerNames[0], false
+	m.bound = newAllowance(m.Quota.Rate, m.Quota.Burst+m.extraBurst())
+	m.recentRuns = nil
 	m.world.Start(control)
 	for _, n := range trackerNames[:m.Trackers] {
 		m.startTracker(n)
@@ -60,19 +60,19 @@
 		m.startProxy(n)
 	}
 	m.world.Run(m.Warm, nil, m.healthy)
-	m.pressAll(m.Pressed)
-	m.world.Trouble = 0
+	m.setLoad(m.Pressed)
+	m.world.LastFault = 0
 }
 
 func (m *Model) healthy() bool { return m.err == nil }
 
-func (m *Model) broken(rule, f string, a ...any) {
+func (m *Model) fail(rule, f string, a ...any) {
 	if m.err == nil {
-		m.err = modelcheck.Broken(rule, "at %v: %s", m.world.Now, fmt.Sprintf(f, a...))
+		m.err = modelcheck.NewViolation(rule, "at %v: %s", m.world.Now, fmt.Sprintf(f, a...))
 	}
 }
 
-// Check is the first rule of safety that was broken.
+// Check implements modelcheck.Model.
 func (m *Model) Check() error { return m.err }
 
 func (m *Model) quotas() map[string]admission.Quota { return map[string]admission.Quota{key: m.Quota} }
--- a/internal/modelcheck/admissionmodel/choices.go
+++ b/internal/modelcheck/admissionmodel/choices.go
@@ -9,28 +9,28 @@
 	"slateridge/internal/modelcheck"
 )
 
-// faultKinds count as faults; the others repair, or are work.
+// faultKinds are the kinds that count as faults. The other kinds are repairs or client load.
 var faultKinds = []string{"isolate", "mute", "deafen", "part", "freeze", "lose", "late", "restart", "stop", "go", "duty", "power"}
 
-// ChoiceKinds names all kinds of choices.
+// ChoiceKinds lists all kinds of choices.
 var ChoiceKinds = append(slices.Clone(faultKinds), "join", "thaw", "start", "come", "long", "press", "rest")
 
-// Choices lists what may happen next, the default first, as package modelcheck asks.
+// Choices implements modelcheck.Model.
 func (m *Model) Choices() []string {
 	choices := modelcheck.NewChoices(m.Kinds, m.Without)
 	if m.faults >= m.Faults {
-		choices.LeaveOut(faultKinds)
+		choices.Exclude(faultKinds)
 	}
 	add := choices.Add
-	if m.Messages && m.world.Head() != nil {
+	if m.Messages && m.world.NextMessage() != nil {
 		add("lose", "late")
 	}
 	add("press all")
 	for _, n := range proxyNames[:m.Proxies+m.Newcomers] {
 		m.proxyChoices(n, add)
 	}
-	if m.came < m.Newcomers {
-		add("come " + proxyNames[m.Proxies+m.came])
+	if m.joined < m.Newcomers {
+		add("come " + proxyNames[m.Proxies+m.joined])
 	}
 	for _, n := range trackerNames[:m.Trackers] {
 		if !m.world.Up(n) {
@@ -40,29 +40,29 @@
 			continue
 		}
 		add("restart "+n, "stop "+n)
-		if n != m.holder && m.holder != "" {
+		if n != m.dutyHolder && m.dutyHolder != "" {
 			add("duty " + n)
 		}
 	}
-	for _, w := range m.world.Freezes() {
+	for _, w := range m.world.FreezeChoices() {
 		if w != "freeze "+control {
 			add(w)
 		}
 	}
-	if m.world.Parted() {
+	if m.world.Partitioned() {
 		add("join")
 	}
 	add("power", "long")
 	return choices.List
 }
 
-// mayStart says whether a stopped process may start: a start takes its time.
-func (m *Model) mayStart(n string) bool { return m.world.Now-m.stopped[n] >= modelcheck.Stall }
+// mayStart reports whether a stopped process has been down long enough to start.
+func (m *Model) mayStart(n string) bool { return m.world.Now-m.stoppedAt[n] >= modelcheck.RestartTime }
 
-// proxyChoices lists what may happen to a proxy and its paths.
+// proxyChoices adds the choices that affect a proxy and its network paths.
 func (m *Model) proxyChoices(n string, add func(...string)) {
 	if !slices.Contains(m.world.Names, n) {
-		return // not come yet, or gone for good
+		return // not started yet, or removed permanently
 	}
 	if m.proxies[n] == nil {
 		if m.mayStart(n) {
@@ -70,21 +70,21 @@
 		}
 		return
 	}
-	if m.proxies[n].pressed {
+	if m.proxies[n].underLoad {
 		add("rest " + n)
 	} else {
 		add("press " + n)
 	}
 	add("restart "+n, "stop "+n, "go "+n, "isolate "+n, "mute "+n, "deafen "+n, "part "+control+"|"+n)
-	if m.holder != "" {
-		add("part " + n + "|" + m.holder)
+	if m.dutyHolder != "" {
+		add("part " + n + "|" + m.dutyHolder)
 	}
 }
 
-// Apply has one of the choices happen, as package modelcheck asks.
+// Apply implements modelcheck.Model.
 func (m *Model) Apply(n int) {
 	if n == 0 {
-		m.grid = m.world.RunDefault(m.grid, m.Step, func(*modelcheck.Event) bool { return m.Messages }, m.healthy)
+		m.nextChoiceAt = m.world.RunDefault(m.nextChoiceAt, m.Step, func(*modelcheck.Event) bool { return m.Messages }, m.healthy)
 		return
 	}
 	choice := m.Choices()[n]
@@ -92,19 +92,19 @@
 	if slices.Contains(faultKinds, f[0]) {
 		m.faults++
 	}
-	if m.world.Do(choice) {
+	if m.world.ApplyChoice(choice) {
 		return
 	}
 	switch f[0] {
 	case "press", "rest":
 		for _, n := range m.proxiesUp() {
 			if f[1] == n || f[1] == "all" {
-				m.proxies[n].pressed = f[0] == "press"
+				m.proxies[n].underLoad = f[0] == "press"
 			}
 		}
 	case "restart":
 		m.stop(f[1])
-		m.back(f[1])
+		m.restartLater(f[1])
 	case "stop":
 		m.stop(f[1])
 	case "start":
@@ -113,7 +113,7 @@
 		m.stop(f[1])
 		m.world.Leave(f[1])
 	case "come":
-		m.came++
+		m.joined++
 		m.startProxy(f[1])
 	case "duty":
 		m.vacate(f[1])
@@ -121,32 +121,32 @@
 		for _, n := range m.world.Names {
 			if n != control {
 				m.stop(n)
-				m.back(n)
+				m.restartLater(n)
 			}
 		}
 		m.vacate("")
-		m.ended += powerVacancy
+		m.vacantSince += powerLossVacancy
 	case "long":
-		m.world.Run(m.world.Now+m.Long, nil, m.healthy)
-		m.grid = max(m.grid, m.world.Now)
+		m.world.Run(m.world.Now+m.LongWait, nil, m.healthy)
+		m.nextChoiceAt = max(m.nextChoiceAt, m.world.Now)
 	}
 }
 
-// skip are numbers that only rise, and counts that decide nothing.
-var skip = []string{"keyState.count", "keyState.wholeQuota", "Tracker.Requests", "Tracker.Granted", "Tracker.Exhausted", "Tracker.contactScan", "pool.contactScan", "question.ID", "answer.ID", "World.seq"}
+// skippedFields are numbers that only increase, and counters that do not affect behavior.
+var skippedFields = []string{"keyState.count", "keyState.wholeQuota", "Tracker.Requests", "Tracker.Granted", "Tracker.Exhausted", "Tracker.contactScan", "pool.contactScan", "grantCall.ID", "grantReply.ID", "World.seq"}
 
-// Hash distinguishes states, as package modelcheck asks.
+// Hash implements modelcheck.Model.
 func (m *Model) Hash() uint64 {
-	m.forgetOld()
-	a := modelcheck.Abstraction{LongAgo: longAgo, Skip: skip, Grain: grain}
-	parts := []any{m.world.Hash(a), m.stopped, m.grid, m.faults, m.came, m.roster, m.started, m.holder, m.since, m.ended, m.next, m.bound, m.recent}
+	m.dropOldRuns()
+	a := modelcheck.Abstraction{MaxAge: maxAge, SkipFields: skippedFields, Resolution: floatResolution}
+	parts := []any{m.world.Hash(a), m.stoppedAt, m.nextChoiceAt, m.faults, m.joined, m.roster, m.started, m.dutyHolder, m.heldSince, m.vacantSince, m.nextHolder, m.bound, m.recentRuns}
 	for _, n := range m.proxiesUp() {
 		p := m.proxies[n]
-		var open []openQuestion
-		for _, id := range slices.Sorted(maps.Keys(p.open)) {
-			open = append(open, p.open[id])
+		var pending []pendingCall
+		for _, id := range slices.Sorted(maps.Keys(p.pending)) {
+			pending = append(pending, p.pending[id])
 		}
-		parts = append(parts, n, a.Digest(m.clock(n), p.limiter, p.echo, p.tracker, p.pressed, open))
+		parts = append(parts, n, a.Digest(m.clock(n), p.limiter, p.echo, p.tracker, p.underLoad, pending))
 	}
 	for _, n := range trackerNames[:m.Trackers] {
 		if t := m.trackers[n]; t != nil {
@@ -156,49 +156,51 @@
 	return a.Digest(m.world.Now, parts...)
 }
 
-// Quiet has all clients spend what there is, and press on while the troubles last;
-// then it ends the troubles, and the pressed key must be served.
-func (m *Model) Quiet() error {
-	m.pressAll(true)
-	m.world.Run(m.world.Now+lastPress, nil, m.healthy)
-	m.pressAll(false)
+// CheckLiveness implements modelcheck.Model. Clients first spend all available tokens and keep
+// exceeding the quota while the faults last. Then the faults end, and the key must be served
+// under load.
+func (m *Model) CheckLiveness() error {
+	m.setLoad(true)
+	m.world.Run(m.world.Now+finalLoadTime, nil, m.healthy)
+	m.setLoad(false)
 	m.world.Heal()
 	for _, n := range m.world.Names {
 		if !m.world.Up(n) {
 			m.start(n)
 		}
 	}
-	m.world.Run(m.world.Now+m.Settle, nil, m.healthy)
-	if m.waitsForTheGone() {
+	m.world.Run(m.world.Now+m.SettleTime, nil, m.healthy)
+	if m.newcomersBlocked() {
 		m.world.Run(m.world.Now+constants.ProxyExpiry, nil, m.healthy)
 	}
 	before := m.served
-	m.pressAll(true)
-	m.world.Run(m.world.Now+servedPress, nil, m.healthy)
-	got, want := float64(m.served-before), servedPart*m.Quota.Rate*servedPress.Seconds()
+	m.setLoad(true)
+	m.world.Run(m.world.Now+serviceLoadTime, nil, m.healthy)
+	got, want := float64(m.served-before), minServedShare*m.Quota.Rate*serviceLoadTime.Seconds()
 	if m.err == nil && got < want && len(m.proxiesUp()) > 0 {
-		m.broken(RuleServes, "%.0f served in %v after %v of quiet, at least %.0f of what is pressed for should be: %s", got, servedPress, m.Settle, want, m.describe())
+		m.fail(RuleServes, "%.0f requests were served in %v, starting %v after faults ended, want at least %.0f: %s", got, serviceLoadTime, m.SettleTime, want, m.describe())
 	}
 	return m.err
 }
 
-// waitsForTheGone says whether control holds newcomers up for a proxy that is gone
-// and not yet forgotten.
-func (m *Model) waitsForTheGone() bool {
-	holdsUp, waiting := false, false
+// newcomersBlocked reports whether control delays the admission of newcomers because of a proxy
+// that is gone and has not been forgotten.
+func (m *Model) newcomersBlocked() bool {
+	blocked, waiting := false, false
 	for n, e := range m.roster {
-		holdsUp = holdsUp || m.proxies[n] == nil
-		waiting = waiting || !e.shares
+		blocked = blocked || m.proxies[n] == nil
+		waiting = waiting || !e.admitted
 	}
-	return holdsUp && waiting
+	return blocked && waiting
 }
 
-// pressAll has the clients of all proxies press, at once, or rest.
-func (m *Model) pressAll(press bool) {
+// setLoad starts or stops load beyond the quota at all proxies. A start sends requests
+// immediately.
+func (m *Model) setLoad(on bool) {
 	for _, n := range m.proxiesUp() {
-		m.proxies[n].pressed = press
-		if press && !m.world.Frozen(n) {
-			m.press(n, pressedArrivals)
+		m.proxies[n].underLoad = on
+		if on && !m.world.Frozen(n) {
+			m.sendRequests(n, loadedArrivals)
 		}
 	}
 }
--- a/internal/modelcheck/admissionmodel/processes.go
+++ b/internal/modelcheck/admissionmodel/processes.go
@@ -8,33 +8,34 @@
 	"slateridge/internal/modelcheck"
 )
 
-// trackerEcho is a tracker's latest time, and when it came, by the proxy's clock.
+// trackerEcho is the latest time received from a tracker, and when it arrived by the proxy's
+// clock.
 type trackerEcho struct {
 	time admission.TrackerTime
 	at   time.Duration
 }
 
-// openQuestion waits for its answer.
-type openQuestion struct {
-	asked   time.Duration
-	tracker string
-	request bool // asked for a request that waits, not in the regular turn
+// pendingCall is a call to a tracker that has not been answered.
+type pendingCall struct {
+	sentAt     time.Duration
+	tracker    string
+	forRequest bool // sent for a waiting request, not periodically
 }
 
-// proxy is one proxy's process.
+// proxy is a proxy's process.
 type proxy struct {
 	limiter   *admission.Limiter
 	startedAt time.Duration
-	tracker   string // as control sent it
+	tracker   string // as received from control
 	echo      map[string]trackerEcho
-	open      map[uint64]openQuestion
-	pressed   bool // its clients send more than the quota
+	pending   map[uint64]pendingCall
+	underLoad bool // its clients exceed the quota
 }
 
-// tracker is one tracker's process.
+// tracker is a tracker's process.
 type tracker struct {
 	state *admission.Tracker
-	count int // as control sent it
+	count int // as received from control
 }
 
 func (m *Model) proxiesUp() (out []string) {
@@ -47,12 +48,12 @@
 }
 
 func (m *Model) startProxy(n string) {
-	m.lives++
+	m.lastIncarnation++
 	p := &proxy{
-		limiter:   admission.New(m.Slack, shards, m.lives),
+		limiter:   admission.New(m.Slack, shards, m.lastIncarnation),
 		startedAt: m.world.Now,
 		echo:      map[string]trackerEcho{},
-		open:      map[uint64]openQuestion{},
+		pending:   map[uint64]pendingCall{},
 	}
 	p.limiter.SetQuotas(0, m.quotas())
 	m.proxies[n] = p
@@ -60,9 +61,11 @@
 }
 
 func (m *Model) startTracker(n string) {
-	m.lives++
+	m.lastIncarnation++
 	t := &tracker{count: len(m.roster)}
-	t.state = admission.NewTracker(m.lives, shards, func(told int, q admission.Quota) bool { return admission.ShareTooSmall(max(told, t.count), m.Slack, q) })
+	t.state = admission.NewTracker(m.lastIncarnation, shards, func(reported int, q admission.Quota) bool {
+		return admission.ShareTooSmall(max(reported, t.count), m.Slack, q)
+	})
 	t.state.SetQuotas(m.world.Now, m.quotas())
 	m.trackers[n] = t
 	m.world.Start(n)
@@ -78,24 +81,24 @@
 
 func (m *Model) stop(n string) {
 	m.world.Stop(n)
-	m.stopped[n] = m.world.Now
+	m.stoppedAt[n] = m.world.Now
 	delete(m.proxies, n)
 	delete(m.trackers, n)
-	if n == m.holder {
+	if n == m.dutyHolder {
 		m.vacate("")
 	}
 }
 
-func (m *Model) back(n string) {
-	life := m.world.Life(n)
-	m.world.After(modelcheck.Stall, func() {
-		if m.world.Life(n) == life {
+func (m *Model) restartLater(n string) {
+	incarnation := m.world.Incarnation(n)
+	m.world.After(modelcheck.RestartTime, func() {
+		if m.world.Incarnation(n) == incarnation {
 			m.start(n)
 		}
 	})
 }
 
-// clock is a proxy's steady clock.
+// clock returns a proxy's monotonic clock.
 func (m *Model) clock(n string) time.Duration { return m.world.Now - m.proxies[n].startedAt }
 
 func (m *Model) tick(n string) {
@@ -110,14 +113,14 @@
 func (m *Model) recv(e *modelcheck.Event) {
 	switch x := e.Msg.(type) {
 	case heartbeat:
-		m.takeHeartbeat(e.From, x)
-	case news:
-		m.takeNews(e.To, x)
-	case rosterSize:
+		m.receiveHeartbeat(e.From, x)
+	case heartbeatReply:
+		m.receiveHeartbeatReply(e.To, x)
+	case liveCount:
 		m.trackers[e.To].count = x.Count
-	case question:
-		m.world.Send(e.To, e.From, answer{x.ID, m.ask(e.To, x.Ask)})
-	case answer:
-		m.takeAnswer(e.To, x)
+	case grantCall:
+		m.world.Send(e.To, e.From, grantReply{x.ID, m.handleGrantCall(e.To, x.Request)})
+	case grantReply:
+		m.receiveGrants(e.To, x)
 	}
 }
--- a/internal/modelcheck/chainmodel/choices.go
+++ b/internal/modelcheck/chainmodel/choices.go
@@ -12,8 +12,8 @@
 	"slateridge/internal/simnet"
 )
 
-// regular says whether a message is one that machines send all the time.
-func regular(msg any) bool {
+// periodic reports whether a message is one that machines send periodically.
+func periodic(msg any) bool {
 	switch msg.(type) {
 	case chain.Heartbeat, lease.Request, lease.Grant:
 		return true
@@ -21,66 +21,67 @@
 	return false
 }
 
-func (m *Model) atMessage() *modelcheck.Event {
-	if e := m.world.Head(); m.Messages && e != nil && !regular(e.Msg) {
+// nextProtocolMessage returns the next message if it is a choice point.
+func (m *Model) nextProtocolMessage() *modelcheck.Event {
+	if e := m.world.NextMessage(); m.Messages && e != nil && !periodic(e.Msg) {
 		return e
 	}
 	return nil
 }
 
-// allHealthy says whether a disk may be lost: all machines are up and one chain, and
-// have had the time to catch up.
+// allHealthy reports whether a disk may be lost: all machines are running members of one view
+// and have had time to catch up.
 func (m *Model) allHealthy() bool {
-	if m.Reckless {
+	if m.UnsafeDiskLoss {
 		return true
 	}
-	if m.world.Parted() || len(m.world.Names) < m.Founders || m.world.Now-m.world.Trouble < m.CatchUp {
+	if m.world.Partitioned() || len(m.world.Names) < m.Founders || m.world.Now-m.world.LastFault < m.CatchUp {
 		return false
 	}
 	for _, n := range m.world.Names {
-		if m.chain[n] == nil || m.world.Frozen(n) || m.disks[n].Refuse || m.disks[n].Failed() || !slices.ContainsFunc(m.chain[m.world.Names[0]].View().Members, func(x chain.Member) bool { return x == m.chain[n].Me }) {
+		if m.chain[n] == nil || m.world.Frozen(n) || m.disks[n].RefuseWrites || m.disks[n].Failed() || !slices.ContainsFunc(m.chain[m.world.Names[0]].View().Members, func(x chain.Member) bool { return x == m.chain[n].Me }) {
 			return false
 		}
 	}
 	return true
 }
 
-// mayLose says whether one more machine, or disk, may be lost by what is promised:
-// all is whole, or nothing but tolerated losses has happened since it was.
-func (m *Model) mayLose() bool {
-	return m.allHealthy() || m.losses > 0 && m.losses < m.Tolerate && m.world.Trouble == m.lossAt
+// mayLoseMachine reports whether the guarantees allow one more machine or disk to be lost: all
+// machines are healthy, or only tolerated losses have occurred since they were.
+func (m *Model) mayLoseMachine() bool {
+	return m.allHealthy() || m.recentLosses > 0 && m.recentLosses < m.MaxMachineFailures && m.world.LastFault == m.lossAt
 }
 
-// lose notes that a machine is stopped or lost; spare says that the others have to
-// do without it.
-func (m *Model) lose(n string, spare bool) {
+// recordLoss records that a machine is stopped or lost. If mustTolerate is set, the others must
+// be able to serve without it.
+func (m *Model) recordLoss(n string, mustTolerate bool) {
 	if m.allHealthy() {
-		m.losses, m.spares = 0, nil
-	} else if !m.mayLose() {
+		m.recentLosses, m.toleratedStops = 0, nil
+	} else if !m.mayLoseMachine() {
 		return
 	}
-	m.losses++
+	m.recentLosses++
 	m.lossAt = m.world.Now
-	if spare {
-		m.spares = append(m.spares, n)
+	if mustTolerate {
+		m.toleratedStops = append(m.toleratedStops, n)
 	}
 }
 
-// faultKinds count as faults; the others repair, or are work.
+// faultKinds are the kinds that count as faults. The other kinds are repairs or operator calls.
 var faultKinds = []string{"isolate", "mute", "deafen", "cut", "part", "freeze", "lose", "double", "late", "restart", "stop", "power", "fill", "wipe", "leave", "quit", "depart", "outage"}
 
-// ChoiceKinds names all kinds of choices.
+// ChoiceKinds lists all kinds of choices.
 var ChoiceKinds = append(slices.Clone(faultKinds), "join", "thaw", "start", "clear", "recover", "come", "order", "again", "read", "evacuate")
 
-// Choices lists what may happen next, as package modelcheck asks.
+// Choices implements modelcheck.Model.
 func (m *Model) Choices() []string {
 	choices := modelcheck.NewChoices(m.Kinds, m.Without)
 	if m.faults >= m.Faults {
-		choices.LeaveOut(faultKinds)
+		choices.Exclude(faultKinds)
 	}
 	add := choices.Add
-	if e := m.atMessage(); e != nil {
-		add(m.world.OnHead()...)
+	if e := m.nextProtocolMessage(); e != nil {
+		add(m.world.MessageChoices()...)
 	}
 	m.processChoices(add)
 	m.diskChoices(add)
@@ -89,18 +90,18 @@
 	} else if m.Duties {
 		add("outage")
 	}
-	if m.came < m.Newcomers {
-		add("come " + names[m.Founders+m.came])
+	if m.joined < m.Newcomers {
+		add("come " + names[m.Founders+m.joined])
 	}
-	add(m.world.Freezes()...)
-	add(m.world.Paths()...)
-	if m.orders < m.Orders {
+	add(m.world.FreezeChoices()...)
+	add(m.world.NetworkChoices()...)
+	if m.operatorCalls < m.OperatorCalls {
 		m.operatorChoices(add)
 	}
 	return choices.List
 }
 
-// processChoices are the ways in which processes end and start.
+// processChoices adds the choices that stop and start processes.
 func (m *Model) processChoices(add func(...string)) {
 	for _, n := range m.world.Names {
 		if !m.world.Up(n) {
@@ -115,16 +116,17 @@
 	add("power")
 }
 
-// diskChoices are what may happen to disks, and to machines with theirs.
+// diskChoices adds the choices that affect disks, and those that lose machines with their
+// disks.
 func (m *Model) diskChoices(add func(...string)) {
 	for _, n := range m.world.Names {
-		if m.disks[n].Refuse {
+		if m.disks[n].RefuseWrites {
 			add("clear " + n)
 		} else {
 			add("fill " + n)
 		}
 	}
-	if !m.mayLose() {
+	if !m.mayLoseMachine() {
 		return
 	}
 	for _, n := range m.world.Names {
@@ -134,7 +136,7 @@
 	}
 }
 
-// operatorChoices are the orders and reads that operators may send.
+// operatorChoices adds the submissions, reads and evacuations that operators may send.
 func (m *Model) operatorChoices(add func(...string)) {
 	for _, n := range m.world.Names {
 		if !m.world.Up(n) {
@@ -143,10 +145,10 @@
 		for i := range m.Operators {
 			p := string(rune('p' + i))
 			add(fmt.Sprintf("order %s at %s: r%d", p, n, m.highestVersion+1))
-			if m.highestVersion > 0 && m.last[p].Version != m.highestVersion {
+			if m.highestVersion > 0 && m.lastSubmission[p].Version != m.highestVersion {
 				add(fmt.Sprintf("order %s at %s: r%d", p, n, m.highestVersion))
 			}
-			if m.last[p].Version > 0 {
+			if m.lastSubmission[p].Version > 0 {
 				add(fmt.Sprintf("again %s at %s", p, n))
 			}
 		}
@@ -154,10 +156,10 @@
 	}
 }
 
-// Apply has one of the choices happen, as package modelcheck asks.
+// Apply implements modelcheck.Model.
 func (m *Model) Apply(n int) {
 	if n == 0 {
-		m.grid = m.world.RunDefault(m.grid, m.Step, func(*modelcheck.Event) bool { return m.atMessage() != nil }, m.healthy)
+		m.nextChoiceAt = m.world.RunDefault(m.nextChoiceAt, m.Step, func(*modelcheck.Event) bool { return m.nextProtocolMessage() != nil }, m.healthy)
 		return
 	}
 	choice := m.Choices()[n]
@@ -165,29 +167,29 @@
 	if slices.Contains(faultKinds, f[0]) {
 		m.faults++
 	}
-	if m.world.Do(choice) {
+	if m.world.ApplyChoice(choice) {
 		return
 	}
-	if m.applyOrder(f) {
-		return // no trouble
+	if m.applyOperatorChoice(f) {
+		return // not a fault
 	}
-	m.applyTrouble(f)
-	m.world.Trouble = m.world.Now
+	m.applyMachineChoice(f)
+	m.world.LastFault = m.world.Now
 }
 
-// applyTrouble has something happen to a machine or to the platform.
-func (m *Model) applyTrouble(f []string) {
+// applyMachineChoice applies a choice that affects a machine or the platform.
+func (m *Model) applyMachineChoice(f []string) {
 	switch f[0] {
 	case "restart":
 		m.stop(f[1])
 		m.restartLater(f[1])
 	case "stop":
-		m.lose(f[1], true)
+		m.recordLoss(f[1], true)
 		m.stop(f[1])
 	case "quit", "depart":
-		m.quit(f[1], f[0] == "depart")
+		m.shutDown(f[1], f[0] == "depart")
 	case "start":
-		m.spares = nil
+		m.toleratedStops = nil
 		m.start(f[1], false)
 	case "power":
 		for _, n := range m.world.Names {
@@ -195,39 +197,39 @@
 			m.restartLater(n)
 		}
 	case "fill", "clear":
-		m.disks[f[1]].Refuse = f[0] == "fill"
+		m.disks[f[1]].RefuseWrites = f[0] == "fill"
 	case "outage", "recover":
 		m.platform.down = f[0] == "outage"
 	case "wipe":
-		m.lose(f[1], false)
+		m.recordLoss(f[1], false)
 		m.stop(f[1])
 		m.disks[f[1]] = simnet.NewDisk()
 		m.restartLater(f[1])
 	case "leave":
-		m.lose(f[1], false)
+		m.recordLoss(f[1], false)
 		m.stop(f[1])
 		m.world.Leave(f[1])
 	case "come":
-		m.came++
+		m.joined++
 		m.start(f[1], false)
 	}
 }
 
-// applyOrder has an operator order or read something, and says whether the choice was that.
-func (m *Model) applyOrder(f []string) bool {
+// applyOperatorChoice applies an operator's call and reports whether the choice was one.
+func (m *Model) applyOperatorChoice(f []string) bool {
 	switch f[0] {
 	case "order":
-		m.orders++
+		m.operatorCalls++
 		version, _ := strconv.ParseUint(strings.TrimPrefix(f[4], "r"), 10, 64)
-		m.order(strings.TrimSuffix(f[3], ":"), Order{f[1], version, fmt.Sprintf("r%d by %s", version, f[1])})
+		m.submitConfig(strings.TrimSuffix(f[3], ":"), Submission{f[1], version, fmt.Sprintf("r%d by %s", version, f[1])})
 	case "again":
-		m.orders++
-		m.order(f[3], m.last[f[1]])
+		m.operatorCalls++
+		m.submitConfig(f[3], m.lastSubmission[f[1]])
 	case "read":
-		m.orders++
+		m.operatorCalls++
 		m.read(f[1])
 	case "evacuate":
-		m.orders++
+		m.operatorCalls++
 		m.evacuate(f[1], f[2] == "on")
 	default:
 		return false
--- a/internal/modelcheck/chainmodel/duties.go
+++ b/internal/modelcheck/chainmodel/duties.go
@@ -12,71 +12,71 @@
 	"slateridge/internal/modelcheck"
 )
 
-// The rules on duties, checked when Config.Duties is set.
+// Rules on duties, checked if Config.Duties is set.
 const (
-	RuleOneHolder = "one holder a duty"
-	RuleOneFence  = "one holder a fence"
-	RuleOneAct    = "one body a key"
-	RuleLeased    = "no act without the lease"
-	RuleTurns     = "no turns inside the lease bound"
-	RuleHeld      = "a duty is held after quiet"
-	RuleActs      = "acts are taken after quiet"
+	RuleOneHolder     = "one holder a duty"
+	RuleOneFence      = "one holder a fence"
+	RuleOneBody       = "one body a key"
+	RuleActUnderLease = "no act without the lease"
+	RuleNoAlternation = "no turns inside the lease bound"
+	RuleHeld          = "a duty is held after quiet"
+	RuleActsAccepted  = "acts are taken after quiet"
 )
 
 const (
-	dutyName = "usage"
-	turn     = 6 * time.Second // within which no two holders may take turns
-	actEvery = time.Second
+	dutyName          = "usage"
+	alternationWindow = 6 * time.Second // time within which a duty must not alternate between two holders
+	actInterval       = time.Second
 )
 
-// dutyHolder are one machine's leases and its part in the duty.
+// dutyHolder is a machine's lease manager and duty state machine.
 type dutyHolder struct {
 	lease  *lease.Manager
 	holder *duty.Holder
 }
 
-// act is one that the platform has taken.
-type act struct {
+// platformAction is an action that the platform has accepted.
+type platformAction struct {
 	at     time.Duration
 	holder string
 }
 
-// platform is the stand-in: it refuses fences below the highest it has seen.
+// platform simulates the cloud platform. It rejects fences below the highest it has received.
 type platform struct {
-	down     bool
-	fence    uint64
-	holderOf map[uint64]string // fence: whose
-	bodies   map[uint64]string // key: what was sent
-	acts     []act
-	taken    int
+	down          bool
+	fence         uint64
+	fenceHolder   map[uint64]string // by fence: the machine that uses it
+	bodies        map[uint64]string // by key: the body received
+	recentActions []platformAction
+	accepted      int
 }
 
 func (m *Model) startDuties(n string) {
 	if !m.Duties {
 		return
 	}
-	life := uint64(m.world.Life(n)+1)<<32 | uint64(n[0])
+	incarnation := uint64(m.world.Incarnation(n)+1)<<32 | uint64(n[0])
 	m.dutyHolders[n] = &dutyHolder{
-		lease:  lease.New(m.world.Now, life, n, []string{dutyName}),
-		holder: duty.NewHolder(dutyName, n, turn, 50, rand.New(rand.NewPCG(life, 2))),
+		lease:  lease.New(m.world.Now, incarnation, n, []string{dutyName}),
+		holder: duty.NewHolder(dutyName, n, alternationWindow, 50, rand.New(rand.NewPCG(incarnation, 2))),
 	}
 }
 
-// stepDuties is the duties' step at a machine.
+// stepDuties runs one step of a machine's duties.
 func (m *Model) stepDuties(n string) {
-	o, c := m.dutyHolders[n], m.chain[n]
-	if o == nil || c == nil {
+	h, c := m.dutyHolders[n], m.chain[n]
+	if h == nil || c == nil {
 		return
 	}
 	v := c.View()
-	o.lease.SetElectorate(m.world.Now, v.Epoch, v.VoterAddrs(), c.ElectorateUncertain())
-	m.sendLease(n, o.lease.Tick(m.world.Now))
+	h.lease.SetElectorate(m.world.Now, v.Epoch, v.VoterAddrs(), c.ElectorateUncertain())
+	m.sendLease(n, h.lease.Tick(m.world.Now))
 	var rec duty.Record
 	if d := c.Committed(); d != nil {
 		rec = d.Duties[dutyName]
 	}
-	m.carryOut(n, o.holder.Step(m.world.Now, o.lease.Expiry(m.world.Now, dutyName), rec, func(after uint64) (uint64, []byte, bool) {
-		key := uint64(m.world.Now / actEvery)
+	m.applyDutyEffects(n, h.holder.Step(m.world.Now, h.lease.Expiry(m.world.Now, dutyName), rec, func(after uint64) (uint64, []byte, bool) {
+		key := uint64(m.world.Now / actInterval)
 		return key, []byte(n + strconv.FormatUint(key, 10)), key > after
 	}))
 }
@@ -87,109 +87,112 @@
 	}
 }
 
-// recvLease takes a message if it is one on leases.
+// recvLease handles a lease message and reports whether the message was one.
 func (m *Model) recvLease(e *modelcheck.Event) bool {
 	switch e.Msg.(type) {
 	case lease.Request, lease.Grant, lease.Release:
-		if o := m.dutyHolders[e.To]; o != nil {
-			m.sendLease(e.To, o.lease.Recv(m.world.Now, e.From, e.Msg))
+		if h := m.dutyHolders[e.To]; h != nil {
+			m.sendLease(e.To, h.lease.Recv(m.world.Now, e.From, e.Msg))
 		}
 		return true
 	}
 	return false
 }
 
-func (m *Model) carryOut(n string, out []duty.Effect) {
-	for _, x := range out {
-		switch x := x.(type) {
+func (m *Model) applyDutyEffects(n string, effects []duty.Effect) {
+	for _, effect := range effects {
+		switch effect := effect.(type) {
 		case duty.Order:
-			m.run(n, func(c *chain.Chain) []chain.Effect { return c.SubmitDutyOrder(m.world.Now, x) })
+			m.run(n, func(c *chain.Chain) []chain.Effect { return c.SubmitDutyOrder(m.world.Now, effect) })
 		case duty.Yield:
 			m.sendLease(n, m.dutyHolders[n].lease.Resign(m.world.Now, dutyName))
 		case duty.Call:
 			if _, ok := m.dutyHolders[n].lease.Holds(m.world.Now, dutyName); !ok {
-				m.broken(RuleLeased, "%s sends key %d under fence %d", n, x.Key, x.Fence)
+				m.fail(RuleActUnderLease, "%s sent key %d under fence %d without holding the lease", n, effect.Key, effect.Fence)
 			}
-			life := m.world.Life(n)
-			m.world.After(modelcheck.Delay, func() { m.post(n, life, x) })
+			incarnation := m.world.Incarnation(n)
+			m.world.After(modelcheck.MessageDelay, func() { m.post(n, incarnation, effect) })
 		}
 	}
 }
 
-// post is a call at the platform; its answer may find its caller frozen or gone.
-func (m *Model) post(n string, life int, p duty.Call) {
-	f := &m.platform
-	if f.down {
+// post simulates a call to the platform. The caller may be frozen or gone when the answer
+// arrives.
+func (m *Model) post(n string, incarnation int, action duty.Call) {
+	p := &m.platform
+	if p.down {
 		return
 	}
-	if was, ok := f.holderOf[p.Fence]; ok && was != n {
-		m.broken(RuleOneFence, "fence %d is sent by %s and by %s", p.Fence, was, n)
+	if was, ok := p.fenceHolder[action.Fence]; ok && was != n {
+		m.fail(RuleOneFence, "fence %d was used by %s and by %s", action.Fence, was, n)
 	}
-	f.holderOf[p.Fence] = n
+	p.fenceHolder[action.Fence] = n
 	status := 409
-	if p.Fence >= f.fence {
-		status, f.fence = 200, p.Fence
-		if was, ok := f.bodies[p.Key]; ok && was != string(p.Body) {
-			m.broken(RuleOneAct, "key %d is sent as %s and as %s", p.Key, was, p.Body)
+	if action.Fence >= p.fence {
+		status, p.fence = 200, action.Fence
+		if was, ok := p.bodies[action.Key]; ok && was != string(action.Body) {
+			m.fail(RuleOneBody, "key %d was sent with body %s and with body %s", action.Key, was, action.Body)
 		}
-		f.bodies[p.Key] = string(p.Body)
-		f.acts = append(f.acts, act{m.world.Now, n})
-		f.taken++
-		m.checkTurns()
-	}
-	m.world.After(modelcheck.Delay, func() {
-		if m.world.Life(n) == life && m.world.Up(n) {
-			m.world.Act(n, func() { m.carryOut(n, m.dutyHolders[n].holder.HandleResponse(m.world.Now, p.ID, status)) })
+		p.bodies[action.Key] = string(action.Body)
+		p.recentActions = append(p.recentActions, platformAction{m.world.Now, n})
+		p.accepted++
+		m.checkAlternation()
+	}
+	m.world.After(modelcheck.MessageDelay, func() {
+		if m.world.Incarnation(n) == incarnation && m.world.Up(n) {
+			m.world.RunOn(n, func() { m.applyDutyEffects(n, m.dutyHolders[n].holder.HandleResponse(m.world.Now, action.ID, status)) })
 		}
 	})
 }
 
-// checkTurns looks whether the newest act ends an A-B-A inside the lease bound.
-func (m *Model) checkTurns() {
-	f := &m.platform
-	last, other := f.acts[len(f.acts)-1], false
-	for i := len(f.acts) - 2; i >= 0 && last.at-f.acts[i].at < turn; i-- {
-		if f.acts[i].holder != last.holder {
+// checkAlternation checks whether the latest action completes an A-B-A alternation of holders
+// within alternationWindow.
+func (m *Model) checkAlternation() {
+	p := &m.platform
+	last, other := p.recentActions[len(p.recentActions)-1], false
+	for i := len(p.recentActions) - 2; i >= 0 && last.at-p.recentActions[i].at < alternationWindow; i-- {
+		if p.recentActions[i].holder != last.holder {
 			other = true
 		} else if other {
-			m.broken(RuleTurns, "%s acts again %v after another did", last.holder, last.at-f.acts[i].at)
+			m.fail(RuleNoAlternation, "%s acted again %v after its previous action, with an action of another machine in between", last.holder, last.at-p.recentActions[i].at)
 		}
 	}
-	f.acts = f.acts[max(0, len(f.acts)-200):]
+	p.recentActions = p.recentActions[max(0, len(p.recentActions)-200):]
 }
 
-func (m *Model) holders() (who []string) {
+func (m *Model) holders() (holders []string) {
 	for _, n := range m.world.Names {
-		if o := m.dutyHolders[n]; o != nil && m.world.Up(n) {
-			if _, ok := o.lease.Holds(m.world.Now, dutyName); ok {
-				who = append(who, n)
+		if h := m.dutyHolders[n]; h != nil && m.world.Up(n) {
+			if _, ok := h.lease.Holds(m.world.Now, dutyName); ok {
+				holders = append(holders, n)
 			}
 		}
 	}
-	return who
+	return holders
 }
 
-func (m *Model) oneHolder() {
-	if who := m.holders(); len(who) > 1 {
-		m.broken(RuleOneHolder, "held by %s", strings.Join(who, " and "))
+func (m *Model) checkOneHolder() {
+	if holders := m.holders(); len(holders) > 1 {
+		m.fail(RuleOneHolder, "the duty is held by %s", strings.Join(holders, " and "))
 	}
 }
 
-// quietDuties: there is one holder, and what it decides is taken.
-func (m *Model) quietDuties() {
+// checkDutyProgress checks that the duty has exactly one holder and that the platform accepts
+// its actions.
+func (m *Model) checkDutyProgress() {
 	if m.err == nil && len(m.holders()) != 1 {
-		m.broken(RuleHeld, "held by %d machines after %v of quiet: %s", len(m.holders()), m.Settle, m.describe())
+		m.fail(RuleHeld, "the duty is held by %d machines %v after faults ended: %s", len(m.holders()), m.SettleTime, m.describe())
 	}
-	was, until := m.platform.taken, m.world.Now+turn+m.Serve
-	m.world.Run(until, nil, func() bool { return m.healthy() && m.platform.taken == was })
-	if m.err == nil && m.platform.taken == was {
-		m.broken(RuleActs, "none in %v: %s", turn+m.Serve, m.describe())
+	before, until := m.platform.accepted, m.world.Now+alternationWindow+m.ServeTimeout
+	m.world.Run(until, nil, func() bool { return m.healthy() && m.platform.accepted == before })
+	if m.err == nil && m.platform.accepted == before {
+		m.fail(RuleActsAccepted, "no action was accepted within %v: %s", alternationWindow+m.ServeTimeout, m.describe())
 	}
 }
 
-// dutiesHash is of what the duties' coming depends on.
-func (m *Model) dutiesHash(a modelcheck.Abstraction) uint64 {
-	parts := []any{m.platform.down, m.platform.fence, m.platform.acts[max(0, len(m.platform.acts)-3):], int(m.world.Now % actEvery)}
+// hashDuties digests the state that the further course of the duties depends on.
+func (m *Model) hashDuties(a modelcheck.Abstraction) uint64 {
+	parts := []any{m.platform.down, m.platform.fence, m.platform.recentActions[max(0, len(m.platform.recentActions)-3):], int(m.world.Now % actInterval)}
 	for _, n := range m.world.Names {
 		if m.world.Up(n) {
 			parts = append(parts, n, m.dutyHolders[n])
--- a/internal/modelcheck/chainmodel/operators.go
+++ b/internal/modelcheck/chainmodel/operators.go
@@ -7,71 +7,71 @@
 	"slateridge/internal/controlplane/chain"
 )
 
-// Order is an operator's configuration sent at a machine and waited for.
-type Order struct {
+// Submission is a configuration that an operator submits to a machine and waits for.
+type Submission struct {
 	Operator string
 	Version  uint64
 	Content  string
 }
 
-// Confirms says whether a state that a machine knows to be in force confirms an
-// order that waits there, as the API judges it.
-func Confirms(in *config.Doc, o Order) bool {
-	if in == nil {
+// Confirms reports whether a state in force at a machine confirms a submission pending there,
+// by the criterion of the API.
+func Confirms(inForce *config.Doc, s Submission) bool {
+	if inForce == nil {
 		return false
 	}
-	sum, ok := in.Ledger.Find(o.Version)
-	return ok && sum == config.Checksum([]byte(o.Content))
+	sum, ok := inForce.Ledger.Find(s.Version)
+	return ok && sum == config.Checksum([]byte(s.Content))
 }
 
-// submit hands an order to a machine.
-func submit(c *chain.Chain, now time.Duration, o Order) []chain.Effect {
-	return c.Submit(now, config.Doc{Version: o.Version, Raw: []byte(o.Content)})
+// submitTo submits a configuration to a machine's chain.
+func submitTo(c *chain.Chain, now time.Duration, s Submission) []chain.Effect {
+	return c.Submit(now, config.Doc{Version: s.Version, Raw: []byte(s.Content)})
 }
 
-// waiting is a call of an operator that has no answer yet.
-type waiting struct {
-	Order
-	at time.Duration
+// pendingCall is an operator's submission that has not been answered.
+type pendingCall struct {
+	Submission
+	submittedAt time.Duration
 }
 
-type reading struct {
-	began   time.Duration
-	version uint64            // confirmed when it began
-	evacs   map[string]uint64 // likewise, by zone
+type pendingRead struct {
+	startedAt        time.Duration
+	confirmedVersion uint64            // highest confirmed version when the read began
+	confirmedEvacs   map[string]uint64 // by zone: number of the latest confirmed order when the read began
 }
 
-type evacuation struct {
+type pendingEvac struct {
 	zone string
 	on   bool
 }
 
-// order sends an operator's configuration to a machine.
-func (m *Model) order(n string, o Order) {
-	m.last[o.Operator] = o
-	m.highestVersion = max(m.highestVersion, o.Version)
+// submitConfig sends a submission to a machine.
+func (m *Model) submitConfig(n string, s Submission) {
+	m.lastSubmission[s.Operator] = s
+	m.highestVersion = max(m.highestVersion, s.Version)
 	if m.chain[n] == nil || m.world.Frozen(n) {
 		return // no answer
 	}
-	if Confirms(m.inForce[n], o) {
-		m.confirm(n, o)
+	if Confirms(m.inForce[n], s) {
+		m.confirm(n, s)
 		return
 	}
-	m.waiters[n] = append(m.waiters[n], waiting{o, m.world.Now})
-	m.run(n, func(c *chain.Chain) []chain.Effect { return submit(c, m.world.Now, o) })
+	m.pendingCalls[n] = append(m.pendingCalls[n], pendingCall{s, m.world.Now})
+	m.run(n, func(c *chain.Chain) []chain.Effect { return submitTo(c, m.world.Now, s) })
 }
 
 func (m *Model) read(n string) {
 	if m.chain[n] == nil || m.world.Frozen(n) {
 		return
 	}
-	m.ids++
+	m.lastID++
 	evacs := map[string]uint64{}
-	for z, k := range m.evacAcked {
-		evacs[z] = k
+	for zone, num := range m.confirmedEvacs {
+		evacs[zone] = num
 	}
-	m.reads[n][m.ids] = reading{m.world.Now, m.acked, evacs}
-	id := m.ids
+	m.pendingReads[n][m.lastID] = pendingRead{m.world.Now, m.confirmedVersion, evacs}
+	id := m.lastID
 	m.run(n, func(c *chain.Chain) []chain.Effect { return c.Read(m.world.Now, id) })
 }
 
@@ -79,9 +79,9 @@
 	if m.chain[n] == nil || m.world.Frozen(n) {
 		return
 	}
-	m.ids++
-	id := m.ids
-	m.evacSent[id] = m.world.Now
-	m.evacs[n][id] = evacuation{"z", on}
+	m.lastID++
+	id := m.lastID
+	m.evacSentAt[id] = m.world.Now
+	m.pendingEvacs[n][id] = pendingEvac{"z", on}
 	m.run(n, func(c *chain.Chain) []chain.Effect { return c.Evacuate(m.world.Now, id, "z", on) })
 }
--- a/internal/modelcheck/chainmodel/rules.go
+++ b/internal/modelcheck/chainmodel/rules.go
@@ -9,130 +9,132 @@
 	"slateridge/internal/controlplane/chain"
 )
 
-type state struct {
+type committedState struct {
 	version uint64
 	content string
 }
 
-func (m *Model) votes(c *chain.Chain, before chain.View, slot uint64, does string) {
+func (m *Model) checkVote(c *chain.Chain, before chain.View, slot uint64, vote string) {
 	for _, v := range []chain.View{before, c.View()} {
 		if v.Num+1 == slot && slices.Contains(v.Voters, c.Me) {
 			return
 		}
 	}
-	m.broken(RuleVoters, "%v %s for view %d, and knows view %d with the voters %v", c.Me, does, slot, before.Num, before.Voters)
+	m.fail(RuleVoters, "%v %s for view %d, but its view is %d with the voters %v", c.Me, vote, slot, before.Num, before.Voters)
 }
 
-func (m *Model) view(n string, v chain.View) {
+func (m *Model) checkView(n string, v chain.View) {
 	if v.Num == 0 {
 		return
 	}
-	is := fmt.Sprint(v.Members, " of ", v.Voters)
-	if was, ok := m.views[v.Num]; ok && was != is {
-		m.broken(RuleOneView, "%s takes view %d to be %s, it was %s", n, v.Num, is, was)
+	current := fmt.Sprint(v.Members, " of ", v.Voters)
+	if recorded, ok := m.views[v.Num]; ok && recorded != current {
+		m.fail(RuleOneView, "%s has view %d as %s, another machine had it as %s", n, v.Num, current, recorded)
 	}
-	m.views[v.Num] = is
+	m.views[v.Num] = current
 }
 
-// commit checks a state that a machine now knows to be in force.
+// commit checks a state that a machine now has in force and confirms the submissions pending
+// there.
 func (m *Model) commit(n string, d config.Doc) {
-	if was := m.inForce[n]; was != nil && d.Stamp.Less(was.Stamp) {
-		m.broken(RuleForward, "%s goes back from %v to %v", n, was.Stamp, d.Stamp)
+	if previous := m.inForce[n]; previous != nil && d.Stamp.Less(previous.Stamp) {
+		m.fail(RuleNoRollback, "%s went back from revision %v to %v", n, previous.Stamp, d.Stamp)
 	}
 	m.inForce[n] = &d
 	m.checkState(n, d)
 	if was, ok := m.confirmed[d.Version]; ok && was != string(d.Raw) {
-		m.broken(RuleOneContent, "%s has r%d %q in force, %q was confirmed", n, d.Version, d.Raw, was)
+		m.fail(RuleOneContent, "%s has r%d with content %q in force, but %q was confirmed", n, d.Version, d.Raw, was)
 	}
-	m.waiters[n] = slices.DeleteFunc(m.waiters[n], func(w waiting) bool { return m.world.Now-w.at > constants.SubmitTimeout })
-	var left []waiting
-	for _, w := range m.waiters[n] {
-		if !Confirms(&d, w.Order) {
-			left = append(left, w)
+	m.pendingCalls[n] = slices.DeleteFunc(m.pendingCalls[n], func(call pendingCall) bool { return m.world.Now-call.submittedAt > constants.SubmitTimeout })
+	var remaining []pendingCall
+	for _, call := range m.pendingCalls[n] {
+		if !Confirms(&d, call.Submission) {
+			remaining = append(remaining, call)
 		} else {
-			m.confirm(n, w.Order)
+			m.confirm(n, call.Submission)
 		}
 	}
-	m.waiters[n] = left
+	m.pendingCalls[n] = remaining
 	for zone, e := range d.Evac {
 		m.commitEvacuation(n, zone, e)
 	}
 }
 
-// checkState checks that a revision stands for one state, and that versions rise with it.
+// checkState checks that a revision identifies one state and that versions increase with
+// revisions.
 func (m *Model) checkState(n string, d config.Doc) {
-	is := state{d.Version, string(d.Raw)}
+	state := committedState{d.Version, string(d.Raw)}
 	was, ok := m.states[d.Stamp]
 	if ok {
-		if was != is {
-			m.broken(RuleOneState, "%s commits r%d %q at %v, it was r%d %q", n, is.version, is.content, d.Stamp, was.version, was.content)
+		if was != state {
+			m.fail(RuleOneState, "%s committed r%d with content %q at revision %v, which was r%d with content %q", n, state.version, state.content, d.Stamp, was.version, was.content)
 		}
 		return
 	}
-	for s, o := range m.states {
-		if s.Less(d.Stamp) && o.version > is.version || d.Stamp.Less(s) && o.version < is.version {
-			m.broken(RuleForward, "%v holds r%d, %v holds r%d", s, o.version, d.Stamp, is.version)
+	for s, recorded := range m.states {
+		if s.Less(d.Stamp) && recorded.version > state.version || d.Stamp.Less(s) && recorded.version < state.version {
+			m.fail(RuleNoRollback, "versions do not increase with revisions: %v has r%d, %v has r%d", s, recorded.version, d.Stamp, state.version)
 		}
 	}
-	m.states[d.Stamp] = is
+	m.states[d.Stamp] = state
 }
 
-// commitEvacuation checks the orders on a zone that are in force at a machine, and
-// confirms those that wait there.
+// commitEvacuation checks a zone's evacuation orders in force at a machine and confirms those
+// pending there.
 func (m *Model) commitEvacuation(n, zone string, e config.Evacuation) {
 	for i, id := range e.IDs {
 		for _, before := range e.IDs[:i] {
-			if end := m.evacSent[id] + constants.SubmitTimeout; end < m.evacSent[before] {
-				m.broken(RuleLateOrder, "%s: zone %s: the order of %v, answered for by %v, takes effect after that of %v", n, zone, m.evacSent[id], end, m.evacSent[before])
+			if end := m.evacSentAt[id] + constants.SubmitTimeout; end < m.evacSentAt[before] {
+				m.fail(RuleLateOrder, "%s: zone %s: the order sent at %v, which could be answered until %v, took effect after the order sent at %v", n, zone, m.evacSentAt[id], end, m.evacSentAt[before])
 			}
 		}
-		o, ok := m.evacs[n][id]
+		order, ok := m.pendingEvacs[n][id]
 		if !ok {
 			continue
 		}
-		delete(m.evacs[n], id)
-		if i == len(e.IDs)-1 && e.On != o.on {
-			m.broken(RuleForward, "%s: order %v on zone %s confirmed, it is %v", n, o.on, zone, e.On)
+		delete(m.pendingEvacs[n], id)
+		if i == len(e.IDs)-1 && e.On != order.on {
+			m.fail(RuleNoRollback, "%s: evacuation=%v of zone %s was confirmed, but %v is in force", n, order.on, zone, e.On)
 		}
-		m.evacAcked[zone] = max(m.evacAcked[zone], e.Num-uint64(len(e.IDs)-1-i))
+		m.confirmedEvacs[zone] = max(m.confirmedEvacs[zone], e.Num-uint64(len(e.IDs)-1-i))
 	}
 }
 
-// confirm notes that an operator's order is confirmed to it.
-func (m *Model) confirm(n string, o Order) {
-	if was, ok := m.confirmed[o.Version]; ok && was != o.Content {
-		m.broken(RuleOneContent, "%s confirms r%d %q to %s, %q was confirmed", n, o.Version, o.Content, o.Operator, was)
-	}
-	for at, s := range m.states {
-		if s.version == o.Version && s.content != o.Content {
-			m.broken(RuleOneContent, "%s confirms r%d %q to %s, %q was committed at %v", n, o.Version, o.Content, o.Operator, s.content, at)
+// confirm records that a submission was confirmed to its operator.
+func (m *Model) confirm(n string, s Submission) {
+	if was, ok := m.confirmed[s.Version]; ok && was != s.Content {
+		m.fail(RuleOneContent, "%s confirmed r%d with content %q to %s, but %q was confirmed before", n, s.Version, s.Content, s.Operator, was)
+	}
+	for at, committed := range m.states {
+		if committed.version == s.Version && committed.content != s.Content {
+			m.fail(RuleOneContent, "%s confirmed r%d with content %q to %s, but %q was committed at revision %v", n, s.Version, s.Content, s.Operator, committed.content, at)
 		}
 	}
-	m.confirmed[o.Version] = o.Content
-	m.acked = max(m.acked, o.Version)
-	m.confirms++
+	m.confirmed[s.Version] = s.Content
+	m.confirmedVersion = max(m.confirmedVersion, s.Version)
+	m.confirmations++
 }
 
-func (m *Model) readDone(n string, o chain.ReadDone) {
-	r, ok := m.reads[n][o.ID]
-	delete(m.reads[n], o.ID)
-	if !ok || m.world.Now-r.began > constants.SubmitTimeout {
-		return // its caller has gone
+func (m *Model) readDone(n string, done chain.ReadDone) {
+	read, ok := m.pendingReads[n][done.ID]
+	delete(m.pendingReads[n], done.ID)
+	if !ok || m.world.Now-read.startedAt > constants.SubmitTimeout {
+		return // the caller has timed out
 	}
-	m.answers++
+	m.readsAnswered++
 	var v uint64
-	if o.Doc != nil {
-		v = o.Doc.Version
-		if was, ok := m.confirmed[v]; ok && was != string(o.Doc.Raw) {
-			m.broken(RuleOneContent, "a read at %s gives r%d %q, %q was confirmed", n, v, o.Doc.Raw, was)
+	if done.Doc != nil {
+		v = done.Doc.Version
+		if was, ok := m.confirmed[v]; ok && was != string(done.Doc.Raw) {
+			m.fail(RuleOneContent, "a read at %s returned r%d with content %q, but %q was confirmed", n, v, done.Doc.Raw, was)
 		}
 	}
-	if v < r.version {
-		m.broken(RuleFreshRead, "a read at %s gives r%d, r%d was confirmed before it began", n, v, r.version)
+	if v < read.confirmedVersion {
+		m.fail(RuleFreshRead, "a read at %s returned r%d, but r%d was confirmed before it began", n, v, read.confirmedVersion)
 	}
-	for z, num := range r.evacs {
-		if o.Doc == nil || o.Doc.Evac[z].Num < num {
-			m.broken(RuleFreshRead, "a read at %s lacks order %d on zone %s, confirmed before it began", n, num, z)
+	for zone, num := range read.confirmedEvacs {
+		if done.Doc == nil || done.Doc.Evac[zone].Num < num {
+			m.fail(RuleFreshRead, "a read at %s returned a state without evacuation order %d of zone %s, which was confirmed before it began", n, num, zone)
 		}
 	}
 }
--- a/internal/modelcheck/leasemodel/leasemodel.go
+++ b/internal/modelcheck/leasemodel/leasemodel.go
@@ -1,5 +1,5 @@
-// Package leasemodel has package modelcheck drive the leases of single duties: never two
-// holders of a duty at one moment, and one after quiet, also while the electorate changes.
+// Package leasemodel models the leases of duties for package modelcheck: a duty never has two
+// holders at the same time, and has one after faults end, even while the electorate changes.
 package leasemodel
 
 import (
@@ -12,7 +12,7 @@
 	"slateridge/internal/modelcheck"
 )
 
-// The rules.
+// Rules, by the names under which a violation is reported.
 const (
 	RuleOneHolder = "one holder a duty"
 	RuleHeld      = "a duty is held after quiet"
@@ -20,71 +20,72 @@
 
 // Config bounds a model.
 type Config struct {
-	Machines int // of the first electorate
-	Others   int // more, that an electorate may take in
-	Duties   []string
-	Faults   int
-	Changes  int // of the electorate
-	Step     time.Duration
-	Messages bool     // choices also before each message
-	Kinds    []string // of choices; empty: all
-	Without  []string // kinds left out
-	Warm     time.Duration
-	Settle   time.Duration // after quiet, before a duty must be held
-	// Skew is how much faster than true time each machine's steady clock counts,
-	// in thousandths, by the machines' order.
+	Machines      int // number of machines of the first electorate
+	ExtraMachines int // number of further machines that an electorate may add
+	Duties        []string
+	Faults        int // maximum per schedule; repairs do not count
+	Changes       int // maximum number of electorate changes
+	Step          time.Duration
+	Messages      bool     // also choose before each message
+	Kinds         []string // kinds of choices; empty means all
+	Without       []string // excluded kinds
+	Warm          time.Duration
+	SettleTime    time.Duration // time after the end of faults before a duty must be held
+	// Skew is how much faster than true time each machine's monotonic clock runs, in
+	// thousandths, in the order of the machines.
 	Skew []int
 }
 
-// Small is three machines, one more to come, and one duty; clocks differ by what
-// the margin allows.
+// Small returns a configuration with three machines, one extra machine and one duty. The clocks
+// differ by the allowed margin.
 func Small() Config {
-	return Config{Machines: 3, Others: 1, Duties: []string{"x"}, Faults: 4, Changes: 2, Step: 200 * time.Millisecond,
-		Warm: 3 * time.Second, Settle: 8 * time.Second, Skew: []int{-40, 0, 40, 20}}
+	return Config{Machines: 3, ExtraMachines: 1, Duties: []string{"x"}, Faults: 4, Changes: 2, Step: 200 * time.Millisecond,
+		Warm: 3 * time.Second, SettleTime: 8 * time.Second, Skew: []int{-40, 0, 40, 20}}
 }
 
-// electorate is one of those decided so far.
+// electorate is one of the electorates decided so far.
 type electorate struct{ peers []string }
 
-// Model is the leases as package modelcheck drives them.
+// Model implements modelcheck.Model for leases.
 type Model struct {
 	Config
-	world     *modelcheck.World
-	managers  map[string]*lease.Manager
-	startedAt map[string]time.Duration
-	grid      time.Duration
-	err       error
-	faults    int
+	world        *modelcheck.World
+	managers     map[string]*lease.Manager
+	startedAt    map[string]time.Duration
+	nextChoiceAt time.Duration
+	err          error
+	faults       int
 
-	agreed []electorate
-	knows  map[string]int // by machine: the number of the electorate it knows
-	sealed map[string]bool
+	electorates []electorate
+	known       map[string]int // by machine: the number of the electorate it knows
+	sealed      map[string]bool
 }
 
-// New makes one.
+// New returns a model with a configuration.
 func New(c Config) *Model { return &Model{Config: c} }
 
-// Grants are over after a second and a machine that has just started waits as long.
-var abstraction = modelcheck.Abstraction{LongAgo: 3 * time.Second}
+// MaxAge exceeds the times that matter: grants expire after a second, and a machine that has
+// just started waits as long.
+var abstraction = modelcheck.Abstraction{MaxAge: 3 * time.Second}
 
 var names = []string{"a", "b", "c", "d", "e", "f", "g", "h"}
 
-// Reset goes back to the start, as package modelcheck asks.
+// Reset implements modelcheck.Model.
 func (m *Model) Reset() {
 	m.world = modelcheck.NewWorld(constants.LeaseTick, m.tick, m.recv)
 	m.managers, m.startedAt = map[string]*lease.Manager{}, map[string]time.Duration{}
-	m.grid, m.err, m.faults = m.Warm, nil, 0
-	m.agreed = []electorate{{names[:m.Machines]}}
-	m.knows, m.sealed = map[string]int{}, map[string]bool{}
-	for _, n := range names[:m.Machines+m.Others] {
-		m.knows[n] = 1
+	m.nextChoiceAt, m.err, m.faults = m.Warm, nil, 0
+	m.electorates = []electorate{{names[:m.Machines]}}
+	m.known, m.sealed = map[string]int{}, map[string]bool{}
+	for _, n := range names[:m.Machines+m.ExtraMachines] {
+		m.known[n] = 1
 		m.start(n)
 	}
 	m.world.Run(m.Warm, nil, m.healthy)
-	m.world.Trouble = 0
+	m.world.LastFault = 0
 }
 
-// clock is a machine's steady clock.
+// clock returns a machine's monotonic clock.
 func (m *Model) clock(n string) time.Duration {
 	skew := 0
 	if i := slices.Index(names, n); i < len(m.Skew) {
@@ -93,80 +94,80 @@
 	return (m.world.Now - m.startedAt[n]) * time.Duration(1000+skew) / 1000
 }
 
-// start brings a machine up, with what its disk holds of the electorate.
+// start starts a machine's process. It keeps the electorate that its disk holds.
 func (m *Model) start(n string) {
 	m.startedAt[n] = m.world.Now
-	life := uint64(m.world.Life(n)+1) << 32
-	m.managers[n] = lease.New(0, life, n, m.Duties)
+	incarnation := uint64(m.world.Incarnation(n)+1) << 32
+	m.managers[n] = lease.New(0, incarnation, n, m.Duties)
 	m.world.Start(n)
 }
 
-func (m *Model) put(n string, out []lease.Send) {
+func (m *Model) sendAll(n string, out []lease.Send) {
 	for _, s := range out {
 		m.world.Send(n, s.To, s.Msg)
 	}
 }
 
 func (m *Model) tick(n string) {
-	k := m.knows[n]
-	m.managers[n].SetElectorate(m.clock(n), uint64(k), m.agreed[k-1].peers, m.sealed[n])
-	m.put(n, m.managers[n].Tick(m.clock(n)))
+	k := m.known[n]
+	m.managers[n].SetElectorate(m.clock(n), uint64(k), m.electorates[k-1].peers, m.sealed[n])
+	m.sendAll(n, m.managers[n].Tick(m.clock(n)))
 }
 
 func (m *Model) recv(e *modelcheck.Event) {
-	m.put(e.To, m.managers[e.To].Recv(m.clock(e.To), e.From, e.Msg))
+	m.sendAll(e.To, m.managers[e.To].Recv(m.clock(e.To), e.From, e.Msg))
 }
 
 func (m *Model) healthy() bool {
 	for _, d := range m.Duties {
-		if who := m.holders(d); len(who) > 1 && m.err == nil {
-			m.err = modelcheck.Broken(RuleOneHolder, "at %v: %s is held by %s", m.world.Now, d, strings.Join(who, " and "))
+		if holders := m.holders(d); len(holders) > 1 && m.err == nil {
+			m.err = modelcheck.NewViolation(RuleOneHolder, "at %v: duty %s is held by %s", m.world.Now, d, strings.Join(holders, " and "))
 		}
 	}
 	return m.err == nil
 }
 
-func (m *Model) holders(duty string) (who []string) {
+func (m *Model) holders(duty string) (holders []string) {
 	for _, n := range m.world.Names {
 		if m.world.Up(n) {
 			if _, ok := m.managers[n].Holds(m.clock(n), duty); ok {
-				who = append(who, n)
+				holders = append(holders, n)
 			}
 		}
 	}
-	return who
+	return holders
 }
 
-// Check is the first rule of safety that was broken.
+// Check implements modelcheck.Model.
 func (m *Model) Check() error { return m.err }
 
 var faultKinds = []string{"isolate", "mute", "deafen", "cut", "part", "freeze", "lose", "double", "late", "restart", "stop"}
 
-// ChoiceKinds names all kinds of choices.
+// ChoiceKinds lists all kinds of choices.
 var ChoiceKinds = append(slices.Clone(faultKinds), "join", "thaw", "start", "yield", "elect")
 
-// electable lists the electorates that may come next: one machine more, or one less.
-func (m *Model) electable() (out []string) {
-	now := m.agreed[len(m.agreed)-1].peers
-	if len(m.agreed) > m.Changes {
+// electorateChoices lists the possible next electorates: one machine more or one less.
+func (m *Model) electorateChoices() (out []string) {
+	peers := m.electorates[len(m.electorates)-1].peers
+	if len(m.electorates) > m.Changes {
 		return nil
 	}
-	for _, n := range names[:m.Machines+m.Others] {
-		if !slices.Contains(now, n) {
+	for _, n := range names[:m.Machines+m.ExtraMachines] {
+		if !slices.Contains(peers, n) {
 			out = append(out, "elect +"+n)
-		} else if len(now) > m.Machines {
+		} else if len(peers) > m.Machines {
 			out = append(out, "elect -"+n)
 		}
 	}
 	return out
 }
 
-// deciders are the first machines that can decide on a next electorate: a
-// majority of the present one that is there and knows it.
-func (m *Model) deciders() (out []string) {
-	now := m.agreed[len(m.agreed)-1].peers
+// sealingMajority returns the first machines that can decide on the next electorate: a majority
+// of the current one that is running and knows it, or nil.
+func (m *Model) sealingMajority() (out []string) {
+	now := m.electorates[len(m.electorates)-1].peers
 	for _, n := range now {
-		if m.world.Up(n) && !m.world.Frozen(n) && m.knows[n] == len(m.agreed) {
+		if m.world.Up(n) && !m.world.Frozen(n) && m.known[n] == len(m.electorates) {
 			out = append(out, n)
 		}
 	}
@@ -176,15 +177,15 @@
 	return nil
 }
 
-// Choices lists what may happen next, the default first, as package modelcheck asks.
+// Choices implements modelcheck.Model.
 func (m *Model) Choices() []string {
 	choices := modelcheck.NewChoices(m.Kinds, m.Without)
 	if m.faults >= m.Faults {
-		choices.LeaveOut(faultKinds)
+		choices.Exclude(faultKinds)
 	}
 	add := choices.Add
-	if m.Messages && m.world.Head() != nil {
-		add(m.world.OnHead()...)
+	if m.Messages && m.world.NextMessage() != nil {
+		add(m.world.MessageChoices()...)
 	}
 	for _, n := range m.world.Names {
 		if !m.world.Up(n) {
@@ -196,18 +197,18 @@
 			add("yield " + n)
 		}
 	}
-	if m.deciders() != nil {
-		add(m.electable()...)
+	if m.sealingMajority() != nil {
+		add(m.electorateChoices()...)
 	}
-	add(m.world.Freezes()...)
-	add(m.world.Paths()...)
+	add(m.world.FreezeChoices()...)
+	add(m.world.NetworkChoices()...)
 	return choices.List
 }
 
-// Apply has one of the choices happen, as package modelcheck asks.
+// Apply implements modelcheck.Model.
 func (m *Model) Apply(n int) {
 	if n == 0 {
-		m.grid = m.world.RunDefault(m.grid, m.Step, func(*modelcheck.Event) bool { return m.Messages }, m.healthy)
+		m.nextChoiceAt = m.world.RunDefault(m.nextChoiceAt, m.Step, func(*modelcheck.Event) bool { return m.Messages }, m.healthy)
 		m.healthy()
 		return
 	}
@@ -216,16 +217,16 @@
 	if slices.Contains(faultKinds, f[0]) {
 		m.faults++
 	}
-	if m.world.Do(choice) {
+	if m.world.ApplyChoice(choice) {
 		m.healthy()
 		return
 	}
 	switch f[0] {
 	case "restart":
 		m.world.Stop(f[1])
-		life := m.world.Life(f[1])
-		m.world.After(modelcheck.Stall, func() {
-			if m.world.Life(f[1]) == life {
+		incarnation := m.world.Incarnation(f[1])
+		m.world.After(modelcheck.RestartTime, func() {
+			if m.world.Incarnation(f[1]) == incarnation {
 				m.start(f[1])
 			}
 		})
@@ -234,46 +235,46 @@
 	case "start":
 		m.start(f[1])
 	case "yield":
-		m.put(f[1], m.managers[f[1]].Resign(m.clock(f[1])))
+		m.sendAll(f[1], m.managers[f[1]].Resign(m.clock(f[1])))
 	case "elect":
 		m.elect(f[1])
 	}
-	m.world.Trouble = m.world.Now
+	m.world.LastFault = m.world.Now
 	m.healthy()
 }
 
-// elect decides on a next electorate as the views do: a majority of the present
-// one is sealed first; the first of it learns of the outcome at once, the others
-// one after the other, the latest much later.
+// elect decides on the next electorate in the way that views change: a majority of the current
+// electorate is sealed first. The first machine learns the outcome immediately and the others
+// one after the other, the last much later.
 func (m *Model) elect(change string) {
-	peers := slices.Clone(m.agreed[len(m.agreed)-1].peers)
+	peers := slices.Clone(m.electorates[len(m.electorates)-1].peers)
 	if n := change[1:]; change[0] == '+' {
 		peers = append(peers, n)
 	} else {
 		peers = slices.DeleteFunc(peers, func(o string) bool { return o == n })
 	}
-	for _, n := range m.deciders() {
+	for _, n := range m.sealingMajority() {
 		m.sealed[n] = true
-		k := m.knows[n]
-		m.managers[n].SetElectorate(m.clock(n), uint64(k), m.agreed[k-1].peers, true)
+		k := m.known[n]
+		m.managers[n].SetElectorate(m.clock(n), uint64(k), m.electorates[k-1].peers, true)
 	}
-	m.agreed = append(m.agreed, electorate{peers})
-	num := len(m.agreed)
-	for i, n := range names[:m.Machines+m.Others] {
-		m.world.After(time.Duration(i*i)*modelcheck.Stall, func() { m.learn(n, num) })
+	m.electorates = append(m.electorates, electorate{peers})
+	num := len(m.electorates)
+	for i, n := range names[:m.Machines+m.ExtraMachines] {
+		m.world.After(time.Duration(i*i)*modelcheck.RestartTime, func() { m.learn(n, num) })
 	}
 }
 
 func (m *Model) learn(n string, num int) {
-	if m.knows[n] < num {
-		m.knows[n], m.sealed[n] = num, false
+	if m.known[n] < num {
+		m.known[n], m.sealed[n] = num, false
 	}
 }
 
-// Hash distinguishes states, as package modelcheck asks.
+// Hash implements modelcheck.Model.
 func (m *Model) Hash() uint64 {
-	parts := []any{m.faults, m.grid, m.knows, m.sealed}
-	for _, e := range m.agreed {
+	parts := []any{m.faults, m.nextChoiceAt, m.known, m.sealed}
+	for _, e := range m.electorates {
 		parts = append(parts, e.peers)
 	}
 	out := []any{m.world.Hash(abstraction), abstraction.Digest(m.world.Now, parts...)}
@@ -285,18 +286,19 @@
 	return abstraction.Digest(m.world.Now, out...)
 }
 
-// Quiet ends all trouble; then each duty has its one holder.
-func (m *Model) Quiet() error {
+// CheckLiveness implements modelcheck.Model: after all faults have ended, each duty must have
+// exactly one holder.
+func (m *Model) CheckLiveness() error {
 	m.world.Heal()
 	for _, n := range m.world.Names {
 		if !m.world.Up(n) {
 			m.start(n)
 		}
 	}
-	m.world.Run(m.world.Now+m.Settle, nil, m.healthy)
+	m.world.Run(m.world.Now+m.SettleTime, nil, m.healthy)
 	for _, d := range m.Duties {
-		if who := m.holders(d); m.err == nil && len(who) != 1 {
-			m.err = modelcheck.Broken(RuleHeld, "at %v: after %v of quiet %s is held by %d machines", m.world.Now, m.Settle, d, len(who))
+		if holders := m.holders(d); m.err == nil && len(holders) != 1 {
+			m.err = modelcheck.NewViolation(RuleHeld, "at %v: %v after faults ended, duty %s is held by %d machines", m.world.Now, m.SettleTime, d, len(holders))
 		}
 	}
 	return m.err
--- a/internal/modelcheck/modelcheck_test.go
+++ b/internal/modelcheck/modelcheck_test.go
@@ -7,17 +7,17 @@
 	"time"
 )
 
-// lock is a toy that breaks when "left" and, at least three steps later, "right"
-// is turned, with "knock" in between; "noise" does nothing that lasts.
+// lock is a test model. It violates a rule when "left" is followed by "knock" and, at least
+// three default steps after "left", by "right". "noise" has no lasting effect.
 type lock struct {
-	now, left   int
-	knocked     bool
-	err         error
-	quietBroken bool
-	applied     int
+	now, left      int
+	knocked        bool
+	err            error
+	livenessBroken bool
+	applied        int
 }
 
-func (l *lock) Reset()            { *l = lock{left: -1, quietBroken: l.quietBroken, applied: l.applied} }
+func (l *lock) Reset()            { *l = lock{left: -1, livenessBroken: l.livenessBroken, applied: l.applied} }
 func (l *lock) Check() error      { return l.err }
 func (l *lock) Choices() []string { return []string{"wait", "noise", "left", "knock", "right"} }
 func (l *lock) Hash() uint64 {
@@ -37,53 +37,53 @@
 		l.knocked = l.knocked || l.left >= 0
 	case 4:
 		if l.knocked && l.now >= l.left+3 {
-			l.err = Broken("shut", "open at %d", l.now)
+			l.err = NewViolation("shut", "open at %d", l.now)
 		}
 	}
 }
 
-func (l *lock) Quiet() error {
-	if l.quietBroken && l.knocked {
-		return Broken("silent", "knocked")
+func (l *lock) CheckLiveness() error {
+	if l.livenessBroken && l.knocked {
+		return NewViolation("silent", "knocked")
 	}
 	return l.err
 }
 
-func TestSystematicFindsTheShortest(t *testing.T) {
-	mk := func() Model { return &lock{} }
-	if r := Systematic(mk, Options{Deviations: 2, Depth: 8}); len(r.Failures) > 0 || r.Complete != 2 {
-		t.Fatalf("two deviations are not enough: %v %v", r, r.Failures)
+func TestSystematicFindsShortestSchedule(t *testing.T) {
+	newModel := func() Model { return &lock{} }
+	if r := Systematic(newModel, Options{Deviations: 2, Depth: 8}); len(r.Failures) > 0 || r.Complete != 2 {
+		t.Fatalf("with two deviations got %v with failures %v, want a complete search without any", r, r.Failures)
 	}
 	var last string
 	for _, jobs := range []int{1, 1, 3} {
-		r := Systematic(mk, Options{Deviations: 4, Depth: 8, Jobs: jobs})
+		r := Systematic(newModel, Options{Deviations: 4, Depth: 8, Jobs: jobs})
 		if len(r.Failures) != 1 || r.Failures[0].Shrunk.Deviations() != 3 || r.Complete != 2 {
 			t.Fatalf("%v: %+v", r, r.Failures)
 		}
 		f := r.Failures[0]
 		if got := f.Shrunk.String(); last != "" && got != last && jobs == 1 {
-			t.Errorf("another run shrinks to %s, not %s", got, last)
+			t.Errorf("a second run shrank to %s, want %s", got, last)
 		} else {
 			last = got
 		}
-		if err := Replay(mk(), f.Shrunk); err == nil || err.Error() != f.Err.Error() {
-			t.Errorf("replayed: %v, found: %v", err, f.Err)
+		if err := Replay(newModel(), f.Shrunk); err == nil || err.Error() != f.Err.Error() {
+			t.Errorf("replay returned %v, want %v", err, f.Err)
 		}
 	}
 }
 
-func TestQuietIsChecked(t *testing.T) {
-	r := Systematic(func() Model { return &lock{quietBroken: true} }, Options{Deviations: 3, Depth: 4})
+func TestSearchChecksLiveness(t *testing.T) {
+	r := Systematic(func() Model { return &lock{livenessBroken: true} }, Options{Deviations: 3, Depth: 4})
 	if len(r.Failures) != 1 || r.Failures[0].Rule != "silent" || r.Failures[0].Shrunk.String() != "left; knock" {
 		t.Fatalf("%+v", r.Failures)
 	}
-	r = Systematic(func() Model { return &lock{quietBroken: true} }, Options{Deviations: 3, Depth: 4, KeepGoing: true})
+	r = Systematic(func() Model { return &lock{livenessBroken: true} }, Options{Deviations: 3, Depth: 4, KeepGoing: true})
 	if len(r.Failures) != 1 || r.Complete != 3 {
-		t.Fatalf("going on: %v %+v", r, r.Failures)
+		t.Fatalf("with KeepGoing: %v %+v", r, r.Failures)
 	}
 }
 
-func TestRandomFindsAndRepeats(t *testing.T) {
+func TestRandomIsReproducible(t *testing.T) {
 	run := func() Report {
 		return Random(func() Model { return &lock{} }, Options{Deviations: 6, Depth: 8, Seed: 3, Schedules: 20_000})
 	}
@@ -104,7 +104,7 @@
 	}
 }
 
-func TestReplayRefusesWhatIsNotEnabled(t *testing.T) {
+func TestReplayRejectsDisabledChoice(t *testing.T) {
 	if err := Replay(&lock{}, Parse("left; +2; sing ;knock")); !errors.Is(err, ErrNotEnabled) {
 		t.Errorf("got %v", err)
 	}
@@ -113,15 +113,15 @@
 		t.Errorf("got %v", err)
 	}
 	if again := Parse(s.String()); !slices.Equal(again, s) {
-		t.Errorf("%v is read as %v", s, again)
+		t.Errorf("Parse of %v returned %v", s, again)
 	}
 	want := "\t{\"shut\", modelcheck.Schedule{\"left\", \"+3\"}}, // shut: why"
-	if got := (Failure{Rule: "shut", Shrunk: Schedule{"left", "+3"}, Err: Broken("shut", "why")}).Source(); got != want {
-		t.Errorf("printed %s", got)
+	if got := (Failure{Rule: "shut", Shrunk: Schedule{"left", "+3"}, Err: NewViolation("shut", "why")}).Source(); got != want {
+		t.Errorf("Source returned %s, want %s", got, want)
 	}
 }
 
-func TestBoundsEndTheSearch(t *testing.T) {
+func TestSearchStopsAtBounds(t *testing.T) {
 	mk := func() Model { return &lock{} }
 	if r := Systematic(mk, Options{Deviations: 2, Depth: 8, Schedules: 10}); r.Schedules != 10 || r.Complete >= 2 {
 		t.Errorf("%v", r)
@@ -131,9 +131,9 @@
 	}
 }
 
-// States that are seen again are not gone on from: without that, there would be
-// far more schedules.
-func TestStatesPrune(t *testing.T) {
+// Guards against searches that continue from visited states: without pruning there would be far
+// more than 150 schedules.
+func TestVisitedStatesArePruned(t *testing.T) {
 	l := &lock{}
 	r := Systematic(func() Model { return l }, Options{Deviations: 2, Depth: 8})
 	if r.Pruned == 0 || r.Schedules > 150 {
@@ -151,8 +151,8 @@
 		list []any
 		f    func()
 	}
-	a := Abstraction{LongAgo: 5 * time.Second, Skip: []string{"inner.mark"}}
-	mk := func(at time.Duration, mark uint64, names ...string) outer {
+	a := Abstraction{MaxAge: 5 * time.Second, SkipFields: []string{"inner.mark"}}
+	newValue := func(at time.Duration, mark uint64, names ...string) outer {
 		o := outer{in: map[string]*inner{}, f: func() {}}
 		for _, n := range names {
 			o.in[n] = &inner{at, mark}
@@ -160,39 +160,39 @@
 		}
 		return o
 	}
-	base := a.Digest(10*time.Second, mk(9*time.Second, 1, "x", "y"))
+	base := a.Digest(10*time.Second, newValue(9*time.Second, 1, "x", "y"))
 	for name, c := range map[string]struct {
 		now  time.Duration
 		v    outer
 		same bool
 	}{
-		"again":                 {10 * time.Second, mk(9*time.Second, 1, "x", "y"), true},
-		"a field left out":      {10 * time.Second, mk(9*time.Second, 2, "x", "y"), true},
-		"all later":             {30 * time.Second, mk(29*time.Second, 1, "x", "y"), true},
-		"longer ago":            {30 * time.Second, mk(28*time.Second, 1, "x", "y"), false},
-		"never":                 {10 * time.Second, mk(0, 1, "x", "y"), false},
-		"other names":           {10 * time.Second, mk(9*time.Second, 1, "x", "z"), false},
-		"another order of them": {10 * time.Second, mk(9*time.Second, 1, "y", "x"), false},
+		"same value":            {10 * time.Second, newValue(9*time.Second, 1, "x", "y"), true},
+		"skipped field differs": {10 * time.Second, newValue(9*time.Second, 2, "x", "y"), true},
+		"all times shifted":     {30 * time.Second, newValue(29*time.Second, 1, "x", "y"), true},
+		"different age":         {30 * time.Second, newValue(28*time.Second, 1, "x", "y"), false},
+		"zero time":             {10 * time.Second, newValue(0, 1, "x", "y"), false},
+		"different names":       {10 * time.Second, newValue(9*time.Second, 1, "x", "z"), false},
+		"different order":       {10 * time.Second, newValue(9*time.Second, 1, "y", "x"), false},
 	} {
 		if got := a.Digest(c.now, c.v) == base; got != c.same {
-			t.Errorf("%s: the same is %v", name, got)
+			t.Errorf("%s: digests are equal: %v, want %v", name, got, c.same)
 		}
 	}
-	if a.Digest(30*time.Second, mk(1*time.Second, 1, "x")) != a.Digest(40*time.Second, mk(2*time.Second, 1, "x")) {
-		t.Error("what is long ago is told apart")
+	if a.Digest(30*time.Second, newValue(1*time.Second, 1, "x")) != a.Digest(40*time.Second, newValue(2*time.Second, 1, "x")) {
+		t.Error("digests differ for times that are both beyond MaxAge")
 	}
 }
 
-// A frozen machine takes what reached it when it thaws; one that was stopped
-// meanwhile does not.
-func TestWorld(t *testing.T) {
+// A frozen machine processes the messages that reached it once it thaws, but drops them if it
+// was stopped in between. The test also covers cut, late, duplicated and lost messages.
+func TestWorldDeliversMessages(t *testing.T) {
 	var got []string
 	w := NewWorld(time.Second, func(string) {}, func(e *Event) { got = append(got, e.From+e.To+e.Msg.(string)) })
 	for _, n := range []string{"a", "b", "c"} {
 		w.Start(n)
 	}
 	send := func() { w.Send("a", "b", "1"); w.Send("a", "c", "2") }
-	to := func(d time.Duration) { w.Run(w.Now+d, nil, nil) }
+	advance := func(d time.Duration) { w.Run(w.Now+d, nil, nil) }
 	expect := func(what string, want ...string) {
 		t.Helper()
 		if !slices.Equal(got, want) {
@@ -201,39 +201,39 @@
 		got = nil
 	}
 	w.Run(10*time.Millisecond, nil, nil)
-	w.Do("freeze b")
+	w.ApplyChoice("freeze b")
 	send()
-	to(Delay)
+	advance(MessageDelay)
 	expect("b is frozen", "ac2")
-	w.Do("thaw b")
-	expect("b thaws", "ab1")
-	w.Do("freeze b")
+	w.ApplyChoice("thaw b")
+	expect("b thawed", "ab1")
+	w.ApplyChoice("freeze b")
 	send()
-	to(Delay)
+	advance(MessageDelay)
 	w.Stop("b")
 	w.Start("b")
-	w.Do("thaw b")
-	expect("b was stopped", "ac2")
-	w.Do("cut a>b")
+	w.ApplyChoice("thaw b")
+	expect("b was stopped while frozen", "ac2")
+	w.ApplyChoice("cut a>b")
 	send()
 	w.Send("b", "a", "3")
-	to(Delay)
-	expect("one way", "ac2", "ba3")
-	w.Do("join")
+	advance(MessageDelay)
+	expect("path from a to b is cut", "ac2", "ba3")
+	w.ApplyChoice("join")
 	send()
-	w.Do("late")
-	to(Delay)
-	expect("late", "ac2")
-	to(Late)
-	expect("then", "ab1")
+	w.ApplyChoice("late")
+	advance(MessageDelay)
+	expect("message to b is late", "ac2")
+	advance(LateDelay)
+	expect("late message arrived", "ab1")
 	send()
-	w.Do("double")
-	w.Do("isolate c")
-	to(Late + Delay)
-	expect("double, and c is alone", "ab1", "ab1")
+	w.ApplyChoice("double")
+	w.ApplyChoice("isolate c")
+	advance(LateDelay + MessageDelay)
+	expect("message to b is duplicated, c is isolated", "ab1", "ab1")
 	w.Heal()
 	send()
-	w.Do("lose")
-	to(Late + Delay)
-	expect("lost", "ac2")
+	w.ApplyChoice("lose")
+	advance(LateDelay + MessageDelay)
+	expect("message to b is lost", "ac2")
 }
--- a/internal/modelcheck/random.go
+++ b/internal/modelcheck/random.go
@@ -7,17 +7,17 @@
 	"sync"
 )
 
-// Random walks within the same bounds: each schedule has up to so many
-// deviations, at random places and of random kinds.
-func Random(mk func() Model, o Options) Report {
+// Random runs random walks within the same bounds: each schedule has up to o.Deviations
+// deviations, at random points and of random kinds.
+func Random(newModel func() Model, o Options) Report {
 	s := newSearch(o)
 	states := map[uint64]bool{}
 	var walks uint64
 	var wg sync.WaitGroup
 	for range s.Jobs {
 		wg.Go(func() {
-			m := mk()
-			for !s.over() {
+			m := newModel()
+			for !s.done() {
 				s.mu.Lock()
 				walks++
 				rng := rand.New(rand.NewPCG(s.Seed, walks))
@@ -32,33 +32,34 @@
 
 func (s *search) walk(m Model, rng *rand.Rand, states map[uint64]bool) {
 	m.Reset()
-	var sch Schedule
+	var schedule Schedule
 	steps := 0
-	last := rng.IntN(max(1, s.Deviations))
-	for dev := range last + 2 { // and once more without one: troubles last
+	lastRound := rng.IntN(max(1, s.Deviations))
+	for round := range lastRound + 2 { // one more round without a deviation, so that the faults last for a while
 		wait := 0
 		if s.Depth > 0 && rng.IntN(3) > 0 {
-			// Of any size alike: trouble mostly lies close to trouble.
+			// Choose the magnitude uniformly: faults that follow each other closely find most
+			// violations.
 			wait = rng.IntN(s.Depth>>rng.IntN(bits.Len(uint(s.Depth))) + 1)
 		}
 		for range wait {
 			m.Apply(0)
 			steps++
-			sch = append(sch, "+1")
+			schedule = append(schedule, "+1")
 			if err := m.Check(); err != nil {
-				s.count(sch.tidy(), steps)
-				s.fail(m, sch, err)
+				s.count(schedule.normalize(), steps)
+				s.fail(m, schedule, err)
 				return
 			}
 		}
-		if choices := m.Choices()[1:]; len(choices) > 0 && dev <= last {
-			i := draw(rng, choices)
+		if choices := m.Choices()[1:]; len(choices) > 0 && round <= lastRound {
+			i := pickChoice(rng, choices)
 			m.Apply(i + 1)
 			steps++
-			sch = append(sch, choices[i])
+			schedule = append(schedule, choices[i])
 			if err := m.Check(); err != nil {
-				s.count(sch.tidy(), steps)
-				s.fail(m, sch, err)
+				s.count(schedule.normalize(), steps)
+				s.fail(m, schedule, err)
 				return
 			}
 		}
@@ -67,26 +68,27 @@
 		states[h] = true
 		s.mu.Unlock()
 	}
-	s.count(sch.tidy(), steps)
-	if err := m.Quiet(); err != nil {
-		s.fail(m, sch, err)
+	s.count(schedule.normalize(), steps)
+	if err := m.CheckLiveness(); err != nil {
+		s.fail(m, schedule, err)
 	}
 }
 
-// draw picks a kind first, so that the many ways of one do not drown the rest.
-func draw(rng *rand.Rand, choices []string) int {
+// pickChoice selects a kind first and then a choice of that kind, so that kinds with many
+// choices do not crowd out the others.
+func pickChoice(rng *rand.Rand, choices []string) int {
 	var kinds []string
-	for _, w := range choices {
-		if !slices.Contains(kinds, KindOf(w)) {
-			kinds = append(kinds, KindOf(w))
+	for _, choice := range choices {
+		if !slices.Contains(kinds, KindOf(choice)) {
+			kinds = append(kinds, KindOf(choice))
 		}
 	}
-	k := kinds[rng.IntN(len(kinds))]
-	var of []int
-	for i, w := range choices {
-		if KindOf(w) == k {
-			of = append(of, i)
+	kind := kinds[rng.IntN(len(kinds))]
+	var indexes []int
+	for i, choice := range choices {
+		if KindOf(choice) == kind {
+			indexes = append(indexes, i)
 		}
 	}
-	return of[rng.IntN(len(of))]
+	return indexes[rng.IntN(len(indexes))]
 }
--- a/internal/modelcheck/search.go
+++ b/internal/modelcheck/search.go
@@ -9,30 +9,30 @@
 	"time"
 )
 
-// Options are a search's bounds.
+// Options bounds a search.
 type Options struct {
-	Deviations int           // most in a schedule
-	Depth      int           // most steps of the default after the last deviation, at which another may come
-	Schedules  int           // 0: no bound
-	Limit      time.Duration // 0: no bound
-	Seed       uint64        // of random walks
-	Jobs       int           // models driven at once; counts are the same each time only with one
-	KeepGoing  bool          // look for a failure of each rule, not just the first
-	Progress   func(Report)  // called now and then
+	Deviations int           // maximum per schedule
+	Depth      int           // maximum number of default steps between one deviation and the next
+	Schedules  int           // maximum number of schedules; 0 means no limit
+	Limit      time.Duration // maximum run time; 0 means no limit
+	Seed       uint64        // for random walks
+	Jobs       int           // number of models run concurrently; counts are reproducible only with one
+	KeepGoing  bool          // find a failure of each rule instead of stopping at the first
+	Progress   func(Report)  // called at intervals during the search
 }
 
-// Report is how much was covered.
+// Report describes the coverage and the failures of a search.
 type Report struct {
-	Schedules, States  int
-	Steps              int
-	Pruned             int // schedules that led to a state seen before
-	Deepest            int // steps of the longest schedule, without the quiet phase
-	Level              int // deviations of the level under way, or the last
-	LevelDone, LevelOf int
-	Complete           int // the highest level run in full; -1: none
-	Kinds              map[string]int
-	Failures           []Failure
-	Took               time.Duration
+	Schedules, States    int
+	Steps                int
+	Pruned               int // schedules that led to a state visited before
+	Deepest              int // number of steps of the longest schedule, without its liveness check
+	Level                int // number of deviations of the current or last level
+	LevelDone, LevelSize int
+	Complete             int // the highest level that was run completely; -1 if none
+	Kinds                map[string]int
+	Failures             []Failure
+	Elapsed              time.Duration
 }
 
 func (r Report) String() string {
@@ -42,11 +42,11 @@
 	}
 	slices.Sort(kinds)
 	s := fmt.Sprintf("%d schedules (%d more led to a state seen before), %d distinct states, %d steps, deepest %d, %.1f s",
-		r.Schedules, r.Pruned, r.States, r.Steps, r.Deepest, r.Took.Seconds())
-	if r.LevelOf > 0 {
+		r.Schedules, r.Pruned, r.States, r.Steps, r.Deepest, r.Elapsed.Seconds())
+	if r.LevelSize > 0 {
 		s += fmt.Sprintf("; in full up to %d deviations", r.Complete)
-		if r.LevelDone < r.LevelOf {
-			s += fmt.Sprintf(", %d of %d schedules with %d", r.LevelDone, r.LevelOf, r.Level)
+		if r.LevelDone < r.LevelSize {
+			s += fmt.Sprintf(", %d of %d schedules with %d", r.LevelDone, r.LevelSize, r.Level)
 		}
 	}
 	return s + "; deviations: " + strings.Join(kinds, ", ")
@@ -55,87 +55,89 @@
 type search struct {
 	Options
 	mu         sync.Mutex
-	rep        Report
-	began      time.Time
+	totals     Report
+	startedAt  time.Time
 	reportedAt time.Time
-	seen       map[uint64]bool // states in which the quiet phase was run
+	visited    map[uint64]bool // states whose liveness was checked
 }
 
 func newSearch(o Options) *search {
 	o.Jobs = max(1, o.Jobs)
 	return &search{
 		Options:    o,
-		began:      time.Now(),
+		startedAt:  time.Now(),
 		reportedAt: time.Now(),
-		seen:       map[uint64]bool{},
-		rep:        Report{Complete: -1, Kinds: map[string]int{}},
+		visited:    map[uint64]bool{},
+		totals:     Report{Complete: -1, Kinds: map[string]int{}},
 	}
 }
 
-// over says whether the search has to end.
-func (s *search) over() bool {
+// done reports whether the search has to stop.
+func (s *search) done() bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if s.Progress != nil && time.Since(s.reportedAt) > 5*time.Second {
 		s.reportedAt = time.Now()
 		s.Progress(s.report())
 	}
-	outOfTime := s.Limit > 0 && time.Since(s.began) > s.Limit
-	enough := s.Schedules > 0 && s.rep.Schedules >= s.Schedules
-	failed := len(s.rep.Failures) > 0 && !s.KeepGoing
+	outOfTime := s.Limit > 0 && time.Since(s.startedAt) > s.Limit
+	enough := s.Schedules > 0 && s.totals.Schedules >= s.Schedules
+	failed := len(s.totals.Failures) > 0 && !s.KeepGoing
 	return outOfTime || enough || failed
 }
 
 func (s *search) report() Report {
-	r := s.rep
-	r.Took = time.Since(s.began)
+	r := s.totals
+	r.Elapsed = time.Since(s.startedAt)
 	return r
 }
 
-func (s *search) count(sch Schedule, steps int) {
+func (s *search) count(schedule Schedule, steps int) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.rep.Schedules++
-	s.rep.Steps += steps
-	s.rep.Deepest = max(s.rep.Deepest, steps)
-	for _, w := range sch {
-		if _, ok := defaults(w); !ok {
-			s.rep.Kinds[KindOf(w)]++
+	s.totals.Schedules++
+	s.totals.Steps += steps
+	s.totals.Deepest = max(s.totals.Deepest, steps)
+	for _, step := range schedule {
+		if _, ok := parseWait(step); !ok {
+			s.totals.Kinds[KindOf(step)]++
 		}
 	}
 }
 
-func (s *search) fail(m Model, sch Schedule, err error) {
+func (s *search) fail(m Model, schedule Schedule, err error) {
 	rule := ruleOf(err)
 	s.mu.Lock()
-	known := slices.ContainsFunc(s.rep.Failures, func(f Failure) bool { return f.Rule == rule })
+	known := slices.ContainsFunc(s.totals.Failures, func(f Failure) bool { return f.Rule == rule })
 	if !known {
-		s.rep.Failures = append(s.rep.Failures, Failure{Rule: rule, Err: err, Found: slices.Clone(sch.tidy())})
+		s.totals.Failures = append(s.totals.Failures, Failure{Rule: rule, Err: err, Found: slices.Clone(schedule.normalize())})
 	}
 	s.mu.Unlock()
 	if known {
 		return
 	}
-	short := Shrink(m, sch, rule)
+	short := Shrink(m, schedule, rule)
 	if e := Replay(m, short); e != nil {
 		err = e
 	}
 	s.mu.Lock()
-	for i := range s.rep.Failures {
-		if f := &s.rep.Failures[i]; f.Rule == rule {
+	for i := range s.totals.Failures {
+		if f := &s.totals.Failures[i]; f.Rule == rule {
 			f.Shrunk, f.Err = short, err
 		}
 	}
 	s.mu.Unlock()
 }
 
-// place is a state on the way of the default after a schedule.
-type place struct {
+// branchPoint is a state on the default path after a schedule, from which schedules can
+// deviate.
+type branchPoint struct {
 	hash    uint64
 	choices []string
 }
 
-// node is a schedule as the one before it and one deviation more.
+// node is a schedule, expressed as its parent schedule, a number of default steps and one more
+// deviation.
 type node struct {
 	parent *node
 	wait   int
@@ -153,68 +155,68 @@
 	return s
 }
 
-// visit runs one schedule with the quiet phase at once after it, and again with
-// its troubles lasting for as many steps as another deviation might wait. It
-// returns where the schedule can be deviated from next.
-func (s *search) visit(m Model, sch Schedule) (places []place) {
-	steps, _, err := drive(m, sch)
+// visit runs one schedule and checks liveness immediately after it. It then runs the schedule
+// again, lets the faults last for as many default steps as another deviation may wait, and
+// checks liveness after those. It returns the states from which the schedule can deviate next.
+func (s *search) visit(m Model, schedule Schedule) (points []branchPoint) {
+	steps, _, err := runSchedule(m, schedule)
 	if err != nil {
-		s.count(sch, steps)
-		s.fail(m, sch, err)
+		s.count(schedule, steps)
+		s.fail(m, schedule, err)
 		return nil
 	}
-	if !s.fresh(m.Hash()) {
+	if !s.markVisited(m.Hash()) {
 		s.mu.Lock()
-		s.rep.Pruned++
+		s.totals.Pruned++
 		s.mu.Unlock()
 		return nil
 	}
-	if err := m.Quiet(); err != nil {
-		s.count(sch, steps)
-		s.fail(m, sch, err)
+	if err := m.CheckLiveness(); err != nil {
+		s.count(schedule, steps)
+		s.fail(m, schedule, err)
 		return nil
 	}
-	drive(m, sch)
-	here := map[uint64]bool{}
-	lasting := func() Schedule { return append(slices.Clone(sch), "+"+strconv.Itoa(len(places))) }
-	for len(places) <= s.Depth {
+	runSchedule(m, schedule)
+	onPath := map[uint64]bool{}
+	extended := func() Schedule { return append(slices.Clone(schedule), "+"+strconv.Itoa(len(points))) }
+	for len(points) <= s.Depth {
 		h := m.Hash()
-		if here[h] {
-			break // the default goes round
+		if onPath[h] {
+			break // the default path is a cycle
 		}
-		here[h] = true
-		places = append(places, place{h, slices.Clone(m.Choices()[1:])})
+		onPath[h] = true
+		points = append(points, branchPoint{h, slices.Clone(m.Choices()[1:])})
 		m.Apply(0)
 		steps++
 		if err := m.Check(); err != nil {
-			s.count(sch, steps)
-			s.fail(m, lasting(), err)
+			s.count(schedule, steps)
+			s.fail(m, extended(), err)
 			return nil
 		}
 	}
-	s.count(sch, steps)
-	if s.fresh(m.Hash()) {
-		if err := m.Quiet(); err != nil {
-			s.fail(m, lasting(), err)
+	s.count(schedule, steps)
+	if s.markVisited(m.Hash()) {
+		if err := m.CheckLiveness(); err != nil {
+			s.fail(m, extended(), err)
 			return nil
 		}
 	}
-	return places
+	return points
 }
 
-// fresh says whether a state has not had its quiet phase yet; it is about to.
-func (s *search) fresh(h uint64) bool {
+// markVisited marks a state as visited and reports whether it was not visited before.
+func (s *search) markVisited(h uint64) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	was := s.seen[h]
-	s.seen[h] = true
+	was := s.visited[h]
+	s.visited[h] = true
 	return !was
 }
 
-func (s *search) finish(from map[uint64]bool) Report {
-	for h := range s.seen {
-		from[h] = true
+func (s *search) finish(expanded map[uint64]bool) Report {
+	for h := range s.visited {
+		expanded[h] = true
 	}
-	s.rep.States = len(from)
+	s.totals.States = len(expanded)
 	return s.report()
 }
--- a/internal/modelcheck/shrink.go
+++ b/internal/modelcheck/shrink.go
@@ -7,64 +7,65 @@
 	"strings"
 )
 
-// breaks says whether a schedule, less what is not enabled in it, breaks a rule.
-func breaks(m Model, s Schedule, rule string) (Schedule, bool) {
-	_, skipped, err := drive(m, s)
+// reproduces reports whether a schedule, without its choices that are not enabled, violates a
+// rule, and returns the schedule without them.
+func reproduces(m Model, s Schedule, rule string) (Schedule, bool) {
+	_, skipped, err := runSchedule(m, s)
 	if err == nil {
-		err = m.Quiet()
+		err = m.CheckLiveness()
 	}
 	if err == nil || ruleOf(err) != rule {
 		return nil, false
 	}
-	if len(skipped) > 0 { // by its text only: the same choice may be enabled elsewhere
-		var left Schedule
-		for _, w := range s {
-			if i := slices.Index(skipped, w); i >= 0 {
+	if len(skipped) > 0 { // choices are matched by text only: the same choice may be enabled at another point
+		var remaining Schedule
+		for _, step := range s {
+			if i := slices.Index(skipped, step); i >= 0 {
 				skipped = slices.Delete(skipped, i, i+1)
 				continue
 			}
-			left = append(left, w)
+			remaining = append(remaining, step)
 		}
-		return left, Replay(m, left) != nil && ruleOf(Replay(m, left)) == rule
+		return remaining, Replay(m, remaining) != nil && ruleOf(Replay(m, remaining)) == rule
 	}
 	return s, true
 }
 
-// Shrink makes a schedule that breaks a rule shorter as long as it breaks the
-// same rule: chunks are left out, then single choices, then defaults are made fewer.
+// Shrink shortens a schedule while it still violates the same rule: it removes chunks, then
+// single steps, and then reduces the numbers of default steps.
 func Shrink(m Model, s Schedule, rule string) Schedule {
-	try := func(c Schedule) bool {
-		c = c.tidy()
-		if len(c) > len(s) || len(c) == len(s) && slices.Equal(c, s) {
+	try := func(candidate Schedule) bool {
+		candidate = candidate.normalize()
+		if len(candidate) > len(s) || len(candidate) == len(s) && slices.Equal(candidate, s) {
 			return false
 		}
-		left, ok := breaks(m, c, rule)
+		enabled, ok := reproduces(m, candidate, rule)
 		if ok {
-			s = left.tidy()
+			s = enabled.normalize()
 		}
 		return ok
 	}
-	if t := s.tidy(); !slices.Equal(t, s) {
+	if t := s.normalize(); !slices.Equal(t, s) {
 		try(t)
 	}
-	for again := true; again; {
-		again = false
+	for changed := true; changed; {
+		changed = false
 		for chunk := len(s) / 2; chunk >= 1; chunk /= 2 {
 			for from := 0; from+chunk <= len(s); {
 				if try(slices.Delete(slices.Clone(s), from, from+chunk)) {
-					again = true
+					changed = true
 				} else {
 					from++
 				}
 			}
 		}
 		for i := 0; i < len(s); i++ {
-			n, ok := defaults(s[i])
+			n, ok := parseWait(s[i])
 			for k := 0; ok && k < n; k = k + max(1, (n-k)/2) {
 				c := slices.Clone(s)
 				c[i] = "+" + strconv.Itoa(k)
 				if try(c) {
-					again = true
+					changed = true
 					break
 				}
 			}
@@ -73,7 +74,7 @@
 	return s
 }
 
-// Source is a schedule as an entry of a test table in Go.
+// Source returns the shrunk schedule as an entry of a Go test table.
 func (f Failure) Source() string {
 	var b strings.Builder
 	fmt.Fprintf(&b, "\t{%q, modelcheck.Schedule{", f.Rule)
@@ -87,10 +88,10 @@
 	return b.String()
 }
 
-// Failure is a schedule that breaks a rule.
+// Failure is a schedule that violates a rule.
 type Failure struct {
 	Rule   string
-	Err    error // as the shrunk schedule breaks it
+	Err    error // the violation by the shrunk schedule
 	Found  Schedule
 	Shrunk Schedule
 }
