--- a/internal/controlplane/daemon.go
+++ b/internal/controlplane/daemon.go
@@ -82,7 +82,7 @@
 		proxyDirectory: directory.New(0, nodeSettings.Zones),
 	}
 	d.connections = newConnections(nodeSettings, d.onMessage)
-	d.quotaTracker = admission.NewTracker(rand.Uint64(), nodeSettings.TrackerShards(), d.quotaIsTiny)
+	d.quotaTracker = admission.NewTracker(rand.Uint64(), nodeSettings.TrackerShards(), d.shareTooSmall)
 	d.activeState = &activeState{
 		events:    events,
 		publish:   d.publish,
@@ -240,8 +240,8 @@
 
 func (d *Daemon) publish() { d.proxyPublisher.publish() }
 
-// quotaIsTiny reports whether a quota is too small to be split among the proxies.
-func (d *Daemon) quotaIsTiny(proxies int, quota admission.Quota) bool {
+// shareTooSmall reports whether a proxy's split share of a quota is too small to serve requests.
+func (d *Daemon) shareTooSmall(proxies int, quota admission.Quota) bool {
 	return admission.ShareTooSmall(max(proxies, d.roster.size()), d.settings.Bounds.QuotaSlack, quota)
 }
 
