--- a/internal/modelcheck/leasemodel/leasemodel.go
+++ b/internal/modelcheck/leasemodel/leasemodel.go
@@ -58,13 +58,13 @@
 
 	electorates []electorate
 	known       map[string]int // by machine: the number of the electorate it knows
-	sealed      map[string]bool
+	uncertain   map[string]bool // by machine: it took part in deciding on the next electorate and has not learned the outcome
 }
 
 // New returns a model with a configuration.
 func New(c Config) *Model { return &Model{Config: c} }
 
-// MaxAge exceeds the times that matter: grants expire after a second, and a machine that has
+// abstraction sets a MaxAge above all times that matter: grants expire after a second, and a machine that has
 // just started waits as long.
 var abstraction = modelcheck.Abstraction{MaxAge: 3 * time.Second}
 
@@ -76,7 +76,7 @@
 	m.managers, m.startedAt = map[string]*lease.Manager{}, map[string]time.Duration{}
 	m.nextChoiceAt, m.err, m.faults = m.Warm, nil, 0
 	m.electorates = []electorate{{names[:m.Machines]}}
-	m.known, m.sealed = map[string]int{}, map[string]bool{}
+	m.known, m.uncertain = map[string]int{}, map[string]bool{}
 	for _, n := range names[:m.Machines+m.ExtraMachines] {
 		m.known[n] = 1
 		m.start(n)
@@ -94,7 +94,7 @@
 	return (m.world.Now - m.startedAt[n]) * time.Duration(1000+skew) / 1000
 }
 
-// start starts a machine's process. It keeps the electorate that its disk holds.
+// start starts a machine's process, which knows the electorate stored on its disk.
 func (m *Model) start(n string) {
 	m.startedAt[n] = m.world.Now
 	incarnation := uint64(m.world.Incarnation(n)+1) << 32
@@ -110,7 +110,7 @@
 
 func (m *Model) tick(n string) {
 	k := m.known[n]
-	m.managers[n].SetElectorate(m.clock(n), uint64(k), m.electorates[k-1].peers, m.sealed[n])
+	m.managers[n].SetElectorate(m.clock(n), uint64(k), m.electorates[k-1].peers, m.uncertain[n])
 	m.sendAll(n, m.managers[n].Tick(m.clock(n)))
 }
 
@@ -162,9 +162,9 @@
 	return out
 }
 
-// sealingMajority returns the first machines that can decide on the next electorate: a majority
+// decidingMajority returns the first machines that can decide on the next electorate: a majority
 // of the current one that is running and knows it, or nil.
-func (m *Model) sealingMajority() (out []string) {
+func (m *Model) decidingMajority() (out []string) {
 	now := m.electorates[len(m.electorates)-1].peers
 	for _, n := range now {
 		if m.world.Up(n) && !m.world.Frozen(n) && m.known[n] == len(m.electorates) {
@@ -197,7 +197,7 @@
 			add("yield " + n)
 		}
 	}
-	if m.sealingMajority() != nil {
+	if m.decidingMajority() != nil {
 		add(m.electorateChoices()...)
 	}
 	add(m.world.FreezeChoices()...)
@@ -243,9 +243,9 @@
 	m.healthy()
 }
 
-// elect decides on the next electorate in the way that views change: a majority of the current
-// electorate is sealed first. The first machine learns the outcome immediately and the others
-// one after the other, the last much later.
+// elect decides on the next electorate as a change of view does: it first marks the current
+// electorate as uncertain at a majority of its machines. The first machine learns the outcome
+// immediately and the others one after the other, the last much later.
 func (m *Model) elect(change string) {
 	peers := slices.Clone(m.electorates[len(m.electorates)-1].peers)
 	if n := change[1:]; change[0] == '+' {
@@ -253,8 +253,8 @@
 	} else {
 		peers = slices.DeleteFunc(peers, func(o string) bool { return o == n })
 	}
-	for _, n := range m.sealingMajority() {
-		m.sealed[n] = true
+	for _, n := range m.decidingMajority() {
+		m.uncertain[n] = true
 		k := m.known[n]
 		m.managers[n].SetElectorate(m.clock(n), uint64(k), m.electorates[k-1].peers, true)
 	}
@@ -267,13 +267,13 @@
 
 func (m *Model) learn(n string, num int) {
 	if m.known[n] < num {
-		m.known[n], m.sealed[n] = num, false
+		m.known[n], m.uncertain[n] = num, false
 	}
 }
 
 // Hash implements modelcheck.Model.
 func (m *Model) Hash() uint64 {
-	parts := []any{m.faults, m.nextChoiceAt, m.known, m.sealed}
+	parts := []any{m.faults, m.nextChoiceAt, m.known, m.uncertain}
 	for _, e := range m.electorates {
 		parts = append(parts, e.peers)
 	}
