--- a/internal/modelcheck/admissionmodel/config.go
+++ b/internal/modelcheck/admissionmodel/config.go
@@ -86,7 +86,7 @@
 	minServedShare  = 0.4
 	// promisedOverage is the fraction beyond the quota that the promise allows.
 	promisedOverage = 0.1
-	// dutyVacancy is how long nobody tracks while the duty moves.
+	// dutyVacancy is how long there is no tracker while the duty moves.
 	dutyVacancy = 300 * time.Millisecond
 	// powerLossVacancy is the additional vacancy after all processes were stopped.
 	powerLossVacancy = 2 * time.Second
--- a/internal/modelcheck/admissionmodel/control.go
+++ b/internal/modelcheck/admissionmodel/control.go
@@ -8,9 +8,9 @@
 
 // rosterEntry is the control process's record of a proxy.
 type rosterEntry struct {
-	lastHeard time.Duration
-	count     int
-	admitted  bool
+	lastHeartbeat time.Duration
+	count         int
+	admitted      bool
 }
 
 // vacate ends the current holder's duty. Another machine takes it after dutyVacancy, preferably
@@ -36,7 +36,7 @@
 // trackers.
 func (m *Model) controlTick() {
 	for n, e := range m.roster {
-		if m.world.Now-e.lastHeard > constants.ProxyExpiry {
+		if m.world.Now-e.lastHeartbeat > constants.ProxyExpiry {
 			delete(m.roster, n)
 		}
 	}
@@ -70,7 +70,7 @@
 		e = &rosterEntry{}
 		m.roster[n] = e
 	}
-	e.lastHeard, e.count = m.world.Now, h.Count
+	e.lastHeartbeat, e.count = m.world.Now, h.Count
 	m.admitNewcomers()
 	out := heartbeatReply{HeartbeatSent: h.Sent, Tracker: m.dutyHolder}
 	if e.admitted {
--- a/internal/modelcheck/leasemodel/leasemodel.go
+++ b/internal/modelcheck/leasemodel/leasemodel.go
@@ -57,7 +57,7 @@
 	faults       int
 
 	electorates []electorate
-	known       map[string]int // by machine: the number of the electorate it knows
+	known       map[string]int  // by machine: the number of the electorate it knows
 	uncertain   map[string]bool // by machine: it took part in deciding on the next electorate and has not learned the outcome
 }
 
