--- a/cmd/slateridge/modelcheck.go
+++ b/cmd/slateridge/modelcheck.go
@@ -42,7 +42,7 @@
 	Replay     string        `placeholder:"LIST" help:"Run one schedule in the printed form: steps separated by semicolons."`
 }
 
-var errRuleBroken = errors.New("a rule was broken")
+var errRuleViolated = errors.New("a rule was broken")
 
 func (c modelcheckCmd) model() (func() modelcheck.Model, []string) {
 	if c.Model == "leases" {
@@ -81,7 +81,7 @@
 	return func() modelcheck.Model { return admissionmodel.New(cfg) }, admissionmodel.ChoiceKinds
 }
 
-// Run searches for a broken rule, or replays one schedule.
+// Run searches for a violated rule, or replays one schedule.
 func (c modelcheckCmd) Run() error {
 	newModel, kinds := c.model()
 	if err := c.validate(kinds); err != nil {
@@ -109,7 +109,7 @@
 		fmt.Printf("\nbroken: %s\nfound:  %s\nshrunk: %s\nas a test:\n%s\n", f.Err, f.Found, f.Shrunk, f.Source())
 	}
 	if len(report.Failures) > 0 {
-		return errRuleBroken
+		return errRuleViolated
 	}
 	return nil
 }
@@ -142,7 +142,7 @@
 	return nil
 }
 
-// replay runs one schedule and prints the rule that it breaks, if any.
+// replay runs one schedule and prints the rule that it violates, if any.
 func replay(m modelcheck.Model, schedule string) error {
 	err := modelcheck.Replay(m, modelcheck.Parse(schedule))
 	if errors.Is(err, modelcheck.ErrNotEnabled) {
@@ -150,7 +150,7 @@
 	}
 	if err != nil {
 		fmt.Println("broken:", err)
-		return errRuleBroken
+		return errRuleViolated
 	}
 	fmt.Println("no rule was broken")
 	return nil
--- a/cmd/slateridge/modelcheck_test.go
+++ b/cmd/slateridge/modelcheck_test.go
@@ -7,7 +7,7 @@
 	"github.com/alecthomas/kong"
 )
 
-// Invalid flags and schedules give a usage error; a search or replay that finds no broken rule
+// Invalid flags and schedules give a usage error; a search or replay that finds no violated rule
 // succeeds.
 func TestModelcheckUsageErrors(t *testing.T) {
 	for _, c := range []struct {
