--- a/cmd/scalerun/accounts_trial.go
+++ b/cmd/scalerun/accounts_trial.go
@@ -41,13 +41,13 @@
 	if !cli.Accounts {
 		return nil
 	}
-	var taken uint64
+	var accounted uint64
 	waited, err := waitFor("accounts whole", func() bool {
 		time.Sleep(250 * time.Millisecond)
-		taken = accountsTaken()
-		return taken >= sent
+		accounted = accountedRequests()
+		return accounted >= sent
 	})
-	fmt.Printf("  accounts: %d requests in them, %d were made\n", taken, sent)
+	fmt.Printf("  accounts: %d requests in them, %d were made\n", accounted, sent)
 	if err != nil {
 		return err
 	}
@@ -55,9 +55,9 @@
 	return nil
 }
 
-// accountsTaken returns the number of requests in all accounts, merged from the snapshots of
+// accountedRequests returns the number of requests in all accounts, merged from the snapshots of
 // the control processes that respond.
-func accountsTaken() uint64 {
+func accountedRequests() uint64 {
 	var parts []accounts.Snapshot
 	for i := range cli.Control {
 		address := net.JoinHostPort(controlIP(i), strconv.Itoa(portInternal+constants.PortControlAdmin))
@@ -65,11 +65,11 @@
 			parts = append(parts, part)
 		}
 	}
-	taken := uint64(0)
+	accounted := uint64(0)
 	for _, standing := range accounts.MergeSnapshots(parts).Standings {
-		taken += standing.Account.Taken
+		accounted += standing.Account.Taken
 	}
-	return taken
+	return accounted
 }
 
 func fetchAccountSnapshot(address string) (accounts.Snapshot, error) {
