--- a/internal/modelcheck/admissionmodel/proxy.go
+++ b/internal/modelcheck/admissionmodel/proxy.go
@@ -109,11 +109,11 @@
 // recordTrackerTime records a tracker's time from an answer.
 func (m *Model) recordTrackerTime(n, from string, s admission.TrackerTime) {
 	p := m.proxies[n]
-	was := p.echo[from].time
-	if was.Life != s.Life || was.At < s.At {
+	previous := p.echo[from].time
+	if previous.Life != s.Life || previous.At < s.At {
 		p.echo[from] = trackerEcho{s, m.clock(n)}
 	}
-	if was.Life != s.Life || was.Begun < s.Begun {
+	if previous.Life != s.Life || previous.Begun < s.Begun {
 		p.limiter.RequestFullReport(0)
 	}
 	p.limiter.MarkTrackerAnswered(m.clock(n), 0)
--- a/internal/modelcheck/chainmodel/choices.go
+++ b/internal/modelcheck/chainmodel/choices.go
@@ -29,8 +29,8 @@
 	return nil
 }
 
-// allHealthy reports whether a disk may be lost: all machines are running members of one view
-// and have had time to catch up.
+// allHealthy reports whether all machines are running members of one view and have had time to
+// catch up, so that a disk may be lost. With UnsafeDiskLoss it is always true.
 func (m *Model) allHealthy() bool {
 	if m.UnsafeDiskLoss {
 		return true
--- a/internal/modelcheck/chainmodel/duties.go
+++ b/internal/modelcheck/chainmodel/duties.go
@@ -123,15 +123,15 @@
 	if p.down {
 		return
 	}
-	if was, ok := p.fenceHolder[action.Fence]; ok && was != n {
-		m.fail(RuleOneFence, "fence %d was used by %s and by %s", action.Fence, was, n)
+	if existing, ok := p.fenceHolder[action.Fence]; ok && existing != n {
+		m.fail(RuleOneFence, "fence %d was used by %s and by %s", action.Fence, existing, n)
 	}
 	p.fenceHolder[action.Fence] = n
 	status := 409
 	if action.Fence >= p.fence {
 		status, p.fence = 200, action.Fence
-		if was, ok := p.bodies[action.Key]; ok && was != string(action.Body) {
-			m.fail(RuleOneBody, "key %d was sent with body %s and with body %s", action.Key, was, action.Body)
+		if existing, ok := p.bodies[action.Key]; ok && existing != string(action.Body) {
+			m.fail(RuleOneBody, "key %d was sent with body %s and with body %s", action.Key, existing, action.Body)
 		}
 		p.bodies[action.Key] = string(action.Body)
 		p.recentActions = append(p.recentActions, platformAction{m.world.Now, n})
--- a/internal/modelcheck/chainmodel/rules.go
+++ b/internal/modelcheck/chainmodel/rules.go
@@ -42,8 +42,8 @@
 	}
 	m.inForce[n] = &d
 	m.checkState(n, d)
-	if was, ok := m.confirmed[d.Version]; ok && was != string(d.Raw) {
-		m.fail(RuleOneContent, "%s has r%d with content %q in force, but %q was confirmed", n, d.Version, d.Raw, was)
+	if existing, ok := m.confirmed[d.Version]; ok && existing != string(d.Raw) {
+		m.fail(RuleOneContent, "%s has r%d with content %q in force, but %q was confirmed", n, d.Version, d.Raw, existing)
 	}
 	m.pendingCalls[n] = slices.DeleteFunc(m.pendingCalls[n], func(call pendingCall) bool { return m.world.Now-call.submittedAt > constants.SubmitTimeout })
 	var remaining []pendingCall
@@ -64,10 +64,10 @@
 // revisions.
 func (m *Model) checkState(n string, d config.Doc) {
 	state := committedState{d.Version, string(d.Raw)}
-	was, ok := m.states[d.Stamp]
+	existing, ok := m.states[d.Stamp]
 	if ok {
-		if was != state {
-			m.fail(RuleOneState, "%s committed r%d with content %q at revision %v, which was r%d with content %q", n, state.version, state.content, d.Stamp, was.version, was.content)
+		if existing != state {
+			m.fail(RuleOneState, "%s committed r%d with content %q at revision %v, which was r%d with content %q", n, state.version, state.content, d.Stamp, existing.version, existing.content)
 		}
 		return
 	}
@@ -102,8 +102,8 @@
 
 // confirm records that a submission was confirmed to its operator.
 func (m *Model) confirm(n string, s Submission) {
-	if was, ok := m.confirmed[s.Version]; ok && was != s.Content {
-		m.fail(RuleOneContent, "%s confirmed r%d with content %q to %s, but %q was confirmed before", n, s.Version, s.Content, s.Operator, was)
+	if existing, ok := m.confirmed[s.Version]; ok && existing != s.Content {
+		m.fail(RuleOneContent, "%s confirmed r%d with content %q to %s, but %q was confirmed before", n, s.Version, s.Content, s.Operator, existing)
 	}
 	for at, committed := range m.states {
 		if committed.version == s.Version && committed.content != s.Content {
@@ -125,8 +125,8 @@
 	var v uint64
 	if done.Doc != nil {
 		v = done.Doc.Version
-		if was, ok := m.confirmed[v]; ok && was != string(done.Doc.Raw) {
-			m.fail(RuleOneContent, "a read at %s returned r%d with content %q, but %q was confirmed", n, v, done.Doc.Raw, was)
+		if existing, ok := m.confirmed[v]; ok && existing != string(done.Doc.Raw) {
+			m.fail(RuleOneContent, "a read at %s returned r%d with content %q, but %q was confirmed", n, v, done.Doc.Raw, existing)
 		}
 	}
 	if v < read.confirmedVersion {
