--- a/cmd/slateridge/status.go
+++ b/cmd/slateridge/status.go
@@ -121,8 +121,8 @@
 	return nil
 }
 
-// maxListedRows is the number of rows up to which a list is printed whole. Of a longer list
-// only the notable rows are printed, and the number of the others.
+// maxListedRows is the length up to which a list is printed in full. For a longer list only the
+// notable rows and the number of the others are printed.
 const maxListedRows = 24
 
 // printRows prints every row of a list if all is set or the list is short. Otherwise it
