--- a/internal/modelcheck/search.go
+++ b/internal/modelcheck/search.go
@@ -116,14 +116,14 @@
 	if known {
 		return
 	}
-	short := Shrink(m, schedule, rule)
-	if e := Replay(m, short); e != nil {
+	shrunk := Shrink(m, schedule, rule)
+	if e := Replay(m, shrunk); e != nil {
 		err = e
 	}
 	s.mu.Lock()
 	for i := range s.totals.Failures {
 		if f := &s.totals.Failures[i]; f.Rule == rule {
-			f.Shrunk, f.Err = short, err
+			f.Shrunk, f.Err = shrunk, err
 		}
 	}
 	s.mu.Unlock()
@@ -208,9 +208,9 @@
 func (s *search) markVisited(h uint64) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	was := s.visited[h]
+	visited := s.visited[h]
 	s.visited[h] = true
-	return !was
+	return !visited
 }
 
 func (s *search) finish(expanded map[uint64]bool) Report {
--- a/internal/modelcheck/world.go
+++ b/internal/modelcheck/world.go
@@ -50,11 +50,11 @@
 	onRecv      func(e *Event)
 	queue       events
 	seq         uint64
-	cut         map[[2]string]bool
+	cut         map[[2]string]bool // by sender and receiver
 	up          map[string]bool
 	frozen      map[string]bool
 	incarnation map[string]int
-	pending     map[string][]func()
+	deferred    map[string][]func() // by frozen machine: calls to run when it thaws
 	phase       map[string]time.Duration
 }
 
@@ -62,7 +62,7 @@
 // message.
 func NewWorld(tick time.Duration, onTick func(n string), onRecv func(e *Event)) *World {
 	return &World{tick: tick, onTick: onTick, onRecv: onRecv, cut: map[[2]string]bool{}, up: map[string]bool{},
-		frozen: map[string]bool{}, incarnation: map[string]int{}, pending: map[string][]func(){}, phase: map[string]time.Duration{}}
+		frozen: map[string]bool{}, incarnation: map[string]int{}, deferred: map[string][]func(){}, phase: map[string]time.Duration{}}
 }
 
 func (w *World) push(e *Event) {
@@ -114,8 +114,8 @@
 func (w *World) RunOn(n string, f func()) {
 	incarnation := w.incarnation[n]
 	if w.frozen[n] {
-		if len(w.pending[n]) < 100 {
-			w.pending[n] = append(w.pending[n], func() {
+		if len(w.deferred[n]) < 100 {
+			w.deferred[n] = append(w.deferred[n], func() {
 				if w.incarnation[n] == incarnation {
 					f()
 				}
@@ -128,7 +128,7 @@
 
 // Stop ends a machine's process.
 func (w *World) Stop(n string) {
-	w.up[n], w.frozen[n], w.pending[n] = false, false, nil
+	w.up[n], w.frozen[n], w.deferred[n] = false, false, nil
 	w.incarnation[n]++
 }
 
@@ -142,8 +142,8 @@
 func (w *World) Freeze(n string, frozen bool) {
 	w.frozen[n] = frozen
 	if !frozen {
-		p := w.pending[n]
-		w.pending[n] = nil
+		p := w.deferred[n]
+		w.deferred[n] = nil
 		for _, f := range p {
 			f()
 		}
@@ -298,10 +298,10 @@
 	for _, e := range q {
 		inFlight = append(inFlight, a.Digest(w.Now, e.At, e.From, e.To, e.Msg))
 	}
-	pendingCount := map[string]int{}
-	for n, p := range w.pending {
+	deferredCount := map[string]int{}
+	for n, p := range w.deferred {
 		if len(p) > 0 {
-			pendingCount[n] = len(p)
+			deferredCount[n] = len(p)
 		}
 	}
 	enabled := func(m map[string]bool) (out []string) {
@@ -313,5 +313,5 @@
 		slices.Sort(out)
 		return out
 	}
-	return a.Digest(w.Now, inFlight, w.Names, w.cut, enabled(w.up), enabled(w.frozen), pendingCount)
+	return a.Digest(w.Now, inFlight, w.Names, w.cut, enabled(w.up), enabled(w.frozen), deferredCount)
 }
